--- a/cmd/maddermill/cwl.go
+++ b/cmd/maddermill/cwl.go
@@ -27,7 +27,7 @@
 			return nil, err
 		}
 		if p.Status/100 != 2 {
-			var problem wire.Problem
+			var problem wire.ErrorBody
 			if json.Unmarshal(p.Body, &problem) == nil && problem.Error != "" {
 				return nil, fmt.Errorf("status %d: %s", p.Status, problem.Error)
 			}
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -174,10 +174,10 @@
 		MaxUsers: int(userShare * float64(sockets)), MaxBusy: max(32, sockets/8)}
 	log.Info("starting", "version", version, "bind", set.Bind, "mesh", set.MeshAddr, "objectives", len(set.Cluster.Objectives))
 	if register != "" {
-		core.Duties.Add(supervise.Duty{Name: "register", Run: func(ctx context.Context) error { return core.Promises.Reread(ctx, register) }})
+		core.Duties.Add(supervise.Component{Name: "register", Run: func(ctx context.Context) error { return core.Promises.Reload(ctx, register) }})
 	}
 	if topology != "" {
-		core.Duties.Add(supervise.Duty{Name: "topology", Run: func(ctx context.Context) error { return core.Places.Reread(ctx, topology, reread) }})
+		core.Duties.Add(supervise.Component{Name: "topology", Run: func(ctx context.Context) error { return core.Places.Reload(ctx, topology, reread) }})
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return core.Run(ctx, dialer, cl) })
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -151,7 +151,7 @@
 			}
 			return 5 * time.Second
 		},
-		Types: []wire.Flavor{{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.4,
+		Types: []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.4,
 			Boot: 3, Zones: []wire.Zone{"here", "there"}}}}
 	steps := data.Dir{Root: file("-data")}
 	world.Finished = func(t wire.TaskID) {
@@ -212,7 +212,7 @@
 		if err != nil {
 			continue
 		}
-		var a wire.ReportResponse
+		var a wire.HeartbeatResponse
 		err = json.NewDecoder(p.Body).Decode(&a)
 		p.Body.Close()
 		if err == nil && p.StatusCode == 200 {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -31,7 +31,7 @@
 
 // Workers is the service as workers' reports see it.
 type Workers interface {
-	Report(ctx context.Context, r *wire.Report) server.ReportAnswer
+	Report(ctx context.Context, r *wire.Heartbeat) server.HeartbeatAnswer
 }
 
 // View is what is told of the controller itself.
@@ -289,7 +289,7 @@
 }
 
 func (s *Server) report(ctx context.Context, body []byte) *http1.Response {
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
 		return problem(400, "not a report")
 	}
@@ -307,7 +307,7 @@
 	switch {
 	case errors.Is(err, server.ErrNoSuchJob):
 		return problem(404, "no such job")
-	case errors.Is(err, server.ErrNeverRuns):
+	case errors.Is(err, server.ErrUnschedulable):
 		return problem(422, strings.ReplaceAll(err.Error(), "\n", ": "))
 	case errors.Is(err, state.ErrNoReach):
 	default:
@@ -331,7 +331,7 @@
 }
 
 func problem(status int, reason string) *http1.Response {
-	return reply(status, wire.Problem{Error: reason})
+	return reply(status, wire.ErrorBody{Error: reason})
 }
 
 func reply(status int, v any) *http1.Response {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -30,7 +30,7 @@
 
 func (service) Submit(_ context.Context, s *wire.JobSpec) (wire.JobStatus, bool, error) {
 	if s.Team == "nobody" {
-		return wire.JobStatus{}, false, errors.Join(server.ErrNeverRuns, errors.New("unknown team"))
+		return wire.JobStatus{}, false, errors.Join(server.ErrUnschedulable, errors.New("unknown team"))
 	}
 	return wire.JobStatus{ID: s.ID, Status: wire.Queued}, true, nil
 }
@@ -49,8 +49,8 @@
 func (s service) Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	return s.Status(ctx, id)
 }
-func (service) Report(context.Context, *wire.Report) server.ReportAnswer {
-	return server.ReportAnswer{Status: 200, Response: &wire.ReportResponse{Token: 3, Commands: []wire.Command{}}}
+func (service) Report(context.Context, *wire.Heartbeat) server.HeartbeatAnswer {
+	return server.HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{Token: 3, Commands: []wire.Command{}}}
 }
 func (service) Healthy() bool                        { return true }
 func (service) Judgements() ([]wire.Judgement, bool) { return nil, true }
--- a/internal/archiver/archiver.go
+++ b/internal/archiver/archiver.go
@@ -59,9 +59,9 @@
 	Changes    float64       // a second, of all controllers
 }
 
-// Keeper is that part of a controller. Final, Told and Workflow may be called at any time,
+// Archiver is that part of a controller. Final, Told and Workflow may be called at any time,
 // Run once.
-type Keeper struct {
+type Archiver struct {
 	host  Host
 	store state.Store
 	opt   Options
@@ -102,25 +102,25 @@
 )
 
 // New returns a keeper that moves nothing before Run.
-func New(host Host, store state.Store, opt Options, stats *metrics.Set, log *slog.Logger) *Keeper {
+func New(host Host, store state.Store, opt Options, stats *metrics.Set, log *slog.Logger) *Archiver {
 	finals, err := lru.New[wire.JobID, ledger.FinalRecord](mostFinals)
 	if err != nil {
 		panic(err) // only for a size below 1
 	}
 	opt.SweepAfter = cmp.Or(opt.SweepAfter, sweepAfter)
 	share := opt.Requests * readShare
-	return &Keeper{host: host, store: store, opt: opt, stats: stats, log: log, finals: finals, pace: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
+	return &Archiver{host: host, store: store, opt: opt, stats: stats, log: log, finals: finals, pace: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
 }
 
-// Note keeps the final state of a job that has just left the records.
-func (k *Keeper) Note(id wire.JobID, r ledger.FinalRecord) { k.finals.Add(id, r) }
+// CacheFinal keeps the final state of a job that has just left the records.
+func (k *Archiver) CacheFinal(id wire.JobID, r ledger.FinalRecord) { k.finals.Add(id, r) }
 
-// Told returns the final state of a job that was archived, if it is known here.
-func (k *Keeper) Told(id wire.JobID) (ledger.FinalRecord, bool) { return k.finals.Get(id) }
+// CachedFinal returns the final state of a job that was archived, if it is known here.
+func (k *Archiver) CachedFinal(id wire.JobID) (ledger.FinalRecord, bool) { return k.finals.Get(id) }
 
 // mayBeArchived reports whether a job that a fresh ledger doesn't hold, or by its name in the
 // filter a workflow, may be archived.
-func (k *Keeper) mayBeArchived(ctx context.Context, name string, ask func(*ledger.Ledger) (may, known bool)) (may bool, err error) {
+func (k *Archiver) mayBeArchived(ctx context.Context, name string, ask func(*ledger.Ledger) (may, known bool)) (may bool, err error) {
 	known, err := k.knowPage(ctx, name, func(l *ledger.Ledger) (known bool) {
 		may, known = ask(l)
 		return known
@@ -134,7 +134,7 @@
 // knowPage reads the page of the filter that a name is on if it is not known yet, as known
 // tells; from then on it is kept up by what leaves the ledger. It tells false if the records
 // were read anew again and again meanwhile.
-func (k *Keeper) knowPage(ctx context.Context, name string, known func(*ledger.Ledger) bool) (bool, error) {
+func (k *Archiver) knowPage(ctx context.Context, name string, known func(*ledger.Ledger) bool) (bool, error) {
 	at := archive.Position(name)
 	for range 3 {
 		var led *ledger.Ledger
@@ -164,7 +164,7 @@
 }
 
 // readPage reads the page of the filter that a position is on.
-func (k *Keeper) readPage(ctx context.Context, at uint32, led *ledger.Ledger, since uint64) error {
+func (k *Archiver) readPage(ctx context.Context, at uint32, led *ledger.Ledger, since uint64) error {
 	page, version := archive.FirstPage(), wire.Revision(0)
 	got, err := inTurn(ctx, k, func(ctx context.Context) (wire.ItemPage, error) {
 		return k.store.List(ctx, ledger.FilterPrefix, ledger.FilterKey(at), 1)
@@ -189,7 +189,7 @@
 // Final tells the final state of a job that is in the archive, or ErrUnknown. It is to
 // be asked about a job that a fresh ledger doesn't hold. Requests for one job share a read;
 // more jobs than the reads' pace allows are put off.
-func (k *Keeper) Final(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
+func (k *Archiver) Final(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	if r, ok := k.finals.Get(id); ok {
 		return r.Status(id), nil
 	}
@@ -228,7 +228,7 @@
 
 // inTurn reads from the archive at the pace that such reads have. Its error wraps
 // ErrUnavailable or is state.ErrNotFound.
-func inTurn[T any](ctx context.Context, k *Keeper, read func(context.Context) (T, error)) (got T, err error) {
+func inTurn[T any](ctx context.Context, k *Archiver, read func(context.Context) (T, error)) (got T, err error) {
 	turn := k.pace.Reserve()
 	if d := turn.Delay(); d > longestRead {
 		turn.Cancel()
@@ -248,7 +248,7 @@
 }
 
 // readArchive reads one key of the archive.
-func (k *Keeper) readArchive(ctx context.Context, key string) (wire.Item, error) {
+func (k *Archiver) readArchive(ctx context.Context, key string) (wire.Item, error) {
 	it, err := inTurn(ctx, k, func(ctx context.Context) (wire.Item, error) { return k.store.Get(ctx, key) })
 	if errors.Is(err, state.ErrNotFound) {
 		k.stats.Add("archive_misses_total", 1)
@@ -258,7 +258,7 @@
 
 // Run raises the records' format once all controllers read the new one, and moves
 // what is over out of the records, in what the budget has to spare.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Archiver) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, time.Second)
 		if !k.host.Leading() || !k.opt.Archive || k.opt.TxnOps < leastMove {
@@ -267,7 +267,7 @@
 		}
 		var format ledger.FormatRecord
 		k.host.Read(func(l *ledger.Ledger) { format, _ = l.Format() })
-		if format.Format < Reads(k.opt.FormatUpTo) {
+		if format.Format < SupportedFormat(k.opt.FormatUpTo) {
 			k.raise(ctx, time.Now())
 		}
 		if format.Format < ledger.ArchiveFormat {
@@ -292,9 +292,9 @@
 	return ctx.Err()
 }
 
-// Reads is the newest format of records that a controller lets come about, held down to a
+// SupportedFormat is the newest format of records that a controller lets come about, held down to a
 // format; 0: not held down.
-func Reads(upTo int) int {
+func SupportedFormat(upTo int) int {
 	if upTo > 0 {
 		return min(upTo, ledger.NewestFormat)
 	}
@@ -302,16 +302,16 @@
 }
 
 // raise makes the records' format the newest if every controller says that it reads it.
-func (k *Keeper) raise(ctx context.Context, now time.Time) {
-	to := Reads(k.opt.FormatUpTo)
+func (k *Archiver) raise(ctx context.Context, now time.Time) {
+	to := SupportedFormat(k.opt.FormatUpTo)
 	if !k.host.AllRead(to) {
 		return
 	}
 	var txn wire.Txn
 	var err error
 	k.host.Read(func(l *ledger.Ledger) {
-		d := l.NewDraft()
-		if err = d.Raise(to, wire.UnixMillis(now.UnixMilli())); err == nil {
+		d := l.NewTransaction()
+		if err = d.UpgradeFormat(to, wire.UnixMillis(now.UnixMilli())); err == nil {
 			txn, err = d.Txn()
 		}
 	})
@@ -327,7 +327,7 @@
 
 // move moves one transaction's worth out of the records and returns how many changes
 // that took; 0 if there is nothing to be moved, or no change to spare.
-func (k *Keeper) move(ctx context.Context, now time.Time) (int, error) {
+func (k *Archiver) move(ctx context.Context, now time.Time) (int, error) {
 	changes := k.host.Spare()
 	if changes == 0 {
 		return 0, nil
@@ -340,12 +340,12 @@
 		}
 	}
 	var led *ledger.Ledger
-	var d *ledger.Draft
+	var d *ledger.Transaction
 	var took moved
 	var txn wire.Txn
 	var err error
 	k.host.Read(func(l *ledger.Ledger) {
-		led, d = l, l.NewDraftOf(changes)
+		led, d = l, l.NewTransactionOf(changes)
 		took = k.draft(l, d)
 		txn, err = d.Txn()
 	})
@@ -359,7 +359,7 @@
 		case err != nil:
 			l.DropPage(name) // it is no longer known which version it has
 		default:
-			d.Written(at)
+			d.Committed(at)
 		}
 	})
 	if err != nil {
@@ -378,7 +378,7 @@
 
 // next looks for what is to be moved if nothing is left from the last look, and returns the
 // name whose page of the filter the next move needs, "" if it needs none.
-func (k *Keeper) next(l *ledger.Ledger, now time.Time) string {
+func (k *Archiver) next(l *ledger.Ledger, now time.Time) string {
 	if len(k.jobs)+len(k.machines)+len(k.flows) == 0 && now.Sub(k.looked) > lookEvery {
 		if t := k.took; t.changes > 0 {
 			k.log.Info("history moved", "jobs", t.jobs, "machines", t.machines, "workflows", t.flows, "changes", t.changes)
@@ -388,7 +388,7 @@
 		k.findGone(l)
 		k.findFlows(l)
 	}
-	for len(k.jobs) > 0 && !l.Movable(k.jobs[0]) {
+	for len(k.jobs) > 0 && !l.Archivable(k.jobs[0]) {
 		k.jobs = k.jobs[1:]
 	}
 	switch {
@@ -402,7 +402,7 @@
 
 // draft fills a draft with the next that is to be moved. What no longer can be is passed
 // over; what does not fit stays for the next.
-func (k *Keeper) draft(l *ledger.Ledger, d *ledger.Draft) (took moved) {
+func (k *Archiver) draft(l *ledger.Ledger, d *ledger.Transaction) (took moved) {
 	if len(k.jobs) > 0 {
 		page := l.Page(k.jobs[0])
 		var ids []wire.JobID
@@ -411,7 +411,7 @@
 			if page == nil || !page.Covers(string(id)) || len(ids) > d.Room() {
 				break
 			}
-			if end++; l.Movable(id) {
+			if end++; l.Archivable(id) {
 				ids = append(ids, id)
 			}
 		}
@@ -424,11 +424,11 @@
 			k.jobs = k.jobs[slices.Index(k.jobs, ids[n-1])+1:]
 			return moved{jobs: n}
 		}
-		if d.Trim(ids[0]) == nil {
+		if d.DeleteTaskRanges(ids[0]) == nil {
 			return moved{}
 		}
 		k.jobs = k.jobs[slices.Index(k.jobs, ids[0])+1:]
-		if !errors.Is(err, ledger.ErrStale) {
+		if !errors.Is(err, ledger.ErrPreconditionFailed) {
 			k.log.Warn("job can't be archived", "job", ids[0], "err", err)
 		}
 		return moved{}
@@ -437,7 +437,7 @@
 		group := k.machines[0]
 		part, _ := archive.PartOf(string(group[0]))
 		for n := min(len(group), max(1, d.Room()-2)); n > 0; n-- {
-			if d.Sweep(part, group[:n]) == nil {
+			if d.CompactTerminated(part, group[:n]) == nil {
 				if k.machines[0] = group[n:]; n == len(group) {
 					k.machines = k.machines[1:]
 				}
@@ -458,7 +458,7 @@
 
 // findFinished chooses jobs to be archived, once there are twice as many as are to be kept:
 // all but the newest of them.
-func (k *Keeper) findFinished(l *ledger.Ledger) {
+func (k *Archiver) findFinished(l *ledger.Ledger) {
 	known, active := l.Counts()
 	keep := k.opt.Kept
 	if known-active <= 2*keep {
@@ -483,10 +483,10 @@
 }
 
 // findGone chooses machines to be swept.
-func (k *Keeper) findGone(l *ledger.Ledger) {
+func (k *Archiver) findGone(l *ledger.Ledger) {
 	parts := map[archive.PartID][]wire.MachineID{}
-	l.Marks(func(m wire.MachineID, k ledger.MachineMark) {
-		if part, ok := archive.PartOf(string(m)); ok && k == ledger.Gone && len(l.HeldBy(m)) == 0 {
+	l.MachinePhases(func(m wire.MachineID, k ledger.MachinePhase) {
+		if part, ok := archive.PartOf(string(m)); ok && k == ledger.Terminated && len(l.HeldBy(m)) == 0 {
 			parts[part] = append(parts[part], m)
 		}
 	})
@@ -500,7 +500,7 @@
 }
 
 // findFlows chooses workflows to be archived as findFinished does jobs.
-func (k *Keeper) findFlows(l *ledger.Ledger) {
+func (k *Archiver) findFlows(l *ledger.Ledger) {
 	type over struct {
 		id wire.WorkflowID
 		at wire.Revision
@@ -521,7 +521,7 @@
 
 // Workflow returns the record of a workflow that a fresh ledger doesn't hold, or nil if
 // it is not archived either.
-func (k *Keeper) Workflow(ctx context.Context, id wire.WorkflowID) (*ledger.Workflow, error) {
+func (k *Archiver) Workflow(ctx context.Context, id wire.WorkflowID) (*ledger.Workflow, error) {
 	may, err := k.mayBeArchived(ctx, ledger.FlowName(id), func(l *ledger.Ledger) (bool, bool) { return l.WorkflowMayBeArchived(id) })
 	if err != nil || !may {
 		return nil, err
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -61,7 +61,7 @@
 	case err != nil:
 		return errors.Join(ErrUnknown, err)
 	case p.Status == 503 || p.Status == 429:
-		var problem wire.Problem
+		var problem wire.ErrorBody
 		if json.Unmarshal(p.Body, &problem); problem.Error == "no capacity" {
 			return ErrNoCapacity
 		}
@@ -79,22 +79,22 @@
 }
 
 // Flavors returns the machine types at current prices.
-func (c *Client) Flavors(ctx context.Context) ([]wire.Flavor, error) {
-	var f wire.Flavors
+func (c *Client) Flavors(ctx context.Context) ([]wire.MachineType, error) {
+	var f wire.MachineTypeList
 	err := c.do(ctx, "GET", "/flavors", "", nil, &f)
 	return f.Types, err
 }
 
 // Hire rents machines.
-func (c *Client) Hire(ctx context.Context, h wire.Hire) ([]wire.MachineID, error) {
-	var m wire.Machines
+func (c *Client) Hire(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
+	var m wire.MachineIDList
 	err := c.do(ctx, "POST", "/machines", "", h, &m)
 	return m.Names, err
 }
 
 // Return gives machines back. When it succeeds, they and all on them are gone.
 func (c *Client) Return(ctx context.Context, names []wire.MachineID) error {
-	return c.do(ctx, "POST", "/machines/return", "", wire.Machines{Names: names}, nil)
+	return c.do(ctx, "POST", "/machines/return", "", wire.MachineIDList{Names: names}, nil)
 }
 
 // List returns all machines that the cloud lists. The list lags.
--- a/internal/completion/exchange.go
+++ b/internal/completion/exchange.go
@@ -43,8 +43,8 @@
 		!slices.ContainsFunc(x.peers, func(id wire.MemberID) bool { return !x.told[id].whole })
 }
 
-// Question puts into what is said to a peer how far its log was read.
-func (x *Exchange) Question(to wire.MemberID, ask *mesh.Status) {
+// Request puts into what is said to a peer how far its log was read.
+func (x *Exchange) Request(to wire.MemberID, ask *mesh.Status) {
 	at := x.told[to]
 	ask.CompletedBoot, ask.CompletedTo = at.boot, at.number
 }
@@ -59,8 +59,8 @@
 	answer.Completed, answer.CompletedTo = x.log.Since(number, mostTold, now)
 }
 
-// Hear keeps what a peer told of, as far as it may still be lacking in the records; apart as in Note.
-func (x *Exchange) Hear(s *mesh.Status, lacking func(mesh.Completion) bool, apart bool, now time.Time) {
+// Merge keeps what a peer told of, as far as it may still be lacking in the records; apart as in Note.
+func (x *Exchange) Merge(s *mesh.Status, lacking func(mesh.Completion) bool, apart bool, now time.Time) {
 	if s.CompletedBoot == 0 {
 		return // an earlier version, or a published status
 	}
--- a/internal/completion/log.go
+++ b/internal/completion/log.go
@@ -22,8 +22,8 @@
 // entryBytes is about what an entry takes of memory, by which the bound of a Log is chosen.
 const entryBytes = 400
 
-// Most is how many completions may be kept in a number of bytes of memory.
-func Most(bytes int) int { return max(256, bytes/entryBytes) }
+// Capacity is how many completions may be kept in a number of bytes of memory.
+func Capacity(bytes int) int { return max(256, bytes/entryBytes) }
 
 // entry is a completion in the order in which it came.
 type entry struct {
@@ -72,7 +72,7 @@
 // Cause is how a claim's task ended that no worker can show any more: done if that was reported,
 // else nothing is known. A completion proves nothing of another attempt, machine or session. A nil
 // log knows of none.
-func (l *Log) Cause(h *ledger.Held, task wire.TaskIndex) wire.Cause {
+func (l *Log) Cause(h *ledger.HeldClaim, task wire.TaskIndex) wire.Cause {
 	if l == nil || len(l.known) == 0 {
 		return ""
 	}
@@ -105,8 +105,8 @@
 	return out, number
 }
 
-// Apart gives f the completions that were noted while out of touch, in their order.
-func (l *Log) Apart(f func(mesh.Completion)) {
+// EachUnrecorded gives f the completions that were noted while out of touch, in their order.
+func (l *Log) EachUnrecorded(f func(mesh.Completion)) {
 	for _, e := range l.order {
 		if e.apart {
 			f(e.Completion)
@@ -133,11 +133,11 @@
 }
 
 // ClaimOf is the claim that a completion is of, if the records hold it.
-func ClaimOf(records *ledger.Ledger, c mesh.Completion) (ledger.Held, bool) {
+func ClaimOf(records *ledger.Ledger, c mesh.Completion) (ledger.HeldClaim, bool) {
 	for _, h := range records.HeldBy(c.Machine) {
 		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Session == c.Session && h.Covers(c.Task) {
 			return h, true
 		}
 	}
-	return ledger.Held{}, false
+	return ledger.HeldClaim{}, false
 }
--- a/internal/completion/log_test.go
+++ b/internal/completion/log_test.go
@@ -23,25 +23,25 @@
 	l.Note(done("wk-000001", 2, 5), false, at(0))
 	claim := ledger.Claim{First: 0, Count: 4, Attempt: 5, Machine: "host-1", Session: 3, Token: 9}
 	for _, tc := range []struct {
-		change func(h *ledger.Held)
+		change func(h *ledger.HeldClaim)
 		task   wire.TaskIndex
 		want   wire.Cause
 	}{
-		{func(*ledger.Held) {}, 2, wire.CauseDone},
-		{func(h *ledger.Held) { h.Token = 8 }, 2, wire.CauseDone}, // who held the machine does not matter
-		{func(*ledger.Held) {}, 1, ""},
-		{func(h *ledger.Held) { h.Attempt = 6 }, 2, ""},
-		{func(h *ledger.Held) { h.Session = 4 }, 2, ""},
-		{func(h *ledger.Held) { h.Machine = "host-2" }, 2, ""},
-		{func(h *ledger.Held) { h.Job = &ledger.Job{ID: "wk-000002"} }, 2, ""},
+		{func(*ledger.HeldClaim) {}, 2, wire.CauseDone},
+		{func(h *ledger.HeldClaim) { h.Token = 8 }, 2, wire.CauseDone}, // who held the machine does not matter
+		{func(*ledger.HeldClaim) {}, 1, ""},
+		{func(h *ledger.HeldClaim) { h.Attempt = 6 }, 2, ""},
+		{func(h *ledger.HeldClaim) { h.Session = 4 }, 2, ""},
+		{func(h *ledger.HeldClaim) { h.Machine = "host-2" }, 2, ""},
+		{func(h *ledger.HeldClaim) { h.Job = &ledger.Job{ID: "wk-000002"} }, 2, ""},
 	} {
-		h := ledger.Held{Job: &ledger.Job{ID: "wk-000001"}, Claim: claim}
+		h := ledger.HeldClaim{Job: &ledger.Job{ID: "wk-000001"}, Claim: claim}
 		tc.change(&h)
 		if got := l.Cause(&h, tc.task); got != tc.want {
 			t.Errorf("task %d of %+v: %q, want %q", tc.task, h.Claim, got, tc.want)
 		}
 	}
-	if (*Log)(nil).Cause(&ledger.Held{Job: &ledger.Job{}}, 0) != "" {
+	if (*Log)(nil).Cause(&ledger.HeldClaim{Job: &ledger.Job{}}, 0) != "" {
 		t.Error("a nil log knows of a completion")
 	}
 }
@@ -74,10 +74,10 @@
 	}
 	round := func(s float64) int {
 		ask := mesh.Status{Member: "b"}
-		askedB.Question("a", &ask)
+		askedB.Request("a", &ask)
 		answer := mesh.Status{Member: "a"}
 		askedA.Answer(ask, &answer, at(s))
-		askedB.Hear(&answer, everything, false, at(s))
+		askedB.Merge(&answer, everything, false, at(s))
 		return len(answer.Completed)
 	}
 	for k, want := range []int{0, mostTold, 20, 0} {
@@ -93,13 +93,13 @@
 	}
 	a, askedA = side(20, "b") // its next run knows nothing, and asks
 	ask, answer := mesh.Status{Member: "a"}, mesh.Status{Member: "b"}
-	askedA.Question("b", &ask)
+	askedA.Request("b", &ask)
 	askedB.Answer(ask, &answer, at(21))
-	askedA.Hear(&answer, everything, false, at(21))
+	askedA.Merge(&answer, everything, false, at(21))
 	if a.Len() != mostTold {
 		t.Errorf("a new run was told %d completions", a.Len())
 	}
-	askedA.Hear(&mesh.Status{Member: "c"}, everything, false, at(22)) // an earlier version, or a published status
+	askedA.Merge(&mesh.Status{Member: "c"}, everything, false, at(22)) // an earlier version, or a published status
 	if askedA.told["c"].whole {
 		t.Error("a peer that tells of no completions counts as heard")
 	}
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -116,7 +116,7 @@
 }
 
 // keep keeps a copy of a report, while that is wanted.
-func (h *history) keep(r *wire.Report) {
+func (h *history) keep(r *wire.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.keeping {
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -185,7 +185,7 @@
 		}
 		loaded := s.lists
 		ctx, cancel := context.WithCancel(t.Context())
-		go c.mirror.ReadBarriers(ctx)
+		go c.mirror.ServeReadIndex(ctx)
 		defer func() { cancel(); synctest.Wait() }()
 		poll := func(id wire.JobID) (st wire.JobStatus, err error) {
 			for range 50 {
@@ -242,22 +242,22 @@
 		if _, err := c.mirror.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		c.mirror.Suppose(1, time.Time{})
+		c.mirror.SetForTest(1, time.Time{})
 		done := make(chan error, 1)
 		go func() { _, err := c.mirror.Load(t.Context()); done <- err }()
 		answered := 0
-		var tasks []wire.TaskReport // that it was told to start: one on which nothing begins is deaf
+		var tasks []wire.TaskStatus // that it was told to start: one on which nothing begins is deaf
 		for n := 1; ; n++ {
 			time.Sleep(500 * time.Millisecond)
 			c.mirror.Lock()
-			c.mirror.Suppose(c.mirror.Token(), time.Now()) // a few seconds are within what safety allows without
+			c.mirror.SetForTest(c.mirror.Token(), time.Now()) // a few seconds are within what safety allows without
 			c.mirror.Unlock()
-			r := &wire.Report{Machine: "host-9999999", Type: "g2", Zone: "a", Session: 1, Tally: wire.Tally(n), Token: 1, Tasks: tasks}
+			r := &wire.Heartbeat{Machine: "host-9999999", Type: "g2", Zone: "a", Session: 1, Sequence: wire.HeartbeatSequence(n), Token: 1, Tasks: tasks}
 			if a := c.Workers.Report(t.Context(), r); a.Status == 200 {
 				answered++
 				for _, cmd := range a.Response.Commands {
 					if cmd.Op == wire.OpStart {
-						tasks = append(tasks, wire.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskFetching})
+						tasks = append(tasks, wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskFetching})
 					}
 				}
 			}
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -32,12 +32,12 @@
 		{"one has restarted and knows nothing", []mesh.Answer{answerOf("m-1", fresh, 0, false, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
 	} {
 		c := quietCore(t, 0)
-		c.mirror.Suppose(0, old)
-		c.mirror.Records().CaughtUp(7)
+		c.mirror.SetForTest(0, old)
+		c.mirror.Records().AdvanceRevision(7)
 		for _, a := range tc.peers {
 			c.heardPeer(a)
 		}
-		got, ok := c.members.Vouched(7, now)
+		got, ok := c.members.CancellationsConfirmedUntil(7, now)
 		if !ok {
 			got = old
 		}
@@ -74,7 +74,7 @@
 		time.Sleep(5 * time.Second)
 		c.mirror.Read(func(l *ledger.Ledger) {
 			for _, id := range ids {
-				if j := l.Job(id); j == nil || !j.Doomed || j.Pending() > 0 {
+				if j := l.Job(id); j == nil || !j.Cancelling || j.Pending() > 0 {
 					t.Errorf("%s counts as %+v", id, j)
 				}
 			}
@@ -84,7 +84,7 @@
 }
 
 func listing(a mesh.Answer, since wire.Revision, whole bool) mesh.Answer {
-	a.Status.Since, a.Status.Whole, a.Status.Ended = since, whole, []wire.JobID{"wk-000001"}
+	a.Status.Since, a.Status.CancellationsComplete, a.Status.Ended = since, whole, []wire.JobID{"wk-000001"}
 	return a
 }
 
@@ -102,15 +102,15 @@
 	if c.Healthy() {
 		t.Error("healthy before the ledger was read, beside one that is in touch")
 	}
-	c.mirror.Suppose(0, now)
+	c.mirror.SetForTest(0, now)
 	if !c.Healthy() {
 		t.Error("not healthy for want of a token, which users need none of")
 	}
-	c.mirror.Suppose(1, now)
+	c.mirror.SetForTest(1, now)
 	if !c.Healthy() {
 		t.Error("not healthy in touch with the state service")
 	}
-	c.mirror.Suppose(c.mirror.Token(), now.Add(-10*time.Second))
+	c.mirror.SetForTest(c.mirror.Token(), now.Add(-10*time.Second))
 	c.heardPeer(answerOf("m-1", now, 0, true, 10*time.Second))
 	if !c.Healthy() {
 		t.Error("not healthy in an outage that all share")
@@ -138,22 +138,22 @@
 func TestRedirect(t *testing.T) {
 	now := time.Now()
 	c := quietCore(t, 0)
-	c.mirror.Suppose(1, now.Add(-8*time.Second))
-	r := &wire.Report{Machine: "host-1", Session: 1, Tally: 1}
+	c.mirror.SetForTest(1, now.Add(-8*time.Second))
+	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
 	if a := c.Workers.Report(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
 	}
 	c.heardPeer(answerOf("m-1", time.Now(), 0, true, 100*time.Millisecond))
-	r.Tally = 2
+	r.Sequence = 2
 	if a := c.Workers.Report(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
 		t.Errorf("%d %q with a peer in touch", a.Status, a.Redirect.ReportTo)
 	}
-	r.Tally = 3
+	r.Sequence = 3
 	if a := c.Workers.Report(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d for a worker that came back", a.Status)
 	}
-	c.mirror.Suppose(c.mirror.Token(), now.Add(-time.Hour))
-	r.Tally = 4
+	c.mirror.SetForTest(c.mirror.Token(), now.Add(-time.Hour))
+	r.Sequence = 4
 	if a := c.Workers.Report(t.Context(), r); a.Status != 421 {
 		t.Errorf("%d long after a cancellation may have been missed", a.Status)
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -38,10 +38,10 @@
 type Core struct {
 	Stats     *metrics.Set
 	Duties    supervise.Group
-	Users     *server.Users
-	Workers   *server.Workers
+	Users     *server.JobServer
+	Workers   *server.HeartbeatServer
 	Workflows *workflowrunner.Flows
-	Places    *places.Places
+	Places    *places.Tracker
 
 	set      *settings.Settings
 	store    state.Store
@@ -50,40 +50,40 @@
 	mirror   *mirror.Mirror
 	writer   *writer.Writer
 	members  *members.Members
-	book     *evidence.Book
-	roster   *workers.Roster
+	book     *evidence.FailureTracker
+	roster   *workers.Registry
 	done     *completion.Log
 	told     *completion.Exchange
 	recorder *workers.Recorder
 	schedule *schedule.Scheduler
-	lead     *leader.Lead
-	past     *archiver.Keeper
-	policies *policies.Keeper
-	Promises *promises.Promises
+	lead     *leader.Leader
+	past     *archiver.Archiver
+	policies *policies.Manager
+	Promises *promises.Tracker
 }
 
 // New returns a controller that hasn't read anything yet.
 func New(set *settings.Settings, store state.Store, log *slog.Logger) *Core {
 	c := &Core{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
-	svc, count, reads := set.Cluster.State, float64(set.Cluster.Count), archiver.Reads(set.Operators.FormatUpTo)
+	svc, count, reads := set.Cluster.State, float64(set.Cluster.Count), archiver.SupportedFormat(set.Operators.FormatUpTo)
 	c.mirror = mirror.New(mirror.Options{Member: set.Member, Limits: Limits(set), Requests: svc.RPS / count, Reads: reads}, store, follower{c}, c.Stats, log)
 	c.writer = writer.New(writer.Options{Changes: svc.WriteRPS / count, TxnOps: svc.TxnOps}, c.mirror, store, c.Stats, log)
 	c.members = members.New(membersOptions(set), c.Stats, log)
 	c.book = evidence.New(c.members, c.Stats, log)
 	if q := set.Operators.Quarantine; q.On {
-		c.book.SetOdds(evidence.Odds{Faulty: q.Faulty, Wrong: q.Wrong})
+		c.book.SetOdds(evidence.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
 	}
-	c.done = completion.New(completion.Most(set.MemoryBytes() / completionShare))
+	c.done = completion.New(completion.Capacity(set.MemoryBytes() / completionShare))
 	c.told = completion.NewExchange(c.done, c.boot, membersOptions(set).Others)
 	c.roster = workers.NewRoster(c.members, c.done)
 	c.recorder = workers.NewRecorder(c.done, c.mirror, c.writer, Limits(set), c.Stats, log)
 	c.policies = policies.New(host{c}, store, set.Member, c.Stats, log)
 	c.past = archiver.New(host{c}, store, pastOptions(set), c.Stats, log)
-	c.Places = places.New(set, c.mirror, c.members, c.roster, c.book, func() { c.schedule.Renew() }, c.Stats, log)
+	c.Places = places.New(set, c.mirror, c.members, c.roster, c.book, func() { c.schedule.InvalidateSnapshot() }, c.Stats, log)
 	c.Promises = promises.New(set, promises.Parts{Mirror: c.mirror, Writer: c.writer, Book: c.book, Members: c.members, Roster: c.roster}, c.Stats, log)
 	c.schedule = schedule.New(set, schedule.Parts{Mirror: c.mirror, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Policies: c.policies, Promises: c.Promises}, c.Stats, log)
 	c.Workers = server.NewWorkers(set, server.WorkersParts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Schedule: c.schedule, Completed: c.done, Exchange: c.told}, c.Stats, log)
-	c.Users = server.NewUsers(set, server.UsersParts{Mirror: c.mirror, Writer: c.writer, Policies: c.policies, Past: c.past, Promises: c.Promises}, c.Stats, log)
+	c.Users = server.NewUsers(set, server.UsersParts{Mirror: c.mirror, Writer: c.writer, Policies: c.policies, Archiver: c.past, Promises: c.Promises}, c.Stats, log)
 	c.lead = leader.New(set, store, leader.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Schedule: c.schedule, Policies: c.policies, Completed: c.done}, c.Stats, log)
 	c.Workflows = workflowrunner.New(set, store, workflowrunner.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Book: c.book, Schedule: c.schedule, Users: c.Users, Past: c.past, Promises: c.Promises}, c.Stats, log)
 	c.gauges()
@@ -93,10 +93,10 @@
 // Limits are what a deployment's state service takes, and the rules of its teams.
 func Limits(set *settings.Settings) ledger.Limits {
 	l := ledger.Limits{ValueBytes: set.ValueBytes(), TxnOps: set.Cluster.State.TxnOps,
-		TxnBytes: state.TxnBytes, TeamMax: map[wire.Team]ledger.Resources{}, Of: 1 + len(set.Peers)}
+		TxnBytes: state.TxnBytes, TeamMax: map[wire.Team]ledger.Resources{}, ControllerCount: 1 + len(set.Peers)}
 	for _, p := range set.Peers {
 		if p.Member < set.Member {
-			l.Number++
+			l.ControllerIndex++
 		}
 	}
 	for _, t := range set.Cluster.Teams {
@@ -161,13 +161,13 @@
 	}
 	count("machines_faulty", func(l *ledger.Ledger, w *workers.Worker) bool { return c.book.Faulty(l, w.ID, time.Now()) })
 	count("machines_slow", func(_ *ledger.Ledger, w *workers.Worker) bool { return c.book.Slow(w.ID) })
-	count("machines_deaf", func(_ *ledger.Ledger, w *workers.Worker) bool { return w.Deaf() })
-	gauge("machines_awaited", func(*ledger.Ledger) float64 { k, _ := c.lead.Awaited(); return float64(k) })
-	gauge("machines_overdue", func(*ledger.Ledger) float64 { _, k := c.lead.Awaited(); return float64(k) })
+	count("machines_deaf", func(_ *ledger.Ledger, w *workers.Worker) bool { return w.Unreachable() })
+	gauge("machines_awaited", func(*ledger.Ledger) float64 { k, _ := c.lead.BootingMachines(); return float64(k) })
+	gauge("machines_overdue", func(*ledger.Ledger) float64 { _, k := c.lead.BootingMachines(); return float64(k) })
 	gauge("machines_held", func(*ledger.Ledger) float64 { return float64(c.roster.Len()) })
 	gauge("blocks_down", func(*ledger.Ledger) float64 { return float64(c.Places.Down()) })
 	gauge("machines_of_unknown_place", func(*ledger.Ledger) float64 { return float64(c.Places.Unknown()) })
-	gauge("contact_age_seconds", func(*ledger.Ledger) float64 { return time.Since(c.mirror.Contact()).Seconds() })
+	gauge("contact_age_seconds", func(*ledger.Ledger) float64 { return time.Since(c.mirror.SyncedAt()).Seconds() })
 	c.Stats.Gauge("duties_amiss", func() float64 {
 		k := 0
 		for _, s := range c.Duties.Status(time.Now()) {
@@ -205,13 +205,13 @@
 func (c *Core) Healthy() bool {
 	now := time.Now()
 	c.mirror.Lock()
-	ready, contact := c.mirror.Loaded(), c.mirror.Contact()
+	ready, contact := c.mirror.Loaded(), c.mirror.SyncedAt()
 	c.mirror.Unlock()
 	if ready && now.Sub(contact) < 2500*time.Millisecond {
 		return true
 	}
 	// If another is answered it is only this controller that is refused.
-	if c.members.OthersReach(now) {
+	if c.members.PeersReachStore(now) {
 		return false
 	}
 	last := c.boot
@@ -229,7 +229,7 @@
 // Topology tells of the declared topology, its machines and the gangs on them, as this
 // controller sees them. It tells false while there is none.
 func (c *Core) Topology(now time.Time) (wire.TopologyView, bool) {
-	return c.Places.Topology(now, c.schedule.View)
+	return c.Places.Topology(now, c.schedule.Snapshot)
 }
 
 // Judgements tells what is believed of the machines that report here, and why; false if machines
@@ -245,7 +245,7 @@
 
 // statusFor answers a peer that asks over the mesh.
 func (c *Core) statusFor(ask mesh.Status) mesh.Status {
-	c.members.Asks(ask.Member, time.Now())
+	c.members.ObserveProbe(ask.Member, time.Now())
 	s := c.status()
 	c.mirror.Read(func(l *ledger.Ledger) {
 		c.told.Answer(ask, &s, time.Now())
@@ -255,7 +255,7 @@
 		// Read after the status: it may hold more, and vouches for no more than it lists.
 		lacks, whole := l.CancelledSince(ask.Revision)
 		if s.Since, s.Cancelled = ask.Revision, l.LastCancel(); lacks.Len() <= mostEnded {
-			s.Ended, s.Flows, s.Whole = lacks.Jobs, lacks.Flows, whole
+			s.Ended, s.Flows, s.CancellationsComplete = lacks.Jobs, lacks.Flows, whole
 		}
 	})
 	return s
@@ -269,7 +269,7 @@
 	s := mesh.Status{Member: c.set.Member}
 	c.mirror.Read(func(l *ledger.Ledger) {
 		s.Revision = l.Revision()
-		c.told.Question(peer, &s)
+		c.told.Request(peer, &s)
 	})
 	return s
 }
@@ -280,25 +280,25 @@
 	defer c.mirror.Unlock()
 	led, now := c.mirror.Records(), time.Now()
 	s := mesh.Status{Version: mesh.Version, Member: c.set.Member, Boot: c.boot.UnixMilli(), Revision: led.Revision(),
-		Cancelled: led.LastCancel(), ContactMS: math.MaxInt32, Loaded: c.mirror.Loaded(), Reads: archiver.Reads(c.set.Operators.FormatUpTo)}
-	if contact := c.mirror.Contact(); !contact.IsZero() {
+		Cancelled: led.LastCancel(), ContactMS: math.MaxInt32, Loaded: c.mirror.Loaded(), MaxFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo)}
+	if contact := c.mirror.SyncedAt(); !contact.IsZero() {
 		s.ContactMS = now.Sub(contact).Milliseconds()
 	}
 	s.Failures = c.book.Failures(now)
 	s.Classes, s.Modules = c.book.Classes(), c.policies.Modules(led)
-	s.Suspects, s.Emptying, s.Partings = c.book.Suspects(now), c.schedule.Asked(now), c.Places.Partings(now)
-	s.Keeping, s.Register = c.schedule.Keeping(now), c.Promises.Edition()
+	s.Suspects, s.Emptying, s.Partings = c.book.Suspects(now), c.schedule.PreemptionReservations(now), c.Places.Partitions(now)
+	s.GangReservations, s.Register = c.schedule.GangReservations(now), c.Promises.Edition()
 	c.roster.Each(func(w *workers.Worker) {
-		if now.Sub(w.Heard) > 2*time.Minute {
+		if now.Sub(w.LastHeartbeat) > 2*time.Minute {
 			return
 		}
-		m := mesh.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.Hold,
-			Endpoint: c.Places.EndpointOf(w), AgeMS: now.Sub(w.Heard).Milliseconds(), Usable: c.schedule.Usable(w, now), Faulty: c.book.Faulty(led, w.ID, now), Slow: c.book.Slow(w.ID), DeafMS: w.DeafFor(now).Milliseconds()}
+		m := mesh.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken,
+			Endpoint: c.Places.EndpointOf(w), AgeMS: now.Sub(w.LastHeartbeat).Milliseconds(), Usable: c.schedule.Usable(w, now), Faulty: c.book.Faulty(led, w.ID, now), Slow: c.book.Slow(w.ID), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
 		if m.Faulty {
-			m.Why = c.book.Why(w.ID)
+			m.QuarantineReason = c.book.Why(w.ID)
 		}
-		if !w.Recall.IsZero() {
-			m.Recall = max(1, w.Recall.Sub(now).Milliseconds())
+		if !w.ReclaimAt.IsZero() {
+			m.ReclaimMS = max(1, w.ReclaimAt.Sub(now).Milliseconds())
 		}
 		if im := c.roster.Known(w); im != nil {
 			im.Fetches(now, c.set.Operators.FetchMark)
@@ -310,19 +310,21 @@
 }
 
 // listed is what a peer lists as cancelled.
-func listed(s *mesh.Status) ledger.Cancels { return ledger.Cancels{Jobs: s.Ended, Flows: s.Flows} }
+func listed(s *mesh.Status) ledger.Cancellations {
+	return ledger.Cancellations{Jobs: s.Ended, Flows: s.Flows}
+}
 
 // heardPeer takes in what a peer told.
 func (c *Core) heardPeer(a mesh.Answer) {
 	c.mirror.Read(func(l *ledger.Ledger) {
-		l.Doom(listed(&a.Status))
+		l.MarkCancelling(listed(&a.Status))
 		now := time.Now()
-		c.told.Hear(&a.Status, c.Workers.Lacking, !c.mirror.InTouch(now, settings.StartContact), now)
-		c.members.Heard(a.Status, a.Asked) // it may vouch from now on, for this ledger
-		c.book.Hear(l, a.Status.Suspects, a.Asked)
-		c.book.HearFailures(a.Status.Failures)
-		c.Places.Hear(a.Status.Partings, a.Asked)
-		c.schedule.HearEmptying(a.Status.Member, a.Status.Emptying, a.Asked, time.Now())
-		c.schedule.HearKeeping(a.Status.Member, a.Status.Keeping, a.Asked, time.Now())
+		c.told.Merge(&a.Status, c.Workers.CompletionUnrecorded, !c.mirror.SyncedWithin(now, settings.StartContact), now)
+		c.members.ObserveStatus(a.Status, a.Asked) // it may vouch from now on, for this ledger
+		c.book.MergeSuspects(l, a.Status.Suspects, a.Asked)
+		c.book.MergeFailures(a.Status.Failures)
+		c.Places.MergePartitions(a.Status.Partings, a.Asked)
+		c.schedule.ObservePreemptionReservations(a.Status.Member, a.Status.Emptying, a.Asked, time.Now())
+		c.schedule.ObserveGangReservations(a.Status.Member, a.Status.GangReservations, a.Asked, time.Now())
 	})
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -33,9 +33,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCore(t, 0)
 		now := time.Now()
-		c.mirror.Suppose(1, now)
-		c.members.Suppose(now.Add(-50 * time.Second))
-		r := &wire.Report{Machine: "host-1", Session: 1, Tally: 1}
+		c.mirror.SetForTest(1, now)
+		c.members.SetRunningForTest(now.Add(-50 * time.Second))
+		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
 		if a := c.Workers.Report(t.Context(), r); a.Status != 503 {
 			t.Errorf("%d for a report from before", a.Status)
 		}
--- a/internal/controller/first_test.go
+++ b/internal/controller/first_test.go
@@ -39,13 +39,13 @@
 			}
 			link := standin.NewLink(store, 1)
 			link.Pages = 1000
-			flavor := wire.Flavor{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, Boot: 20, Zones: []wire.Zone{"a", "b", "c"}}
+			flavor := wire.MachineType{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, Boot: 20, Zones: []wire.Zone{"a", "b", "c"}}
 			var wall, cpu time.Duration
 			for b.Loop() {
 				ctx, cancel := context.WithCancel(b.Context())
 				began, used := time.Now(), cpuUsed()
 				c := New(testSettings(b, 0), link, slog.New(slog.DiscardHandler))
-				c.register(fullCloud{[]wire.Flavor{flavor}})
+				c.register(fullCloud{[]wire.MachineType{flavor}})
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Duties.Run(ctx) })
 				for _, r := range f.Reports {
--- a/internal/controller/floods_test.go
+++ b/internal/controller/floods_test.go
@@ -49,7 +49,7 @@
 		c.mirror.Records().Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
 		ctx, cancel := context.WithCancel(t.Context())
 		var duties sync.WaitGroup
-		for _, duty := range []func(context.Context) error{c.mirror.Watch, c.mirror.ReadBarriers, c.mirror.TakeTokens} {
+		for _, duty := range []func(context.Context) error{c.mirror.Watch, c.mirror.ServeReadIndex, c.mirror.AcquireTokens} {
 			duties.Go(func() { _ = duty(ctx) })
 		}
 		defer func() { cancel(); duties.Wait() }()
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -31,46 +31,46 @@
 				if g == nil {
 					g, f = growTo(b, n)
 				}
-				g.mirror.Suppose(1, time.Now())
+				g.mirror.SetForTest(1, time.Now())
 				b.ReportAllocs()
 				b.ResetTimer()
 				what(b)
 			})
 		}
 		run("report", func(b *testing.B) {
-			g.schedule.View(time.Now())
+			g.schedule.Snapshot(time.Now())
 			for i := range b.N {
 				r := *f.Reports[1+i%(len(f.Reports)-1)]
 				if len(r.Tasks) == 0 {
 					r = *f.Reports[1]
 				}
 				w := g.roster.Worker(r.Machine)
-				r.Tally = w.Tally + 1
+				r.Sequence = w.Sequence + 1
 				g.Workers.Report(b.Context(), &r)
 			}
 		})
 		run("picture", func(b *testing.B) {
 			for range b.N {
-				g.schedule.Renew()
-				g.schedule.View(time.Now())
+				g.schedule.InvalidateSnapshot()
+				g.schedule.Snapshot(time.Now())
 			}
 		})
 		run("gangs", func(b *testing.B) {
-			v := g.schedule.View(time.Now())
+			v := g.schedule.Snapshot(time.Now())
 			b.ResetTimer()
 			for range b.N {
 				v.Reserve()
-				place.MakeRoom(v)
+				place.PlanPreemption(v)
 			}
 		})
 		run("gather", func(b *testing.B) {
-			v := g.schedule.View(time.Now())
+			v := g.schedule.Snapshot(time.Now())
 			for i := range v.Queue { // all have waited for long
-				v.Queue[i].Late, v.Queue[i].Waiting = true, time.Minute
+				v.Queue[i].Overdue, v.Queue[i].Waiting = true, time.Minute
 			}
 			b.ResetTimer()
 			for range b.N {
-				place.Gather(v)
+				place.ReserveForOverdueGangs(v)
 			}
 		})
 		run("status", func(b *testing.B) {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -71,11 +71,11 @@
 	at     func(i int, step string) // called at each step of a controller, if given
 	copies bool                     // all messages that were carried out arrive once more, late
 
-	reported func(at int, r *wire.Report) // called with each report that is sent, if given
-	deaf     map[wire.MachineID]bool      // whose reports arrive, and no answer to them
+	reported func(at int, r *wire.Heartbeat) // called with each report that is sent, if given
+	deaf     map[wire.MachineID]bool         // whose reports arrive, and no answer to them
 	answers  answers
 	keeping  bool                    // copies of reports
-	kept     []wire.Report           // so far
+	kept     []wire.Heartbeat        // so far
 	mute     map[wire.MachineID]bool // whose reports reach nobody
 	shut     map[wire.Zone]int       // zones that are cut off, each with a controller; -1: with none
 	lossy    float64                 // share of transactions without an answer
@@ -99,7 +99,7 @@
 	h.store = standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 	h.cloud = &standin.Cloud{World: h.world, Lag: 4 * time.Second, Lease: set.Cluster.Workers.Lease.Duration(), Most: 12,
 		Run:   func(t wire.TaskID) time.Duration { return time.Duration(5+int(t.Index)*7%40) * time.Second },
-		Types: []wire.Flavor{{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1, Boot: 20, Zones: []wire.Zone{"a", "b"}}}}
+		Types: []wire.MachineType{{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1, Boot: 20, Zones: []wire.Zone{"a", "b"}}}}
 	for i := range n {
 		l := standin.NewLink(h.store, seed*10+uint64(i))
 		l.Step = func(t wire.Txn, applied bool) { h.step(i, stepOf(t, applied)) }
@@ -184,7 +184,7 @@
 	step func(string)
 }
 
-func (f frozenCloud) Hire(ctx context.Context, r wire.Hire) ([]wire.MachineID, error) {
+func (f frozenCloud) Hire(ctx context.Context, r wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	f.step("rental sent")
 	if f.link.Copies {
 		time.AfterFunc(7*time.Second, func() { _, _ = f.Cloud.Hire(context.Background(), r) })
@@ -308,7 +308,7 @@
 	ran := time.Now()
 	clock.Sleep(ctx, d)
 	if c := h.core(i); c != nil {
-		c.members.Suppose(ran)
+		c.members.SetRunningForTest(ran)
 	}
 }
 
@@ -784,12 +784,12 @@
 		return may
 	}
 	for _, id := range finals {
-		if _, over := l.Over(id); over || l.Job(id) != nil || !passed(id) {
+		if _, over := l.ArchivedState(id); over || l.Job(id) != nil || !passed(id) {
 			h.t.Errorf("seed %d: archived %s is on record %v, let pass %v", h.seed, id, l.Job(id) != nil, passed(id))
 		}
 	}
-	l.Marks(func(m wire.MachineID, k ledger.MachineMark) {
-		if got := l.Mark(m); got != k {
+	l.MachinePhases(func(m wire.MachineID, k ledger.MachinePhase) {
+		if got := l.MachinePhase(m); got != k {
 			h.t.Errorf("seed %d: %s is marked %s and counts as %s", h.seed, m, k, got)
 		}
 	})
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -25,7 +25,7 @@
 	c.mirror.Read(func(l *ledger.Ledger) {
 		var leader ledger.LeaderRecord
 		leader, term = l.Leader()
-		leads = term != 0 && leader.Member == c.set.Member && c.mirror.InTouch(time.Now(), settings.StartContact)
+		leads = term != 0 && leader.Member == c.set.Member && c.mirror.SyncedWithin(time.Now(), settings.StartContact)
 	})
 	return term, leads
 }
@@ -49,7 +49,7 @@
 func (h host) AllRead(format int) bool { return h.c.members.AllRead(format) }
 
 // Spare is how many changes a transaction may have now that is in nobody's way.
-func (h host) Spare() int { return h.c.writer.Spare() }
+func (h host) Spare() int { return h.c.writer.SpareCapacity() }
 
 // Commit runs a transaction and waits until the mirror shows its outcome.
 func (h host) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
@@ -59,17 +59,17 @@
 // follower is the controller as the mirror sees it.
 type follower struct{ c *Core }
 
-func (f follower) Loaded() { f.c.schedule.Renew() }
+func (f follower) Loaded() { f.c.schedule.InvalidateSnapshot() }
 func (f follower) Advanced(now time.Time) {
 	// What peers list as cancelled they vouch with for these records as well: read anew, or with
 	// jobs that were not known when the status came.
 	for _, p := range f.c.members.Peers() {
-		f.c.mirror.Records().Doom(listed(&p.Status))
+		f.c.mirror.Records().MarkCancelling(listed(&p.Status))
 	}
-	f.c.schedule.Retouch(now)
+	f.c.schedule.RefreshChangedMachines(now)
 }
 func (f follower) Moved(id wire.JobID, r ledger.FinalRecord) {
-	f.c.past.Note(id, r)
+	f.c.past.CacheFinal(id, r)
 	f.c.book.ForgetJob(id)
 	f.c.schedule.Forget(id)
 }
--- a/internal/controller/meeting_table_test.go
+++ b/internal/controller/meeting_table_test.go
@@ -77,7 +77,7 @@
 			name: "more work than room, urgent and not, over slow links", machines: 3, most: 4, jobs: 24, every: 300 * time.Millisecond,
 			spec: func(rng *rand.Rand, i int) *wire.JobSpec {
 				s := mixed(rng, i)
-				s.Priority = []wire.Priority{wire.High, wire.Normal, wire.Low}[i%3]
+				s.Priority = []wire.Priority{wire.High, wire.Normal, wire.BestEffort}[i%3]
 				return s
 			},
 			cancel:   aQuarter(between(10*time.Second, 40*time.Second)),
@@ -267,7 +267,7 @@
 			if _, err := c.Users.Status(ctx, spec.ID); err == nil {
 				m.t.Errorf("%s is known", spec.ID)
 			}
-			if _, err := c.Users.Cancel(ctx, spec.ID); err == nil || errors.Is(err, server.ErrNeverRuns) {
+			if _, err := c.Users.Cancel(ctx, spec.ID); err == nil || errors.Is(err, server.ErrUnschedulable) {
 				m.t.Errorf("%s can be cancelled: %v", spec.ID, err)
 			}
 		}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -62,7 +62,7 @@
 // lastAttempt keeps note of the last attempt of any task that machines report.
 func (h *history) lastAttempt() *wire.Attempt {
 	last := new(wire.Attempt)
-	h.reported = func(_ int, r *wire.Report) {
+	h.reported = func(_ int, r *wire.Heartbeat) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for i := range r.Tasks {
@@ -138,9 +138,9 @@
 					h.cloud.Run = func(wire.TaskID) time.Duration { return 70 * time.Second }
 					ctx, cancel := context.WithCancel(t.Context())
 					copies := 0
-					h.reported = func(at int, r *wire.Report) {
+					h.reported = func(at int, r *wire.Heartbeat) {
 						for i := range r.Tasks {
-							if r.Tasks[i].Cause != wire.CauseAlone || copies > 0 {
+							if r.Tasks[i].Cause != wire.CauseGangIncomplete || copies > 0 {
 								continue
 							}
 							copies++
--- a/internal/controller/places_test.go
+++ b/internal/controller/places_test.go
@@ -28,14 +28,14 @@
 	}
 	c := quietCore(t, 0)
 	c.Places.Set(tree)
-	c.mirror.Suppose(1, now)
+	c.mirror.SetForTest(1, now)
 	for z, zone := range []wire.Zone{"a", "b"} {
 		for rack := 1; rack <= 4; rack++ {
 			for m := 1; m <= 3; m++ {
 				id := wire.MachineID(fmt.Sprintf("host-%d%d%d", z, rack, m))
-				r := &wire.Report{Machine: id, Addr: fmt.Sprintf("127.%d.%d.%d:9000", z+1, rack, m), Type: "g2", Zone: zone, Session: 1, Tally: 1, Token: 1}
+				r := &wire.Heartbeat{Machine: id, Addr: fmt.Sprintf("127.%d.%d.%d:9000", z+1, rack, m), Type: "g2", Zone: zone, Session: 1, Sequence: 1, Token: 1}
 				if !slices.ContainsFunc(elsewhere, func(net string) bool { return strings.HasPrefix(r.Addr, net) }) {
-					c.roster.Join(r, now).Take(r, nil, 1, now)
+					c.roster.Join(r, now).Reconcile(r, nil, 1, now)
 				}
 			}
 		}
@@ -67,7 +67,7 @@
 	c.Places.Set(tree)
 	ctx, cancel := context.WithCancel(t.Context())
 	again, done := make(chan os.Signal), make(chan error)
-	go func() { done <- c.Places.Reread(ctx, path, again) }()
+	go func() { done <- c.Places.Reload(ctx, path, again) }()
 	blocks := func() int {
 		c.mirror.Lock()
 		defer c.mirror.Unlock()
@@ -108,8 +108,10 @@
 		down    bool
 	}{
 		{"no other reason", func(*Core, *ledger.Job, *workers.Worker, time.Time) {}, true},
-		{"a machine fell silent", func(_ *Core, _ *ledger.Job, w *workers.Worker, now time.Time) { w.Heard = now.Add(-time.Minute) }, false},
-		{"a machine is taken back", func(_ *Core, _ *ledger.Job, w *workers.Worker, now time.Time) { w.Recall = now.Add(time.Minute) }, false},
+		{"a machine fell silent", func(_ *Core, _ *ledger.Job, w *workers.Worker, now time.Time) {
+			w.LastHeartbeat = now.Add(-time.Minute)
+		}, false},
+		{"a machine is taken back", func(_ *Core, _ *ledger.Job, w *workers.Worker, now time.Time) { w.ReclaimAt = now.Add(time.Minute) }, false},
 		{"a task failed", func(c *Core, j *ledger.Job, w *workers.Worker, now time.Time) { c.book.Failed(j, 0, w.ID, "", now) }, false},
 		{"told to stop", func(_ *Core, j *ledger.Job, _ *workers.Worker, _ time.Time) { j.Stop = 1 }, false},
 	} {
@@ -123,26 +125,26 @@
 			if tc.name == "told to stop" {
 				tc.explain(c, j, nil, now)
 			}
-			c.Places.Parts(j, 1, now)
+			c.Places.ObservePartition(j, 1, now)
 		}
 		later := now.Add(2*c.set.SilentAfter() + time.Second)
-		c.roster.Each(func(w *workers.Worker) { w.Heard = later })
-		c.mirror.Suppose(c.mirror.Token(), later)
+		c.roster.Each(func(w *workers.Worker) { w.LastHeartbeat = later })
+		c.mirror.SetForTest(c.mirror.Token(), later)
 		for i := range 3 {
 			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
 			tc.explain(c, c.mirror.Records().Job(id), c.roster.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1))), later)
 		}
-		c.Places.Judge(later)
+		c.Places.DetectFailedBlocks(later)
 		if isDown(c) != tc.down {
 			t.Errorf("%s: down %v", tc.name, !tc.down)
 		}
-		if told := c.Places.Partings(later); (len(told) == 3) != tc.down {
+		if told := c.Places.Partitions(later); (len(told) == 3) != tc.down {
 			t.Errorf("%s: peers are told of %v", tc.name, told)
 		}
 		if tc.down { // a peer that hears of them comes to the same
 			o := inHall(t, later)
-			o.Places.Hear(c.Places.Partings(later), later)
-			o.Places.Judge(later)
+			o.Places.MergePartitions(c.Places.Partitions(later), later)
+			o.Places.DetectFailedBlocks(later)
 			if !isDown(o) {
 				t.Error("a peer does not avoid the block")
 			}
@@ -165,9 +167,9 @@
 	pass := func(seconds int) (down bool) {
 		for range seconds {
 			now = now.Add(time.Second)
-			c.mirror.Suppose(c.mirror.Token(), now)
-			c.roster.Each(func(w *workers.Worker) { w.Heard = now })
-			c.Places.Judge(now)
+			c.mirror.SetForTest(c.mirror.Token(), now)
+			c.roster.Each(func(w *workers.Worker) { w.LastHeartbeat = now })
+			c.Places.DetectFailedBlocks(now)
 		}
 		return isDown(c)
 	}
--- a/internal/controller/policies_test.go
+++ b/internal/controller/policies_test.go
@@ -219,7 +219,7 @@
 			if st, created, err := h.core(i).Users.Submit(ctx, early); err != nil || created {
 				t.Errorf("accepted before: %+v, %v, %v", st, created, err)
 			}
-			if _, _, err := h.core(i).Users.Submit(ctx, h.spec(100+i)); !errors.Is(err, server.ErrNeverRuns) {
+			if _, _, err := h.core(i).Users.Submit(ctx, h.spec(100+i)); !errors.Is(err, server.ErrUnschedulable) {
 				t.Errorf("new: %v", err)
 			}
 		}
@@ -263,7 +263,7 @@
 		if r, err := cat.Wait(ctx); err != nil || r.Last != "" {
 			t.Errorf("%+v, %v", r, err)
 		}
-		if err := cat.Rollback(ctx); !errors.Is(err, ledger.ErrNothing) {
+		if err := cat.Rollback(ctx); !errors.Is(err, ledger.ErrNoPreviousPolicy) {
 			t.Errorf("back to a removed module: %v", err)
 		}
 		h.finish(cancel)
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -15,13 +15,13 @@
 // Run carries out the controller's duties until ctx ends or one of them fails.
 func (c *Core) Run(ctx context.Context, dialer *transport.Dialer, cl leader.Cloud) error {
 	c.register(cl)
-	c.Duties.Add(supervise.Duty{Name: "mesh", Run: func(ctx context.Context) error {
+	c.Duties.Add(supervise.Component{Name: "mesh", Run: func(ctx context.Context) error {
 		return transport.Serve(ctx, c.set.MeshAddr, 8*len(c.set.Peers)+16, func(_ context.Context, conn *transport.Conn) {
 			mesh.Serve(conn, c.statusFor)
 		})
 	}})
 	for _, p := range c.set.Peers {
-		c.Duties.Add(supervise.Duty{Name: "peer " + string(p.Member), Run: func(ctx context.Context) error {
+		c.Duties.Add(supervise.Component{Name: "peer " + string(p.Member), Run: func(ctx context.Context) error {
 			mesh.Ask(ctx, dialer, p.Addr, func() mesh.Status { return c.questionTo(p.Member) }, time.Second, c.heardPeer)
 			return ctx.Err()
 		}, Amiss: func(now time.Time) string {
@@ -29,8 +29,8 @@
 			switch {
 			case peer == nil:
 				return "was never heard"
-			case now.Sub(peer.Asked) > longSilent:
-				return fmt.Sprintf("not heard for %v", now.Sub(peer.Asked).Round(time.Second))
+			case now.Sub(peer.AsOf) > longSilent:
+				return fmt.Sprintf("not heard for %v", now.Sub(peer.AsOf).Round(time.Second))
 			}
 			return ""
 		}})
@@ -44,8 +44,8 @@
 // register adds the duties that need no network of their own.
 func (c *Core) register(cl leader.Cloud) {
 	c.Duties.Add(
-		supervise.Duty{Name: "attention", Run: c.members.Attend},
-		supervise.Duty{Name: "mirror", Run: c.mirror.Watch, Amiss: func(time.Time) (why string) {
+		supervise.Component{Name: "attention", Run: c.members.DetectPauses},
+		supervise.Component{Name: "mirror", Run: c.mirror.Watch, Amiss: func(time.Time) (why string) {
 			c.mirror.Read(func(*ledger.Ledger) {
 				if !c.mirror.Loaded() {
 					why = "the records are yet to be read"
@@ -53,9 +53,9 @@
 			})
 			return why
 		}},
-		supervise.Duty{Name: "contact", Run: c.mirror.ReadBarriers, Amiss: func(now time.Time) (why string) {
+		supervise.Component{Name: "contact", Run: c.mirror.ServeReadIndex, Amiss: func(now time.Time) (why string) {
 			c.mirror.Read(func(*ledger.Ledger) {
-				if contact := c.mirror.Contact(); contact.IsZero() {
+				if contact := c.mirror.SyncedAt(); contact.IsZero() {
 					why = "the state service was never reached"
 				} else if age := now.Sub(contact); age > longSilent {
 					why = fmt.Sprintf("the state service was last reached %v ago", age.Round(time.Second))
@@ -63,7 +63,7 @@
 			})
 			return why
 		}},
-		supervise.Duty{Name: "tokens", Run: c.mirror.TakeTokens, Amiss: func(time.Time) (why string) {
+		supervise.Component{Name: "tokens", Run: c.mirror.AcquireTokens, Amiss: func(time.Time) (why string) {
 			c.mirror.Read(func(*ledger.Ledger) {
 				if c.mirror.Token() == 0 {
 					why = "no token is taken yet"
@@ -71,17 +71,17 @@
 			})
 			return why
 		}},
-		supervise.Duty{Name: "writer", Run: c.writer.Run, Amiss: c.writer.Amiss},
-		supervise.Duty{Name: "completions", Run: c.recorder.Run},
-		supervise.Duty{Name: "sweeper", Run: c.Workers.Sweep},
-		supervise.Duty{Name: "publisher", Run: func(ctx context.Context) error { return c.members.Publish(ctx, c.store, c.published) }},
-		supervise.Duty{Name: "reader of publications", Run: func(ctx context.Context) error { return c.members.ReadPublished(ctx, c.mirror) }},
-		supervise.Duty{Name: "preemption", Run: c.schedule.Preempt},
-		supervise.Duty{Name: "places", Run: c.Places.Watch},
-		supervise.Duty{Name: "workflows", Run: c.Workflows.Run},
-		supervise.Duty{Name: "archive", Run: c.past.Run},
-		supervise.Duty{Name: "promises", Run: c.Promises.Run},
-		supervise.Duty{Name: "policies", Run: c.policies.Run, Amiss: func(now time.Time) (why string) {
+		supervise.Component{Name: "writer", Run: c.writer.Run, Amiss: c.writer.HealthProblem},
+		supervise.Component{Name: "completions", Run: c.recorder.Run},
+		supervise.Component{Name: "sweeper", Run: c.Workers.RemoveSilentWorkers},
+		supervise.Component{Name: "publisher", Run: func(ctx context.Context) error { return c.members.Publish(ctx, c.store, c.published) }},
+		supervise.Component{Name: "reader of publications", Run: func(ctx context.Context) error { return c.members.ReadPublished(ctx, c.mirror) }},
+		supervise.Component{Name: "preemption", Run: c.schedule.Preempt},
+		supervise.Component{Name: "places", Run: c.Places.Watch},
+		supervise.Component{Name: "workflows", Run: c.Workflows.Run},
+		supervise.Component{Name: "archive", Run: c.past.Run},
+		supervise.Component{Name: "promises", Run: c.Promises.Run},
+		supervise.Component{Name: "policies", Run: c.policies.Run, Amiss: func(now time.Time) (why string) {
 			c.mirror.Read(func(l *ledger.Ledger) {
 				if c.policies.Suspended(l, now) {
 					why = "the module in use is suspended"
@@ -89,7 +89,7 @@
 			})
 			return why
 		}},
-		supervise.Duty{Name: "leader", Run: func(ctx context.Context) error { return c.lead.Run(ctx, cl) }},
+		supervise.Component{Name: "leader", Run: func(ctx context.Context) error { return c.lead.Run(ctx, cl) }},
 	)
 }
 
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -201,13 +201,13 @@
 	job(1, wire.Normal, claim)
 	job(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
-	victims := c.schedule.View(now).Victims(&place.Machine{ID: "host-1"})
+	victims := c.schedule.Snapshot(now).Victims(&place.Machine{ID: "host-1"})
 	if len(victims) != 2 || victims[0].Saves != victims[1].Saves || victims[0].Beyond != victims[1].Beyond || victims[0].Ran != victims[1].Ran {
 		t.Fatalf("to preemption they are %+v", victims)
 	}
 	for priority, want := range map[wire.Priority]int{wire.High: 2, wire.Normal: 0} {
 		urgent := job(3+want, priority, "")
-		stop, room := place.Clear(&place.Entry{Job: urgent}, ledger.Resources{}, 2, victims)
+		stop, room := place.SelectVictims(&place.Entry{Job: urgent}, ledger.Resources{}, 2, victims)
 		if len(stop) != want || room != want {
 			t.Errorf("for %s work %d are stopped, for %d tasks", priority, len(stop), room)
 		}
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -20,10 +20,10 @@
 )
 
 // fullCloud has no machine left.
-type fullCloud struct{ flavors []wire.Flavor }
+type fullCloud struct{ flavors []wire.MachineType }
 
-func (f fullCloud) Flavors(context.Context) ([]wire.Flavor, error) { return f.flavors, nil }
-func (fullCloud) Hire(context.Context, wire.Hire) ([]wire.MachineID, error) {
+func (f fullCloud) Flavors(context.Context) ([]wire.MachineType, error) { return f.flavors, nil }
+func (fullCloud) Hire(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	return nil, cloud.ErrNoCapacity
 }
 func (fullCloud) Return(context.Context, []wire.MachineID) error     { return nil }
@@ -56,10 +56,10 @@
 	c := New(set, standin.NewLink(store, 1), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithTimeout(b.Context(), length)
 	defer cancel()
-	flavor := wire.Flavor{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, Boot: 20, Zones: []wire.Zone{"a", "b", "c"}}
+	flavor := wire.MachineType{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, Boot: 20, Zones: []wire.Zone{"a", "b", "c"}}
 	var running sync.WaitGroup
 	defer running.Wait()
-	c.register(fullCloud{[]wire.Flavor{flavor}})
+	c.register(fullCloud{[]wire.MachineType{flavor}})
 	running.Go(func() { _ = c.Duties.Run(ctx) })
 	every := func(period time.Duration, first time.Duration, do func()) {
 		running.Go(func() {
@@ -89,7 +89,7 @@
 			asked := due
 			due = due.Add(period)
 			one := *r
-			r.Tally++
+			r.Sequence++
 			c.Workers.Report(ctx, &one)
 			if len(r.Tasks) > 0 && asked.After(settled) && ctx.Err() == nil {
 				mu.Lock()
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -241,8 +241,8 @@
 	set := testSettings(t, 0)
 	store := standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 	led := quietCore(t, 0).mirror.Records()
-	commit := func(draft func(*ledger.Draft) error) (wire.Txn, error) {
-		d := led.NewDraft()
+	commit := func(draft func(*ledger.Transaction) error) (wire.Txn, error) {
+		d := led.NewTransaction()
 		if err := draft(d); err != nil {
 			return wire.Txn{}, err
 		}
@@ -258,14 +258,14 @@
 		return err
 	}
 	spec := &wire.WorkflowSpec{ID: "wf-000001", Team: "free", Priority: wire.Normal}
-	accept, err := commit(func(d *ledger.Draft) error {
+	accept, err := commit(func(d *ledger.Transaction) error {
 		return d.SubmitWorkflow(spec.ID, ledger.WorkflowRecord{Spec: spec, Hash: "h", Pieces: 1, Accepted: 1})
 	})
 	if err = errors.Join(err, land(accept)); err != nil {
 		t.Fatal(err)
 	}
-	step := func(n int) func(d *ledger.Draft) error {
-		return func(d *ledger.Draft) error {
+	step := func(n int) func(d *ledger.Transaction) error {
+		return func(d *ledger.Transaction) error {
 			return d.SubmitStep(led.Workflow(spec.ID), &wire.JobSpec{ID: workflow.JobOf(spec.ID, fmt.Sprint("s", n), 0), Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1}, 1, nil)
 		}
 	}
@@ -277,7 +277,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cancel, err := commit(func(d *ledger.Draft) error {
+	cancel, err := commit(func(d *ledger.Transaction) error {
 		_, err := d.EndWorkflow(led.Workflow(spec.ID), ledger.WorkflowCancelled, "")
 		return err
 	})
@@ -290,12 +290,12 @@
 	if err := land(late); err == nil {
 		t.Error("a step lands after its workflow's cancellation")
 	}
-	if _, err := commit(step(2)); !errors.Is(err, ledger.ErrStale) {
+	if _, err := commit(step(2)); !errors.Is(err, ledger.ErrPreconditionFailed) {
 		t.Errorf("a step is drafted after its workflow's cancellation: %v", err)
 	}
 	// A final state stays: nothing makes a cancelled workflow active, done or failed.
 	for _, to := range []ledger.WorkflowState{ledger.WorkflowActive, ledger.WorkflowDone, ledger.WorkflowFailed} {
-		d := led.NewDraft()
+		d := led.NewTransaction()
 		if got, err := d.EndWorkflow(led.Workflow(spec.ID), to, ""); got != ledger.WorkflowCancelled || err != nil {
 			t.Errorf("cancelled, then %q: %q, %v", to, got, err)
 		}
--- a/internal/evidence/boots.go
+++ b/internal/evidence/boots.go
@@ -15,7 +15,7 @@
 
 // Kind is a kind of machine, spot or not: both boot alike, and are judged side by side.
 type Kind struct {
-	Type wire.MachineSKU
+	Type wire.MachineTypeName
 	Zone wire.Zone
 }
 
@@ -37,9 +37,9 @@
 	rentedNearby = 10 * time.Second
 )
 
-// Up notes that a machine rented at one time was first heard at another. One that is known
+// Observe notes that a machine rented at one time was first heard at another. One that is known
 // from its report alone tells nothing.
-func (b *Boots) Up(k Kind, hired, at time.Time) {
+func (b *Boots) Observe(k Kind, hired, at time.Time) {
 	took := at.Sub(hired)
 	if took <= 0 {
 		return
@@ -76,8 +76,8 @@
 	return l != nil && stated > 0 && !hired.After(l.last.Add(rentedNearby)) && now.Sub(hired) > b.usual(k, stated)*3/2
 }
 
-// Patience is how long a machine may take before it is returned as one that never
+// BootTimeout is how long a machine may take before it is returned as one that never
 // comes up.
-func (b *Boots) Patience(k Kind, stated time.Duration) time.Duration {
+func (b *Boots) BootTimeout(k Kind, stated time.Duration) time.Duration {
 	return max(3*stated, 2*b.usual(k, stated))
 }
--- a/internal/evidence/boots_test.go
+++ b/internal/evidence/boots_test.go
@@ -29,12 +29,12 @@
 	} {
 		var b Boots
 		for _, ago := range tc.others {
-			b.Up(kind, now.Add(-ago), now.Add(tc.took-ago))
+			b.Observe(kind, now.Add(-ago), now.Add(tc.took-ago))
 		}
 		if got := b.Overdue(kind, now.Add(-tc.age), stated, now); got != tc.overdue {
 			t.Errorf("%s: overdue %v", tc.name, got)
 		}
-		if got := tc.age > b.Patience(kind, stated); got != tc.givenUp {
+		if got := tc.age > b.BootTimeout(kind, stated); got != tc.givenUp {
 			t.Errorf("%s: given up %v", tc.name, got)
 		}
 	}
--- a/internal/evidence/explain.go
+++ b/internal/evidence/explain.go
@@ -12,7 +12,7 @@
 	"maddermill/wire"
 )
 
-func (p Party) name() string {
+func (p SuspectedCause) name() string {
 	if p.Kind == OfTask {
 		return fmt.Sprintf("%d of %s", p.Task, p.Name)
 	}
@@ -21,9 +21,9 @@
 
 // Explain tells what is believed of a machine and why; false if there is nothing to tell: no task
 // failed there that is remembered, and it isn't slow.
-func (j *Judge) Explain(m wire.MachineID) (wire.Judgement, bool) {
+func (j *QuarantineJudge) Explain(m wire.MachineID) (wire.Judgement, bool) {
 	j.settle()
-	p := Party{Kind: OfMachine, Name: string(m)}
+	p := SuspectedCause{Kind: OfMachine, Name: string(m)}
 	out := wire.Judgement{Machine: m, Before: j.odds.Faulty, Sure: j.odds.Faulty, Times: 1, Done: int(j.done[p]), Accident: j.accident}
 	out.Slow, out.Times = j.Slow(m)
 	b := j.belief[p]
@@ -35,7 +35,7 @@
 		x := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
 		for _, o := range f.of[:f.n] {
 			x.Parties = append(x.Parties, wire.JudgedParty{Kind: o.Kind.String(), Name: o.name(), Before: j.prior(o.Kind), Sure: o.sure,
-				Done: int(j.done[o.Party]), Failed: len(o.fail)})
+				Done: int(j.done[o.SuspectedCause]), Failed: len(o.fail)})
 		}
 		out.Failures = append(out.Failures, x)
 	}
@@ -46,7 +46,7 @@
 const mostDigest = 200
 
 // Digest is why a machine is judged as it is in a few words, to be kept with its mark.
-func (j *Judge) Digest(m wire.MachineID) string {
+func (j *QuarantineJudge) Digest(m wire.MachineID) string {
 	x, ok := j.Explain(m)
 	if !ok {
 		return ""
@@ -68,7 +68,7 @@
 
 // Why is why a machine is judged faulty in a few words; "" where machines are not judged by
 // evidence.
-func (b *Book) Why(m wire.MachineID) string {
+func (b *FailureTracker) Why(m wire.MachineID) string {
 	if b.judge == nil {
 		return ""
 	}
@@ -76,7 +76,7 @@
 }
 
 // Judgements explains all machines of a list that there is something to tell of, the worst first.
-func (b *Book) Judgements(machines []wire.MachineID) []wire.Judgement {
+func (b *FailureTracker) Judgements(machines []wire.MachineID) []wire.Judgement {
 	out := []wire.Judgement{}
 	if b.judge == nil {
 		return out
@@ -93,7 +93,7 @@
 }
 
 // Judged reports whether machines are judged by evidence.
-func (b *Book) Judged() bool { return b.judge != nil }
+func (b *FailureTracker) Judged() bool { return b.judge != nil }
 
 // likely is how sure it must be of a party that a sentence names it.
 const likely = 0.5
--- a/internal/evidence/explain_test.go
+++ b/internal/evidence/explain_test.go
@@ -49,9 +49,9 @@
 }
 
 // watching judges and replaces nothing.
-type watching struct{ *Judge }
+type watching struct{ *QuarantineJudge }
 
-func (r watching) see(o *Outcome) { r.See(o) }
+func (r watching) see(o *Outcome) { r.Observe(o) }
 func (r watching) faulty(m wire.MachineID) bool {
 	r.Faulty(m) // it keeps judging as it would
 	return false
--- a/internal/evidence/judge.go
+++ b/internal/evidence/judge.go
@@ -37,8 +37,8 @@
 	return [...]string{"machine", "job", "task", "image", "block"}[k]
 }
 
-// Party is what may be at fault.
-type Party struct {
+// SuspectedCause is what may be at fault.
+type SuspectedCause struct {
 	Kind PartyKind
 	Name string
 	Task wire.TaskIndex // of a task
@@ -61,15 +61,15 @@
 	At       time.Time
 }
 
-// Odds are how sure a judgement is to be: what share of machines is faulty to begin with, and
+// Priors are how sure a judgement is to be: what share of machines is faulty to begin with, and
 // what share of those judged to be may be sound.
-type Odds struct {
+type Priors struct {
 	Faulty float64
 	Wrong  float64
 }
 
 // DefaultOdds: one machine in a hundred is faulty, and one judgement in 250 is wrong.
-var DefaultOdds = Odds{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
+var DefaultOdds = Priors{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
 
 // rates are what a party that is at fault may fail its tasks with.
 var rates = [...]float64{0.08, 0.2, 0.5, 0.9, 0.999}
@@ -111,14 +111,14 @@
 	mostAccident  = 1e-2
 )
 
-// Judge holds outcomes and judges by them. It does no I/O, is told the time, and has no lock.
-type Judge struct {
-	odds     Odds
-	done     map[Party]float64 // tasks done
+// QuarantineJudge holds outcomes and judges by them. It does no I/O, is told the time, and has no lock.
+type QuarantineJudge struct {
+	odds     Priors
+	done     map[SuspectedCause]float64 // tasks done
 	all      float64
 	failures []*failure // in the order in which they came
 	ofJob    map[wire.JobID]int
-	belief   map[Party]*belief
+	belief   map[SuspectedCause]*belief
 	accident float64             // rate of failures that are nobody's
 	share    [partyKinds]float64 // of jobs and tasks that are at fault, of those seen lately
 	jobs     float64             // seen
@@ -142,7 +142,7 @@
 
 // belief is what is believed of a party.
 type belief struct {
-	Party
+	SuspectedCause
 	rate   float64 // expected
 	sure   float64 // that it is at fault
 	fail   []*failure
@@ -152,15 +152,15 @@
 }
 
 // NewJudge returns one that has seen nothing.
-func NewJudge(o Odds) *Judge {
-	return &Judge{odds: o, done: map[Party]float64{}, ofJob: map[wire.JobID]int{}, belief: map[Party]*belief{}, accident: 2e-3,
+func NewJudge(o Priors) *QuarantineJudge {
+	return &QuarantineJudge{odds: o, done: map[SuspectedCause]float64{}, ofJob: map[wire.JobID]int{}, belief: map[SuspectedCause]*belief{}, accident: 2e-3,
 		speed: map[wire.MachineID]*pace{}, classes: map[wire.Class]*spread{}, mates: map[wire.JobID]*spread{}}
 }
 
-func parties(o *Outcome) (of [partyKinds]Party, n int) {
-	of[0], of[1], n = Party{Kind: OfMachine, Name: string(o.Machine)}, Party{Kind: OfJob, Name: string(o.Job)}, 2
+func parties(o *Outcome) (of [partyKinds]SuspectedCause, n int) {
+	of[0], of[1], n = SuspectedCause{Kind: OfMachine, Name: string(o.Machine)}, SuspectedCause{Kind: OfJob, Name: string(o.Job)}, 2
 	if o.Array {
-		of[n], n = Party{Kind: OfTask, Name: string(o.Job), Task: o.Task}, n+1
+		of[n], n = SuspectedCause{Kind: OfTask, Name: string(o.Job), Task: o.Task}, n+1
 	}
 	if o.Far {
 		// What its image and block did elsewhere is not told, and failures alone would make any
@@ -168,16 +168,16 @@
 		return of, n
 	}
 	if o.Image != "" {
-		of[n], n = Party{Kind: OfImage, Name: string(o.Image)}, n+1
+		of[n], n = SuspectedCause{Kind: OfImage, Name: string(o.Image)}, n+1
 	}
 	if o.Block != "" {
-		of[n], n = Party{Kind: OfBlock, Name: o.Block}, n+1
+		of[n], n = SuspectedCause{Kind: OfBlock, Name: o.Block}, n+1
 	}
 	return of, n
 }
 
-// See takes in an outcome.
-func (j *Judge) See(o *Outcome) {
+// Observe takes in an outcome.
+func (j *QuarantineJudge) Observe(o *Outcome) {
 	if o.At.After(j.now) {
 		j.now = o.At
 	}
@@ -210,7 +210,7 @@
 	for i, p := range of[:n] {
 		b := j.belief[p]
 		if b == nil {
-			b = &belief{Party: p, rate: j.prior(p.Kind)}
+			b = &belief{SuspectedCause: p, rate: j.prior(p.Kind)}
 			j.belief[p] = b
 		}
 		f.of[i], f.before[i] = b, j.done[p]
@@ -222,7 +222,7 @@
 }
 
 // ask has a party judged anew.
-func (j *Judge) ask(b *belief) {
+func (j *QuarantineJudge) ask(b *belief) {
 	if !b.queued {
 		b.queued = true
 		j.queue = append(j.queue, b)
@@ -230,7 +230,7 @@
 }
 
 // drop forgets a failure.
-func (j *Judge) drop(at int) {
+func (j *QuarantineJudge) drop(at int) {
 	f := j.failures[at]
 	j.failures = slices.Delete(j.failures, at, at+1)
 	if j.ofJob[f.Job]--; j.ofJob[f.Job] == 0 {
@@ -239,7 +239,7 @@
 	for _, b := range f.of[:f.n] {
 		b.fail = slices.DeleteFunc(b.fail, func(x *failure) bool { return x == f })
 		if len(b.fail) == 0 {
-			delete(j.belief, b.Party)
+			delete(j.belief, b.SuspectedCause)
 		} else {
 			j.ask(b)
 		}
@@ -247,13 +247,13 @@
 }
 
 // limit is the logarithm of the odds that make a judgement.
-func (j *Judge) limit() float64 { return math.Log(1/j.odds.Wrong - 1) }
+func (j *QuarantineJudge) limit() float64 { return math.Log(1/j.odds.Wrong - 1) }
 
 // Faulty tells how sure it is that a machine fails tasks that others would not, and with what
 // rate; yes: sure enough.
-func (j *Judge) Faulty(m wire.MachineID) (yes bool, sure, rate float64) {
+func (j *QuarantineJudge) Faulty(m wire.MachineID) (yes bool, sure, rate float64) {
 	j.settle()
-	b := j.belief[Party{Kind: OfMachine, Name: string(m)}]
+	b := j.belief[SuspectedCause{Kind: OfMachine, Name: string(m)}]
 	if b == nil {
 		return false, j.odds.Faulty, 0
 	}
@@ -261,13 +261,13 @@
 }
 
 // Forget drops what is known of a machine that is gone; what it said of others stays.
-func (j *Judge) Forget(m wire.MachineID) {
-	delete(j.done, Party{Kind: OfMachine, Name: string(m)})
+func (j *QuarantineJudge) Forget(m wire.MachineID) {
+	delete(j.done, SuspectedCause{Kind: OfMachine, Name: string(m)})
 	delete(j.speed, m)
 }
 
-// Tidy drops what is too old to judge by, and all of jobs that are over.
-func (j *Judge) Tidy(now time.Time, active func(wire.JobID) bool) {
+// Prune drops what is too old to judge by, and all of jobs that are over.
+func (j *QuarantineJudge) Prune(now time.Time, active func(wire.JobID) bool) {
 	for len(j.failures) > 0 && now.Sub(j.failures[0].At) > failuresFor {
 		j.drop(0)
 	}
@@ -289,8 +289,8 @@
 	toldFor      = 3 * time.Minute
 )
 
-// Tell lists the latest failures on machines that report here, for other controllers.
-func (j *Judge) Tell(now time.Time) (out []mesh.Failure) {
+// FailuresToShare lists the latest failures on machines that report here, for other controllers.
+func (j *QuarantineJudge) FailuresToShare(now time.Time) (out []mesh.Failure) {
 	for i := len(j.failures) - 1; i >= 0 && len(out) < failuresTold; i-- {
 		f := j.failures[i]
 		if now.Sub(f.At) > toldFor {
@@ -304,10 +304,10 @@
 	return out
 }
 
-// Hear takes in failures that another controller tells of: they speak for and against jobs and
+// MergeFailures takes in failures that another controller tells of: they speak for and against jobs and
 // tasks, whose success is in the records. Machines are judged by who holds them, images and
 // blocks by each controller from what it sees.
-func (j *Judge) Hear(list []mesh.Failure) {
+func (j *QuarantineJudge) MergeFailures(list []mesh.Failure) {
 	for i := len(list) - 1; i >= 0; i-- {
 		x := &list[i]
 		o := &Outcome{Machine: x.Machine, Job: x.Job, Task: x.Task, Array: x.Array, Image: x.Image, Block: x.Block, Failed: true, Far: true, At: time.UnixMilli(x.At)}
@@ -316,25 +316,25 @@
 		}) {
 			continue
 		}
-		p := Party{Kind: OfMachine, Name: string(x.Machine)}
+		p := SuspectedCause{Kind: OfMachine, Name: string(x.Machine)}
 		j.done[p] = max(j.done[p], x.Done)
-		j.See(o)
+		j.Observe(o)
 	}
 }
 
 // Progress takes in how many tasks of a job are done, on whichever machine, and which: what can
 // run is not at fault.
-func (j *Judge) Progress(job wire.JobID, done int, isDone func(wire.TaskIndex) bool) {
+func (j *QuarantineJudge) Progress(job wire.JobID, done int, isDone func(wire.TaskIndex) bool) {
 	if j.ofJob[job] == 0 {
 		return
 	}
-	p := Party{Kind: OfJob, Name: string(job)}
+	p := SuspectedCause{Kind: OfJob, Name: string(job)}
 	if float64(done) > j.done[p] {
 		j.done[p] = float64(done)
 		j.ask(j.belief[p])
 	}
 	for _, f := range j.belief[p].fail {
-		if t := (Party{Kind: OfTask, Name: string(job), Task: f.Task}); f.Array && j.done[t] == 0 && isDone(f.Task) {
+		if t := (SuspectedCause{Kind: OfTask, Name: string(job), Task: f.Task}); f.Array && j.done[t] == 0 && isDone(f.Task) {
 			j.done[t] = 1
 			j.ask(j.belief[t])
 		}
--- a/internal/evidence/settle.go
+++ b/internal/evidence/settle.go
@@ -9,7 +9,7 @@
 // settle judges anew the parties of new failures, and those that share failures with them, from
 // what is believed of any party to begin with: what was believed so far would keep a party from
 // being blamed that explains all of it better.
-func (j *Judge) settle() {
+func (j *QuarantineJudge) settle() {
 	if len(j.queue) == 0 || j.now.Sub(j.settled) < settleEvery {
 		return
 	}
@@ -67,7 +67,7 @@
 
 // prior is how likely a party of a kind is at fault to begin with. How many jobs and tasks are is
 // learned: on some days every tenth is.
-func (j *Judge) prior(k PartyKind) float64 {
+func (j *QuarantineJudge) prior(k PartyKind) float64 {
 	switch k {
 	case OfMachine:
 		return j.odds.Faulty
@@ -78,7 +78,7 @@
 }
 
 // others is how likely a failure's other parties would not have failed the task.
-func (j *Judge) others(f *failure, but *belief) float64 {
+func (j *QuarantineJudge) others(f *failure, but *belief) float64 {
 	sound := 1 - j.accident
 	for _, b := range f.of[:f.n] {
 		if b != but {
@@ -90,7 +90,7 @@
 
 // explain judges parties from what is believed of any to begin with, in an order of their kinds,
 // until that no longer moves.
-func (j *Judge) explain(kinds *[partyKinds][]*belief, order [partyKinds]PartyKind) {
+func (j *QuarantineJudge) explain(kinds *[partyKinds][]*belief, order [partyKinds]PartyKind) {
 	for _, list := range kinds {
 		for _, b := range list {
 			b.rate = j.prior(b.Kind)
@@ -113,18 +113,18 @@
 
 // likelihood is the logarithm of how likely what is believed of some parties makes what they did,
 // and they themselves are.
-func (j *Judge) likelihood(all []*belief) (l float64) {
+func (j *QuarantineJudge) likelihood(all []*belief) (l float64) {
 	j.passes++ // of failures
 	for _, b := range all {
 		// What is believed costs as much as it is unlikely to begin with.
 		prior, sure := j.prior(b.Kind), min(1-1e-9, max(1e-9, b.sure))
 		l += sure*math.Log(prior/sure) + (1-sure)*math.Log((1-prior)/(1-sure))
 		rate := min(rates[len(rates)-1], b.rate/sure)
-		done := j.done[b.Party] * math.Log(1-rate)
+		done := j.done[b.SuspectedCause] * math.Log(1-rate)
 		if b.Kind == OfMachine || b.Kind == OfBlock {
 			// It may be at fault since its first failure only, which is one time of many.
-			since := j.done[b.Party] - b.fail[0].before[b.fail[0].at(b)]
-			done = max(done, max(0, since)*math.Log(1-rate)-math.Log(j.done[b.Party]+1))
+			since := j.done[b.SuspectedCause] - b.fail[0].before[b.fail[0].at(b)]
+			done = max(done, max(0, since)*math.Log(1-rate)-math.Log(j.done[b.SuspectedCause]+1))
 		}
 		if b.Kind != OfJob && b.Kind != OfTask {
 			done -= math.Log(float64(len(rates))) // its rate is one of several
@@ -142,7 +142,7 @@
 
 // expected is the logarithm of how likely a failure is, on average over which of its parties are
 // at fault: parties that are all half believed to be explain it less well than one that is.
-func (j *Judge) expected(f *failure) (l float64) {
+func (j *QuarantineJudge) expected(f *failure) (l float64) {
 	for mask := range 1 << f.n {
 		weight, sound := 1.0, 1-j.accident
 		for i, b := range f.of[:f.n] {
@@ -161,13 +161,13 @@
 }
 
 // judge judges one party by what is believed of the others.
-func (j *Judge) judge(b *belief) {
+func (j *QuarantineJudge) judge(b *belief) {
 	prior := j.prior(b.Kind)
 	sound := make([]float64, len(b.fail))
 	for k, f := range b.fail {
 		sound[k] = j.others(f, b)
 	}
-	done := j.done[b.Party]
+	done := j.done[b.SuspectedCause]
 	weights, rate, total := [len(rates)]float64{}, 0.0, 0.0
 	for r, q := range rates {
 		// It may be at fault since any of its failures, or since it was first seen.
@@ -197,7 +197,7 @@
 
 // confirm notes since when it has been sure of a party. A judgement stands until the contrary is
 // likelier: a failure that is yet to be explained makes it waver.
-func (j *Judge) confirm(b *belief) {
+func (j *QuarantineJudge) confirm(b *belief) {
 	switch {
 	case b.sure < likely:
 		b.since = time.Time{}
@@ -209,7 +209,7 @@
 func (f *failure) at(b *belief) int { return slices.Index(f.of[:f.n], b) }
 
 // judgeAccidents takes from failures that no party explains how often they happen.
-func (j *Judge) judgeAccidents() {
+func (j *QuarantineJudge) judgeAccidents() {
 	nobodys := 0.0
 	for _, f := range j.failures {
 		nobodys += j.accident / max(j.accident, 1-j.others(f, nil))
--- a/internal/evidence/suspects.go
+++ b/internal/evidence/suspects.go
@@ -18,9 +18,9 @@
 	"maddermill/wire"
 )
 
-// Book is what a controller has seen.
-type Book struct {
-	Takings Takings // of spot machines, as the fleet's leader sees them
+// FailureTracker is what a controller has seen.
+type FailureTracker struct {
+	SpotReclaims SpotReclaims // of spot machines, as the fleet's leader sees them
 
 	members *members.Members // who tell of run times seen elsewhere
 	stats   *metrics.Set
@@ -30,17 +30,17 @@
 	errors  map[wire.MachineID]map[wire.JobID]time.Time // jobs whose tasks failed there
 	classes map[wire.Class]*mesh.ClassSum               // as seen here
 	claimed map[claimKey]time.Time                      // when a claim was first seen
-	judge   *Judge                                      // nil: two jobs that fail on a machine make it faulty
+	judge   *QuarantineJudge                            // nil: two jobs that fail on a machine make it faulty
 }
 
 // New returns an empty book.
-func New(members *members.Members, stats *metrics.Set, log *slog.Logger) *Book {
-	return &Book{members: members, stats: stats, log: log, jobs: map[wire.JobID]*notes{}, errors: map[wire.MachineID]map[wire.JobID]time.Time{},
+func New(members *members.Members, stats *metrics.Set, log *slog.Logger) *FailureTracker {
+	return &FailureTracker{members: members, stats: stats, log: log, jobs: map[wire.JobID]*notes{}, errors: map[wire.MachineID]map[wire.JobID]time.Time{},
 		classes: map[wire.Class]*mesh.ClassSum{}, claimed: map[claimKey]time.Time{}}
 }
 
 // SetOdds has machines judged by likelihood, and slow ones found.
-func (b *Book) SetOdds(o Odds) { b.judge = NewJudge(o) }
+func (b *FailureTracker) SetOdds(o Priors) { b.judge = NewJudge(o) }
 
 // notes is what is remembered of a job.
 type notes struct {
@@ -51,7 +51,7 @@
 	avoid    map[wire.MachineID]time.Time
 }
 
-func (b *Book) notes(id wire.JobID) *notes {
+func (b *FailureTracker) notes(id wire.JobID) *notes {
 	n := b.jobs[id]
 	if n == nil {
 		n = &notes{avoid: map[wire.MachineID]time.Time{}}
@@ -128,11 +128,11 @@
 
 // Failed notes a task's error on a machine that is in a block of the topology, "" if none is
 // declared.
-func (b *Book) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
+func (b *FailureTracker) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
 	if b.judge != nil {
 		o := outcome(j, task, machine, block, now)
 		o.Failed = true
-		b.judge.See(o)
+		b.judge.Observe(o)
 	}
 	n := b.notes(j.ID)
 	if b.errors[machine] == nil {
@@ -158,7 +158,7 @@
 }
 
 // tellSuspect logs that a job has become suspect.
-func (b *Book) tellSuspect(j *ledger.Job, n *notes, was bool) {
+func (b *FailureTracker) tellSuspect(j *ledger.Job, n *notes, was bool) {
 	if n.failures.blamed() && !was {
 		b.log.Warn("job suspect", "job", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(n.failures.on), "rests", time.Until(n.failures.until).Round(time.Second))
 	}
@@ -166,12 +166,12 @@
 
 // Completed notes that a task completed on a machine, which is then not the one at fault, after
 // it ran for a time; 0: unknown.
-func (b *Book) Completed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, ran time.Duration, now time.Time) {
+func (b *FailureTracker) Completed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, ran time.Duration, now time.Time) {
 	delete(b.errors, machine)
 	if b.judge != nil {
 		o := outcome(j, task, machine, block, now)
 		o.Ran, o.Expected = ran, b.Expected(j)
-		b.judge.See(o)
+		b.judge.Observe(o)
 	}
 	if ran > 0 && j.Spec.Estimate > 0 {
 		b.ran(j.Spec.Class, ran, j.Spec.Estimate.Duration())
@@ -179,25 +179,25 @@
 }
 
 // Avoid keeps a job off a machine for a while.
-func (b *Book) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
+func (b *FailureTracker) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
 	b.notes(job).avoid[machine] = now
 }
 
 // Retry puts a job's next start off until a time.
-func (b *Book) Retry(job wire.JobID, at time.Time) { b.notes(job).retry = at }
+func (b *FailureTracker) Retry(job wire.JobID, at time.Time) { b.notes(job).retry = at }
 
-// Standing is what speaks against starting tasks of a job now.
-type Standing struct {
+// RetryState is what speaks against starting tasks of a job now.
+type RetryState struct {
 	Suspect bool                      // it is believed to fail wherever it runs
 	Retry   time.Time                 // no start before
 	Resting int                       // tasks that failed everywhere and rest
 	Avoid   func(wire.MachineID) bool // machines to keep off; nil: none
 }
 
-// Standing tells what speaks against a job. One a task of which has completed since the last
+// RetryState tells what speaks against a job. One a task of which has completed since the last
 // look, by whichever controller that was recorded, is cleared. A task that failed everywhere
 // rests on.
-func (b *Book) Standing(j *ledger.Job, now time.Time) Standing {
+func (b *FailureTracker) RetryState(j *ledger.Job, now time.Time) RetryState {
 	n := b.notes(j.ID)
 	n.acquit(j)
 	for m, at := range n.avoid {
@@ -205,7 +205,7 @@
 			delete(n.avoid, m)
 		}
 	}
-	s := Standing{Retry: n.retry, Resting: n.atRest(now)}
+	s := RetryState{Retry: n.retry, Resting: n.atRest(now)}
 	if len(n.avoid) > 0 {
 		s.Avoid = func(m wire.MachineID) bool {
 			_, bad := n.avoid[m]
@@ -233,9 +233,9 @@
 	}
 }
 
-// Rests tells which tasks of a job have failed on several machines and are not yet to be tried
+// BackedOff tells which tasks of a job have failed on several machines and are not yet to be tried
 // again.
-func (b *Book) Rests(job wire.JobID) func(wire.TaskIndex) bool {
+func (b *FailureTracker) BackedOff(job wire.JobID) func(wire.TaskIndex) bool {
 	n := b.notes(job)
 	return func(t wire.TaskIndex) bool { return n.resting(t, time.Now()) }
 }
@@ -258,7 +258,7 @@
 
 // Suspect reports whether a job is believed to fail wherever it runs, and after how many rounds
 // of failures.
-func (b *Book) Suspect(id wire.JobID) (rounds int, yes bool) {
+func (b *FailureTracker) Suspect(id wire.JobID) (rounds int, yes bool) {
 	n := b.jobs[id]
 	if n == nil || !n.failures.blamed() {
 		return 0, false
@@ -267,7 +267,7 @@
 }
 
 // CountSuspects counts the jobs that are believed to fail wherever they run.
-func (b *Book) CountSuspects() (k int) {
+func (b *FailureTracker) CountSuspects() (k int) {
 	for id := range b.jobs {
 		if _, yes := b.Suspect(id); yes {
 			k++
@@ -277,14 +277,14 @@
 }
 
 // Failing reports whether a task of a job has failed since one completed.
-func (b *Book) Failing(id wire.JobID) bool {
+func (b *FailureTracker) Failing(id wire.JobID) bool {
 	n := b.jobs[id]
 	return n != nil && len(n.failures.on) > 0
 }
 
 // Suspects are told to peers: also jobs that have failed on one machine only, since
 // the other one may be theirs.
-func (b *Book) Suspects(now time.Time) []mesh.Suspect {
+func (b *FailureTracker) Suspects(now time.Time) []mesh.Suspect {
 	var out []mesh.Suspect
 	for id, n := range b.jobs {
 		if len(n.failures.on) == 0 || len(out) == mostTold {
@@ -298,9 +298,9 @@
 	return out
 }
 
-// Hear takes over what a peer told of failures, but for those of a job a task of which has
+// MergeSuspects takes over what a peer told of failures, but for those of a job a task of which has
 // completed since.
-func (b *Book) Hear(l *ledger.Ledger, list []mesh.Suspect, asked time.Time) {
+func (b *FailureTracker) MergeSuspects(l *ledger.Ledger, list []mesh.Suspect, asked time.Time) {
 	for i := range list {
 		x := &list[i]
 		j := l.Job(x.Job)
@@ -317,7 +317,7 @@
 // Faulty reports whether a machine is to blame for its tasks' errors: several jobs
 // failed there that do not fail elsewhere. One that its user has cancelled since
 // proves nothing.
-func (b *Book) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
+func (b *FailureTracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
 	if b.judge != nil {
 		yes, _, _ := b.judge.Faulty(machine)
 		return yes
@@ -337,7 +337,7 @@
 }
 
 // Slow reports whether a machine's tasks take longer than others'.
-func (b *Book) Slow(machine wire.MachineID) bool {
+func (b *FailureTracker) Slow(machine wire.MachineID) bool {
 	if b.judge == nil {
 		return false
 	}
@@ -346,22 +346,22 @@
 }
 
 // Failures are told to peers.
-func (b *Book) Failures(now time.Time) []mesh.Failure {
+func (b *FailureTracker) Failures(now time.Time) []mesh.Failure {
 	if b.judge == nil {
 		return nil
 	}
-	return b.judge.Tell(now)
+	return b.judge.FailuresToShare(now)
 }
 
-// HearFailures takes in what a peer tells.
-func (b *Book) HearFailures(list []mesh.Failure) {
+// MergeFailures takes in what a peer tells.
+func (b *FailureTracker) MergeFailures(list []mesh.Failure) {
 	if b.judge != nil {
-		b.judge.Hear(list)
+		b.judge.MergeFailures(list)
 	}
 }
 
 // ForgetMachine drops what is known of a machine that is gone.
-func (b *Book) ForgetMachine(id wire.MachineID) {
+func (b *FailureTracker) ForgetMachine(id wire.MachineID) {
 	delete(b.errors, id)
 	if b.judge != nil {
 		b.judge.Forget(id)
@@ -369,10 +369,10 @@
 }
 
 // ForgetJob drops what is known of a job that is no longer among the records.
-func (b *Book) ForgetJob(id wire.JobID) { delete(b.jobs, id) }
+func (b *FailureTracker) ForgetJob(id wire.JobID) { delete(b.jobs, id) }
 
-// Tidy drops what is known of jobs and claims that are over.
-func (b *Book) Tidy(l *ledger.Ledger, now time.Time) {
+// Prune drops what is known of jobs and claims that are over.
+func (b *FailureTracker) Prune(l *ledger.Ledger, now time.Time) {
 	for id := range b.jobs {
 		if j := l.Job(id); j == nil || j.State != ledger.Active {
 			delete(b.jobs, id)
@@ -383,5 +383,5 @@
 		return
 	}
 	l.Active(func(j *ledger.Job) { b.judge.Progress(j.ID, j.Done, j.TaskDone) })
-	b.judge.Tidy(now, func(id wire.JobID) bool { j := l.Job(id); return j != nil && j.State == ledger.Active })
+	b.judge.Prune(now, func(id wire.JobID) bool { j := l.Job(id); return j != nil && j.State == ledger.Active })
 }
--- a/internal/evidence/takings.go
+++ b/internal/evidence/takings.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Takings estimates how often spot machines are taken back, from those that were lately. Old
+// SpotReclaims estimates how often spot machines are taken back, from those that were lately. Old
 // observations fade; with few, it stays near what is usual.
-type Takings struct {
+type SpotReclaims struct {
 	taken float64
 	hours float64 // of machines, that were watched for it
 	last  time.Time
@@ -20,8 +20,8 @@
 	longWatch    = 10 * time.Second
 )
 
-// Watch notes that so many spot machines were up until now.
-func (t *Takings) Watch(machines int, now time.Time) {
+// CountMachineTime notes that so many spot machines were up until now.
+func (t *SpotReclaims) CountMachineTime(machines int, now time.Time) {
 	if dt := now.Sub(t.last); !t.last.IsZero() && dt > 0 {
 		fade := math.Exp2(-float64(dt) / float64(takingsFade))
 		t.taken, t.hours = t.taken*fade, t.hours*fade
@@ -30,10 +30,10 @@
 	t.last = now
 }
 
-// Taken notes that one was taken back.
-func (t *Takings) Taken() { t.taken++ }
+// Observe notes that one was taken back.
+func (t *SpotReclaims) Observe() { t.taken++ }
 
 // PerHour is how often a machine is taken back an hour.
-func (t *Takings) PerHour() float64 {
+func (t *SpotReclaims) PerHour() float64 {
 	return (t.taken + usualTakings*usualHours) / (t.hours + usualHours)
 }
--- a/internal/evidence/takings_test.go
+++ b/internal/evidence/takings_test.go
@@ -9,14 +9,14 @@
 // were watched, and forgets a wave; a watcher that stood still doesn't count the hours.
 func TestTakings(t *testing.T) {
 	now := time.Unix(0, 0)
-	var e Takings
+	var e SpotReclaims
 	watch := func(machines int, length time.Duration, perHour float64) {
 		due := 0.0
 		for range int(length / time.Second) {
 			now = now.Add(time.Second)
-			e.Watch(machines, now)
+			e.CountMachineTime(machines, now)
 			for due += float64(machines) * perHour / 3600; due >= 1; due-- {
-				e.Taken()
+				e.Observe()
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 	near("many taken", 11, 15)
 	before := e.hours
 	now = now.Add(time.Hour)
-	e.Watch(600, now)
+	e.CountMachineTime(600, now)
 	if e.hours > before {
 		t.Error("an hour of standing still counts as watched")
 	}
--- a/internal/evidence/worlds_test.go
+++ b/internal/evidence/worlds_test.go
@@ -70,9 +70,9 @@
 	return n >= enoughToBlame
 }
 
-type judges struct{ *Judge }
+type judges struct{ *QuarantineJudge }
 
-func (r judges) see(o *Outcome) { r.See(o) }
+func (r judges) see(o *Outcome) { r.Observe(o) }
 func (r judges) faulty(m wire.MachineID) bool {
 	yes, _, _ := r.Faulty(m)
 	return yes
@@ -263,7 +263,7 @@
 						ran *= by
 					}
 					id := wire.MachineID(fmt.Sprint("host-", m))
-					j.See(&Outcome{Machine: id, Job: job, Task: wire.TaskIndex(k), Array: count > 1, Class: "c",
+					j.Observe(&Outcome{Machine: id, Job: job, Task: wire.TaskIndex(k), Array: count > 1, Class: "c",
 						Ran: time.Duration(ran * float64(time.Second)), Expected: time.Minute, At: time.Unix(int64(1_800_000_000+20*n), 0)})
 					if slow, _ := j.Slow(id); slow && !found[m] {
 						if found[m] = true; m == 3 && by > 1 {
@@ -290,8 +290,8 @@
 	now := time.Unix(1_800_000_000, 0)
 	sure := func(others, progress bool) float64 {
 		here, there := NewJudge(DefaultOdds), NewJudge(DefaultOdds)
-		see := func(j *Judge, m, job string, failed bool, at time.Time) {
-			j.See(&Outcome{Machine: wire.MachineID(m), Job: wire.JobID(job), Failed: failed, At: at})
+		see := func(j *QuarantineJudge, m, job string, failed bool, at time.Time) {
+			j.Observe(&Outcome{Machine: wire.MachineID(m), Job: wire.JobID(job), Failed: failed, At: at})
 		}
 		for i := range 50 {
 			see(here, "host-1", fmt.Sprint("good-", i), false, now)
@@ -307,9 +307,9 @@
 		}
 		later := now.Add(2 * time.Minute)
 		if others {
-			told := there.Tell(later)
-			here.Hear(told)
-			here.Hear(told) // once more changes nothing
+			told := there.FailuresToShare(later)
+			here.MergeFailures(told)
+			here.MergeFailures(told) // once more changes nothing
 		}
 		if progress {
 			for i := range 3 {
@@ -334,7 +334,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	see := func(failed bool) {
 		now = now.Add(time.Millisecond)
-		j.See(&Outcome{Machine: wire.MachineID(fmt.Sprint("host-", rng.IntN(16000))), Job: wire.JobID(fmt.Sprint("wk-", rng.IntN(4000))), Task: wire.TaskIndex(rng.IntN(9)), Array: true,
+		j.Observe(&Outcome{Machine: wire.MachineID(fmt.Sprint("host-", rng.IntN(16000))), Job: wire.JobID(fmt.Sprint("wk-", rng.IntN(4000))), Task: wire.TaskIndex(rng.IntN(9)), Array: true,
 			Image: wire.Image(fmt.Sprint("img-", rng.IntN(40))), Class: "c", Block: fmt.Sprint("b", rng.IntN(400)), Failed: failed, At: now})
 	}
 	for range 100_000 {
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -12,7 +12,7 @@
 
 // slot is a machine in a plan, with what the plan puts there.
 type slot struct {
-	unit Unit
+	unit Machine
 	used bool
 	new  bool
 }
@@ -22,7 +22,7 @@
 	in      *Input
 	slots   []*slot // all that are usable, and those to be rented
 	open    []*slot // of them those with room for a task of some job
-	hired   map[Option]int
+	hired   map[MachineOption]int
 	total   int // machines, those to be rented among them
 	perZone map[wire.Zone]int
 	extra   map[wire.Team]ledger.Resources // placed by this plan
@@ -33,7 +33,7 @@
 // newPacker returns a packer that has placed nothing. Machines that are up come first, then those that
 // boot; cheap ones before dear ones, which are kept for work that may run nowhere else.
 func newPacker(in *Input) *packer {
-	p := &packer{in: in, hired: map[Option]int{}, total: len(in.Units), perZone: map[wire.Zone]int{}, extra: map[wire.Team]ledger.Resources{}}
+	p := &packer{in: in, hired: map[MachineOption]int{}, total: len(in.Units), perZone: map[wire.Zone]int{}, extra: map[wire.Team]ledger.Resources{}}
 	for _, u := range in.Units {
 		p.perZone[u.Zone]++
 		if u.Usable {
@@ -59,17 +59,17 @@
 func (p *packer) full(s *slot) bool { return !s.unit.room(p.latest).Fits(p.least) }
 
 // mayRent reports whether one more machine may be rented.
-func (p *packer) mayRent() bool { return p.in.Most == 0 || p.total < p.in.Most }
+func (p *packer) mayRent() bool { return p.in.MaxMachines == 0 || p.total < p.in.MaxMachines }
 
 // rented counts one more machine that is to be rented.
-func (p *packer) rented(o Option) {
+func (p *packer) rented(o MachineOption) {
 	p.hired[o]++
 	p.total++
 }
 
 // place packs a job's tasks into the machines there are, and rents for the rest.
 func (p *packer) place(e *place.Entry) {
-	if e.Suspect {
+	if e.CrashLooping {
 		return // nothing is rented for what fails everywhere
 	}
 	j := e.Job
@@ -113,11 +113,11 @@
 func (p *packer) packing(e *place.Entry, tasks int) *jobPacking {
 	j := e.Job
 	job := &jobPacking{packer: p, e: e, left: tasks, by: p.in.Now, pressing: true, put: map[wire.Zone]int{}, taken: map[*slot]bool{},
-		near: p.in.Close && j.Together() > 1 && !j.Spec.OneZone && !j.Spec.Spread}
+		near: p.in.Close && j.GangSize() > 1 && !j.Spec.OneZone && !j.Spec.Spread}
 	if j.Spec.OneZone {
 		j.Claims(func(c ledger.Claim) bool { job.zone = c.Zone; return false })
 	}
-	if boot := p.in.boot(j); e.StartBy.After(job.by.Add(2 * boot)) {
+	if boot := p.in.boot(j); e.LatestStart.After(job.by.Add(2 * boot)) {
 		job.by, job.pressing = job.by.Add(boot), false
 	}
 	job.until = job.by.Add(e.Expected)
@@ -127,7 +127,7 @@
 // fits is how many of the job's tasks a machine takes.
 func (job *jobPacking) fits(s *slot) int {
 	j, u := job.e.Job, &s.unit
-	if !ledger.Allowed(j.Spec, u.Type, u.Zone, u.Spot) || job.e.Steady && u.Spot || job.e.Plain && u.Total.GPU > 0 || job.zone != "" && u.Zone != job.zone {
+	if !ledger.Allowed(j.Spec, u.Type, u.Zone, u.Spot) || job.e.AvoidSpot && u.Spot || job.e.Plain && u.Total.GPU > 0 || job.zone != "" && u.Zone != job.zone {
 		return 0
 	}
 	// One fetch at a time: a machine that has to fetch another image
@@ -160,7 +160,7 @@
 		if job.left == 0 {
 			return
 		}
-		job.in.Looked++
+		job.in.MachinesExamined++
 		n := job.fits(s)
 		if n == 0 || job.taken[s] {
 			continue
@@ -188,7 +188,7 @@
 		return false
 	}
 	f := job.in.Flavors[o.Type]
-	s := &slot{unit: Unit{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB)}, used: true, new: true}
+	s := &slot{unit: Machine{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB)}, used: true, new: true}
 	n := job.fits(s)
 	if n == 0 {
 		return false
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -13,23 +13,23 @@
 	"maddermill/wire"
 )
 
-// Unit is a machine as the fleet's leader sees it.
-type Unit struct {
+// Machine is a machine as the fleet's leader sees it.
+type Machine struct {
 	ID        wire.MachineID
-	Type      wire.MachineSKU
+	Type      wire.MachineTypeName
 	Zone      wire.Zone
 	Spot      bool
 	Booting   bool
 	Usable    bool // takes tasks, or will when it is up
 	Total     ledger.Resources
-	Busy      []place.Busy          // what its tasks take, and until when
-	Caches    func(wire.Image) bool // nil: nothing is known to be cached
-	Fetching  wire.Image            // under way there, "" if none
-	IdleSince time.Time             // zero while it has claims
+	Busy      []place.ExpectedRelease // what its tasks take, and until when
+	Caches    func(wire.Image) bool   // nil: nothing is known to be cached
+	Fetching  wire.Image              // under way there, "" if none
+	IdleSince time.Time               // zero while it has claims
 }
 
 // room returns what is free at a time, as far as can be foreseen.
-func (u *Unit) room(at time.Time) ledger.Resources {
+func (u *Machine) room(at time.Time) ledger.Resources {
 	free := u.Total
 	for _, b := range u.Busy {
 		if b.Until.After(at) {
@@ -39,65 +39,65 @@
 	return free
 }
 
-func (u *Unit) caches(name wire.Image) bool { return u.Caches != nil && u.Caches(name) }
+func (u *Machine) caches(name wire.Image) bool { return u.Caches != nil && u.Caches(name) }
 
 // take puts n tasks on the machine until some time.
-func (u *Unit) take(need ledger.Resources, n int, until time.Time) {
-	u.Busy = append(u.Busy, place.Busy{Until: until, Room: ledger.Resources{}.Add(need, n)})
+func (u *Machine) take(need ledger.Resources, n int, until time.Time) {
+	u.Busy = append(u.Busy, place.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, n)})
 }
 
-// Option is a kind of machine to rent.
-type Option struct {
-	Type wire.MachineSKU
+// MachineOption is a kind of machine to rent.
+type MachineOption struct {
+	Type wire.MachineTypeName
 	Zone wire.Zone
 	Spot bool
 }
 
-// Need is a number of machines of a kind.
-type Need struct {
-	Option
+// ScaleOut is a number of machines of a kind.
+type ScaleOut struct {
+	MachineOption
 	Count int
 }
 
 // Input is what a plan is made from.
 type Input struct {
-	Now       time.Time
-	Flavors   map[wire.MachineSKU]wire.Flavor // at current prices
-	Units     []Unit
-	Queue     []place.Entry // in policy order
-	TeamRoom  func(j *ledger.Job, extra ledger.Resources, most int) int
-	Refused   func(Option) bool // lately without capacity
-	Spot      bool
-	Most      int // machines at once, 0: no bound
-	IdleBoots float64
-	Headroom  float64
-	Close     bool // a topology is declared: a gang's machines are wanted in one zone
+	Now           time.Time
+	Flavors       map[wire.MachineTypeName]wire.MachineType // at current prices
+	Units         []Machine
+	Queue         []place.Entry // in policy order
+	TeamRoom      func(j *ledger.Job, extra ledger.Resources, most int) int
+	OutOfCapacity func(MachineOption) bool // lately without capacity
+	Spot          bool
+	MaxMachines   int // machines at once, 0: no bound
+	IdleBoots     float64
+	Headroom      float64
+	Close         bool // a topology is declared: a gang's machines are wanted in one zone
 
-	Looked int // machines looked at: what a plan costs
+	MachinesExamined int // machines looked at: what a plan costs
 }
 
 // Plan is what to do.
 type Plan struct {
-	Hire  []Need
-	Drain []wire.MachineID
+	ScaleOut []ScaleOut
+	Drain    []wire.MachineID
 }
 
-// Make packs the pending work, in policy order, into the machines there are or
+// ComputePlan packs the pending work, in policy order, into the machines there are or
 // that are booting, rents what the rest needs, and gives back machines idle for
 // longer than it would take to boot them again.
-func Make(in *Input) Plan {
+func ComputePlan(in *Input) Plan {
 	p := newPacker(in)
 	for i := range in.Queue {
 		p.place(&in.Queue[i])
 	}
 	left := in.left()
 	p.rentAhead(left)
-	return Plan{Hire: p.needs(), Drain: p.drains(left)}
+	return Plan{ScaleOut: p.needs(), Drain: p.drains(left)}
 }
 
 // rentAhead rents the machines with accelerators that are to be left idle beyond those there are.
-func (p *packer) rentAhead(left map[Option]int) {
-	for _, k := range slices.SortedFunc(maps.Keys(left), func(a, b Option) int { return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone)) }) {
+func (p *packer) rentAhead(left map[MachineOption]int) {
+	for _, k := range slices.SortedFunc(maps.Keys(left), func(a, b MachineOption) int { return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone)) }) {
 		for n := p.in.missing(k, left[k], p.slots); n > 0 && p.mayRent(); n-- {
 			p.rented(k)
 		}
@@ -105,11 +105,11 @@
 }
 
 // needs lists what is to be rented, the most of a kind first.
-func (p *packer) needs() (out []Need) {
+func (p *packer) needs() (out []ScaleOut) {
 	for o, n := range p.hired {
-		out = append(out, Need{o, n})
+		out = append(out, ScaleOut{o, n})
 	}
-	slices.SortFunc(out, func(a, b Need) int {
+	slices.SortFunc(out, func(a, b ScaleOut) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
 	})
 	return out
@@ -117,11 +117,11 @@
 
 // drains lists the idle machines that are to be given back: the dearest first, and those idle for the
 // longest, but for what is left idle. left is changed.
-func (p *packer) drains(left map[Option]int) (out []wire.MachineID) {
+func (p *packer) drains(left map[MachineOption]int) (out []wire.MachineID) {
 	in := p.in
 	idle := p.idle()
 	for _, u := range idle[:max(0, len(idle)-in.spare())] {
-		if k := (Option{Type: u.Type, Zone: u.Zone}); left[k] > 0 {
+		if k := (MachineOption{Type: u.Type, Zone: u.Zone}); left[k] > 0 {
 			left[k]--
 			continue
 		}
@@ -133,13 +133,13 @@
 }
 
 // idle lists the machines that are idle and of no use to the plan, in the order in which they go.
-func (p *packer) idle() (out []Unit) {
+func (p *packer) idle() (out []Machine) {
 	for _, s := range p.slots {
 		if !s.new && !s.used && !s.unit.Booting && !s.unit.IdleSince.IsZero() {
 			out = append(out, s.unit)
 		}
 	}
-	slices.SortFunc(out, func(a, b Unit) int {
+	slices.SortFunc(out, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(p.in.price(b.option()), p.in.price(a.option())), a.IdleSince.Compare(b.IdleSince))
 	})
 	return out
@@ -157,7 +157,7 @@
 }
 
 // keepIdle is how long a machine may be idle: a cheap one, with its cache, for longer.
-func (in *Input) keepIdle(u *Unit) time.Duration {
+func (in *Input) keepIdle(u *Machine) time.Duration {
 	f := in.Flavors[u.Type]
 	keep := in.IdleBoots * float64(f.Boot.Duration())
 	if p := in.price(u.option()); p > 0 && f.Price > p {
@@ -168,8 +168,8 @@
 
 // left is how many idle machines with accelerators, of each type in each zone, are kept for work
 // that needs them, where there are types without any for other work.
-func (in *Input) left() map[Option]int {
-	left, plain := map[Option]int{}, false
+func (in *Input) left() map[MachineOption]int {
+	left, plain := map[MachineOption]int{}, false
 	for _, f := range in.Flavors {
 		plain = plain || f.GPUs == 0
 	}
@@ -178,18 +178,18 @@
 	}
 	for i := range in.Units {
 		if u := &in.Units[i]; u.Usable && !u.Booting && u.Total.GPU > 0 {
-			left[Option{Type: u.Type, Zone: u.Zone}]++
+			left[MachineOption{Type: u.Type, Zone: u.Zone}]++
 		}
 	}
 	for k, n := range left {
-		left[k] = place.Left(n)
+		left[k] = place.IdleReserve(n)
 	}
 	return left
 }
 
 // missing is how many machines of a type in a zone are to be rented so that some are left idle by
 // this plan, no more than are in use: work that needs them begins without waiting for a boot.
-func (in *Input) missing(k Option, left int, slots []*slot) int {
+func (in *Input) missing(k MachineOption, left int, slots []*slot) int {
 	inUse, idle := 0, 0
 	for _, s := range slots {
 		switch u := &s.unit; {
@@ -200,7 +200,7 @@
 			idle++
 		}
 	}
-	if in.Refused(k) {
+	if in.OutOfCapacity(k) {
 		return 0
 	}
 	return max(0, min(left, inUse)-idle)
@@ -249,9 +249,9 @@
 	return least
 }
 
-func (u *Unit) option() Option { return Option{u.Type, u.Zone, u.Spot} }
+func (u *Machine) option() MachineOption { return MachineOption{u.Type, u.Zone, u.Spot} }
 
-func (in *Input) price(o Option) float64 {
+func (in *Input) price(o MachineOption) float64 {
 	f := in.Flavors[o.Type]
 	if o.Spot {
 		return f.SpotPrice
@@ -262,7 +262,7 @@
 // cheapest chooses what to rent for a job: the lowest price for the room that
 // its tasks get, which it tells, then the zone with the fewest machines. put is how many of the
 // job's tasks have a place by zone.
-func cheapest(in *Input, e *place.Entry, zone wire.Zone, put, perZone map[wire.Zone]int) (best Option, bestPrice float64, found bool) {
+func cheapest(in *Input, e *place.Entry, zone wire.Zone, put, perZone map[wire.Zone]int) (best MachineOption, bestPrice float64, found bool) {
 	j := e.Job
 	for _, f := range in.Flavors {
 		room := ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB).Times(j.Need, j.Spec.Tasks)
@@ -274,9 +274,9 @@
 				continue // a job that is to be spread once waited for ever for a second zone
 			}
 			for _, spot := range []bool{true, false} {
-				o := Option{f.Name, z, spot}
-				if spot && (!in.Spot || f.SpotPrice <= 0 || e.Steady) || zone != "" && z != zone ||
-					!ledger.Allowed(j.Spec, f.Name, z, spot) || in.Refused(o) {
+				o := MachineOption{f.Name, z, spot}
+				if spot && (!in.Spot || f.SpotPrice <= 0 || e.AvoidSpot) || zone != "" && z != zone ||
+					!ledger.Allowed(j.Spec, f.Name, z, spot) || in.OutOfCapacity(o) {
 					continue
 				}
 				price := in.price(o) / float64(room)
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -8,9 +8,9 @@
 	"maddermill/wire"
 )
 
-// Decide has a policy decide on a plan: it is told what there is of each kind of machine and
+// ApplyPolicy has a policy decide on a plan: it is told what there is of each kind of machine and
 // what the plan would do, and answers with what is to be done.
-func Decide(in *Input, plan Plan, decide func(*policy.Fleet) []policy.Change) Plan {
+func ApplyPolicy(in *Input, plan Plan, decide func(*policy.Fleet) []policy.Change) Plan {
 	f, kinds := summary(in, plan)
 	if len(kinds) == 0 {
 		return plan
@@ -20,7 +20,7 @@
 	for _, id := range plan.Drain {
 		mine[id] = true
 	}
-	idle := map[Option][]*Unit{}
+	idle := map[MachineOption][]*Machine{}
 	for i := range in.Units {
 		if u := &in.Units[i]; u.idle() {
 			idle[u.option()] = append(idle[u.option()], u)
@@ -29,11 +29,11 @@
 	for i, c := range decide(f) {
 		o := kinds[i]
 		if c.Hire > 0 {
-			out.Hire = append(out.Hire, Need{o, int(c.Hire)})
+			out.ScaleOut = append(out.ScaleOut, ScaleOut{o, int(c.Hire)})
 		}
 		// Those that the plan gives back go first, then those that are idle for longest.
 		units := idle[o]
-		slices.SortFunc(units, func(a, b *Unit) int {
+		slices.SortFunc(units, func(a, b *Machine) int {
 			if mine[a.ID] != mine[b.ID] {
 				if mine[a.ID] {
 					return -1
@@ -50,24 +50,24 @@
 }
 
 // idle: it has no task and could be given back.
-func (u *Unit) idle() bool { return !u.IdleSince.IsZero() && !u.Booting }
+func (u *Machine) idle() bool { return !u.IdleSince.IsZero() && !u.Booting }
 
 // summary is what a policy sees of a plan, and the kinds that it sees in their order.
-func summary(in *Input, plan Plan) (*policy.Fleet, []Option) {
-	f := &policy.Fleet{Now: in.Now.UnixMilli(), Most: uint32(in.Most)}
+func summary(in *Input, plan Plan) (*policy.Fleet, []MachineOption) {
+	f := &policy.Fleet{Now: in.Now.UnixMilli(), Most: uint32(in.MaxMachines)}
 	for i := range in.Queue {
 		f.Waiting += uint32(max(0, in.Queue[i].Job.Pending()))
 	}
-	var kinds []Option
+	var kinds []MachineOption
 	for sku, fl := range in.Flavors {
 		for _, z := range fl.Zones {
-			if kinds = append(kinds, Option{sku, z, false}); in.Spot {
-				kinds = append(kinds, Option{sku, z, true})
+			if kinds = append(kinds, MachineOption{sku, z, false}); in.Spot {
+				kinds = append(kinds, MachineOption{sku, z, true})
 			}
 		}
 	}
-	slices.SortFunc(kinds, func(a, b Option) int {
-		spot := func(o Option) int {
+	slices.SortFunc(kinds, func(a, b MachineOption) int {
+		spot := func(o MachineOption) int {
 			if o.Spot {
 				return 1
 			}
@@ -76,7 +76,7 @@
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(spot(a), spot(b)))
 	})
 	var names policy.Namer
-	at := map[Option]*policy.Kind{}
+	at := map[MachineOption]*policy.Kind{}
 	f.Kinds = make([]policy.Kind, len(kinds))
 	for i, o := range kinds {
 		k := &f.Kinds[i]
@@ -84,13 +84,13 @@
 		if o.Spot {
 			k.Spot = 1
 		}
-		if in.Refused != nil && in.Refused(o) {
+		if in.OutOfCapacity != nil && in.OutOfCapacity(o) {
 			k.Refused = 1
 		}
 		at[o] = k
 	}
 	f.Names = names.Names
-	option := map[wire.MachineID]Option{}
+	option := map[wire.MachineID]MachineOption{}
 	for i := range in.Units {
 		u := &in.Units[i]
 		k := at[u.option()]
@@ -107,8 +107,8 @@
 			k.Idle++
 		}
 	}
-	for _, n := range plan.Hire {
-		if k := at[n.Option]; k != nil {
+	for _, n := range plan.ScaleOut {
+		if k := at[n.MachineOption]; k != nil {
 			k.Hire += uint32(n.Count)
 		}
 	}
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -17,11 +17,11 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	now := time.Unix(1_800_000_000, 0)
 	for range 100 {
-		in := &Input{Now: now, Spot: rng.IntN(2) == 0, Flavors: map[wire.MachineSKU]wire.Flavor{
+		in := &Input{Now: now, Spot: rng.IntN(2) == 0, Flavors: map[wire.MachineTypeName]wire.MachineType{
 			"g2": {Name: "g2", Price: 4, SpotPrice: 1, Zones: []wire.Zone{"a", "b"}}, "c8": {Name: "c8", Price: 2, SpotPrice: 1, Zones: []wire.Zone{"b"}}}}
 		var plan Plan
 		for i := range rng.IntN(30) {
-			u := Unit{ID: wire.MachineID(fmt.Sprintf("host-%02d", i)), Type: "g2", Zone: []wire.Zone{"a", "b"}[rng.IntN(2)], Spot: in.Spot && rng.IntN(2) == 0, Booting: rng.IntN(4) == 0}
+			u := Machine{ID: wire.MachineID(fmt.Sprintf("host-%02d", i)), Type: "g2", Zone: []wire.Zone{"a", "b"}[rng.IntN(2)], Spot: in.Spot && rng.IntN(2) == 0, Booting: rng.IntN(4) == 0}
 			if rng.IntN(2) == 0 {
 				u.IdleSince = now.Add(-time.Duration(rng.IntN(900)) * time.Second)
 				if u.idle() && rng.IntN(2) == 0 {
@@ -31,23 +31,23 @@
 			in.Units = append(in.Units, u)
 		}
 		if rng.IntN(2) == 0 {
-			plan.Hire = []Need{{Option{"c8", "b", false}, 3}, {Option{"g2", "a", false}, 60}}
+			plan.ScaleOut = []ScaleOut{{MachineOption{"c8", "b", false}, 3}, {MachineOption{"g2", "a", false}, 60}}
 		}
-		same := Decide(in, plan, policy.BuiltinFleet)
+		same := ApplyPolicy(in, plan, policy.BuiltinFleet)
 		slices.Sort(same.Drain)
 		slices.Sort(plan.Drain)
 		if fmt.Sprint(same) != fmt.Sprint(plan) {
 			t.Fatalf("%v, want %v", same, plan)
 		}
-		all := Decide(in, plan, func(f *policy.Fleet) []policy.Change {
+		all := ApplyPolicy(in, plan, func(f *policy.Fleet) []policy.Change {
 			out := policy.BuiltinFleet(f)
 			for i, k := range f.Kinds {
 				out[i] = policy.Change{Drain: min(k.Idle, k.Drain+1)}
 			}
 			return out
 		})
-		if len(all.Hire) > 0 {
-			t.Errorf("rents %v", all.Hire)
+		if len(all.ScaleOut) > 0 {
+			t.Errorf("rents %v", all.ScaleOut)
 		}
 		for _, id := range plan.Drain {
 			if !slices.Contains(all.Drain, id) {
@@ -55,7 +55,7 @@
 			}
 		}
 		for _, id := range all.Drain {
-			if u := in.Units[slices.IndexFunc(in.Units, func(u Unit) bool { return u.ID == id })]; !u.idle() {
+			if u := in.Units[slices.IndexFunc(in.Units, func(u Machine) bool { return u.ID == id })]; !u.idle() {
 				t.Errorf("%s is given back and not idle", id)
 			}
 		}
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -23,36 +23,36 @@
 	defer c.Mirror.Unlock()
 	// After the start of a controller, and often of all of them, workers have yet to
 	// find one each; a gang placed before would be placed on a few of the machines.
-	if settled := c.set.Cluster.Workers.Report.Duration()*5/4 + time.Second; now.Sub(c.Mirror.Contact()) > settings.StartContact || now.Sub(c.boot) < settled {
+	if settled := c.set.Cluster.Workers.Report.Duration()*5/4 + time.Second; now.Sub(c.Mirror.SyncedAt()) > settings.StartContact || now.Sub(c.boot) < settled {
 		return
 	}
 	for id, g := range l.placing {
 		select {
 		case <-g.change.Done():
-			c.Schedule.Take(id, -g.tasks)
+			c.Schedule.CountStarted(id, -g.tasks)
 			delete(l.placing, id)
 		default:
 		}
 	}
-	for _, g := range place.Gangs(c.Schedule.View(now)) {
+	for _, g := range place.PlaceGangs(c.Schedule.Snapshot(now)) {
 		j, parts := g.Entry.Job, g.Parts
 		id, n := j.ID, j.Pending()
 		made := func() { c.log.Info("start", "job", id, "tasks", n, "machines", len(parts)) }
-		ch := &writer.Change{Drop: true, Until: now.Add(2 * time.Second), Late: g.Entry.Late, Work: j.Spec.Priority, Made: made, Draft: func(d *ledger.Draft) error {
+		ch := &writer.Change{Expires: true, ExpiresAt: now.Add(2 * time.Second), Overdue: g.Entry.Overdue, Priority: j.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
 			j := c.led().Job(id)
-			if j == nil || slices.ContainsFunc(parts, func(p ledger.Placed) bool { return c.led().Free(p.Site).Times(j.Need, p.Count) < p.Count }) {
-				return ledger.ErrStale // a holder has given the room away meanwhile
+			if j == nil || slices.ContainsFunc(parts, func(p ledger.GangPart) bool { return c.led().Free(p.Site).Times(j.Need, p.Count) < p.Count }) {
+				return ledger.ErrPreconditionFailed // a holder has given the room away meanwhile
 			}
 			return d.ClaimGang(j, parts)
 		}}
-		c.Schedule.Take(id, n)
+		c.Schedule.CountStarted(id, n)
 		l.placing[id] = gangStart{ch, n}
 		c.Writer.Enqueue(ch)
 	}
-	if now.Sub(l.madeRoom) > c.Schedule.RestAfter(l.roomTook) {
+	if now.Sub(l.madeRoom) > c.Schedule.SnapshotInterval(l.roomTook) {
 		began := time.Now()
 		l.madeRoom = now
-		c.Schedule.Gather(now)
+		c.Schedule.ReserveForOverdueGangs(now)
 		c.Schedule.MakeRoomForGangs(now)
 		l.roomTook = time.Since(began)
 	}
@@ -64,6 +64,6 @@
 	l.c.Mirror.Lock()
 	defer l.c.Mirror.Unlock()
 	for id, g := range l.placing {
-		l.c.Schedule.Take(id, -g.tasks)
+		l.c.Schedule.CountStarted(id, -g.tasks)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -31,8 +31,8 @@
 
 // Cloud is what the fleet's leader needs of the cloud.
 type Cloud interface {
-	Flavors(ctx context.Context) ([]wire.Flavor, error)
-	Hire(ctx context.Context, h wire.Hire) ([]wire.MachineID, error)
+	Flavors(ctx context.Context) ([]wire.MachineType, error)
+	Hire(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error)
 	Return(ctx context.Context, names []wire.MachineID) error
 	List(ctx context.Context) ([]wire.ListedMachine, error)
 }
@@ -49,15 +49,15 @@
 	Mirror    *mirror.Mirror
 	Writer    *writer.Writer
 	Members   *members.Members
-	Roster    *workers.Roster
-	Book      *evidence.Book
+	Roster    *workers.Registry
+	Book      *evidence.FailureTracker
 	Schedule  *schedule.Scheduler
-	Policies  *policies.Keeper
+	Policies  *policies.Manager
 	Completed *completion.Log
 }
 
-// Lead is that part of a controller.
-type Lead struct {
+// Leader is that part of a controller.
+type Leader struct {
 	set   *settings.Settings
 	store state.Store
 	Parts
@@ -69,18 +69,18 @@
 }
 
 // New returns a part that doesn't lead before Run.
-func New(set *settings.Settings, store state.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Lead {
-	return &Lead{set: set, store: store, Parts: p, stats: stats, log: log, boot: time.Now()}
+func New(set *settings.Settings, store state.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Leader {
+	return &Leader{set: set, store: store, Parts: p, stats: stats, log: log, boot: time.Now()}
 }
 
-// Awaited counts, under the mirror's lock, the machines rented in this controller's term that
+// BootingMachines counts, under the mirror's lock, the machines rented in this controller's term that
 // are not yet up, and those of them that are overdue.
-func (c *Lead) Awaited() (awaited, overdue int) { return c.awaited, c.overdue }
+func (c *Leader) BootingMachines() (awaited, overdue int) { return c.awaited, c.overdue }
 
-func (c *Lead) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *Leader) led() *ledger.Ledger { return c.Mirror.Records() }
 
 // Run tries to become the fleet's leader and does its work while it is, until ctx ends.
-func (c *Lead) Run(ctx context.Context, cl Cloud) error {
+func (c *Leader) Run(ctx context.Context, cl Cloud) error {
 	for ctx.Err() == nil {
 		c.Mirror.Lock()
 		ready := c.Mirror.Loaded() && c.Mirror.Token() != 0
@@ -112,7 +112,7 @@
 // resign takes away the leader's record of a term of this controller that is over, as one of its
 // earlier life is: nobody would else lead until its lease has run out. What that term still sends is
 // conditioned on the record, and conflicts.
-func (c *Lead) resign(ctx context.Context, version wire.Revision) {
+func (c *Leader) resign(ctx context.Context, version wire.Revision) {
 	_, err := c.Writer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
 		Then: []wire.Change{{Delete: ledger.LeaderKey}}})
 	c.log.Info("resigned the lead of an earlier term", "version", version, "err", err)
@@ -120,7 +120,7 @@
 }
 
 // term is one time as the leader, from the lease's grant to its end.
-func (c *Lead) term(ctx context.Context, cl Cloud) error {
+func (c *Leader) term(ctx context.Context, cl Cloud) error {
 	asked := time.Now()
 	lease, err := c.store.Grant(ctx, leaderTTL)
 	if err != nil {
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	l := &leader{c: c, cloud: cl, version: version, began: time.Now(),
-		units: map[wire.MachineID]*unit{}, placing: map[wire.JobID]gangStart{}, marking: map[markKey]*writer.Change{}, dark: map[wire.Zone]time.Time{}, returned: map[wire.MachineID]bool{}, releasing: map[wire.MachineID][]*writer.Change{}, refused: map[fleet.Option]time.Time{}, settled: time.Now(), renewed: asked, judged: map[evidence.Kind]map[wire.MachineID]time.Time{}}
+		units: map[wire.MachineID]*unit{}, placing: map[wire.JobID]gangStart{}, marking: map[markKey]*writer.Change{}, dark: map[wire.Zone]time.Time{}, returned: map[wire.MachineID]bool{}, releasing: map[wire.MachineID][]*writer.Change{}, refused: map[fleet.MachineOption]time.Time{}, settled: time.Now(), renewed: asked, judged: map[evidence.Kind]map[wire.MachineID]time.Time{}}
 	go func() {
 		for ctx.Err() == nil {
 			clock.Sleep(ctx, leaderRenew)
@@ -184,7 +184,7 @@
 		c.Mirror.Unlock()
 	}()
 	c.Mirror.Lock()
-	recent, _ := c.led().Hires()
+	recent, _ := c.led().ScaleOutIntents()
 	l.recent = slices.Clone(recent)
 	l.forgetHires(time.Now())
 	l.relearn = slices.Clone(l.recent)
@@ -216,29 +216,29 @@
 
 type markKey struct {
 	machine wire.MachineID
-	mark    ledger.MachineMark
+	mark    ledger.MachinePhase
 }
 
 // leader is the state of one term. A new one starts from the cloud's list.
 type leader struct {
-	c         *Lead
+	c         *Leader
 	cloud     Cloud
 	version   wire.Revision
 	began     time.Time
 	hires     int
 	units     map[wire.MachineID]*unit
-	marking   map[markKey]*writer.Change // asked for, perhaps not yet in the ledger
-	placing   map[wire.JobID]gangStart   // decided, and not yet known to be in the ledger
-	refused   map[fleet.Option]time.Time // no capacity until
-	recent    []ledger.HireIntent        // asked for lately, by predecessors too
-	relearn   []ledger.HireIntent        // whose outcome is not known in this term
+	marking   map[markKey]*writer.Change        // asked for, perhaps not yet in the ledger
+	placing   map[wire.JobID]gangStart          // decided, and not yet known to be in the ledger
+	refused   map[fleet.MachineOption]time.Time // no capacity until
+	recent    []ledger.ScaleOutIntent           // asked for lately, by predecessors too
+	relearn   []ledger.ScaleOutIntent           // whose outcome is not known in this term
 	boots     evidence.Boots
 	madeRoom  time.Time                           // when room for gangs was last looked for,
 	roomTook  time.Duration                       // and how long that took
 	dark      map[wire.Zone]time.Time             // cut off, to be left alone until
 	returned  map[wire.MachineID]bool             // the cloud has confirmed it
 	releasing map[wire.MachineID][]*writer.Change // its claims, perhaps still on record
-	flavors   map[wire.MachineSKU]wire.Flavor
+	flavors   map[wire.MachineTypeName]wire.MachineType
 	judged    map[evidence.Kind]map[wire.MachineID]time.Time // returned as faulty
 	settled   time.Time                                      // since when silence of machines counts
 	renewed   time.Time                                      // when the last renewal of the lease was asked for that succeeded
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -20,7 +20,7 @@
 	"maddermill/wire"
 )
 
-func quiet(t testing.TB) *Lead {
+func quiet(t testing.TB) *Leader {
 	p := parttest.New(t, 0)
 	return New(p.Set, p.Store, Parts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, Schedule: p.Schedule, Policies: p.Policies}, p.Stats, p.Log)
 }
@@ -42,12 +42,12 @@
 		{"stood still a minute ago", 0, time.Minute, true},
 	} {
 		c := quiet(t)
-		c.Mirror.Suppose(0, now)
-		c.Members.Suppose(now.Add(-tc.ran))
+		c.Mirror.SetForTest(0, now)
+		c.Members.SetRunningForTest(now.Add(-tc.ran))
 		if tc.since > 0 {
-			c.Members.Suppose(now.Add(-tc.since - time.Minute))
+			c.Members.SetRunningForTest(now.Add(-tc.since - time.Minute))
 			for at := now.Add(-tc.since); at.Before(now); at = at.Add(time.Second) {
-				c.Members.Awake(at)
+				c.Members.RunningSince(at)
 			}
 		}
 		l := &leader{c: c, began: now.Add(-time.Hour), settled: now.Add(-time.Hour), marking: map[markKey]*writer.Change{},
@@ -62,11 +62,11 @@
 // askedCloud counts what it is asked.
 type askedCloud struct {
 	standin.Cloud
-	asked []wire.HireName
+	asked []wire.ScaleOutID
 	fail  error
 }
 
-func (a *askedCloud) Hire(_ context.Context, h wire.Hire) ([]wire.MachineID, error) {
+func (a *askedCloud) Hire(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	a.asked = append(a.asked, h.Request)
 	if a.fail != nil {
 		return nil, a.fail
@@ -79,7 +79,7 @@
 }
 
 // follow applies everything that the store holds to a core's ledger.
-func follow(t *testing.T, c *Lead) {
+func follow(t *testing.T, c *Leader) {
 	t.Helper()
 	if _, err := c.Mirror.Load(t.Context()); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 // successor, and a successor would rent again what no list shows yet.
 func TestRentingFollowsTheRecord(t *testing.T) {
 	c := quiet(t)
-	leads := func(token wire.Token) wire.Revision {
+	leads := func(token wire.FencingToken) wire.Revision {
 		value, _ := json.Marshal(ledger.LeaderRecord{Member: c.set.Member, Token: token})
 		rev, err := c.store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: value}}})
 		if err != nil {
@@ -101,9 +101,9 @@
 		follow(t, c)
 		return rev
 	}
-	need := []fleet.Need{{Option: fleet.Option{Type: "g2", Zone: "a"}, Count: 3}}
+	need := []fleet.ScaleOut{{MachineOption: fleet.MachineOption{Type: "g2", Zone: "a"}, Count: 3}}
 	term := func(cl Cloud, v wire.Revision) *leader {
-		return &leader{c: c, cloud: cl, version: v, renewed: time.Now(), units: map[wire.MachineID]*unit{}, refused: map[fleet.Option]time.Time{}}
+		return &leader{c: c, cloud: cl, version: v, renewed: time.Now(), units: map[wire.MachineID]*unit{}, refused: map[fleet.MachineOption]time.Time{}}
 	}
 	// commit waits for the ledger, which nothing follows here.
 	rent := func(l *leader) error {
@@ -127,7 +127,7 @@
 
 	second := &askedCloud{}
 	s := term(second, next)
-	s.recent, _ = c.led().Hires()
+	s.recent, _ = c.led().ScaleOutIntents()
 	s.relearn = s.recent
 	if err := s.askAgain(t.Context()); err != nil || len(second.asked) != 1 || second.asked[0] != first.asked[0] || len(s.units) != 3 {
 		t.Errorf("the successor asked for %v (%v) and knows of %d machines, want %v again", second.asked, err, len(s.units), first.asked)
@@ -157,17 +157,17 @@
 	}
 	follow(t, c)
 	now := time.Now()
-	c.Mirror.Suppose(7, now)
+	c.Mirror.SetForTest(7, now)
 	early := wire.MachineID("r-7-1-0")
-	r := &wire.Report{Machine: early, Type: "g2", Zone: "a", Session: 1, Tally: 1}
-	c.Roster.Join(r, now).Take(r, nil, 7, now)
-	l := &leader{c: c, cloud: &askedCloud{}, version: version, began: now, renewed: now, units: map[wire.MachineID]*unit{}, refused: map[fleet.Option]time.Time{}}
+	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Session: 1, Sequence: 1}
+	c.Roster.Join(r, now).Reconcile(r, nil, 7, now)
+	l := &leader{c: c, cloud: &askedCloud{}, version: version, began: now, renewed: now, units: map[wire.MachineID]*unit{}, refused: map[fleet.MachineOption]time.Time{}}
 	l.observe(now)
 	heard := l.units[early]
 	if heard == nil || heard.heard.IsZero() {
 		t.Fatal("the leader does not count on a machine that reports")
 	}
-	hire := ledger.HireIntent{Hire: wire.Hire{Request: "r-7-1", Type: "g2", Zone: "a", Count: 2}, At: wire.UnixMillis(now.UnixMilli())}
+	hire := ledger.ScaleOutIntent{ScaleOutRequest: wire.ScaleOutRequest{Request: "r-7-1", Type: "g2", Zone: "a", Count: 2}, At: wire.UnixMillis(now.UnixMilli())}
 	if err := l.hire(t.Context(), hire); err != nil {
 		t.Fatal(err)
 	}
@@ -217,10 +217,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quiet(t) // its writer writes nothing
 		l := &leader{c: c, releasing: map[wire.MachineID][]*writer.Change{}}
-		var held []ledger.Held
+		var held []ledger.HeldClaim
 		for i := range 3 {
 			j := &ledger.Job{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Spec: &wire.JobSpec{Priority: wire.Normal}}
-			held = append(held, ledger.Held{Job: j, Claim: ledger.Claim{Count: 2, Attempt: 1, Machine: "host-1", Session: 1, Token: 1}})
+			held = append(held, ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 2, Attempt: 1, Machine: "host-1", Session: 1, Token: 1}})
 		}
 		l.releaseAll("host-1", held)
 		first := l.releasing["host-1"]
@@ -230,9 +230,9 @@
 			t.Errorf("%d changes, then others", len(first))
 		}
 		for dropped := false; !dropped; { // the queue fills up
-			ch := &writer.Change{Draft: func(*ledger.Draft) error { return nil }}
+			ch := &writer.Change{Draft: func(*ledger.Transaction) error { return nil }}
 			c.Writer.Enqueue(ch)
-			dropped = !ch.Open()
+			dropped = !ch.Pending()
 		}
 		l.releaseAll("host-2", held)
 		dropped := l.releasing["host-2"]
--- a/internal/leader/marks.go
+++ b/internal/leader/marks.go
@@ -17,7 +17,7 @@
 	defer c.Mirror.Unlock()
 	l.listen(now)
 	for id, u := range l.units {
-		if k := c.led().Mark(id); k == ledger.Leaving || k == ledger.Gone {
+		if k := c.led().MachinePhase(id); k == ledger.Terminating || k == ledger.Terminated {
 			continue
 		}
 		silent := now.Sub(u.heard)
@@ -36,7 +36,7 @@
 			if now.After(l.dark[u.Zone]) {
 				l.takenBack(u) // without notice
 			}
-		case u.heard.IsZero() && boot > 0 && now.Sub(u.hired) > l.boots.Patience(u.kind(), boot) && now.Sub(l.settled) > l.c.set.Operators.LostAfter:
+		case u.heard.IsZero() && boot > 0 && now.Sub(u.hired) > l.boots.BootTimeout(u.kind(), boot) && now.Sub(l.settled) > l.c.set.Operators.LostAfter:
 			why = "never came up"
 		case u.faulty && l.mayJudge(u, now):
 			if why = "faulty"; u.evidence != "" {
@@ -45,7 +45,7 @@
 		default:
 			continue
 		}
-		l.setMark(id, ledger.Leaving, why)
+		l.setMark(id, ledger.Terminating, why)
 	}
 }
 
@@ -78,13 +78,13 @@
 	return true
 }
 
-func (l *leader) setMark(id wire.MachineID, mark ledger.MachineMark, why string) {
+func (l *leader) setMark(id wire.MachineID, mark ledger.MachinePhase, why string) {
 	key := markKey{id, mark}
-	if ch := l.marking[key]; ch != nil && ch.Open() {
+	if ch := l.marking[key]; ch != nil && ch.Pending() {
 		return // on its way
 	}
 	l.c.log.Info("machine leaves", "machine", id, "mark", mark, "why", why)
-	ch := &writer.Change{Draft: func(d *ledger.Draft) error { return d.SetMark(id, mark, why, l.version) }}
+	ch := &writer.Change{Draft: func(d *ledger.Transaction) error { return d.SetMachinePhase(id, mark, why, l.version) }}
 	if _, v := l.c.led().Leader(); v != l.version {
 		return // another leads
 	}
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	l.flavorsAt = time.Now()
-	l.flavors = map[wire.MachineSKU]wire.Flavor{}
+	l.flavors = map[wire.MachineTypeName]wire.MachineType{}
 	for _, f := range list {
 		l.flavors[f.Name] = f
 		l.c.Mirror.Lock()
@@ -74,23 +74,23 @@
 			l.units[m.ID] = u
 		}
 		if u.heard.IsZero() {
-			l.boots.Up(u.kind(), u.hired, at)
+			l.boots.Observe(u.kind(), u.hired, at)
 		}
 		if at.After(u.heard) {
 			u.Type, u.Zone, u.Spot = m.Type, m.Zone, m.Spot
-			u.heard, u.holder, u.recall, u.faulty, u.evidence = at, by, m.Recall != 0, m.Faulty, m.Why
-			u.deaf = time.Duration(m.DeafMS) * time.Millisecond
+			u.heard, u.holder, u.recall, u.faulty, u.evidence = at, by, m.ReclaimMS != 0, m.Faulty, m.QuarantineReason
+			u.deaf = time.Duration(m.UnreachableMS) * time.Millisecond
 		}
 	}
 	c.Roster.Each(func(w *workers.Worker) {
-		m := mesh.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Faulty: c.Book.Faulty(c.led(), w.ID, now), DeafMS: w.DeafFor(now).Milliseconds()}
+		m := mesh.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Faulty: c.Book.Faulty(c.led(), w.ID, now), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
 		if m.Faulty {
-			m.Why = c.Book.Why(w.ID)
+			m.QuarantineReason = c.Book.Why(w.ID)
 		}
-		if !w.Recall.IsZero() {
-			m.Recall = 1
+		if !w.ReclaimAt.IsZero() {
+			m.ReclaimMS = 1
 		}
-		note(&m, w.Heard, c.set.Member)
+		note(&m, w.LastHeartbeat, c.set.Member)
 	})
 	for _, p := range c.Members.Peers() {
 		for i := range p.Status.Machines {
@@ -98,7 +98,7 @@
 			note(m, p.Heard(m), p.Status.Member)
 		}
 	}
-	c.led().Holders(func(id wire.MachineID, h []ledger.Held) {
+	c.led().Holders(func(id wire.MachineID, h []ledger.HeldClaim) {
 		if l.units[id] == nil {
 			// Claims on a machine that nobody has heard in this term.
 			l.units[id] = &unit{ListedMachine: wire.ListedMachine{ID: id, Zone: h[0].Zone, State: wire.MachineRunning}, hired: now, heard: l.began}
@@ -106,7 +106,7 @@
 	})
 	spot := 0
 	for id, u := range l.units {
-		if u.Spot && !u.heard.IsZero() && c.led().Mark(id) == "" {
+		if u.Spot && !u.heard.IsZero() && c.led().MachinePhase(id) == "" {
 			spot++
 			if u.recall {
 				l.takenBack(u)
@@ -118,20 +118,20 @@
 			u.idle = now
 		}
 	}
-	c.Book.Takings.Watch(spot, now)
+	c.Book.SpotReclaims.CountMachineTime(spot, now)
 }
 
 // takenBack counts a spot machine that the cloud takes back, once.
 func (l *leader) takenBack(u *unit) {
 	if u.Spot && !u.taken {
 		u.taken = true
-		l.c.Book.Takings.Taken()
+		l.c.Book.SpotReclaims.Observe()
 	}
 }
 
 // listen keeps up since when silence of machines counts.
 func (l *leader) listen(now time.Time) {
-	l.settled = l.c.Members.Settled(l.settled, l.c.Mirror.Contact(), now)
+	l.settled = l.c.Members.Settled(l.settled, l.c.Mirror.SyncedAt(), now)
 }
 
 // lostAfter is how long a machine may be silent. One last heard by a controller
@@ -140,7 +140,7 @@
 func (l *leader) lostAfter(u *unit, now time.Time) time.Duration {
 	d := l.c.set.Operators.LostAfter
 	if u.holder != l.c.set.Member {
-		if p := l.c.Members.Peer(u.holder); p == nil || now.Sub(p.Asked) > 4*time.Second {
+		if p := l.c.Members.Peer(u.holder); p == nil || now.Sub(p.AsOf) > 4*time.Second {
 			d += l.c.set.ReportGrace()
 		}
 	}
--- a/internal/leader/rent.go
+++ b/internal/leader/rent.go
@@ -16,14 +16,14 @@
 )
 
 // hireName is a name for a rental that was never used before.
-func (l *leader) hireName() wire.HireName {
+func (l *leader) hireName() wire.ScaleOutID {
 	l.c.Mirror.Lock()
 	f, _ := l.c.led().Format()
 	l.c.Mirror.Unlock()
 	if f.Era != "" {
-		return wire.HireName(fmt.Sprintf("r-%s-%d-%d", f.Era, l.version, l.hires))
+		return wire.ScaleOutID(fmt.Sprintf("r-%s-%d-%d", f.Era, l.version, l.hires))
 	}
-	return wire.HireName(fmt.Sprintf("r-%d-%d", l.version, l.hires))
+	return wire.ScaleOutID(fmt.Sprintf("r-%d-%d", l.version, l.hires))
 }
 
 // plan rents and gives back.
@@ -35,24 +35,24 @@
 }
 
 // planned decides what to rent, and marks what is to be given back.
-func (l *leader) planned(now time.Time) []fleet.Need {
+func (l *leader) planned(now time.Time) []fleet.ScaleOut {
 	c := l.c
 	settle := 2 * c.set.Cluster.Cloud.ListLag.Duration()
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
-	v := c.Schedule.View(now)
+	v := c.Schedule.Snapshot(now)
 	in := &fleet.Input{Now: now, Flavors: l.flavors, Queue: v.Queue, TeamRoom: c.led().TeamRoom,
-		Spot: c.set.Operators.Spot, Most: c.set.Operators.MostMachines, IdleBoots: c.set.Operators.IdleBoots,
+		Spot: c.set.Operators.Spot, MaxMachines: c.set.Operators.MostMachines, IdleBoots: c.set.Operators.IdleBoots,
 		Headroom: c.set.Operators.Headroom, Close: v.Tree != nil,
-		Refused: func(o fleet.Option) bool { return now.Before(l.refused[o]) || now.Before(l.dark[o.Zone]) }}
+		OutOfCapacity: func(o fleet.MachineOption) bool { return now.Before(l.refused[o]) || now.Before(l.dark[o.Zone]) }}
 	awaited, overdue := 0, 0
 	for id, u := range l.units {
-		if c.led().Mark(id) != "" {
+		if c.led().MachinePhase(id) != "" {
 			continue
 		}
 		f := l.flavors[u.Type]
 		booting := u.heard.IsZero()
-		n := fleet.Unit{ID: id, Type: u.Type, Zone: u.Zone, Spot: u.Spot, Booting: booting, IdleSince: u.idle,
+		n := fleet.Machine{ID: id, Type: u.Type, Zone: u.Zone, Spot: u.Spot, Booting: booting, IdleSince: u.idle,
 			// One that is up but has yet to accept our token will take tasks in a
 			// moment; not to count it would rent another in its place.
 			Usable: booting && !now.Before(l.dark[u.Zone]) && !l.boots.Overdue(u.kind(), u.hired, f.Boot.Duration(), now) || !booting && !u.recall && !u.faulty && now.Sub(u.heard) < c.set.Operators.LostAfter && u.deaf < c.set.Operators.LostAfter}
@@ -78,9 +78,9 @@
 		c.log.Warn("machines overdue", "overdue", overdue, "awaited", awaited)
 	}
 	c.awaited, c.overdue = awaited, overdue
-	plan := fleet.Make(in)
+	plan := fleet.ComputePlan(in)
 	if c.Policies.Plans(c.led()) {
-		plan = fleet.Decide(in, plan, func(f *policy.Fleet) []policy.Change { return c.Policies.Plan(c.led(), f, now) })
+		plan = fleet.ApplyPolicy(in, plan, func(f *policy.Fleet) []policy.Change { return c.Policies.Plan(c.led(), f, now) })
 	}
 	if now.Sub(l.began) < settle {
 		plan.Drain = nil
@@ -88,9 +88,9 @@
 	for _, id := range plan.Drain {
 		// Nothing has been claimed there for a while. A start that comes at the very
 		// same time is lost with the machine; two marks for every machine cost more.
-		l.setMark(id, ledger.Leaving, "idle")
+		l.setMark(id, ledger.Terminating, "idle")
 	}
-	return plan.Hire
+	return plan.ScaleOut
 }
 
 // unlisted is how long the cloud's list may not show a machine.
@@ -101,7 +101,7 @@
 // forgetHires drops rentals that the list shows by now, and the oldest when there
 // are more than a value holds.
 func (l *leader) forgetHires(now time.Time) {
-	l.recent = slices.DeleteFunc(l.recent, func(h ledger.HireIntent) bool { return now.Sub(h.At.Time()) > l.unlisted() })
+	l.recent = slices.DeleteFunc(l.recent, func(h ledger.ScaleOutIntent) bool { return now.Sub(h.At.Time()) > l.unlisted() })
 	if over := len(l.recent) - l.c.set.ValueBytes()/ledger.HireBytes; over > 0 {
 		l.recent = l.recent[over:]
 	}
@@ -125,32 +125,32 @@
 // finds that another leads and rents nothing; one that stands still in between is
 // asked after by its successor. The record is also conditioned on its own version: one
 // carried out late does not take later rentals off it.
-func (l *leader) rent(ctx context.Context, needs []fleet.Need) error {
+func (l *leader) rent(ctx context.Context, needs []fleet.ScaleOut) error {
 	if len(needs) == 0 {
 		return nil
 	}
 	now := time.Now()
 	l.forgetHires(now)
-	var asked []ledger.HireIntent
+	var asked []ledger.ScaleOutIntent
 	for _, n := range needs {
 		l.hires++
 		// The revision of the leader's record is that of no other term, ever. A token
 		// is not enough: a controller may lead twice under one, and the cloud answers a
 		// name used again with the old machines and rents nothing.
 		name := l.hireName()
-		asked = append(asked, ledger.HireIntent{At: wire.UnixMillis(now.UnixMilli()),
-			Hire: wire.Hire{Request: name, Type: n.Type, Zone: n.Zone, Spot: n.Spot, Count: min(n.Count, cloud.MaxHire)}})
+		asked = append(asked, ledger.ScaleOutIntent{At: wire.UnixMillis(now.UnixMilli()),
+			ScaleOutRequest: wire.ScaleOutRequest{Request: name, Type: n.Type, Zone: n.Zone, Spot: n.Spot, Count: min(n.Count, cloud.MaxHire)}})
 	}
 	asked = asked[:min(len(asked), max(1, l.c.set.ValueBytes()/ledger.HireBytes))]
 	before := l.recent
 	l.recent = slices.Concat(before, asked)
 	l.forgetHires(now)
-	value, err := json.Marshal(ledger.HiresRecord{Recent: l.recent})
+	value, err := json.Marshal(ledger.ScaleOutRecord{Recent: l.recent})
 	if err != nil {
 		return err
 	}
 	l.c.Mirror.Lock()
-	_, version := l.c.led().Hires()
+	_, version := l.c.led().ScaleOutIntents()
 	l.c.Mirror.Unlock()
 	if _, err := l.c.Writer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: l.version}, {Key: ledger.HiresKey, Version: version}},
 		Then: []wire.Change{{Put: ledger.HiresKey, Value: value}}}); err != nil {
@@ -176,15 +176,15 @@
 
 var errNotEntitled = errors.New("lead: the leader's lease may be over")
 
-func (l *leader) hire(ctx context.Context, h ledger.HireIntent) error {
+func (l *leader) hire(ctx context.Context, h ledger.ScaleOutIntent) error {
 	now := time.Now()
 	if !l.entitled(now) {
 		return errNotEntitled
 	}
-	got, err := l.cloud.Hire(ctx, h.Hire)
+	got, err := l.cloud.Hire(ctx, h.ScaleOutRequest)
 	l.c.log.Info("hire", "request", h.Request, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(got), "err", err)
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(got) < h.Count {
-		l.refused[fleet.Option{Type: h.Type, Zone: h.Zone, Spot: h.Spot}] = time.Now().Add(20 * time.Second)
+		l.refused[fleet.MachineOption{Type: h.Type, Zone: h.Zone, Spot: h.Spot}] = time.Now().Add(20 * time.Second)
 	}
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		return err
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -18,14 +18,14 @@
 func (l *leader) finishReturns(ctx context.Context) error {
 	c := l.c
 	var leaving []wire.MachineID
-	spare := c.Writer.Relaxed()
+	spare := c.Writer.HasSpareCapacity()
 	c.Mirror.Lock()
-	c.led().Outgoing(func(id wire.MachineID) {
+	c.led().TerminatingMachines(func(id wire.MachineID) {
 		switch {
 		case !l.returned[id]:
 			leaving = append(leaving, id)
 		case spare:
-			l.setMark(id, ledger.Gone, "returned")
+			l.setMark(id, ledger.Terminated, "returned")
 		}
 	})
 	c.Mirror.Unlock()
@@ -41,10 +41,10 @@
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
 	maps.DeleteFunc(l.releasing, func(_ wire.MachineID, changes []*writer.Change) bool {
-		return !slices.ContainsFunc(changes, (*writer.Change).Open)
+		return !slices.ContainsFunc(changes, (*writer.Change).Pending)
 	})
-	gone := func(id wire.MachineID) bool { return l.returned[id] || c.led().Mark(id) == ledger.Gone }
-	c.led().Holders(func(id wire.MachineID, held []ledger.Held) {
+	gone := func(id wire.MachineID) bool { return l.returned[id] || c.led().MachinePhase(id) == ledger.Terminated }
+	c.led().Holders(func(id wire.MachineID, held []ledger.HeldClaim) {
 		if gone(id) {
 			l.releaseAll(id, held)
 		}
@@ -52,7 +52,7 @@
 	for id := range l.units {
 		if gone(id) {
 			delete(l.units, id)
-			delete(l.marking, markKey{id, ledger.Leaving})
+			delete(l.marking, markKey{id, ledger.Terminating})
 		}
 	}
 	return nil
@@ -62,15 +62,15 @@
 // still on its way is not asked for again: when a zone is lost, the releases of its hundreds of
 // machines take longer than any time that could be waited for, and asked for again and again
 // they once filled the queue, so that what was lost began nowhere else for minutes.
-func (l *leader) releaseAll(id wire.MachineID, held []ledger.Held) {
-	if slices.ContainsFunc(l.releasing[id], (*writer.Change).Open) {
+func (l *leader) releaseAll(id wire.MachineID, held []ledger.HeldClaim) {
+	if slices.ContainsFunc(l.releasing[id], (*writer.Change).Pending) {
 		return
 	}
-	var exits []workers.Exit
+	var exits []workers.TaskExit
 	for _, h := range held {
 		for i := range h.Count {
 			task := h.First + wire.TaskIndex(i)
-			exits = append(exits, workers.Recall(l.c.Completed, h, task))
+			exits = append(exits, workers.ExitOfLostClaim(l.c.Completed, h, task))
 		}
 	}
 	l.releasing[id] = workers.ExitChanges(l.c.Mirror, exits)
--- a/internal/ledger/apply.go
+++ b/internal/ledger/apply.go
@@ -77,7 +77,7 @@
 	}
 	l.marks[m], l.markVer[m] = r.Mark, e.Version
 	l.touched[m] = struct{}{}
-	if r.Mark == Gone {
+	if r.Mark == Terminated {
 		delete(l.leaving, m)
 	} else {
 		l.leaving[m] = r.Why
@@ -107,7 +107,7 @@
 	if e.Value == nil {
 		return nil
 	}
-	var f wire.Flavor
+	var f wire.MachineType
 	if err := json.Unmarshal(e.Value, &f); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 		}
 	case HiresKey:
 		if e.Value != nil && e.Version > l.hiresVer {
-			l.hires, l.hiresVer = HiresRecord{}, e.Version
+			l.hires, l.hiresVer = ScaleOutRecord{}, e.Version
 			return json.Unmarshal(e.Value, &l.hires)
 		}
 	case TokenKey:
@@ -175,11 +175,11 @@
 		return strconv.ErrSyntax
 	}
 	if j == nil {
-		j = &Job{ID: id, Spec: r.Spec, Accepted: r.Accepted, chunks: map[int]*Chunk{}, chunkTasks: cmp.Or(r.Range, l.limits.ChunkTasks()),
-			Need: NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB), Of: r.Of}
+		j = &Job{ID: id, Spec: r.Spec, Accepted: r.Accepted, chunks: map[int]*TaskRange{}, chunkTasks: cmp.Or(r.Range, l.limits.TasksPerRange()),
+			Need: NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB), Workflow: r.Of}
 		l.inGalleryOf(j, r.Gallery)
 		if w := l.workflows[r.Of]; w != nil && w.State == WorkflowCancelled {
-			j.Doomed = true
+			j.Cancelling = true
 		}
 		l.jobs[id] = j
 	}
@@ -192,7 +192,7 @@
 	}
 	j.State, j.Stop, j.kept, j.Ended = r.State, r.Stop, r.Kept, r.Ended
 	l.countInGallery(j)
-	l.replace(j, 0, &Chunk{Version: e.Version, chunkRecord: r.chunkRecord})
+	l.replace(j, 0, &TaskRange{Version: e.Version, chunkRecord: r.chunkRecord})
 	if j.State == Active {
 		l.active[id] = j
 	} else {
@@ -215,14 +215,14 @@
 func (l *Ledger) applyChunk(j *Job, n int, e Event) error {
 	old := j.chunks[n]
 	if e.Value == nil && old != nil && e.Version >= old.Version {
-		l.replace(j, n, &Chunk{})
+		l.replace(j, n, &TaskRange{})
 		delete(j.chunks, n)
 		return nil
 	}
 	if e.Value == nil || old != nil && e.Version <= old.Version {
 		return nil
 	}
-	c := &Chunk{Version: e.Version}
+	c := &TaskRange{Version: e.Version}
 	if err := json.Unmarshal(e.Value, &c.chunkRecord); err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 }
 
 // replace swaps a range and keeps every index true.
-func (l *Ledger) replace(j *Job, n int, c *Chunk) {
+func (l *Ledger) replace(j *Job, n int, c *TaskRange) {
 	team := j.Spec.Team
 	if old := j.chunks[n]; old != nil {
 		j.Done -= old.done
@@ -251,7 +251,7 @@
 	j.Claimed += c.held
 	l.usage[team] = l.usage[team].Add(j.Need, c.held)
 	for _, cl := range c.Claims {
-		l.held[cl.Machine] = append(l.held[cl.Machine], Held{j, cl, n})
+		l.held[cl.Machine] = append(l.held[cl.Machine], HeldClaim{j, cl, n})
 		l.touched[cl.Machine] = struct{}{}
 	}
 }
--- a/internal/ledger/archive.go
+++ b/internal/ledger/archive.go
@@ -188,17 +188,17 @@
 // FilterPages is how many pages of the filter are known here.
 func (l *Ledger) FilterPages() int { return l.past.filter.Pages() }
 
-// Moved calls f for every job that went into the archive since the last call.
-func (l *Ledger) Moved(f func(wire.JobID, FinalRecord)) {
+// ArchivedJobs calls f for every job that went into the archive since the last call.
+func (l *Ledger) ArchivedJobs(f func(wire.JobID, FinalRecord)) {
 	for id, r := range l.past.moved {
 		f(id, r)
 	}
 	clear(l.past.moved)
 }
 
-// Over returns what is to be kept of a job that is over and still on record; ok is false for
+// ArchivedState returns what is to be kept of a job that is over and still on record; ok is false for
 // any other.
-func (l *Ledger) Over(id wire.JobID) (r FinalRecord, ok bool) {
+func (l *Ledger) ArchivedState(id wire.JobID) (r FinalRecord, ok bool) {
 	if o, ok := l.past.over[id]; ok {
 		return o.final(), true
 	}
@@ -213,15 +213,15 @@
 
 // shorten puts a job into the short form if all that it can still be asked is how it ended.
 func (l *Ledger) shorten(j *Job) {
-	if j.State != Active && j.Claimed == 0 && j.Of == "" && j.Spec.Tasks <= j.chunkTasks {
+	if j.State != Active && j.Claimed == 0 && j.Workflow == "" && j.Spec.Tasks <= j.chunkTasks {
 		l.past.over[j.ID] = overJob{j.chunks[0].Version, int32(j.DoneTasks()), j.State == Cancelled, j.Gallery}
 		delete(l.jobs, j.ID)
 	}
 }
 
-// Movable reports whether a job is on record, over, and proven to run nowhere. Jobs of a
+// Archivable reports whether a job is on record, over, and proven to run nowhere. Jobs of a
 // workflow that is not over are not: they are what the workflow is known by.
-func (l *Ledger) Movable(id wire.JobID) bool {
+func (l *Ledger) Archivable(id wire.JobID) bool {
 	if o, ok := l.past.over[id]; ok {
 		return !l.galleryOpen(o.gallery)
 	}
@@ -229,7 +229,7 @@
 	if j == nil || l.galleryOpen(j.Gallery) || j.State == Active || j.Claimed > 0 {
 		return false
 	}
-	w := l.workflows[j.Of]
+	w := l.workflows[j.Workflow]
 	return w == nil || w.Over()
 }
 
@@ -243,7 +243,7 @@
 		f(id, o.version)
 	}
 	for id, j := range l.jobs {
-		if l.active[id] == nil && l.Movable(id) {
+		if l.active[id] == nil && l.Archivable(id) {
 			f(id, j.chunks[0].Version)
 		}
 	}
@@ -316,20 +316,20 @@
 // dropJob takes a job out of the ledger that has gone into the archive.
 func (l *Ledger) dropJob(j *Job) {
 	l.leaveGallery(j.ID, j.Gallery)
-	if r, over := l.Over(j.ID); over {
+	if r, over := l.ArchivedState(j.ID); over {
 		l.left(j.ID, r)
 	}
 	for n := range j.chunks {
-		l.replace(j, n, &Chunk{})
+		l.replace(j, n, &TaskRange{})
 	}
 	delete(l.jobs, j.ID)
 	delete(l.active, j.ID)
 }
 
 // mayArchive: the records' format has an archive.
-func (d *Draft) mayArchive() bool { f, _ := d.l.Format(); return f.Format >= ArchiveFormat }
+func (d *Transaction) mayArchive() bool { f, _ := d.l.Format(); return f.Format >= ArchiveFormat }
 
-func (d *Draft) del(key string) { d.put(key, deleted{}) }
+func (d *Transaction) del(key string) { d.put(key, deleted{}) }
 
 // deleted stands for a key that a draft deletes.
 type deleted struct{}
@@ -338,9 +338,9 @@
 // one page of the filter, as the transaction takes. How many it took is told. Their records
 // go and their final states come in one transaction, so at every revision exactly one of the
 // two holds a job, and the filter holds every job that is archived.
-func (d *Draft) Archive(ids []wire.JobID) (int, error) {
+func (d *Transaction) Archive(ids []wire.JobID) (int, error) {
 	if !d.mayArchive() || len(ids) == 0 {
-		return 0, ErrStale
+		return 0, ErrPreconditionFailed
 	}
 	most := 0
 	for changes := 1; most < len(ids); most++ {
@@ -354,11 +354,11 @@
 		if err == nil {
 			return n, nil
 		}
-		if !errors.Is(err, ErrFull) && !errors.Is(err, ErrTooLarge) {
+		if !errors.Is(err, ErrTransactionFull) && !errors.Is(err, ErrTooLarge) {
 			return 0, err
 		}
 	}
-	return 0, ErrFull
+	return 0, ErrTransactionFull
 }
 
 // keysOf is how many keys a job's records take.
@@ -369,16 +369,16 @@
 	return 1
 }
 
-func (d *Draft) archive(ids []wire.JobID) error {
+func (d *Transaction) archive(ids []wire.JobID) error {
 	page := d.l.Page(ids[0])
 	if page == nil {
 		return ErrNoPage
 	}
 	var names []string
 	for _, id := range ids {
-		r, over := d.l.Over(id)
-		if !over || !d.l.Movable(id) || !page.Covers(string(id)) {
-			return ErrStale
+		r, over := d.l.ArchivedState(id)
+		if !over || !d.l.Archivable(id) || !page.Covers(string(id)) {
+			return ErrPreconditionFailed
 		}
 		if o, short := d.l.past.over[id]; short {
 			d.conds[jobKey(id)] = o.version
@@ -398,7 +398,7 @@
 }
 
 // let has the filter let names pass that are all on one page.
-func (d *Draft) let(names ...string) error {
+func (d *Transaction) let(names ...string) error {
 	page, version := d.l.past.filter.Page(names[0])
 	if page == nil {
 		return ErrNoPage
@@ -418,21 +418,21 @@
 	return nil
 }
 
-// Written tells the ledger that the transaction was committed at a revision: the pages of the
+// Committed tells the ledger that the transaction was committed at a revision: the pages of the
 // filter that it wrote are known then.
-func (d *Draft) Written(at wire.Revision) {
+func (d *Transaction) Committed(at wire.Revision) {
 	for _, p := range d.pages {
 		d.l.past.filter.Put(p, uint64(at), d.added)
 	}
 }
 
-// Trim takes ranges of a job that is over out of the records, as many as the transaction
+// DeleteTaskRanges takes ranges of a job that is over out of the records, as many as the transaction
 // takes, if there are too many of them to go with the job in one. How many of its tasks are
 // done is noted in the job's own record first.
-func (d *Draft) Trim(id wire.JobID) error {
+func (d *Transaction) DeleteTaskRanges(id wire.JobID) error {
 	j := d.l.jobs[id]
-	if !d.mayArchive() || j == nil || len(j.chunks) < 2 || !d.l.Movable(id) {
-		return ErrStale
+	if !d.mayArchive() || j == nil || len(j.chunks) < 2 || !d.l.Archivable(id) {
+		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
 		w := d.job(j)
@@ -448,20 +448,20 @@
 	})
 }
 
-// Sweep takes the marks of machines that are gone out of the records and adds the machines
+// CompactTerminated takes the marks of machines that are gone out of the records and adds the machines
 // to the set of those that are. All are of one part. A start on one of them that lands late
 // fails, as its transaction is conditioned on the head of the machine's series, which is
 // written here.
-func (d *Draft) Sweep(id archive.PartID, names []wire.MachineID) error {
+func (d *Transaction) CompactTerminated(id archive.PartID, names []wire.MachineID) error {
 	if !d.mayArchive() || len(names) == 0 {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
 		p := &d.l.past
 		var texts []string
 		for _, m := range names {
-			if of, ok := archive.PartOf(string(m)); !ok || of != id || d.l.marks[m] != Gone {
-				return ErrStale
+			if of, ok := archive.PartOf(string(m)); !ok || of != id || d.l.marks[m] != Terminated {
+				return ErrPreconditionFailed
 			}
 			d.conds[machineKey(m)] = d.l.markVer[m]
 			d.del(machineKey(m))
@@ -483,22 +483,22 @@
 }
 
 // standing conditions the transaction on a machine not being marked, and not being gone.
-func (d *Draft) standing(m wire.MachineID) {
+func (d *Transaction) standing(m wire.MachineID) {
 	d.conds[machineKey(m)] = 0 // no mark, ever
 	d.readSeries(m)
 }
 
-func (d *Draft) readSeries(m wire.MachineID) {
+func (d *Transaction) readSeries(m wire.MachineID) {
 	if s, _, ok := archive.SplitName(string(m)); ok {
 		d.conds[headPrefix+s.String()] = d.l.past.headVer[s]
 	}
 }
 
-// Raise makes the newest format that all controllers read the records' own.
-func (d *Draft) Raise(to int, at wire.UnixMillis) error {
+// UpgradeFormat makes the newest format that all controllers read the records' own.
+func (d *Transaction) UpgradeFormat(to int, at wire.UnixMillis) error {
 	now, version := d.l.Format()
 	if to <= now.Format || to > NewestFormat {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
 		d.conds[FormatKey] = version
--- a/internal/ledger/cancels.go
+++ b/internal/ledger/cancels.go
@@ -41,18 +41,18 @@
 	c.list = slices.DeleteFunc(c.list, func(x cancelled) bool { return x.at <= c.above })
 }
 
-// Cancels is what was cancelled after a revision: jobs, and workflows with all of their steps' jobs.
-type Cancels struct {
+// Cancellations is what was cancelled after a revision: jobs, and workflows with all of their steps' jobs.
+type Cancellations struct {
 	Jobs  []wire.JobID
 	Flows []wire.WorkflowID
 }
 
 // Len is how many entries it has.
-func (c *Cancels) Len() int { return len(c.Jobs) + len(c.Flows) }
+func (c *Cancellations) Len() int { return len(c.Jobs) + len(c.Flows) }
 
 // CancelledSince lists what is on record and was cancelled after a revision, false if not all of
 // it can be told. Jobs that have left the records since run nowhere.
-func (l *Ledger) CancelledSince(r wire.Revision) (c Cancels, whole bool) {
+func (l *Ledger) CancelledSince(r wire.Revision) (c Cancellations, whole bool) {
 	for _, x := range l.cancels.list {
 		switch {
 		case x.at <= r:
@@ -65,19 +65,19 @@
 	return c, r >= l.cancels.above
 }
 
-// Doom notes that jobs are cancelled, as another controller's ledger has it, before this one does:
+// MarkCancelling notes that jobs are cancelled, as another controller's ledger has it, before this one does:
 // nothing of them starts any more, and all of it is to stop. Their end goes on record with their own
 // cancellation.
-func (l *Ledger) Doom(c Cancels) {
+func (l *Ledger) MarkCancelling(c Cancellations) {
 	for _, id := range c.Jobs {
 		if j := l.active[id]; j != nil {
-			j.Doomed = true
+			j.Cancelling = true
 		}
 	}
 	if len(c.Flows) == 0 {
 		return
 	}
 	for _, j := range l.active {
-		j.Doomed = j.Doomed || j.Of != "" && slices.Contains(c.Flows, j.Of)
+		j.Cancelling = j.Cancelling || j.Workflow != "" && slices.Contains(c.Flows, j.Workflow)
 	}
 }
--- a/internal/ledger/draft.go
+++ b/internal/ledger/draft.go
@@ -13,9 +13,9 @@
 // Errors of drafts.
 var (
 	// ErrFull: the change doesn't fit into this transaction any more.
-	ErrFull = errors.New("ledger: transaction full")
+	ErrTransactionFull = errors.New("ledger: transaction full")
 	// ErrStale: what the change builds on is no longer so.
-	ErrStale = errors.New("ledger: no longer so")
+	ErrPreconditionFailed = errors.New("ledger: no longer so")
 	// ErrTooLarge: the record would exceed what the state service takes.
 	ErrTooLarge = errors.New("ledger: record too large")
 )
@@ -24,11 +24,11 @@
 // change that a transaction may have.
 const conditionsPerChange = 4
 
-// Draft collects changes to one transaction over the ledger as it is.
-type Draft struct {
+// Transaction collects changes to one transaction over the ledger as it is.
+type Transaction struct {
 	l     *Ledger
 	jobs  map[wire.JobID]*draftJob
-	marks map[wire.MachineID]MachineMark
+	marks map[wire.MachineID]MachinePhase
 	usage map[wire.Team]Resources // difference to the ledger
 	conds map[string]wire.Revision
 	puts  map[string]any
@@ -54,26 +54,26 @@
 	chunks  map[int]*chunkRecord
 }
 
-// NewDraft starts an empty transaction.
-func (l *Ledger) NewDraft() *Draft { return l.NewDraftOf(l.limits.TxnOps) }
+// NewTransaction starts an empty transaction.
+func (l *Ledger) NewTransaction() *Transaction { return l.NewTransactionOf(l.limits.TxnOps) }
 
-// NewDraftOf starts an empty transaction of at most so many changes.
-func (l *Ledger) NewDraftOf(changes int) *Draft {
-	return &Draft{l: l, added: l.Added(), most: min(changes, l.limits.TxnOps), jobs: map[wire.JobID]*draftJob{}, marks: map[wire.MachineID]MachineMark{},
+// NewTransactionOf starts an empty transaction of at most so many changes.
+func (l *Ledger) NewTransactionOf(changes int) *Transaction {
+	return &Transaction{l: l, added: l.Added(), most: min(changes, l.limits.TxnOps), jobs: map[wire.JobID]*draftJob{}, marks: map[wire.MachineID]MachinePhase{},
 		usage: map[wire.Team]Resources{}, conds: map[string]wire.Revision{}, puts: map[string]any{}, sizes: map[string]int{}}
 }
 
 // Limit leaves room for no more than so many changes, or as many as there are.
-func (d *Draft) Limit(changes int) { d.most = max(len(d.puts), min(d.most, changes)) }
+func (d *Transaction) Limit(changes int) { d.most = max(len(d.puts), min(d.most, changes)) }
 
 // Room is how many changes the transaction may have.
-func (d *Draft) Room() int { return d.most }
+func (d *Transaction) Room() int { return d.most }
 
-func (d *Draft) job(j *Job) *draftJob {
+func (d *Transaction) job(j *Job) *draftJob {
 	w := d.jobs[j.ID]
 	if w == nil {
 		w = &draftJob{job: j, state: j.State, stop: j.Stop, spec: j.Spec, at: j.Accepted, kept: j.kept, gallery: j.Gallery, ended: j.Ended, chunks: map[int]*chunkRecord{}}
-		if j.chunkTasks != d.l.limits.ChunkTasks() {
+		if j.chunkTasks != d.l.limits.TasksPerRange() {
 			w.size = j.chunkTasks
 		}
 		d.jobs[j.ID] = w
@@ -97,7 +97,7 @@
 }
 
 // read conditions the transaction on a range's record as the ledger has it.
-func (d *Draft) read(j *Job, n int) {
+func (d *Transaction) read(j *Job, n int) {
 	var v wire.Revision
 	if c := j.chunks[n]; c != nil {
 		v = c.Version
@@ -105,7 +105,7 @@
 	d.conds[chunkKey(j.ID, n)] = v
 }
 
-func (d *Draft) write(w *draftJob, n int) {
+func (d *Transaction) write(w *draftJob, n int) {
 	d.read(w.job, n)
 	var v any = w.chunk(n)
 	if n == 0 {
@@ -114,7 +114,7 @@
 	d.put(chunkKey(w.job.ID, n), v)
 }
 
-func (d *Draft) put(key string, v any) {
+func (d *Transaction) put(key string, v any) {
 	if _, ok := d.puts[key]; !ok {
 		d.order = append(d.order, key)
 	}
@@ -124,11 +124,11 @@
 
 // MarshalJSON writes the job's record.
 func (w *draftJob) MarshalJSON() ([]byte, error) {
-	return json.Marshal(jobRecord{Spec: w.spec, Accepted: w.at, State: w.state, Stop: w.stop, Range: w.size, Of: w.job.Of, Kept: w.kept, Gallery: w.gallery, Ended: w.ended, chunkRecord: *w.chunk(0)})
+	return json.Marshal(jobRecord{Spec: w.spec, Accepted: w.at, State: w.state, Stop: w.stop, Range: w.size, Of: w.job.Workflow, Kept: w.kept, Gallery: w.gallery, Ended: w.ended, chunkRecord: *w.chunk(0)})
 }
 
 // try runs a change and undoes it when the transaction would grow too large.
-func (d *Draft) try(change func() error) error {
+func (d *Transaction) try(change func() error) error {
 	before := d.copy()
 	err := change()
 	if err == nil {
@@ -140,7 +140,7 @@
 	return err
 }
 
-func (d *Draft) copy() *Draft {
+func (d *Transaction) copy() *Transaction {
 	b := *d
 	b.marks, b.usage, b.conds = maps.Clone(d.marks), maps.Clone(d.usage), maps.Clone(d.conds)
 	b.order, b.sizes = slices.Clone(d.order), maps.Clone(d.sizes)
@@ -163,17 +163,17 @@
 	return &b
 }
 
-func (d *Draft) checkSize() error {
+func (d *Transaction) checkSize() error {
 	lim := &d.l.limits
 	alone := len(d.jobs)+len(d.marks) <= 1
 	if len(d.puts) > lim.TxnOps || len(d.conds) > conditionsPerChange*lim.TxnOps {
 		if alone {
 			return ErrTooLarge
 		}
-		return ErrFull
+		return ErrTransactionFull
 	}
 	if len(d.puts) > d.most {
-		return ErrFull
+		return ErrTransactionFull
 	}
 	total := 64 * len(d.conds)
 	for key, v := range d.puts {
@@ -195,13 +195,13 @@
 		if alone {
 			return ErrTooLarge
 		}
-		return ErrFull
+		return ErrTransactionFull
 	}
 	return nil
 }
 
 // Txn returns the transaction.
-func (d *Draft) Txn() (wire.Txn, error) {
+func (d *Transaction) Txn() (wire.Txn, error) {
 	var t wire.Txn
 	for k, v := range d.conds {
 		t.If = append(t.If, wire.Condition{Key: k, Version: v})
@@ -226,20 +226,20 @@
 	return t, nil
 }
 
-// SetMark moves a machine along its way out. by is the version of the leader's
+// SetMachinePhase moves a machine along its way out. by is the version of the leader's
 // record under which the leader acts. Why a machine leaves stays on record once it is gone.
-func (d *Draft) SetMark(m wire.MachineID, mark MachineMark, why string, by wire.Revision) error {
+func (d *Transaction) SetMachinePhase(m wire.MachineID, mark MachinePhase, why string, by wire.Revision) error {
 	return d.try(func() error {
-		old := d.l.Mark(m)
-		order := func(k MachineMark) int { return slices.Index([]MachineMark{"", Leaving, Gone}, k) }
-		if d.l.leaderVer != by || order(mark) <= order(old) || mark == Gone && old != Leaving {
-			return ErrStale
+		old := d.l.MachinePhase(m)
+		order := func(k MachinePhase) int { return slices.Index([]MachinePhase{"", Terminating, Terminated}, k) }
+		if d.l.leaderVer != by || order(mark) <= order(old) || mark == Terminated && old != Terminating {
+			return ErrPreconditionFailed
 		}
 		d.marks[m] = mark
 		d.conds[LeaderKey] = by
 		d.conds[machineKey(m)] = d.l.markVer[m]
 		d.readSeries(m)
-		if mark == Gone && d.l.leaving[m] != "" {
+		if mark == Terminated && d.l.leaving[m] != "" {
 			why = d.l.leaving[m]
 		}
 		d.put(machineKey(m), machineRecord{mark, why})
--- a/internal/ledger/draft_claims.go
+++ b/internal/ledger/draft_claims.go
@@ -8,18 +8,18 @@
 	"maddermill/wire"
 )
 
-// Site is the machine that a start is claimed on.
-type Site struct {
+// ClaimTarget is the machine that a start is claimed on.
+type ClaimTarget struct {
 	Machine wire.MachineID
-	Type    wire.MachineSKU
+	Type    wire.MachineTypeName
 	Zone    wire.Zone
 	Spot    bool
-	Session wire.Session
-	Token   wire.Token // of the controller that holds the machine
+	Session wire.AgentEpoch
+	Token   wire.FencingToken // of the controller that holds the machine
 }
 
 // Allowed reports whether the job may run on a machine at all.
-func Allowed(s *wire.JobSpec, typ wire.MachineSKU, zone wire.Zone, spot bool) bool {
+func Allowed(s *wire.JobSpec, typ wire.MachineTypeName, zone wire.Zone, spot bool) bool {
 	return (s.Types == nil || slices.Contains(s.Types, typ)) &&
 		(s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
@@ -70,7 +70,7 @@
 
 // Claim claims up to count pending tasks of an array or service for a site and
 // returns how many it got. Tasks that rest, if it is given, are left out.
-func (d *Draft) Claim(j *Job, site Site, count int, rests func(wire.TaskIndex) bool) (int, error) {
+func (d *Transaction) Claim(j *Job, site ClaimTarget, count int, rests func(wire.TaskIndex) bool) (int, error) {
 	got := 0
 	err := d.try(func() error {
 		w := d.job(j)
@@ -122,7 +122,7 @@
 			}
 		}
 		if got == 0 {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		d.touchTeam(j, got, site.Token)
 		return nil
@@ -140,12 +140,12 @@
 	}
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return (int(h.Sum32()%uint32(ranges)) + ranges*l.Number/max(1, l.Of)) % ranges
+	return (int(h.Sum32()%uint32(ranges)) + ranges*l.ControllerIndex/max(1, l.ControllerCount)) % ranges
 }
 
 // roomIn is how many of the tasks, as one start, a range's record has room for however
 // its tasks end. A record that an exit would make too large could never be written.
-func (d *Draft) roomIn(w *draftJob, n int, tasks []wire.TaskIndex, site Site) int {
+func (d *Transaction) roomIn(w *draftJob, n int, tasks []wire.TaskIndex, site ClaimTarget) int {
 	if w.size == 0 || len(tasks) == 0 {
 		return len(tasks)
 	}
@@ -176,15 +176,15 @@
 	return k
 }
 
-// Placed is one machine's part of a gang.
-type Placed struct {
-	Site  Site
+// GangPart is one machine's part of a gang.
+type GangPart struct {
+	Site  ClaimTarget
 	Count int
 }
 
 // ClaimGang claims every unfinished task of a gang at once, as a new attempt.
 // It refuses while any claim of an earlier attempt stands.
-func (d *Draft) ClaimGang(j *Job, parts []Placed) error {
+func (d *Transaction) ClaimGang(j *Job, parts []GangPart) error {
 	return d.try(func() error {
 		w := d.job(j)
 		if j.Spec.Shape != wire.Gang {
@@ -193,7 +193,7 @@
 		standing := false
 		w.eachClaim(func(*Claim) { standing = true })
 		if standing {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		size := j.chunkTasks
 		attempt := w.chunk(0).Attempt + 1
@@ -203,7 +203,7 @@
 		}
 		total := len(todo)
 		if total == 0 || d.teamRoom(j, total) < total {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		w.chunk(0).Attempt = attempt
 		d.write(w, 0)
@@ -212,7 +212,7 @@
 				return err
 			}
 			if p.Count > len(todo) || p.Count > zoneRoom(j.Spec, p.Site.Zone, w.eachClaim) {
-				return ErrStale
+				return ErrPreconditionFailed
 			}
 			for i := 0; i < p.Count; {
 				n := int(todo[i]) / size
@@ -227,7 +227,7 @@
 			todo = todo[p.Count:]
 		}
 		if len(todo) > 0 {
-			return ErrStale // all or none
+			return ErrPreconditionFailed // all or none
 		}
 		d.touchTeam(j, total, parts[0].Site.Token)
 		return nil
@@ -237,11 +237,11 @@
 // TakeOver puts what a gang's attempt claims on a machine under the token of who holds the machine
 // now, once the worker accepts no lower one: only under its own token may a controller have tasks
 // that gave up waiting wait on. Nothing is claimed by it, and none of its claims goes.
-func (d *Draft) TakeOver(j *Job, attempt wire.Attempt, site Site) error {
+func (d *Transaction) TakeOver(j *Job, attempt wire.Attempt, site ClaimTarget) error {
 	return d.try(func() error {
 		w := d.job(j)
 		if j.Spec.Shape != wire.Gang || w.stop >= attempt {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		if err := d.checkSite(w, site); err != nil {
 			return err
@@ -253,7 +253,7 @@
 		whole := w.doneTasks()
 		w.eachClaim(func(c *Claim) { whole += c.Count })
 		if whole != j.Spec.Tasks {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		taken := false
 		for n := range j.chunks {
@@ -270,18 +270,18 @@
 			taken = taken || moved
 		}
 		if !taken {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		return nil
 	})
 }
 
-func (d *Draft) checkSite(w *draftJob, site Site) error {
+func (d *Transaction) checkSite(w *draftJob, site ClaimTarget) error {
 	if w.state != Active || !Allowed(w.spec, site.Type, site.Zone, site.Spot) {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
-	if d.l.Mark(site.Machine) != "" || d.marks[site.Machine] != "" {
-		return ErrStale
+	if d.l.MachinePhase(site.Machine) != "" || d.marks[site.Machine] != "" {
+		return ErrPreconditionFailed
 	}
 	d.standing(site.Machine)
 	return nil
@@ -305,7 +305,7 @@
 }
 
 // claimRuns adds claims for tasks in ascending order, one a run.
-func claimRuns(c *chunkRecord, tasks []wire.TaskIndex, a wire.Attempt, s Site) {
+func claimRuns(c *chunkRecord, tasks []wire.TaskIndex, a wire.Attempt, s ClaimTarget) {
 	for i, t := range tasks {
 		if i > 0 && tasks[i-1] == t-1 {
 			c.Claims[len(c.Claims)-1].Count++
--- a/internal/ledger/draft_exits.go
+++ b/internal/ledger/draft_exits.go
@@ -6,10 +6,10 @@
 	"maddermill/wire"
 )
 
-// Exit removes tasks' claim on proof that they are gone, and with done records that
+// ReleaseTasks removes tasks' claim on proof that they are gone, and with done records that
 // they have completed. A claim other than the one proven gone is not touched; how many
 // there were is told. All tasks are of one range: those of a Held are.
-func (d *Draft) Exit(j *Job, claim Claim, tasks []wire.TaskIndex, done bool) (int, error) {
+func (d *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, done bool) (int, error) {
 	n := int(tasks[0]) / j.chunkTasks
 	gone := 0
 	err := d.try(func() error {
@@ -27,7 +27,7 @@
 			}
 		}
 		if gone == 0 {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		d.usage[j.Spec.Team] = d.usage[j.Spec.Team].Add(j.Need, -gone)
 		d.write(w, n)
@@ -43,16 +43,16 @@
 	return gone, nil
 }
 
-// ExitGang records that a gang of several tasks is done: its tasks complete together, so that one
+// CompleteGang records that a gang of several tasks is done: its tasks complete together, so that one
 // that is done proves it of all of the attempt (PROTOCOL, "Gangs"), whoever holds their
 // machines. It takes one change where the tasks' exits by themselves may take one each. How many
 // claims went is told.
-func (d *Draft) ExitGang(j *Job, attempt wire.Attempt) (gone int, err error) {
+func (d *Transaction) CompleteGang(j *Job, attempt wire.Attempt) (gone int, err error) {
 	err = d.try(func() error {
 		gone = 0
 		w := d.job(j)
 		if w.state != Active || j.Spec.Shape != wire.Gang {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		for n := range j.chunks {
 			c := w.chunk(n)
@@ -72,7 +72,7 @@
 			}
 		}
 		if gone == 0 {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		d.usage[j.Spec.Team] = d.usage[j.Spec.Team].Add(j.Need, -gone)
 		if w.allDone() {
--- a/internal/ledger/draft_jobs.go
+++ b/internal/ledger/draft_jobs.go
@@ -10,27 +10,27 @@
 // Submit accepts a job that isn't known yet. That it is not in the archive either is a
 // condition, and final states are never deleted: however late the transaction lands, a job
 // that is over is not accepted anew.
-func (d *Draft) Submit(spec *wire.JobSpec, at wire.UnixMillis) error {
+func (d *Transaction) Submit(spec *wire.JobSpec, at wire.UnixMillis) error {
 	return d.submit(spec, at, "", nil)
 }
 
-func (d *Draft) submit(spec *wire.JobSpec, at wire.UnixMillis, of wire.WorkflowID, g *Gallery) error {
-	if _, over := d.l.Over(spec.ID); over || d.l.jobs[spec.ID] != nil {
-		return ErrStale
+func (d *Transaction) submit(spec *wire.JobSpec, at wire.UnixMillis, of wire.WorkflowID, g *Gallery) error {
+	if _, over := d.l.ArchivedState(spec.ID); over || d.l.jobs[spec.ID] != nil {
+		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
-		if spec.Shape == wire.Gang && spec.Tasks > (d.l.limits.TxnOps-1)*d.l.limits.ChunkTasks() {
+		if spec.Shape == wire.Gang && spec.Tasks > (d.l.limits.TxnOps-1)*d.l.limits.TasksPerRange() {
 			return fmt.Errorf("%w: a gang starts in one transaction", ErrTooLarge)
 		}
-		j := &Job{ID: spec.ID, Spec: spec, Accepted: at, Of: of, chunkTasks: d.l.rangeFor(spec)}
+		j := &Job{ID: spec.ID, Spec: spec, Accepted: at, Workflow: of, chunkTasks: d.l.rangeFor(spec)}
 		long := j.chunkTasks > 0
 		if !long {
-			j.chunkTasks = d.l.limits.ChunkTasks()
+			j.chunkTasks = d.l.limits.TasksPerRange()
 		}
 		w := d.job(j)
 		if g != nil {
 			if !d.tie(w, g) {
-				return ErrStale
+				return ErrPreconditionFailed
 			}
 		}
 		d.write(w, 0)
@@ -51,7 +51,7 @@
 }
 
 // Cancel makes the job cancelled, unless it is done: the answer tells.
-func (d *Draft) Cancel(j *Job) (JobState, error) {
+func (d *Transaction) Cancel(j *Job) (JobState, error) {
 	w := d.job(j)
 	if w.state != Active {
 		return w.state, nil
@@ -65,12 +65,12 @@
 	return Cancelled, err
 }
 
-// StopGang asks every holder to stop the gang's attempts up to the current one.
-func (d *Draft) StopGang(j *Job, upTo wire.Attempt) error {
+// PreemptGang asks every holder to stop the gang's attempts up to the current one.
+func (d *Transaction) PreemptGang(j *Job, upTo wire.Attempt) error {
 	return d.try(func() error {
 		w := d.job(j)
 		if w.state != Active || w.stop >= upTo || upTo > w.chunk(0).Attempt {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		w.stop = upTo
 		d.write(w, 0)
@@ -94,14 +94,14 @@
 	return total
 }
 
-// Finish makes a job done whose tasks all are. Two controllers that each record
+// CompleteJob makes a job done whose tasks all are. Two controllers that each record
 // the last task of a different range see the other's still open, and neither
 // ends the job: this does.
-func (d *Draft) Finish(j *Job) error {
+func (d *Transaction) CompleteJob(j *Job) error {
 	return d.try(func() error {
 		w := d.job(j)
 		if w.state != Active || !w.allDone() {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		d.done(w)
 		d.write(w, 0)
--- a/internal/ledger/galleries.go
+++ b/internal/ledger/galleries.go
@@ -54,9 +54,9 @@
 func (l *Ledger) Register() int { return l.register.Revision }
 
 // RaiseRegister puts a newer edition of the register in force.
-func (d *Draft) RaiseRegister(revision int) error {
+func (d *Transaction) RaiseRegister(revision int) error {
 	if revision <= d.l.register.Revision || d.l.past.format.Format < GalleryFormat {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
 		d.conds[RegisterKey] = d.l.registerVer
@@ -66,9 +66,9 @@
 }
 
 // under conditions a transaction on an edition of the register being in force.
-func (d *Draft) under(revision int) error {
+func (d *Transaction) under(revision int) error {
 	if d.l.register.Revision != revision {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	d.conds[RegisterKey] = d.l.registerVer
 	return nil
@@ -253,10 +253,10 @@
 }
 
 // At tells a draft the time of day, for what notes when it came to be.
-func (d *Draft) At(now wire.UnixMillis) { d.now = now }
+func (d *Transaction) At(now wire.UnixMillis) { d.now = now }
 
 // done makes a job done, and notes when if it is tied to a gallery.
-func (d *Draft) done(w *draftJob) {
+func (d *Transaction) done(w *draftJob) {
 	w.state = Done
 	if w.gallery != "" {
 		w.ended = d.now
@@ -264,7 +264,7 @@
 }
 
 // tie ties a job that is tied to none to a gallery that is not over.
-func (d *Draft) tie(w *draftJob, g *Gallery) bool {
+func (d *Transaction) tie(w *draftJob, g *Gallery) bool {
 	if w.gallery != "" || g.Version == 0 || g.Over() || d.l.past.format.Format < GalleryFormat {
 		return false
 	}
@@ -273,18 +273,18 @@
 	return true
 }
 
-// SubmitTied accepts a job that isn't known yet and ties it to a gallery in the same step; nil
+// SubmitToGallery accepts a job that isn't known yet and ties it to a gallery in the same step; nil
 // ties it to none. ErrStale: it is known, or the gallery is over.
-func (d *Draft) SubmitTied(spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
+func (d *Transaction) SubmitToGallery(spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
 	return d.submit(spec, at, "", g)
 }
 
-// Tie ties a job that was accepted before its gallery was known.
-func (d *Draft) Tie(j *Job, g *Gallery) error {
+// AssignGallery ties a job that was accepted before its gallery was known.
+func (d *Transaction) AssignGallery(j *Job, g *Gallery) error {
 	return d.try(func() error {
 		w := d.job(j)
 		if w.state != Active || !d.tie(w, g) {
-			return ErrStale
+			return ErrPreconditionFailed
 		}
 		d.write(w, 0)
 		return nil
@@ -293,9 +293,9 @@
 
 // OpenGallery puts a gallery with its first promise on record. A name that was ever used is
 // never used again.
-func (d *Draft) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
+func (d *Transaction) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
 	if !n.Valid() || d.l.Gallery(n) != nil || d.l.past.format.Format < GalleryFormat {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	if err := d.under(register); err != nil {
 		return err
@@ -326,10 +326,10 @@
 }
 
 // ChangeDate adds a promise, as an edition of the register has it.
-func (d *Draft) ChangeDate(g *Gallery, p Promise, register int) error {
+func (d *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
 	switch {
 	case g.Over() || p.Date == g.Date():
-		return ErrStale
+		return ErrPreconditionFailed
 	case len(g.Promises) >= mostPromises:
 		return ErrManyDates
 	}
@@ -343,7 +343,7 @@
 }
 
 // Withdraw ends a gallery that an edition of the register no longer has.
-func (d *Draft) Withdraw(g *Gallery, why string, at wire.UnixMillis, register int) error {
+func (d *Transaction) Withdraw(g *Gallery, why string, at wire.UnixMillis, register int) error {
 	if err := d.under(register); err != nil {
 		return err
 	}
@@ -351,9 +351,9 @@
 }
 
 // MoveGallery moves a gallery to another state. One that is over has its counts on record.
-func (d *Draft) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
+func (d *Transaction) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
 	if !slices.Contains(galleryMoves[g.State], to) {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	r := g.GalleryRecord
 	r.State, r.Why, r.Since = to, brief(why), at
@@ -364,7 +364,7 @@
 	return d.writeGallery(g, r)
 }
 
-func (d *Draft) writeGallery(g *Gallery, r GalleryRecord) error {
+func (d *Transaction) writeGallery(g *Gallery, r GalleryRecord) error {
 	return d.try(func() error {
 		d.conds[galleryKey(g.Name)] = g.Version
 		d.put(galleryKey(g.Name), r)
@@ -374,9 +374,9 @@
 
 // ArchiveGallery moves a gallery that is over, and none of whose jobs is on record, into the
 // archive.
-func (d *Draft) ArchiveGallery(g *Gallery) error {
+func (d *Transaction) ArchiveGallery(g *Gallery) error {
 	if !g.Over() || g.HasJobs() || !d.mayArchive() {
-		return ErrStale
+		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
 		d.conds[galleryKey(g.Name)] = g.Version
--- a/internal/ledger/galleries_test.go
+++ b/internal/ledger/galleries_test.go
@@ -73,8 +73,8 @@
 				}
 			})
 		}
-		d := truth.NewDraft()
-		if err := d.Raise(ledger.GalleryFormat, 0); err != nil {
+		d := truth.NewTransaction()
+		if err := d.UpgradeFormat(ledger.GalleryFormat, 0); err != nil {
 			t.Fatal(err)
 		}
 		txn, _ := d.Txn()
@@ -85,7 +85,7 @@
 			who := rng.IntN(3)
 			l := ledgers[who]
 			mirror(l, &events, len(events)-rng.IntN(min(len(events), 5)+1))
-			d := l.NewDraft()
+			d := l.NewTransaction()
 			now := wire.UnixMillis(1000 + step)
 			d.At(now)
 			name := wire.GalleryName(fmt.Sprint("g-", rng.IntN(5)))
@@ -103,11 +103,11 @@
 				}
 			case 3, 4:
 				if j == nil {
-					_ = d.SubmitTied(&wire.JobSpec{ID: id, Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1}, now, []*ledger.Gallery{nil, g}[rng.IntN(2)])
+					_ = d.SubmitToGallery(&wire.JobSpec{ID: id, Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1}, now, []*ledger.Gallery{nil, g}[rng.IntN(2)])
 				}
 			case 5:
 				if j != nil && g != nil {
-					_ = d.Tie(j, g)
+					_ = d.AssignGallery(j, g)
 				}
 			case 6:
 				if g != nil && rng.IntN(4) == 0 {
@@ -183,8 +183,8 @@
 	small.ValueBytes = 4096
 	l := ledger.New(small)
 	version := wire.Revision(0)
-	do := func(f func(d *ledger.Draft) error) error {
-		d := l.NewDraft()
+	do := func(f func(d *ledger.Transaction) error) error {
+		d := l.NewTransaction()
 		if err := f(d); err != nil {
 			return err
 		}
@@ -196,17 +196,17 @@
 		return err
 	}
 	long := string(make([]byte, 300))
-	_ = do(func(d *ledger.Draft) error { return d.Raise(ledger.GalleryFormat, 0) })
-	_ = do(func(d *ledger.Draft) error { return d.RaiseRegister(1) })
+	_ = do(func(d *ledger.Transaction) error { return d.UpgradeFormat(ledger.GalleryFormat, 0) })
+	_ = do(func(d *ledger.Transaction) error { return d.RaiseRegister(1) })
 	name := wire.GalleryName("a-name-of-64-bytes-a-name-of-64-bytes-a-name-of-64-bytes-aaaaaaa")
-	if err := do(func(d *ledger.Draft) error {
+	if err := do(func(d *ledger.Transaction) error {
 		return d.OpenGallery(name, "free", ledger.Promise{At: 1e12, Date: 2e12, Why: long}, 1)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	var err error
 	for i := 0; err == nil && i < 100; i++ {
-		err = do(func(d *ledger.Draft) error {
+		err = do(func(d *ledger.Transaction) error {
 			return d.ChangeDate(l.Gallery(name), ledger.Promise{At: 1e12, Date: wire.UnixMillis(2e12 + i + 1), Why: long}, 1)
 		})
 	}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -17,7 +17,7 @@
 		{"job", golden.Fill[jobRecord]()}, {"task_range", golden.Fill[chunkRecord]()},
 		{"machine", golden.Fill[machineRecord]()}, {"team", golden.Fill[teamRecord]()},
 		{"token", golden.Fill[TokenRecord]()}, {"leader", golden.Fill[LeaderRecord]()},
-		{"scale_out_intent", golden.Fill[HireIntent]()}, {"scale_out", golden.Fill[HiresRecord]()},
+		{"scale_out_intent", golden.Fill[ScaleOutIntent]()}, {"scale_out", golden.Fill[ScaleOutRecord]()},
 		{"workflow", golden.Fill[WorkflowRecord]()}, {"module", golden.Fill[ModuleRecord]()},
 		{"policy", golden.Fill[PolicyRecord]()}, {"gallery", golden.Fill[GalleryRecord]()},
 		{"gallery_promise", golden.Fill[Promise]()}, {"gallery_register", golden.Fill[registerRecord]()},
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -12,11 +12,11 @@
 
 // Limits are what the state service takes, and the rules of teams.
 type Limits struct {
-	ValueBytes int
-	TxnOps     int
-	TxnBytes   int
-	TeamMax    map[wire.Team]Resources // capped teams only; 0 in an amount: none
-	Number, Of int                     // this controller's among all; 0 of 0: it is alone
+	ValueBytes                       int
+	TxnOps                           int
+	TxnBytes                         int
+	TeamMax                          map[wire.Team]Resources // capped teams only; 0 in an amount: none
+	ControllerIndex, ControllerCount int                     // this controller's among all; 0 of 0: it is alone
 }
 
 // binds reports whether a team's limit is on something that a task needs.
@@ -31,9 +31,9 @@
 // specBytes is what a job's description takes of its record at the most.
 const specBytes = 1200
 
-// ChunkTasks is how many tasks share a record: in the worst case each has a
+// TasksPerRange is how many tasks share a record: in the worst case each has a
 // claim of its own, and all must fit beside the job's description.
-func (l *Limits) ChunkTasks() int {
+func (l *Limits) TasksPerRange() int {
 	return min(400, max(4, (l.ValueBytes-specBytes)/claimBytes))
 }
 
@@ -62,14 +62,14 @@
 		}
 	}
 	n := min(longRange, startsPerRange*each)
-	if usual := l.limits.ChunkTasks(); s.Tasks <= 2*usual || n < 2*usual || l.limits.ValueBytes < specBytes+n/6+startsPerRange*claimBytes+n*pairBytes/2 {
+	if usual := l.limits.TasksPerRange(); s.Tasks <= 2*usual || n < 2*usual || l.limits.ValueBytes < specBytes+n/6+startsPerRange*claimBytes+n*pairBytes/2 {
 		return 0
 	}
 	return n
 }
 
-// Chunk is a range of a job's tasks as last seen.
-type Chunk struct {
+// TaskRange is a range of a job's tasks as last seen.
+type TaskRange struct {
 	Version wire.Revision
 	chunkRecord
 	done, held int // tasks
@@ -97,19 +97,19 @@
 
 // Job is a job as last seen.
 type Job struct {
-	ID       wire.JobID
-	Spec     *wire.JobSpec
-	Need     Resources // of one task
-	Accepted wire.UnixMillis
-	State    JobState
-	Stop     wire.Attempt
-	Done     int              // tasks done
-	Claimed  int              // tasks claimed
-	Gallery  wire.GalleryName // that it is tied to, "" if none
-	Ended    wire.UnixMillis  // when it was done, if it is tied
-	Of       wire.WorkflowID  // the workflow that it is a step of, "" if none
-	Doomed   bool             // that workflow is cancelled, so the job will be; or the job is, by another's ledger
-	chunks   map[int]*Chunk
+	ID         wire.JobID
+	Spec       *wire.JobSpec
+	Need       Resources // of one task
+	Accepted   wire.UnixMillis
+	State      JobState
+	Stop       wire.Attempt
+	Done       int              // tasks done
+	Claimed    int              // tasks claimed
+	Gallery    wire.GalleryName // that it is tied to, "" if none
+	Ended      wire.UnixMillis  // when it was done, if it is tied
+	Workflow   wire.WorkflowID  // the workflow that it is a step of, "" if none
+	Cancelling bool             // that workflow is cancelled, so the job will be; or the job is, by another's ledger
+	chunks     map[int]*TaskRange
 
 	chunkTasks int
 	kept       int // tasks done, as noted when the job is over and its ranges go
@@ -117,22 +117,22 @@
 
 // Pending is the number of tasks that are neither done nor claimed.
 func (j *Job) Pending() int {
-	if j.State != Active || j.Doomed {
+	if j.State != Active || j.Cancelling {
 		return 0
 	}
 	return j.Spec.Tasks - j.Done - j.Claimed
 }
 
-// Together is how many of the job's tasks must start together.
-func (j *Job) Together() int {
+// GangSize is how many of the job's tasks must start together.
+func (j *Job) GangSize() int {
 	if j.Spec.Shape != wire.Gang {
 		return 1
 	}
 	return j.Spec.Tasks - j.Done
 }
 
-// Whole reports whether every task is claimed or done: of a gang, that its attempt has all its tasks.
-func (j *Job) Whole() bool { return j.Done+j.Claimed == j.Spec.Tasks }
+// RunsWholeMachines reports whether every task is claimed or done: of a gang, that its attempt has all its tasks.
+func (j *Job) RunsWholeMachines() bool { return j.Done+j.Claimed == j.Spec.Tasks }
 
 // TaskDone reports whether a task is on record as done.
 func (j *Job) TaskDone(t wire.TaskIndex) bool {
@@ -168,15 +168,15 @@
 	return wire.Queued
 }
 
-// Held is a claim seen from its machine.
-type Held struct {
+// HeldClaim is a claim seen from its machine.
+type HeldClaim struct {
 	Job *Job
 	Claim
 	chunk int
 }
 
 // Range tells which range of the job's tasks the claim is in.
-func (h *Held) Range() int { return h.chunk }
+func (h *HeldClaim) Range() int { return h.chunk }
 
 // Ledger is the mirror. It isn't safe for concurrent use.
 type Ledger struct {
@@ -189,15 +189,15 @@
 	register    registerRecord
 	registerVer wire.Revision
 	orphans     map[string]Event // ranges that arrived before their job
-	held        map[wire.MachineID][]Held
+	held        map[wire.MachineID][]HeldClaim
 	usage       map[wire.Team]Resources
 	teamVer     map[wire.Team]wire.Revision
-	marks       map[wire.MachineID]MachineMark
+	marks       map[wire.MachineID]MachinePhase
 	leaving     map[wire.MachineID]string   // marked, and not yet known to be gone
 	touched     map[wire.MachineID]struct{} // whose claims or marks changed since last asked
 	markVer     map[wire.MachineID]wire.Revision
 	members     map[wire.MemberID]json.RawMessage
-	flavors     map[wire.MachineSKU]wire.Flavor
+	flavors     map[wire.MachineTypeName]wire.MachineType
 
 	workflows map[wire.WorkflowID]*Workflow
 	past      past
@@ -208,7 +208,7 @@
 	cancelled wire.Revision // of the newest cancellation, or later
 	cancels   cancels
 
-	hires     HiresRecord
+	hires     ScaleOutRecord
 	hiresVer  wire.Revision
 	token     TokenRecord
 	tokenVer  wire.Revision
@@ -227,18 +227,18 @@
 func New(limits Limits) *Ledger {
 	return &Ledger{limits: limits,
 		jobs: map[wire.JobID]*Job{}, active: map[wire.JobID]*Job{}, galleries: map[wire.GalleryName]*Gallery{}, orphans: map[string]Event{},
-		held: map[wire.MachineID][]Held{}, usage: map[wire.Team]Resources{},
-		teamVer: map[wire.Team]wire.Revision{}, marks: map[wire.MachineID]MachineMark{},
+		held: map[wire.MachineID][]HeldClaim{}, usage: map[wire.Team]Resources{},
+		teamVer: map[wire.Team]wire.Revision{}, marks: map[wire.MachineID]MachinePhase{},
 		leaving: map[wire.MachineID]string{}, touched: map[wire.MachineID]struct{}{},
 		markVer: map[wire.MachineID]wire.Revision{}, members: map[wire.MemberID]json.RawMessage{},
-		flavors: map[wire.MachineSKU]wire.Flavor{}, workflows: map[wire.WorkflowID]*Workflow{}, past: newPast(), modules: map[wire.ModuleHash]ModuleRecord{}}
+		flavors: map[wire.MachineTypeName]wire.MachineType{}, workflows: map[wire.WorkflowID]*Workflow{}, past: newPast(), modules: map[wire.ModuleHash]ModuleRecord{}}
 }
 
 // Revision is how far the ledger has caught up.
 func (l *Ledger) Revision() wire.Revision { return l.revision }
 
-// CaughtUp notes that all changes up to r have been applied.
-func (l *Ledger) CaughtUp(r wire.Revision) { l.revision = max(l.revision, r) }
+// AdvanceRevision notes that all changes up to r have been applied.
+func (l *Ledger) AdvanceRevision(r wire.Revision) { l.revision = max(l.revision, r) }
 
 // Job returns a job, or nil. Of a job that is over, Over may be all that there is.
 func (l *Ledger) Job(id wire.JobID) *Job { return l.jobs[id] }
@@ -254,10 +254,10 @@
 func (l *Ledger) Counts() (known, active int) { return len(l.jobs) + len(l.past.over), len(l.active) }
 
 // HeldBy returns the claims on a machine. The slice must not be kept.
-func (l *Ledger) HeldBy(m wire.MachineID) []Held { return l.held[m] }
+func (l *Ledger) HeldBy(m wire.MachineID) []HeldClaim { return l.held[m] }
 
 // Holders calls f for every machine with claims.
-func (l *Ledger) Holders(f func(wire.MachineID, []Held)) {
+func (l *Ledger) Holders(f func(wire.MachineID, []HeldClaim)) {
 	for m, h := range l.held {
 		f(m, h)
 	}
@@ -266,16 +266,16 @@
 // Used returns what a team's claims take.
 func (l *Ledger) Used(t wire.Team) Resources { return l.usage[t] }
 
-// Mark returns a machine's mark, "" if it has none.
-func (l *Ledger) Mark(m wire.MachineID) MachineMark {
+// MachinePhase returns a machine's mark, "" if it has none.
+func (l *Ledger) MachinePhase(m wire.MachineID) MachinePhase {
 	if k := l.marks[m]; k != "" || !l.past.gone.Has(string(m)) {
 		return k
 	}
-	return Gone
+	return Terminated
 }
 
-// Marks calls f for every machine that has a mark of its own.
-func (l *Ledger) Marks(f func(wire.MachineID, MachineMark)) {
+// MachinePhases calls f for every machine that has a mark of its own.
+func (l *Ledger) MachinePhases(f func(wire.MachineID, MachinePhase)) {
 	for m, k := range l.marks {
 		f(m, k)
 	}
@@ -283,7 +283,7 @@
 
 // DecodeMark reads a machine's mark from its record as the state service has it, with the reason
 // that was given; false for records of something else.
-func DecodeMark(it wire.Item) (m wire.MachineID, mark MachineMark, why string, ok bool) {
+func DecodeMark(it wire.Item) (m wire.MachineID, mark MachinePhase, why string, ok bool) {
 	rest, ok := strings.CutPrefix(it.Key, machinePrefix)
 	var r machineRecord
 	if !ok || json.Unmarshal(it.Value, &r) != nil {
@@ -295,17 +295,17 @@
 // MarksPrefix is what the keys of machines' marks begin with.
 const MarksPrefix = machinePrefix
 
-// Outgoing calls f for every machine on its way out that isn't known to be gone.
+// TerminatingMachines calls f for every machine on its way out that isn't known to be gone.
 // Marks of machines long gone are only walked to be swept.
-func (l *Ledger) Outgoing(f func(wire.MachineID)) {
+func (l *Ledger) TerminatingMachines(f func(wire.MachineID)) {
 	for m := range l.leaving {
 		f(m)
 	}
 }
 
-// Touched calls f for every machine whose claims or mark have changed since the
+// DrainChangedMachines calls f for every machine whose claims or mark have changed since the
 // last call.
-func (l *Ledger) Touched(f func(wire.MachineID)) {
+func (l *Ledger) DrainChangedMachines(f func(wire.MachineID)) {
 	for m := range l.touched {
 		f(m)
 	}
@@ -316,16 +316,16 @@
 func (l *Ledger) Member(m wire.MemberID) json.RawMessage { return l.members[m] }
 
 // BestEffort reports whether a job only takes what others leave, also of the budget of changes.
-func (j *Job) BestEffort() bool { return j.Spec.Priority == wire.Low }
+func (j *Job) BestEffort() bool { return j.Spec.Priority == wire.BestEffort }
 
 // Total is what a machine of a type has; nothing if the type is not known.
-func (l *Ledger) Total(t wire.MachineSKU) Resources {
+func (l *Ledger) Total(t wire.MachineTypeName) Resources {
 	f := l.flavors[t]
 	return NewResources(f.CPUs, f.GPUs, f.MemoryGB)
 }
 
 // Free is what claims leave of a machine in its session.
-func (l *Ledger) Free(s Site) Resources {
+func (l *Ledger) Free(s ClaimTarget) Resources {
 	free := l.Total(s.Type)
 	for _, h := range l.HeldBy(s.Machine) {
 		if h.Session >= s.Session {
@@ -336,20 +336,22 @@
 }
 
 // Flavor returns a machine type as the leader has published it.
-func (l *Ledger) Flavor(t wire.MachineSKU) (wire.Flavor, bool) {
+func (l *Ledger) Flavor(t wire.MachineTypeName) (wire.MachineType, bool) {
 	f, ok := l.flavors[t]
 	return f, ok
 }
 
 // Flavors returns all machine types. The map must not be changed.
-func (l *Ledger) Flavors() map[wire.MachineSKU]wire.Flavor { return l.flavors }
+func (l *Ledger) Flavors() map[wire.MachineTypeName]wire.MachineType { return l.flavors }
 
 // LastCancel is at or above the revision of every cancellation that the ledger
 // holds. A controller tells a user of one only when its ledger holds it.
 func (l *Ledger) LastCancel() wire.Revision { return l.cancelled }
 
-// Hires returns the rentals that were asked for lately, and the version of their record.
-func (l *Ledger) Hires() ([]HireIntent, wire.Revision) { return l.hires.Recent, l.hiresVer }
+// ScaleOutIntents returns the rentals that were asked for lately, and the version of their record.
+func (l *Ledger) ScaleOutIntents() ([]ScaleOutIntent, wire.Revision) {
+	return l.hires.Recent, l.hiresVer
+}
 
 // Token returns the token counter and its version.
 func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVer }
