--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -23,21 +23,21 @@
 
 // Errors that users are told of.
 var (
-	ErrNoSuchJob = errors.New("no such job")
-	ErrNeverRuns = errors.New("can never run")
+	ErrNoSuchJob     = errors.New("no such job")
+	ErrUnschedulable = errors.New("can never run")
 )
 
 // UsersParts are what the server of users works with.
 type UsersParts struct {
 	Mirror   *mirror.Mirror
 	Writer   *writer.Writer
-	Policies *policies.Keeper
-	Past     *archiver.Keeper
-	Promises *promises.Promises
+	Policies *policies.Manager
+	Archiver *archiver.Archiver
+	Promises *promises.Tracker
 }
 
-// Users serves users' requests.
-type Users struct {
+// JobServer serves users' requests.
+type JobServer struct {
 	set *settings.Settings
 	UsersParts
 	stats *metrics.Set
@@ -45,14 +45,14 @@
 }
 
 // NewUsers returns a server of users' requests.
-func NewUsers(set *settings.Settings, p UsersParts, stats *metrics.Set, log *slog.Logger) *Users {
-	return &Users{set: set, UsersParts: p, stats: stats, log: log}
+func NewUsers(set *settings.Settings, p UsersParts, stats *metrics.Set, log *slog.Logger) *JobServer {
+	return &JobServer{set: set, UsersParts: p, stats: stats, log: log}
 }
 
-func (c *Users) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *JobServer) led() *ledger.Ledger { return c.Mirror.Records() }
 
 // Loaded reports whether the records have been read.
-func (c *Users) Loaded() bool {
+func (c *JobServer) Loaded() bool {
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
 	return c.Mirror.Loaded()
@@ -62,7 +62,7 @@
 const loadWait = time.Second
 
 // loading waits until the records are read, for which no more than loadWait is taken.
-func (c *Users) loading(ctx context.Context) error {
+func (c *JobServer) loading(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadWait)
 	defer cancel()
 	return c.Mirror.Reach(ctx, 0)
@@ -70,20 +70,20 @@
 
 // Submit accepts a job, or tells of one that is known. created is true when
 // this call made it durable.
-func (c *Users) Submit(ctx context.Context, spec *wire.JobSpec) (st wire.JobStatus, created bool, err error) {
+func (c *JobServer) Submit(ctx context.Context, spec *wire.JobSpec) (st wire.JobStatus, created bool, err error) {
 	if err := c.loading(ctx); err != nil {
 		return st, false, err
 	}
 	c.Mirror.Lock()
-	_, over := c.led().Over(spec.ID)
+	_, over := c.led().ArchivedState(spec.ID)
 	known := over || c.led().Job(spec.ID) != nil
 	var verdict error
 	if !known {
-		verdict = c.MayCome(spec, time.Now())
+		verdict = c.Admit(spec, time.Now())
 	}
 	c.Mirror.Unlock()
 	if verdict != nil {
-		if !errors.Is(verdict, ErrNeverRuns) {
+		if !errors.Is(verdict, ErrUnschedulable) {
 			return st, false, verdict
 		}
 		// A job that was accepted is never refused, whatever changed since.
@@ -95,8 +95,8 @@
 	}
 	if !known {
 		at := wire.UnixMillis(time.Now().UnixMilli())
-		err = c.Writer.CommitNow(ctx, func(d *ledger.Draft) error {
-			return d.SubmitTied(spec, at, c.Promises.GalleryOf(spec, ""))
+		err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
+			return d.SubmitToGallery(spec, at, c.Promises.GalleryOf(spec, ""))
 		})
 		switch {
 		case err == nil:
@@ -104,8 +104,8 @@
 			c.stats.Add("jobs_accepted_total", 1)
 			return c.accepted(spec.ID), true, nil
 		case errors.Is(err, ledger.ErrTooLarge):
-			return st, false, errors.Join(ErrNeverRuns, err)
-		case !errors.Is(err, ledger.ErrStale):
+			return st, false, errors.Join(ErrUnschedulable, err)
+		case !errors.Is(err, ledger.ErrPreconditionFailed):
 			return st, false, err
 		}
 	}
@@ -115,10 +115,10 @@
 
 // accepted tells of a job that this controller has just made durable, as the records are now: where
 // the answer of the state service was slow, its user may have been told more elsewhere.
-func (c *Users) accepted(id wire.JobID) wire.JobStatus {
+func (c *JobServer) accepted(id wire.JobID) wire.JobStatus {
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
-	if over, ok := c.led().Over(id); ok {
+	if over, ok := c.led().ArchivedState(id); ok {
 		return over.Status(id)
 	}
 	if j := c.led().Job(id); j != nil {
@@ -130,8 +130,8 @@
 // errNotAdmitted: the policy refuses a job for good.
 var errNotAdmitted = errors.New("not admitted by the policy")
 
-// MayCome tells, under the mirror's lock, whether a job that is not known can ever run and is admitted now.
-func (c *Users) MayCome(s *wire.JobSpec, now time.Time) error {
+// Admit tells, under the mirror's lock, whether a job that is not known can ever run and is admitted now.
+func (c *JobServer) Admit(s *wire.JobSpec, now time.Time) error {
 	if err := c.feasible(s); err != nil {
 		return err
 	}
@@ -139,8 +139,8 @@
 }
 
 // admit asks the policy about a job that is not known, if it has a say.
-func (c *Users) admit(s *wire.JobSpec, now time.Time) error {
-	if !c.Policies.Asks(c.led()) {
+func (c *JobServer) admit(s *wire.JobSpec, now time.Time) error {
+	if !c.Policies.HasPolicy(c.led()) {
 		return nil
 	}
 	need := ledger.NewResources(s.CPUs, s.GPUs, s.MemoryGB)
@@ -157,22 +157,22 @@
 		}
 	})
 	if t := c.set.Team(s.Team); t != nil {
-		a.Guaranteed = !schedule.Beyond(t, sum)
+		a.Guaranteed = !schedule.OverGuarantee(t, sum)
 	}
 	switch c.Policies.Admit(c.led(), &a, now) {
 	case policy.PutOff:
 		return state.ErrNoReach
 	case policy.Refuse:
-		return errors.Join(ErrNeverRuns, errNotAdmitted)
+		return errors.Join(ErrUnschedulable, errNotAdmitted)
 	}
 	return nil
 }
 
 // feasible tells whether a job can ever run.
-func (c *Users) feasible(s *wire.JobSpec) error {
+func (c *JobServer) feasible(s *wire.JobSpec) error {
 	t := c.set.Team(s.Team)
 	if t == nil {
-		return errors.Join(ErrNeverRuns, errors.New("unknown team"))
+		return errors.Join(ErrUnschedulable, errors.New("unknown team"))
 	}
 	if len(c.led().Flavors()) == 0 {
 		return state.ErrNoReach // machine types aren't known yet
@@ -185,7 +185,7 @@
 	whole := ledger.Resources{}.Add(need, tasks)
 	limit := ledger.NewResources(t.CPUsMax, t.GPUsMax, 0)
 	if t.CPUsMax > 0 && whole.CPU > limit.CPU || t.GPUsMax > 0 && whole.GPU > limit.GPU {
-		return errors.Join(ErrNeverRuns, errors.New("over the team's limit"))
+		return errors.Join(ErrUnschedulable, errors.New("over the team's limit"))
 	}
 	for _, f := range c.led().Flavors() {
 		if !ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB).Fits(need) {
@@ -197,26 +197,26 @@
 			}
 		}
 	}
-	return errors.Join(ErrNeverRuns, errors.New("no allowed machine type fits a task"))
+	return errors.Join(ErrUnschedulable, errors.New("no allowed machine type fits a task"))
 }
 
 // Status tells a job's state, at least as new as the call.
-func (c *Users) Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
+func (c *JobServer) Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	c.Mirror.Lock()
-	over, ok := c.led().Over(id)
+	over, ok := c.led().ArchivedState(id)
 	ok = ok && c.Mirror.Loaded()
 	c.Mirror.Unlock()
 	if ok {
 		return over.Status(id), nil // it stays so for ever
 	}
-	if r, ok := c.Past.Told(id); ok {
+	if r, ok := c.Archiver.CachedFinal(id); ok {
 		return r.Status(id), nil // so does this
 	}
-	if err := c.Mirror.Fresh(ctx); err != nil {
+	if err := c.Mirror.ReadIndex(ctx); err != nil {
 		return wire.JobStatus{}, err
 	}
 	c.Mirror.Lock()
-	if over, ok := c.led().Over(id); ok {
+	if over, ok := c.led().ArchivedState(id); ok {
 		c.Mirror.Unlock()
 		return over.Status(id), nil
 	}
@@ -237,20 +237,20 @@
 }
 
 // Cancel cancels a job and tells its final state.
-func (c *Users) Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
+func (c *JobServer) Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	st, err := c.Status(ctx, id)
 	if err != nil || st.Status == wire.Done || st.Status == wire.Cancelled {
 		return wire.JobStatus{ID: id, Status: st.Status}, err
 	}
-	err = c.Writer.CommitNow(ctx, func(d *ledger.Draft) error {
+	err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
 		j := c.led().Job(id)
 		if j == nil {
-			return ledger.ErrStale // over since, and archived
+			return ledger.ErrPreconditionFailed // over since, and archived
 		}
 		_, err := d.Cancel(j)
 		return err
 	})
-	if err != nil && !errors.Is(err, ledger.ErrStale) {
+	if err != nil && !errors.Is(err, ledger.ErrPreconditionFailed) {
 		return wire.JobStatus{}, err
 	}
 	if st, err = c.Status(ctx, id); err != nil || st.Status != wire.Done && st.Status != wire.Cancelled {
@@ -261,8 +261,8 @@
 }
 
 // Archived tells the final state of a job that fresh records don't hold.
-func (c *Users) Archived(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
-	st, err := c.Past.Final(ctx, id)
+func (c *JobServer) Archived(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
+	st, err := c.Archiver.Final(ctx, id)
 	switch {
 	case errors.Is(err, archiver.ErrUnknown):
 		err = ErrNoSuchJob
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -35,34 +35,34 @@
 	mostWait  = 2400 * time.Millisecond
 )
 
-func (c *Workers) reportWait() time.Duration {
+func (c *HeartbeatServer) reportWait() time.Duration {
 	return min(mostWait, max(leastWait, c.set.Cluster.Workers.Report.Duration()*3/10))
 }
 
-// ReportAnswer answers a report: a response, or a status and a hint where to go.
-type ReportAnswer struct {
+// HeartbeatAnswer answers a report: a response, or a status and a hint where to go.
+type HeartbeatAnswer struct {
 	Status   int
-	Response *wire.ReportResponse
+	Response *wire.HeartbeatResponse
 	Redirect wire.Redirect
 }
 
-var goElsewhere = ReportAnswer{Status: 503}
+var goElsewhere = HeartbeatAnswer{Status: 503}
 
 // WorkersParts are what the server of workers works with.
 type WorkersParts struct {
 	Mirror    *mirror.Mirror
 	Writer    *writer.Writer
 	Members   *members.Members
-	Roster    *workers.Roster
-	Book      *evidence.Book
-	Places    *places.Places
+	Roster    *workers.Registry
+	Book      *evidence.FailureTracker
+	Places    *places.Tracker
 	Schedule  *schedule.Scheduler
 	Completed *completion.Log
 	Exchange  *completion.Exchange
 }
 
-// Workers serves workers' reports.
-type Workers struct {
+// HeartbeatServer serves workers' reports.
+type HeartbeatServer struct {
 	set *settings.Settings
 	WorkersParts
 	stats *metrics.Set
@@ -73,28 +73,28 @@
 }
 
 // NewWorkers returns a server of workers' reports.
-func NewWorkers(set *settings.Settings, p WorkersParts, stats *metrics.Set, log *slog.Logger) *Workers {
-	return &Workers{set: set, WorkersParts: p, stats: stats, log: log}
+func NewWorkers(set *settings.Settings, p WorkersParts, stats *metrics.Set, log *slog.Logger) *HeartbeatServer {
+	return &HeartbeatServer{set: set, WorkersParts: p, stats: stats, log: log}
 }
 
-func (c *Workers) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *HeartbeatServer) led() *ledger.Ledger { return c.Mirror.Records() }
 
 // reliedOn is the time up to which no cancellation can have been missed: the
 // last contact with the state service or, while it is out, the time up to which
 // every peer has said that it told none that this ledger lacks.
-func (c *Workers) reliedOn(now time.Time) time.Time {
-	contact := c.Mirror.Contact()
+func (c *HeartbeatServer) reliedOn(now time.Time) time.Time {
+	contact := c.Mirror.SyncedAt()
 	if contact.IsZero() {
 		return contact
 	}
-	if peers, ok := c.Members.Vouched(c.led().Revision(), now); ok && peers.After(contact) {
+	if peers, ok := c.Members.CancellationsConfirmedUntil(c.led().Revision(), now); ok && peers.After(contact) {
 		return peers
 	}
 	return contact
 }
 
 // Report takes in one report and answers it.
-func (c *Workers) Report(ctx context.Context, r *wire.Report) ReportAnswer {
+func (c *HeartbeatServer) Report(ctx context.Context, r *wire.Heartbeat) HeartbeatAnswer {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.reportWait())
 	defer cancel()
@@ -128,11 +128,11 @@
 }
 
 // entitled reports whether this controller may act on a report at all, and else what it answers.
-func (c *Workers) entitled(r *wire.Report, began time.Time) (ReportAnswer, bool) {
+func (c *HeartbeatServer) entitled(r *wire.Heartbeat, began time.Time) (HeartbeatAnswer, bool) {
 	if !c.Mirror.Loaded() || c.Mirror.Token() == 0 {
 		return goElsewhere, false
 	}
-	if c.Members.JustBack(began) {
+	if c.Members.RecentlyPaused(began) {
 		// The worker has given this report up long ago and reports elsewhere. To
 		// place there and to wait for it would only take tasks from others.
 		return goElsewhere, false
@@ -142,37 +142,37 @@
 		// the lease of tasks that must then be gone.
 		return c.redirect(r.Machine, began), false
 	}
-	if c.led().Mark(r.Machine) == ledger.Gone {
+	if c.led().MachinePhase(r.Machine) == ledger.Terminated {
 		return goElsewhere, false // a report from before the machine's end
 	}
-	return ReportAnswer{}, true
+	return HeartbeatAnswer{}, true
 }
 
 // sendToPeerInTouch sends a worker to a peer while this controller alone is cut off from the state
 // service: nothing can start or end here. A peer in touch does better, if the worker reaches it; if
 // not, it comes back and is answered for as long as that is safe.
-func (c *Workers) sendToPeerInTouch(w *workers.Worker, began time.Time) (ReportAnswer, bool) {
-	if began.Sub(c.Mirror.Contact()) <= settings.StartContact || began.Sub(w.Sent) <= redirectEvery {
-		return ReportAnswer{}, false
+func (c *HeartbeatServer) sendToPeerInTouch(w *workers.Worker, began time.Time) (HeartbeatAnswer, bool) {
+	if began.Sub(c.Mirror.SyncedAt()) <= settings.StartContact || began.Sub(w.RedirectedAt) <= redirectEvery {
+		return HeartbeatAnswer{}, false
 	}
 	a := c.redirect(w.ID, began)
 	if a.Status != 421 {
-		return ReportAnswer{}, false
+		return HeartbeatAnswer{}, false
 	}
-	w.Sent = began
+	w.RedirectedAt = began
 	return a, true
 }
 
 // take compares a report with the records and notes what it tells.
-func (c *Workers) take(w *workers.Worker, r *wire.Report, hold wire.Token, began time.Time) workers.Findings {
+func (c *HeartbeatServer) take(w *workers.Worker, r *wire.Heartbeat, hold wire.FencingToken, began time.Time) workers.Reconciliation {
 	if w.Session != 0 && r.Session > w.Session {
 		c.log.Info("machine began a new session", "machine", r.Machine, "session", r.Session)
 	}
-	deaf := w.Deaf()
-	w.Lapsed(r, began, c.set.Cluster.Workers.Lease.Duration()-lateReport)
-	f := w.Take(r, c.led().HeldBy(r.Machine), hold, began)
-	f.Settle(func(j *ledger.Job) bool { return c.machinesReport(j, began) })
-	if w.Deaf() != deaf {
+	deaf := w.Unreachable()
+	w.LeaseExpired(r, began, c.set.Cluster.Workers.Lease.Duration()-lateReport)
+	f := w.Reconcile(r, c.led().HeldBy(r.Machine), hold, began)
+	f.ResolveUnsent(func(j *ledger.Job) bool { return c.machinesReport(j, began) })
+	if w.Unreachable() != deaf {
 		c.log.Warn("machine hears", "machine", r.Machine, "hears", deaf)
 		if !deaf {
 			c.stats.Add("machines_deaf_total", 1)
@@ -180,7 +180,7 @@
 	}
 	if !c.Exchange.Complete(began) {
 		// A peer may know that they are done; the next report shows them again.
-		f.Exits = slices.DeleteFunc(f.Exits, func(e workers.Exit) bool { return e.Held.Session < r.Session && e.Cause == "" })
+		f.Exits = slices.DeleteFunc(f.Exits, func(e workers.TaskExit) bool { return e.Held.Session < r.Session && e.Cause == "" })
 	}
 	c.learn(w, &f, began)
 	return f
@@ -188,8 +188,8 @@
 
 // machinesReport reports whether all machines that a job claims were heard lately by some controller. A
 // gang that waits for one that has stopped would wait until that is found to be lost.
-func (c *Workers) machinesReport(j *ledger.Job, now time.Time) (all bool) {
-	v := c.Schedule.View(now)
+func (c *HeartbeatServer) machinesReport(j *ledger.Job, now time.Time) (all bool) {
+	v := c.Schedule.Snapshot(now)
 	all = true
 	j.Claims(func(claim ledger.Claim) bool {
 		m := v.Machine(claim.Machine)
@@ -201,9 +201,9 @@
 
 // record has what a report proves and what the machine is given made durable, and waits for it for
 // as long as the report may wait. It tells false if a newer report has been taken in meanwhile.
-func (c *Workers) record(ctx context.Context, w *workers.Worker, r *wire.Report, f *workers.Findings, began time.Time) bool {
+func (c *HeartbeatServer) record(ctx context.Context, w *workers.Worker, r *wire.Heartbeat, f *workers.Reconciliation, began time.Time) bool {
 	waits := c.enqueueFindings(w, f, began)
-	current := func() bool { return w.Session == r.Session && w.Tally == r.Tally }
+	current := func() bool { return w.Session == r.Session && w.Sequence == r.Sequence }
 	now := began
 	for tries := 0; tries < mostTries && current(); tries++ {
 		starts, anew := c.startsFor(w, now)
@@ -229,12 +229,12 @@
 const mostTries = 3
 
 // enqueueFindings asks for the changes that follow from what a report proves.
-func (c *Workers) enqueueFindings(w *workers.Worker, f *workers.Findings, began time.Time) []*writer.Change {
+func (c *HeartbeatServer) enqueueFindings(w *workers.Worker, f *workers.Reconciliation, began time.Time) []*writer.Change {
 	changes := workers.ExitChanges(c.Mirror, f.Exits)
 	for _, h := range f.TakeOver {
 		changes = append(changes, c.takeOver(w, h, began.Add(c.reportWait())))
 	}
-	if !w.Recall.IsZero() {
+	if !w.ReclaimAt.IsZero() {
 		changes = append(changes, c.gangStops(w.ID)...)
 	}
 	for _, ch := range changes {
@@ -245,24 +245,24 @@
 
 // startsFor is what a machine is given now, and whether room that becomes free may be given away
 // at once: not where gangs of several tasks want the machine.
-func (c *Workers) startsFor(w *workers.Worker, now time.Time) (starts []place.Start, anew bool) {
-	if !c.Schedule.Usable(w, now) || now.Sub(c.Mirror.Contact()) >= settings.StartContact {
+func (c *HeartbeatServer) startsFor(w *workers.Worker, now time.Time) (starts []place.Start, anew bool) {
+	if !c.Schedule.Usable(w, now) || now.Sub(c.Mirror.SyncedAt()) >= settings.StartContact {
 		return nil, true
 	}
-	v := c.Schedule.View(now)
-	m := v.Put(c.Schedule.MachineOf(w, now))
-	starts = place.OnRoom(v, m)
+	v := c.Schedule.Snapshot(now)
+	m := v.UpdateMachine(c.Schedule.MachineOf(w, now))
+	starts = place.PlaceOnMachine(v, m)
 	return starts, !v.WantedWhole(m)
 }
 
 // answer is what a worker is told to do, by the records as they are now.
-func (c *Workers) answer(w *workers.Worker, r *wire.Report, began time.Time) ReportAnswer {
+func (c *HeartbeatServer) answer(w *workers.Worker, r *wire.Heartbeat, began time.Time) HeartbeatAnswer {
 	now := time.Now()
-	mayStart := now.Sub(c.Mirror.Contact()) < settings.StartContact && c.led().Mark(r.Machine) != ledger.Leaving
+	mayStart := now.Sub(c.Mirror.SyncedAt()) < settings.StartContact && c.led().MachinePhase(r.Machine) != ledger.Terminating
 	commands := w.Commands(r, c.led().HeldBy(r.Machine), c.led().Total(w.Type), mayStart)
 	for _, command := range commands {
 		if command.Op != wire.OpForget {
-			c.log.Info("command", "op", command.Op, "job", command.Task.Job, "task", command.Task.Index, "attempt", command.Attempt, "machine", r.Machine, "token", w.Hold)
+			c.log.Info("command", "op", command.Op, "job", command.Task.Job, "task", command.Task.Index, "attempt", command.Attempt, "machine", r.Machine, "token", w.CommandToken)
 		}
 		if command.Op == wire.OpStart {
 			c.noteFetch(w, command.Task.Job, now)
@@ -270,11 +270,11 @@
 	}
 	w.Answered(began)
 	c.stats.Took("report_seconds", now.Sub(began))
-	return ReportAnswer{Status: 200, Response: &wire.ReportResponse{Token: w.Hold, Commands: commands}}
+	return HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{Token: w.CommandToken, Commands: commands}}
 }
 
 // noteFetch notes that a machine fetches a job's image, unless it is believed to have it.
-func (c *Workers) noteFetch(w *workers.Worker, id wire.JobID, now time.Time) {
+func (c *HeartbeatServer) noteFetch(w *workers.Worker, id wire.JobID, now time.Time) {
 	images := c.Roster.Images(c.led(), w)
 	if j := c.led().Job(id); j != nil && !images.Has(j.Spec.Image) {
 		images.Fetching(j.Spec.Image, now)
@@ -283,23 +283,23 @@
 
 // noteCompletions keeps what a report shows as completed, however old it is and whether or not it
 // may be answered: a completion stays proof of its claim.
-func (c *Workers) noteCompletions(r *wire.Report, now time.Time) {
+func (c *HeartbeatServer) noteCompletions(r *wire.Heartbeat, now time.Time) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.State != wire.TaskExited || t.Cause != wire.CauseDone {
 			continue
 		}
 		done := mesh.Completion{Job: t.Task.Job, Task: t.Task.Index, Attempt: t.Attempt, Machine: r.Machine, Session: r.Session}
-		if c.Lacking(done) {
-			c.Completed.Note(done, !c.Mirror.InTouch(now, settings.StartContact), now)
+		if c.CompletionUnrecorded(done) {
+			c.Completed.Note(done, !c.Mirror.SyncedWithin(now, settings.StartContact), now)
 		}
 	}
 }
 
-// Lacking reports, under the mirror's lock, whether the records may lack a completion: they hold the
+// CompletionUnrecorded reports, under the mirror's lock, whether the records may lack a completion: they hold the
 // claim that it is of, or they are not read yet, or may be too old to show that claim.
-func (c *Workers) Lacking(done mesh.Completion) bool {
-	return !c.Mirror.InTouch(time.Now(), settings.StartContact) || completion.Claimed(c.led(), done)
+func (c *HeartbeatServer) CompletionUnrecorded(done mesh.Completion) bool {
+	return !c.Mirror.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(c.led(), done)
 }
 
 // lateReport is how old a report may be when it comes, for its worker to take the answer.
@@ -310,33 +310,33 @@
 const redirectEvery = 12 * time.Second
 
 // redirect names a peer that is in touch with the state service, if there is one.
-func (c *Workers) redirect(m wire.MachineID, now time.Time) ReportAnswer {
-	fit := c.Members.InTouch(now)
+func (c *HeartbeatServer) redirect(m wire.MachineID, now time.Time) HeartbeatAnswer {
+	fit := c.Members.ReachablePeers(now)
 	if len(fit) == 0 {
 		return goElsewhere
 	}
 	h := fnv.New32a()
 	h.Write([]byte(m))
-	return ReportAnswer{Status: 421, Redirect: wire.Redirect{ReportTo: fit[int(h.Sum32()%uint32(len(fit)))]}}
+	return HeartbeatAnswer{Status: 421, Redirect: wire.Redirect{ReportTo: fit[int(h.Sum32()%uint32(len(fit)))]}}
 }
 
 // holdToken chooses the token to command a worker under: the one it is held
 // under already while the worker has seen no higher one, else a newer one of
 // ours. It may wait for that with the lock released. One that seems deaf is to show a
 // token that it has not seen before, which is not waited for.
-func (c *Workers) holdToken(ctx context.Context, w *workers.Worker, r *wire.Report) (wire.Token, bool) {
-	if w.Hold != 0 && r.Token <= w.Hold {
+func (c *HeartbeatServer) holdToken(ctx context.Context, w *workers.Worker, r *wire.Heartbeat) (wire.FencingToken, bool) {
+	if w.CommandToken != 0 && r.Token <= w.CommandToken {
 		switch t := c.Mirror.Token(); {
-		case w.Proves(w.Hold):
-		case w.Proves(t):
+		case w.ProvesAbsence(w.CommandToken):
+		case w.ProvesAbsence(t):
 			return t, true
 		default:
-			c.Mirror.WantToken(t)
+			c.Mirror.RequestToken(t)
 		}
-		return w.Hold, true
+		return w.CommandToken, true
 	}
 	for r.Token > c.Mirror.Token() {
-		c.Mirror.WantToken(r.Token)
+		c.Mirror.RequestToken(r.Token)
 		c.Mirror.Unlock()
 		clock.Sleep(ctx, 20*time.Millisecond)
 		c.Mirror.Lock()
@@ -348,7 +348,7 @@
 }
 
 // learn notes what a report tells of images and faults.
-func (c *Workers) learn(w *workers.Worker, f *workers.Findings, now time.Time) {
+func (c *HeartbeatServer) learn(w *workers.Worker, f *workers.Reconciliation, now time.Time) {
 	im := c.Roster.Images(c.led(), w)
 	for _, s := range f.Seen {
 		spec := s.Held.Job.Spec
@@ -373,15 +373,15 @@
 			}
 		case wire.CauseError:
 			c.Book.Failed(j, e.Task, w.ID, c.Places.BlockOf(w), now)
-		case wire.CauseNoRoom:
-			w.NoPlace = now.Add(2 * c.set.Cluster.Workers.Report.Duration())
+		case wire.CauseInsufficientRoom:
+			w.CordonedUntil = now.Add(2 * c.set.Cluster.Workers.Report.Duration())
 		case wire.CauseBusy:
 			c.Book.Avoid(j.ID, w.ID, now)
-		case wire.CauseUnknown:
+		case wire.CauseNotFound:
 			c.Book.Retry(j.ID, now.Add(5*time.Second))
-		case wire.CausePeers:
-			c.Places.Parts(j, e.Held.Attempt, now)
-		case wire.CauseAlone:
+		case wire.CauseGangPeerLost:
+			c.Places.ObservePartition(j, e.Held.Attempt, now)
+		case wire.CauseGangIncomplete:
 			c.Book.Retry(j.ID, now.Add(2*time.Second))
 		}
 	}
@@ -389,18 +389,18 @@
 
 // gangStops asks all holders of the gangs on a machine that is being taken back
 // to stop them. A gang saves only if all its tasks are told nearly at once.
-func (c *Workers) gangStops(m wire.MachineID) []*writer.Change {
+func (c *HeartbeatServer) gangStops(m wire.MachineID) []*writer.Change {
 	var out []*writer.Change
 	for _, h := range c.led().HeldBy(m) {
 		if h.Job.Spec.Shape != wire.Gang || h.Job.Spec.Tasks < 2 || h.Job.Stop >= h.Attempt || h.Job.State != ledger.Active {
 			continue
 		}
 		id, attempt := h.Job.ID, h.Attempt
-		out = append(out, &writer.Change{Drop: true, Until: time.Now().Add(c.reportWait()), Draft: func(d *ledger.Draft) error {
+		out = append(out, &writer.Change{Expires: true, ExpiresAt: time.Now().Add(c.reportWait()), Draft: func(d *ledger.Transaction) error {
 			if j := c.led().Job(id); j != nil {
-				return d.StopGang(j, attempt)
+				return d.PreemptGang(j, attempt)
 			}
-			return ledger.ErrStale
+			return ledger.ErrPreconditionFailed
 		}})
 	}
 	return out
@@ -409,30 +409,30 @@
 // takeOver has a gang's tasks that gave up waiting wait on, or those that were never sent begin, though
 // another controller claimed them: the claim comes under our token, and the answer starts them. A gang
 // whose machines change hands while one of them fetches would else begin anew each time.
-func (c *Workers) takeOver(w *workers.Worker, h ledger.Held, until time.Time) *writer.Change {
+func (c *HeartbeatServer) takeOver(w *workers.Worker, h ledger.HeldClaim, until time.Time) *writer.Change {
 	id, attempt, site := h.Job.ID, h.Attempt, c.siteOf(w)
-	return &writer.Change{Drop: true, Until: until, Draft: func(d *ledger.Draft) error {
+	return &writer.Change{Expires: true, ExpiresAt: until, Draft: func(d *ledger.Transaction) error {
 		if j := c.led().Job(id); j != nil && c.holds(w, site) {
 			return d.TakeOver(j, attempt, site)
 		}
-		return ledger.ErrStale
+		return ledger.ErrPreconditionFailed
 	}}
 }
 
 // siteOf is a machine as claims name it, under the token that it is held under now.
-func (c *Workers) siteOf(w *workers.Worker) ledger.Site {
-	m := place.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.Hold}
+func (c *HeartbeatServer) siteOf(w *workers.Worker) ledger.ClaimTarget {
+	m := place.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken}
 	return m.Site()
 }
 
 // holds reports whether a machine is still heard and held as when something was decided for it.
-func (c *Workers) holds(w *workers.Worker, site ledger.Site) bool {
-	return c.Roster.Worker(w.ID) == w && w.Session == site.Session && w.Hold == site.Token
+func (c *HeartbeatServer) holds(w *workers.Worker, site ledger.ClaimTarget) bool {
+	return c.Roster.Worker(w.ID) == w && w.Session == site.Session && w.CommandToken == site.Token
 }
 
 // await waits, with the lock released, until changes are durable or dropped and
 // reports whether any was not made. When ctx ends first it gives up.
-func (c *Workers) await(ctx context.Context, waits []*writer.Change) (dropped bool) {
+func (c *HeartbeatServer) await(ctx context.Context, waits []*writer.Change) (dropped bool) {
 	if len(waits) == 0 {
 		return false
 	}
@@ -449,19 +449,19 @@
 	return dropped
 }
 
-func (c *Workers) untake(starts []place.Start) {
+func (c *HeartbeatServer) untake(starts []place.Start) {
 	for _, s := range starts {
-		c.Schedule.Take(s.Job.ID, -s.Count)
+		c.Schedule.CountStarted(s.Job.ID, -s.Count)
 	}
 }
 
 // startChanges returns the claims to commit for what a machine is given: those of
 // work that takes what others leave by themselves.
-func (c *Workers) startChanges(w *workers.Worker, starts []place.Start, until time.Time) []*writer.Change {
+func (c *HeartbeatServer) startChanges(w *workers.Worker, starts []place.Start, until time.Time) []*writer.Change {
 	var first, spare []place.Start
 	for _, s := range starts {
 		// Other reports that come meanwhile must not be given the same tasks.
-		c.Schedule.Take(s.Job.ID, s.Count)
+		c.Schedule.CountStarted(s.Job.ID, s.Count)
 		if s.Job.BestEffort() {
 			spare = append(spare, s)
 		} else {
@@ -474,14 +474,14 @@
 	}
 	if len(spare) > 0 {
 		ch := c.startChange(w, spare, until)
-		ch.Spare = true
+		ch.BestEffort = true
 		out = append(out, ch)
 	}
 	return out
 }
 
 // startChange returns the claim to commit for some of what a machine is given.
-func (c *Workers) startChange(w *workers.Worker, starts []place.Start, until time.Time) *writer.Change {
+func (c *HeartbeatServer) startChange(w *workers.Worker, starts []place.Start, until time.Time) *writer.Change {
 	site := c.siteOf(w)
 	var claimed []place.Start // by the draft made last
 	made := func() {
@@ -492,15 +492,15 @@
 	}
 	late := slices.ContainsFunc(starts, func(s place.Start) bool { return s.Late })
 	first := slices.MinFunc(starts, func(a, b place.Start) int { return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank()) })
-	return &writer.Change{Drop: true, Until: until, Late: late, Work: first.Job.Spec.Priority, Made: made, Draft: func(d *ledger.Draft) error {
+	return &writer.Change{Expires: true, ExpiresAt: until, Overdue: late, Priority: first.Job.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
 		claimed = nil
 		if !c.holds(w, site) {
-			return ledger.ErrStale
+			return ledger.ErrPreconditionFailed
 		}
 		// A gang may have been placed there meanwhile; what does not fit any more
 		// would be refused by the worker.
 		free := c.led().Free(site)
-		err := ledger.ErrStale
+		err := ledger.ErrPreconditionFailed
 		for _, s := range starts {
 			j := c.led().Job(s.Job.ID)
 			if j == nil || free.Times(j.Need, s.Count) < s.Count {
@@ -509,14 +509,14 @@
 			free = free.Add(j.Need, -s.Count)
 			var er error
 			if j.Spec.Shape == wire.Gang {
-				er = d.ClaimGang(j, []ledger.Placed{{Site: site, Count: s.Count}})
+				er = d.ClaimGang(j, []ledger.GangPart{{Site: site, Count: s.Count}})
 			} else {
-				_, er = d.Claim(j, site, s.Count, c.Book.Rests(j.ID))
+				_, er = d.Claim(j, site, s.Count, c.Book.BackedOff(j.ID))
 			}
 			if er == nil {
 				claimed = append(claimed, s)
 				err = nil
-			} else if er == ledger.ErrFull && err != nil {
+			} else if er == ledger.ErrTransactionFull && err != nil {
 				return er
 			}
 		}
@@ -527,19 +527,19 @@
 // sweepEvery is how often jobs are looked for that are to be ended.
 const sweepEvery = 2 * time.Second
 
-// Sweep ends jobs whose last tasks were recorded by two controllers at once, until ctx ends.
-func (c *Workers) Sweep(ctx context.Context) error {
+// RemoveSilentWorkers ends jobs whose last tasks were recorded by two controllers at once, until ctx ends.
+func (c *HeartbeatServer) RemoveSilentWorkers(ctx context.Context) error {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, sweepEvery)
 		c.Mirror.Read(func(l *ledger.Ledger) {
 			l.Active(func(j *ledger.Job) {
 				if j.Spec.Shape != wire.Service && j.Done == j.Spec.Tasks {
 					id := j.ID
-					c.Writer.Enqueue(&writer.Change{Drop: true, Until: time.Now().Add(time.Second), Draft: func(d *ledger.Draft) error {
+					c.Writer.Enqueue(&writer.Change{Expires: true, ExpiresAt: time.Now().Add(time.Second), Draft: func(d *ledger.Transaction) error {
 						if j := c.led().Job(id); j != nil {
-							return d.Finish(j)
+							return d.CompleteJob(j)
 						}
-						return ledger.ErrStale
+						return ledger.ErrPreconditionFailed
 					}})
 				}
 			})
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -39,7 +39,7 @@
 	f := &filled{t: t, store: standin.NewStore(limits.TxnOps, limits.ValueBytes), l: ledger.New(limits), now: map[string]string{}, was: map[wire.Revision]map[string]string{}}
 	f.link = standin.NewLink(f.store, 1)
 	f.do(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)}, {Put: ledger.TokenKey, Value: []byte(`{"n":3,"by":"m-0","r":2}`)}}}, nil)
-	f.draft(func(d *ledger.Draft) error { return d.Raise(ledger.ArchiveFormat, 0) })
+	f.draft(func(d *ledger.Transaction) error { return d.UpgradeFormat(ledger.ArchiveFormat, 0) })
 	for range jobs {
 		f.grow()
 	}
@@ -66,9 +66,9 @@
 	f.was[rev], f.rev = maps.Clone(f.now), rev
 }
 
-func (f *filled) draft(change func(*ledger.Draft) error) {
+func (f *filled) draft(change func(*ledger.Transaction) error) {
 	f.t.Helper()
-	d := f.l.NewDraft()
+	d := f.l.NewTransaction()
 	if err := change(d); err != nil {
 		f.t.Fatal(err)
 	}
@@ -81,28 +81,28 @@
 	f.next++
 	id := wire.JobID(fmt.Sprintf("wk-%06d", f.next))
 	team := wire.Team([]string{"free", "capped"}[f.next%2])
-	f.draft(func(d *ledger.Draft) error {
+	f.draft(func(d *ledger.Transaction) error {
 		return d.Submit(&wire.JobSpec{ID: id, Class: "c", Team: team, Shape: wire.Array, Priority: wire.Normal, Tasks: 3, CPUs: 1, Image: "i"}, 1)
 	})
 	switch {
 	case f.next%2 == 0:
-		f.draft(func(d *ledger.Draft) error { _, err := d.Cancel(f.l.Job(id)); return err })
+		f.draft(func(d *ledger.Transaction) error { _, err := d.Cancel(f.l.Job(id)); return err })
 		if f.next%3 == 0 {
 			if !f.l.PageKnown(string(id)) {
 				f.l.PutPage(archive.FirstPage(), 0, f.l.Added())
 			}
-			var moved *ledger.Draft
-			f.draft(func(d *ledger.Draft) error { moved = d; _, err := d.Archive([]wire.JobID{id}); return err })
-			moved.Written(f.rev)
+			var moved *ledger.Transaction
+			f.draft(func(d *ledger.Transaction) error { moved = d; _, err := d.Archive([]wire.JobID{id}); return err })
+			moved.Committed(f.rev)
 		}
 	case f.next%10 == 1:
 		m := wire.MachineID(fmt.Sprintf("host-%06d", f.next))
 		_, by := f.l.Leader()
-		f.draft(func(d *ledger.Draft) error { return d.SetMark(m, ledger.Leaving, "test", by) })
-		f.draft(func(d *ledger.Draft) error { return d.SetMark(m, ledger.Gone, "test", by) })
+		f.draft(func(d *ledger.Transaction) error { return d.SetMachinePhase(m, ledger.Terminating, "test", by) })
+		f.draft(func(d *ledger.Transaction) error { return d.SetMachinePhase(m, ledger.Terminated, "test", by) })
 	default:
-		f.draft(func(d *ledger.Draft) error {
-			_, err := d.Claim(f.l.Job(id), ledger.Site{Machine: "host-000002", Type: "g", Zone: "a", Session: 1, Token: 2}, 2, nil)
+		f.draft(func(d *ledger.Transaction) error {
+			_, err := d.Claim(f.l.Job(id), ledger.ClaimTarget{Machine: "host-000002", Type: "g", Zone: "a", Session: 1, Token: 2}, 2, nil)
 			return err
 		})
 	}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -15,7 +15,7 @@
 // Cloud stands in for the cloud. Its list lags.
 type Cloud struct {
 	World   *World
-	Types   []wire.Flavor
+	Types   []wire.MachineType
 	Lag     time.Duration
 	Lease   time.Duration
 	Most    int
@@ -26,7 +26,7 @@
 	next   int
 	inZone map[int]int // machines so far
 	all    []*rented
-	hires  map[wire.HireName][]wire.MachineID
+	hires  map[wire.ScaleOutID][]wire.MachineID
 	Down   bool
 }
 
@@ -57,12 +57,12 @@
 }
 
 // Flavors implements the controllers' view of the cloud.
-func (c *Cloud) Flavors(context.Context) ([]wire.Flavor, error) {
+func (c *Cloud) Flavors(context.Context) ([]wire.MachineType, error) {
 	return c.Types, c.travel()
 }
 
 // Hire implements the controllers' view of the cloud.
-func (c *Cloud) Hire(_ context.Context, h wire.Hire) ([]wire.MachineID, error) {
+func (c *Cloud) Hire(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	if err := c.travel(); err != nil {
 		return nil, err
 	}
@@ -88,13 +88,13 @@
 		return nil, cloud.ErrNoCapacity
 	}
 	if c.hires == nil {
-		c.hires = map[wire.HireName][]wire.MachineID{}
+		c.hires = map[wire.ScaleOutID][]wire.MachineID{}
 	}
 	c.hires[h.Request] = names
 	return names, nil
 }
 
-func (c *Cloud) boot(t wire.MachineSKU) time.Duration {
+func (c *Cloud) boot(t wire.MachineTypeName) time.Duration {
 	for _, f := range c.Types {
 		if f.Name == t {
 			return f.Boot.Duration()
@@ -104,16 +104,16 @@
 }
 
 // Add rents a machine that nobody asked for, up at once.
-func (c *Cloud) Add(t wire.MachineSKU, z wire.Zone, spot bool) {
+func (c *Cloud) Add(t wire.MachineTypeName, z wire.Zone, spot bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.add(t, z, spot, 0)
 }
 
-func (c *Cloud) add(t wire.MachineSKU, z wire.Zone, spot bool, boot time.Duration) wire.MachineID {
+func (c *Cloud) add(t wire.MachineTypeName, z wire.Zone, spot bool, boot time.Duration) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("host-%06d", c.next))
 	c.next++
-	var f wire.Flavor
+	var f wire.MachineType
 	for _, o := range c.Types {
 		if o.Name == t {
 			f = o
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -65,18 +65,18 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, r *http.Request) {
 		f, err := c.Flavors(r.Context())
-		answer(w, wire.Flavors{Types: f}, err)
+		answer(w, wire.MachineTypeList{Types: f}, err)
 	})
 	mux.HandleFunc("POST /machines", func(w http.ResponseWriter, r *http.Request) {
-		var h wire.Hire
+		var h wire.ScaleOutRequest
 		if !take(w, r, &h) {
 			return
 		}
 		names, err := c.Hire(r.Context(), h)
-		answer(w, wire.Machines{Names: names}, err)
+		answer(w, wire.MachineIDList{Names: names}, err)
 	})
 	mux.HandleFunc("POST /machines/return", func(w http.ResponseWriter, r *http.Request) {
-		var m wire.Machines
+		var m wire.MachineIDList
 		if !take(w, r, &m) {
 			return
 		}
@@ -119,15 +119,15 @@
 	case errors.Is(err, state.ErrNotFound):
 		status, v = 404, wire.TxnResult{}
 	case errors.Is(err, state.ErrTooOld):
-		status, v = 410, wire.Problem{Error: "too old"}
+		status, v = 410, wire.ErrorBody{Error: "too old"}
 	case errors.Is(err, state.ErrNoLease):
-		status, v = 400, wire.Problem{Error: "no such lease"}
+		status, v = 400, wire.ErrorBody{Error: "no such lease"}
 	case errors.Is(err, cloud.ErrNoCapacity):
-		status, v = 503, wire.Problem{Error: "no capacity"}
+		status, v = 503, wire.ErrorBody{Error: "no capacity"}
 	case errors.Is(err, state.ErrInvalid):
-		status, v = 400, wire.Problem{Error: "malformed"}
+		status, v = 400, wire.ErrorBody{Error: "malformed"}
 	default:
-		status, v = 503, wire.Problem{Error: "trouble"}
+		status, v = 503, wire.ErrorBody{Error: "trouble"}
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -207,9 +207,9 @@
 	GPUs  float64
 
 	mu      sync.Mutex
-	session wire.Session
-	tally   wire.Tally
-	token   wire.Token
+	session wire.AgentEpoch
+	tally   wire.HeartbeatSequence
+	token   wire.FencingToken
 	renewed time.Time
 	tasks   map[wire.TaskID]*runningTask
 	gone    bool
@@ -258,7 +258,7 @@
 
 // Report lets time pass on the machine and returns its next report, or nil when
 // it sends none. begun is when the report was begun.
-func (m *Machine) Report() (r *wire.Report, begun time.Time) {
+func (m *Machine) Report() (r *wire.Heartbeat, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.gone || m.hung {
@@ -272,10 +272,10 @@
 		m.step(t, r, now)
 	}
 	m.tally++
-	rep := &wire.Report{Machine: m.Type.ID, Addr: m.Type.Addr, Type: m.Type.Type, Zone: m.Type.Zone, Spot: m.Type.Spot,
-		Session: m.session, Tally: m.tally, Token: m.token}
+	rep := &wire.Heartbeat{Machine: m.Type.ID, Addr: m.Type.Addr, Type: m.Type.Type, Zone: m.Type.Zone, Spot: m.Type.Spot,
+		Session: m.session, Sequence: m.tally, Token: m.token}
 	for t, r := range m.tasks {
-		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: t, Attempt: r.attempt, State: r.state, Cause: r.cause, Saved: r.saved})
+		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: t, Attempt: r.attempt, State: r.state, Cause: r.cause, Saved: r.saved})
 	}
 	return rep, now
 }
@@ -335,14 +335,14 @@
 		case r.state == wire.TaskWaiting && whole:
 			r.state, r.until, r.missing = wire.TaskRunning, now.Add(m.Run(wire.TaskID{Job: t.Job})), time.Time{}
 		case r.state == wire.TaskWaiting && now.After(r.until):
-			r.state, r.cause = wire.TaskExited, wire.CauseAlone
+			r.state, r.cause = wire.TaskExited, wire.CauseGangIncomplete
 			w.leave(t)
 		case whole || r.state == wire.TaskWaiting:
 			r.missing = time.Time{}
 		case r.missing.IsZero():
 			r.missing = now
 		case now.Sub(r.missing) > gangPeer:
-			r.state, r.cause = wire.TaskExited, wire.CausePeers
+			r.state, r.cause = wire.TaskExited, wire.CauseGangPeerLost
 			w.leave(t)
 		}
 		if r.state == wire.TaskRunning && !r.missing.IsZero() {
@@ -363,14 +363,14 @@
 		}
 	}
 	if r.state == wire.TaskSaving && now.After(r.until) {
-		r.state, r.cause, r.saved = wire.TaskExited, wire.CauseStopped, true
+		r.state, r.cause, r.saved = wire.TaskExited, wire.CausePreempted, true
 		m.World.leave(t)
 	}
 }
 
 // Answer takes the response to the report of a session and tally that was begun
 // at the given time. A late one is dropped, as is one under a lower token.
-func (m *Machine) Answer(begun time.Time, session wire.Session, p *wire.ReportResponse) {
+func (m *Machine) Answer(begun time.Time, session wire.AgentEpoch, p *wire.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -400,9 +400,9 @@
 				}
 			}
 			if spec := m.World.specs[c.Task.Job]; spec == nil {
-				n.state, n.cause = wire.TaskExited, wire.CauseUnknown
+				n.state, n.cause = wire.TaskExited, wire.CauseNotFound
 			} else if used+spec.GPUs > m.GPUs {
-				n.state, n.cause = wire.TaskExited, wire.CauseNoRoom
+				n.state, n.cause = wire.TaskExited, wire.CauseInsufficientRoom
 			}
 			m.tasks[c.Task] = n
 		case wire.OpStop:
@@ -425,7 +425,7 @@
 			if r.state != wire.TaskFetching {
 				m.World.leave(c.Task)
 			}
-			r.state, r.cause = wire.TaskExited, wire.CauseStopped
+			r.state, r.cause = wire.TaskExited, wire.CausePreempted
 		case wire.OpForget:
 			if same && r.state == wire.TaskExited {
 				delete(m.tasks, c.Task)
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -209,7 +209,7 @@
 		}
 		return r.Revision, err
 	}
-	var problem wire.Problem
+	var problem wire.ErrorBody
 	if json.Unmarshal(p.Body, &problem); problem.Error == "no such lease" {
 		return 0, ErrNoLease
 	}
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Duty is something done all the time. One that its settings leave nothing to do may end without
+// Component is something done all the time. One that its settings leave nothing to do may end without
 // an error at once.
-type Duty struct {
+type Component struct {
 	Name string
 	Run  func(ctx context.Context) error
 	// Amiss tells in a few words what keeps the duty from being done now; "": nothing. It may
@@ -39,21 +39,21 @@
 
 // entry is a duty and how it fares.
 type entry struct {
-	Duty
+	Component
 	running bool
 	since   time.Time
 	err     error // that it ended with
 }
 
 // Add registers duties, before Run. Names are unique.
-func (g *Group) Add(duties ...Duty) {
+func (g *Group) Add(duties ...Component) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, d := range duties {
 		if slices.ContainsFunc(g.list, func(o *entry) bool { return o.Name == d.Name }) {
 			panic("duty: " + d.Name + " is registered twice")
 		}
-		g.list = append(g.list, &entry{Duty: d})
+		g.list = append(g.list, &entry{Component: d})
 	}
 }
 
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -20,9 +20,9 @@
 			ended++
 			return ctx.Err()
 		}
-		g.Add(Duty{Name: "patient", Run: wait, Amiss: func(time.Time) string { return amiss }})
-		g.Add(Duty{Name: "frail", Run: func(context.Context) error { time.Sleep(time.Minute); return fails }})
-		g.Add(Duty{Name: "short", Run: func(context.Context) error { return nil }}) // nothing to do, by its settings
+		g.Add(Component{Name: "patient", Run: wait, Amiss: func(time.Time) string { return amiss }})
+		g.Add(Component{Name: "frail", Run: func(context.Context) error { time.Sleep(time.Minute); return fails }})
+		g.Add(Component{Name: "short", Run: func(context.Context) error { return nil }}) // nothing to do, by its settings
 		told := func() string {
 			var out []string
 			for _, s := range g.Status(time.Now()) {
@@ -52,6 +52,6 @@
 				t.Error("a name is registered twice")
 			}
 		}()
-		g.Add(Duty{Name: "frail"})
+		g.Add(Component{Name: "frail"})
 	})
 }
--- a/internal/workers/exits.go
+++ b/internal/workers/exits.go
@@ -10,8 +10,8 @@
 )
 
 // ExitChanges makes one change a job out of what is over.
-func ExitChanges(m *mirror.Mirror, exits []Exit) []*writer.Change {
-	byJob := map[*ledger.Job][]Exit{}
+func ExitChanges(m *mirror.Mirror, exits []TaskExit) []*writer.Change {
+	byJob := map[*ledger.Job][]TaskExit{}
 	var order []*ledger.Job
 	for _, e := range exits {
 		if byJob[e.Held.Job] == nil {
@@ -22,17 +22,17 @@
 	var out []*writer.Change
 	for _, j := range order {
 		list := byJob[j]
-		first := slices.ContainsFunc(list, func(e Exit) bool { return e.Recalled })
-		out = append(out, &writer.Change{First: first, Spare: j.BestEffort() && !first, Work: j.Spec.Priority, Draft: func(d *ledger.Draft) error { return draftExits(m.Records(), d, j.ID, list) }})
+		first := slices.ContainsFunc(list, func(e TaskExit) bool { return e.Recalled })
+		out = append(out, &writer.Change{Urgent: first, BestEffort: j.BestEffort() && !first, Priority: j.Spec.Priority, Draft: func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) }})
 	}
 	return out
 }
 
 // draftExits records what is over, together what was one claim and ended alike.
-func draftExits(l *ledger.Ledger, d *ledger.Draft, id wire.JobID, list []Exit) error {
+func draftExits(l *ledger.Ledger, d *ledger.Transaction, id wire.JobID, list []TaskExit) error {
 	j := l.Job(id)
 	if j == nil {
-		return ledger.ErrStale
+		return ledger.ErrPreconditionFailed
 	}
 	type group struct {
 		claim ledger.Claim
@@ -49,23 +49,23 @@
 		}
 		tasks[g] = append(tasks[g], e.Task)
 	}
-	err := ledger.ErrStale
+	err := ledger.ErrPreconditionFailed
 	for _, g := range order {
 		if g.done && j.Spec.Shape == wire.Gang && j.Spec.Tasks > 1 {
-			if _, er := d.ExitGang(j, g.claim.Attempt); er == nil {
+			if _, er := d.CompleteGang(j, g.claim.Attempt); er == nil {
 				err = nil
 				continue
 			} // else one by one: more may be on record than fits the batch
 		}
-		switch _, er := d.Exit(j, g.claim, tasks[g], g.done); er {
+		switch _, er := d.ReleaseTasks(j, g.claim, tasks[g], g.done); er {
 		case nil:
 			err = nil
 			if !g.done && j.Spec.Shape == wire.Gang && j.Spec.Tasks > 1 && j.State == ledger.Active {
 				// The gang has lost a member: its others stop and save if they
 				// still can, and all start again together.
-				_ = d.StopGang(j, g.claim.Attempt)
+				_ = d.PreemptGang(j, g.claim.Attempt)
 			}
-		case ledger.ErrStale:
+		case ledger.ErrPreconditionFailed:
 		default:
 			return er
 		}
--- a/internal/workers/hearing.go
+++ b/internal/workers/hearing.go
@@ -19,25 +19,25 @@
 
 // hearing is what is known of whether answers arrive.
 type hearing struct {
-	tally  wire.Tally // of the report of this session that was answered last; 0: none
-	at     time.Time  // when that report came
-	token  wire.Token // that the answer carried
-	missed int        // answers in a row that had no effect
+	tally  wire.HeartbeatSequence // of the report of this session that was answered last; 0: none
+	at     time.Time              // when that report came
+	token  wire.FencingToken      // that the answer carried
+	missed int                    // answers in a row that had no effect
 	deaf   bool
-	since  time.Time  // it has been found to be deaf
-	shown  wire.Token // the highest token that it had seen when it was found to be deaf
+	since  time.Time         // it has been found to be deaf
+	shown  wire.FencingToken // the highest token that it had seen when it was found to be deaf
 }
 
 // Answered notes that the report taken last was answered, and when it came.
 func (w *Worker) Answered(at time.Time) {
-	w.hears.tally, w.hears.at, w.hears.token = w.Tally, at, w.Hold
+	w.hears.tally, w.hears.at, w.hears.token = w.Sequence, at, w.CommandToken
 }
 
-// Deaf reports whether answers to the machine's reports are believed not to arrive.
-func (w *Worker) Deaf() bool { return w.hears.deaf }
+// Unreachable reports whether answers to the machine's reports are believed not to arrive.
+func (w *Worker) Unreachable() bool { return w.hears.deaf }
 
-// DeafFor is for how long that has been believed, 0 if it is not.
-func (w *Worker) DeafFor(now time.Time) time.Duration {
+// UnreachableFor is for how long that has been believed, 0 if it is not.
+func (w *Worker) UnreachableFor(now time.Time) time.Duration {
 	if !w.hears.deaf {
 		return 0
 	}
@@ -45,7 +45,7 @@
 }
 
 // listens judges by a report whether the answers to earlier ones arrived.
-func (w *Worker) listens(r *wire.Report, held []ledger.Held, there map[claimID]*wire.TaskReport, now time.Time) {
+func (w *Worker) listens(r *wire.Heartbeat, held []ledger.HeldClaim, there map[claimID]*wire.TaskStatus, now time.Time) {
 	h := &w.hears
 	switch {
 	case h.deaf:
@@ -68,7 +68,7 @@
 }
 
 // missesStart reports whether a start that went out with an answer has not become a task.
-func (w *Worker) missesStart(held []ledger.Held, there map[claimID]*wire.TaskReport) bool {
+func (w *Worker) missesStart(held []ledger.HeldClaim, there map[claimID]*wire.TaskStatus) bool {
 	for _, c := range held {
 		if c.Token != w.hears.token || !w.wanted(c) {
 			continue
@@ -83,21 +83,21 @@
 	return false
 }
 
-// Lapsed judges a report that begins a new session: within a lease of a report that was answered
+// LeaseExpired judges a report that begins a new session: within a lease of a report that was answered
 // none begins, but where the answer did not arrive. sure is a lease, less what a report may be old
 // when it comes.
-func (w *Worker) Lapsed(r *wire.Report, now time.Time, sure time.Duration) {
+func (w *Worker) LeaseExpired(r *wire.Heartbeat, now time.Time, sure time.Duration) {
 	if w.Session != 0 && r.Session > w.Session && !w.hears.at.IsZero() && now.Sub(w.hears.at) < sure {
 		w.doubt(r, now)
 	}
 }
 
-func (w *Worker) doubt(r *wire.Report, now time.Time) {
+func (w *Worker) doubt(r *wire.Heartbeat, now time.Time) {
 	if !w.hears.deaf {
 		w.hears.since = now
 	}
 	w.hears.deaf, w.hears.shown = true, r.Token
 }
 
-// Proves reports whether a token, if the machine shows it, proves that it hears.
-func (w *Worker) Proves(t wire.Token) bool { return !w.hears.deaf || t > w.hears.shown }
+// ProvesAbsence reports whether a token, if the machine shows it, proves that it hears.
+func (w *Worker) ProvesAbsence(t wire.FencingToken) bool { return !w.hears.deaf || t > w.hears.shown }
--- a/internal/workers/recorder.go
+++ b/internal/workers/recorder.go
@@ -59,16 +59,16 @@
 
 // look is one look at the log, under the mirror's lock.
 func (r *Recorder) look(l *ledger.Ledger, now time.Time) {
-	if !r.mirror.InTouch(now, settings.StartContact) {
+	if !r.mirror.SyncedWithin(now, settings.StartContact) {
 		r.touched = time.Time{}
 		return
 	}
 	if r.touched.IsZero() {
 		r.touched = now
 	}
-	r.completed.Prune(l, r.mirror.Contact())
+	r.completed.Prune(l, r.mirror.SyncedAt())
 	maps.DeleteFunc(r.recording, func(_ wire.JobID, changes []*writer.Change) bool {
-		return !slices.ContainsFunc(changes, (*writer.Change).Open)
+		return !slices.ContainsFunc(changes, (*writer.Change).Pending)
 	})
 	for id, exits := range r.lacking(l, now) {
 		r.log.Info("completions recorded", "job", id, "tasks", len(exits))
@@ -81,14 +81,14 @@
 }
 
 // lacking is what this controller is to record now, by job.
-func (r *Recorder) lacking(l *ledger.Ledger, now time.Time) map[wire.JobID][]Exit {
-	out := map[wire.JobID][]Exit{}
-	r.completed.Apart(func(c mesh.Completion) {
+func (r *Recorder) lacking(l *ledger.Ledger, now time.Time) map[wire.JobID][]TaskExit {
+	out := map[wire.JobID][]TaskExit{}
+	r.completed.EachUnrecorded(func(c mesh.Completion) {
 		if r.recording[c.Job] != nil || !r.mine(c.Job) && now.Sub(r.touched) < othersRecord {
 			return
 		}
 		if held, ok := completion.ClaimOf(l, c); ok {
-			out[c.Job] = append(out[c.Job], Exit{Held: held, Task: c.Task, Cause: wire.CauseDone, Recalled: true})
+			out[c.Job] = append(out[c.Job], TaskExit{Held: held, Task: c.Task, Cause: wire.CauseDone, Recalled: true})
 		}
 	})
 	return out
@@ -98,5 +98,5 @@
 func (r *Recorder) mine(id wire.JobID) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return int(h.Sum32()%uint32(max(1, r.limits.Of))) == r.limits.Number
+	return int(h.Sum32()%uint32(max(1, r.limits.ControllerCount))) == r.limits.ControllerIndex
 }
--- a/internal/workers/roster.go
+++ b/internal/workers/roster.go
@@ -10,9 +10,9 @@
 	"maddermill/wire"
 )
 
-// Roster is the machines that report to this controller, and what is known of their images.
+// Registry is the machines that report to this controller, and what is known of their images.
 // It has no lock: it is used under the mirror's.
-type Roster struct {
+type Registry struct {
 	members   *members.Members
 	completed *completion.Log
 	workers   map[wire.MachineID]*Worker
@@ -21,38 +21,38 @@
 
 // cached is what a machine is believed to hold in a session.
 type cached struct {
-	session wire.Session
+	session wire.AgentEpoch
 	images  *place.Images
 }
 
 // NewRoster returns a roster without machines. Members tell of the images of a machine that
 // another controller held before.
-func NewRoster(m *members.Members, completed *completion.Log) *Roster {
-	return &Roster{members: m, completed: completed, workers: map[wire.MachineID]*Worker{}, images: map[wire.MachineID]*cached{}}
+func NewRoster(m *members.Members, completed *completion.Log) *Registry {
+	return &Registry{members: m, completed: completed, workers: map[wire.MachineID]*Worker{}, images: map[wire.MachineID]*cached{}}
 }
 
 // Worker is a machine that reports here; nil: it doesn't.
-func (r *Roster) Worker(id wire.MachineID) *Worker { return r.workers[id] }
+func (r *Registry) Worker(id wire.MachineID) *Worker { return r.workers[id] }
 
 // Join adds a machine that reports here for the first time.
-func (r *Roster) Join(report *wire.Report, now time.Time) *Worker {
+func (r *Registry) Join(report *wire.Heartbeat, now time.Time) *Worker {
 	w := NewWorker(report, r.completed, now)
 	r.workers[w.ID] = w
 	return w
 }
 
 // Len is the number of machines.
-func (r *Roster) Len() int { return len(r.workers) }
+func (r *Registry) Len() int { return len(r.workers) }
 
 // Each gives f every machine, in no order.
-func (r *Roster) Each(f func(*Worker)) {
+func (r *Registry) Each(f func(*Worker)) {
 	for _, w := range r.workers {
 		f(w)
 	}
 }
 
 // Images is what a machine is believed to hold.
-func (r *Roster) Images(l *ledger.Ledger, w *Worker) *place.Images {
+func (r *Registry) Images(l *ledger.Ledger, w *Worker) *place.Images {
 	c := r.images[w.ID]
 	if c != nil && c.session == w.Session {
 		return c.images
@@ -76,7 +76,7 @@
 }
 
 // Known is what a machine is believed to hold, if anything is known of it yet; else nil.
-func (r *Roster) Known(w *Worker) *place.Images {
+func (r *Registry) Known(w *Worker) *place.Images {
 	if c := r.images[w.ID]; c != nil {
 		return c.images
 	}
@@ -90,9 +90,9 @@
 )
 
 // Forget drops the machines that are long silent, or gone, and tells which.
-func (r *Roster) Forget(l *ledger.Ledger, now time.Time) (gone []wire.MachineID) {
+func (r *Registry) Forget(l *ledger.Ledger, now time.Time) (gone []wire.MachineID) {
 	for id, w := range r.workers {
-		if silent := now.Sub(w.Heard); silent > forgetSilent || silent > forgetGone && l.Mark(id) == ledger.Gone {
+		if silent := now.Sub(w.LastHeartbeat); silent > forgetSilent || silent > forgetGone && l.MachinePhase(id) == ledger.Terminated {
 			delete(r.workers, id)
 			delete(r.images, id)
 			gone = append(gone, id)
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -9,24 +9,24 @@
 	"maddermill/wire"
 )
 
-const hold = wire.Token(7)
+const hold = wire.FencingToken(7)
 
-func held(session wire.Session, token wire.Token, state ledger.JobState) []ledger.Held {
+func held(session wire.AgentEpoch, token wire.FencingToken, state ledger.JobState) []ledger.HeldClaim {
 	j := &ledger.Job{ID: "wk-000001", Spec: &wire.JobSpec{Tasks: 1, Shape: wire.Array, Save: 2, Checkpoint: 5}, State: state, Claimed: 1}
-	return []ledger.Held{{Job: j, Claim: ledger.Claim{First: 0, Count: 1, Attempt: 3, Machine: "host-1", Session: session, Token: token}}}
+	return []ledger.HeldClaim{{Job: j, Claim: ledger.Claim{First: 0, Count: 1, Attempt: 3, Machine: "host-1", Session: session, Token: token}}}
 }
 
-func report(session wire.Session, tally wire.Tally, token wire.Token, tasks ...wire.TaskReport) *wire.Report {
-	return &wire.Report{Machine: "host-1", Session: session, Tally: tally, Token: token, Tasks: tasks}
+func report(session wire.AgentEpoch, tally wire.HeartbeatSequence, token wire.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "host-1", Session: session, Sequence: tally, Token: token, Tasks: tasks}
 }
 
-func task(state wire.TaskState, attempt wire.Attempt) wire.TaskReport {
-	return wire.TaskReport{Task: wire.TaskID{Job: "wk-000001", Index: 0}, Attempt: attempt, State: state}
+func task(state wire.TaskState, attempt wire.Attempt) wire.TaskStatus {
+	return wire.TaskStatus{Task: wire.TaskID{Job: "wk-000001", Index: 0}, Attempt: attempt, State: state}
 }
 
-func alone(attempt wire.Attempt) wire.TaskReport {
+func alone(attempt wire.Attempt) wire.TaskStatus {
 	t := task(wire.TaskExited, attempt)
-	t.Cause = wire.CauseAlone
+	t.Cause = wire.CauseGangIncomplete
 	return t
 }
 
@@ -35,9 +35,9 @@
 func TestProof(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		held  []ledger.Held
-		r     *wire.Report
-		sent  wire.Tally // by the answer to which report the start went out; 0: not
+		held  []ledger.HeldClaim
+		r     *wire.Heartbeat
+		sent  wire.HeartbeatSequence // by the answer to which report the start went out; 0: not
 		exits int
 	}{
 		{"absent, claimed under a lower token, worker has accepted ours", held(1, 5, ""), report(1, 9, hold), 0, 1},
@@ -63,7 +63,7 @@
 		if tc.sent != 0 {
 			w.sent[claimID{wire.TaskID{Job: "wk-000001"}, 3}] = tc.sent
 		}
-		if f := w.Take(tc.r, tc.held, hold, time.Time{}); len(f.Exits) != tc.exits {
+		if f := w.Reconcile(tc.r, tc.held, hold, time.Time{}); len(f.Exits) != tc.exits {
 			t.Errorf("%s: %d exits, want %d", tc.name, len(f.Exits), tc.exits)
 		}
 	}
@@ -73,8 +73,8 @@
 	recall := wire.Seconds(5)
 	for _, tc := range []struct {
 		name     string
-		held     []ledger.Held
-		r        *wire.Report
+		held     []ledger.HeldClaim
+		r        *wire.Heartbeat
 		mayStart bool
 		want     string
 		grace    wire.Seconds
@@ -92,7 +92,7 @@
 		{"a task without a claim is stopped", nil, report(1, 9, hold, task(wire.TaskRunning, 3)), true, "stop", 0},
 	} {
 		w := NewWorker(tc.r, nil, time.Time{})
-		w.Take(tc.r, tc.held, hold, time.Time{})
+		w.Reconcile(tc.r, tc.held, hold, time.Time{})
 		cmds := w.Commands(tc.r, tc.held, ledger.Resources{}, tc.mayStart)
 		got := ""
 		if len(cmds) > 0 {
@@ -103,9 +103,9 @@
 		}
 	}
 	r := report(1, 9, hold, task(wire.TaskRunning, 3))
-	r.Notice = &recall
+	r.ReclaimNotice = &recall
 	w := NewWorker(r, nil, time.Time{})
-	w.Take(r, held(1, hold, ""), hold, time.Time{})
+	w.Reconcile(r, held(1, hold, ""), hold, time.Time{})
 	if cmds := w.Commands(r, held(1, hold, ""), ledger.Resources{}, true); len(cmds) != 1 || cmds[0].Op != wire.OpStop || *cmds[0].Grace < 2 {
 		t.Errorf("before a recall a task must save: %+v", cmds)
 	}
@@ -117,14 +117,14 @@
 // first, once the worker has accepted our token.
 func TestRejoin(t *testing.T) {
 	alone := task(wire.TaskExited, 3)
-	alone.Cause = wire.CauseAlone
+	alone.Cause = wire.CauseGangIncomplete
 	for _, tc := range []struct {
 		name     string
 		stop     wire.Attempt
 		state    ledger.JobState
-		token    wire.Token
+		token    wire.FencingToken
 		mayStart bool
-		seen     wire.Token // by the worker
+		seen     wire.FencingToken // by the worker
 		exits    int
 		takeOver int
 		ops      []wire.Op
@@ -142,7 +142,7 @@
 		h[0].Job.Spec.Shape, h[0].Job.Spec.Tasks, h[0].Job.Claimed, h[0].Job.Stop = wire.Gang, 2, 2, tc.stop
 		r := report(1, 9, tc.seen, alone)
 		w := NewWorker(r, nil, time.Time{})
-		f := w.Take(r, h, hold, time.Time{})
+		f := w.Reconcile(r, h, hold, time.Time{})
 		var ops []wire.Op
 		for _, cmd := range w.Commands(r, h, ledger.Resources{}, tc.mayStart) {
 			ops = append(ops, cmd.Op)
@@ -158,8 +158,8 @@
 func TestGangThatLacksATask(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
-		token          wire.Token
-		tasks          []wire.TaskReport
+		token          wire.FencingToken
+		tasks          []wire.TaskStatus
 		claimed        int
 		silent         bool // one of its machines
 		exits, takings int
@@ -167,16 +167,16 @@
 		{"never sent, claimed under a lower token, whole", 5, nil, 2, false, 0, 1},
 		{"the same, one of its machines is silent", 5, nil, 2, true, 1, 0},
 		{"the same, lacks a task", 5, nil, 1, false, 1, 0},
-		{"gave up waiting under a lower token, whole", 5, []wire.TaskReport{alone(3)}, 2, false, 0, 1},
-		{"the same, lacks a task", 5, []wire.TaskReport{alone(3)}, 1, false, 1, 0},
-		{"gave up waiting, ours, whole", hold, []wire.TaskReport{alone(3)}, 2, false, 0, 0},
-		{"the same, lacks a task", hold, []wire.TaskReport{alone(3)}, 1, false, 1, 0},
+		{"gave up waiting under a lower token, whole", 5, []wire.TaskStatus{alone(3)}, 2, false, 0, 1},
+		{"the same, lacks a task", 5, []wire.TaskStatus{alone(3)}, 1, false, 1, 0},
+		{"gave up waiting, ours, whole", hold, []wire.TaskStatus{alone(3)}, 2, false, 0, 0},
+		{"the same, lacks a task", hold, []wire.TaskStatus{alone(3)}, 1, false, 1, 0},
 	} {
 		h := held(1, tc.token, "")
 		h[0].Job.Spec.Shape, h[0].Job.Spec.Tasks, h[0].Job.Claimed = wire.Gang, 2, tc.claimed
 		r := report(1, 9, hold, tc.tasks...)
-		f := NewWorker(r, nil, time.Time{}).Take(r, h, hold, time.Time{})
-		f.Settle(func(*ledger.Job) bool { return !tc.silent })
+		f := NewWorker(r, nil, time.Time{}).Reconcile(r, h, hold, time.Time{})
+		f.ResolveUnsent(func(*ledger.Job) bool { return !tc.silent })
 		if len(f.Exits) != tc.exits || len(f.TakeOver) != tc.takings {
 			t.Errorf("%s: %d exits, %d taken over", tc.name, len(f.Exits), len(f.TakeOver))
 		}
@@ -193,13 +193,13 @@
 	h[1].Job.ID, h[1].Job.Spec.Shape, h[1].Job.Spec.Tasks = "wk-000002", wire.Gang, 4
 	w := NewWorker(report(1, 9, hold), nil, time.Time{})
 	total := ledger.NewResources(8, 3, 64)
-	w.Take(report(1, 9, hold), h, hold, time.Time{})
+	w.Reconcile(report(1, 9, hold), h, hold, time.Time{})
 	if cmds := w.Commands(report(1, 9, hold), h, total, true); len(cmds) != 1 || cmds[0].Task.Job != "wk-000002" {
 		t.Fatalf("%+v, want the gang's start alone", cmds)
 	}
-	there := wire.TaskReport{Task: wire.TaskID{Job: "wk-000002"}, Attempt: 3, State: wire.TaskFetching}
+	there := wire.TaskStatus{Task: wire.TaskID{Job: "wk-000002"}, Attempt: 3, State: wire.TaskFetching}
 	r := report(1, 10, hold, there)
-	f := w.Take(r, h, hold, time.Time{})
+	f := w.Reconcile(r, h, hold, time.Time{})
 	if len(f.Exits) != 1 || f.Exits[0].Held.Job.ID != "wk-000001" {
 		t.Errorf("over: %+v, want the one never sent", f.Exits)
 	}
@@ -210,10 +210,10 @@
 
 func TestStaleReports(t *testing.T) {
 	w := NewWorker(report(2, 5, 0), nil, time.Time{})
-	w.Take(report(2, 5, 0), nil, hold, time.Time{})
-	for _, r := range []*wire.Report{report(1, 90, hold), report(2, 5, hold), report(2, 4, hold)} {
+	w.Reconcile(report(2, 5, 0), nil, hold, time.Time{})
+	for _, r := range []*wire.Heartbeat{report(1, 90, hold), report(2, 5, hold), report(2, 4, hold)} {
 		if !w.Stale(r) {
-			t.Errorf("%d/%d is not taken for stale", r.Session, r.Tally)
+			t.Errorf("%d/%d is not taken for stale", r.Session, r.Sequence)
 		}
 	}
 	if w.Stale(report(2, 6, 0)) || w.Stale(report(3, 1, 0)) {
@@ -230,8 +230,8 @@
 	j := held(1, hold, "")
 	running := task(wire.TaskRunning, 3)
 	w := NewWorker(report(1, 1, hold), nil, at(0))
-	answered := func(i int, r *wire.Report, token wire.Token) (Findings, []wire.Command) {
-		f := w.Take(r, j, token, at(i))
+	answered := func(i int, r *wire.Heartbeat, token wire.FencingToken) (Reconciliation, []wire.Command) {
+		f := w.Reconcile(r, j, token, at(i))
 		cmds := w.Commands(r, j, ledger.Resources{}, true)
 		w.Answered(at(i))
 		return f, cmds
@@ -240,42 +240,42 @@
 		t.Fatalf("commands %v", cmds)
 	}
 	answered(2, report(1, 2, hold), hold) // the start was lost once
-	if w.Deaf() {
+	if w.Unreachable() {
 		t.Fatal("deaf after one lost answer")
 	}
-	if answered(3, report(1, 3, hold, running), hold); w.Deaf() || w.hears.missed != 0 {
+	if answered(3, report(1, 3, hold, running), hold); w.Unreachable() || w.hears.missed != 0 {
 		t.Fatal("an answer that arrived does not count")
 	}
 	j[0].Attempt, j[0].First = 4, 0
 	answered(4, report(1, 4, hold), hold)
 	answered(5, report(1, 5, hold), hold)
 	f, cmds := answered(6, report(1, 6, hold), hold)
-	if !w.Deaf() || len(f.Exits) != 1 || len(cmds) != 0 || w.DeafFor(at(7)) != 3*time.Second {
-		t.Fatalf("deaf %v after two lost starts, %d released, commands %v", w.Deaf(), len(f.Exits), cmds)
+	if !w.Unreachable() || len(f.Exits) != 1 || len(cmds) != 0 || w.UnreachableFor(at(7)) != 3*time.Second {
+		t.Fatalf("deaf %v after two lost starts, %d released, commands %v", w.Unreachable(), len(f.Exits), cmds)
 	}
-	if w.Proves(hold) || !w.Proves(hold+1) {
+	if w.ProvesAbsence(hold) || !w.ProvesAbsence(hold+1) {
 		t.Fatal("a token that it has seen proves that it hears")
 	}
-	if f, cmds = answered(7, report(1, 7, hold), hold+1); !w.Deaf() || len(f.Exits) != 1 || len(cmds) != 0 {
-		t.Fatalf("under a new token: deaf %v, %d released, commands %v", w.Deaf(), len(f.Exits), cmds)
+	if f, cmds = answered(7, report(1, 7, hold), hold+1); !w.Unreachable() || len(f.Exits) != 1 || len(cmds) != 0 {
+		t.Fatalf("under a new token: deaf %v, %d released, commands %v", w.Unreachable(), len(f.Exits), cmds)
 	}
-	if _, cmds = answered(8, report(1, 8, hold+1), hold+1); w.Deaf() || len(cmds) != 0 {
-		t.Fatalf("once it has shown the token: deaf %v, commands %v", w.Deaf(), cmds)
+	if _, cmds = answered(8, report(1, 8, hold+1), hold+1); w.Unreachable() || len(cmds) != 0 {
+		t.Fatalf("once it has shown the token: deaf %v, commands %v", w.Unreachable(), cmds)
 	}
 	r := report(2, 1, hold+1)
-	if w.Lapsed(r, at(9), 25*time.Second); !w.Deaf() {
+	if w.LeaseExpired(r, at(9), 25*time.Second); !w.Unreachable() {
 		t.Error("not deaf though its session ended 3 s after an answer")
 	}
-	if w.Take(r, j, hold+2, at(9)); !w.Deaf() {
+	if w.Reconcile(r, j, hold+2, at(9)); !w.Unreachable() {
 		t.Error("hears without having shown a newer token")
 	}
-	if w.Take(report(2, 2, hold+2), j, hold+2, at(10)); w.Deaf() {
+	if w.Reconcile(report(2, 2, hold+2), j, hold+2, at(10)); w.Unreachable() {
 		t.Error("deaf though it has shown a newer token")
 	}
 	quiet := NewWorker(report(1, 1, hold), nil, at(0))
-	quiet.Take(report(1, 1, hold), nil, hold, at(0))
+	quiet.Reconcile(report(1, 1, hold), nil, hold, at(0))
 	quiet.Answered(at(0))
-	if quiet.Lapsed(report(2, 1, hold), at(20), 25*time.Second); quiet.Deaf() {
+	if quiet.LeaseExpired(report(2, 1, hold), at(20), 25*time.Second); quiet.Unreachable() {
 		t.Error("deaf though its session ended long after it was last answered")
 	}
 }
--- a/internal/workflowrunner/requests.go
+++ b/internal/workflowrunner/requests.go
@@ -31,7 +31,7 @@
 	c.Mirror.Unlock()
 	if !known && c.set.Team(spec.Team) == nil {
 		if st, err = c.Status(ctx, spec.ID); errors.Is(err, server.ErrNoSuchJob) {
-			err = errors.Join(server.ErrNeverRuns, errors.New("unknown team"))
+			err = errors.Join(server.ErrUnschedulable, errors.New("unknown team"))
 		}
 		return st, false, err
 	}
@@ -46,7 +46,7 @@
 		short := *spec
 		short.Bundle, short.Inputs = nil, nil
 		at := wire.UnixMillis(time.Now().UnixMilli())
-		err = c.Writer.CommitNow(ctx, func(d *ledger.Draft) error {
+		err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
 			return d.SubmitWorkflow(spec.ID, ledger.WorkflowRecord{Spec: &short, Hash: hash, Pieces: len(pieces), Accepted: at})
 		})
 		switch {
@@ -55,8 +55,8 @@
 			c.stats.Add("workflows_accepted_total", 1)
 			return wire.WorkflowStatus{ID: spec.ID, Status: wire.Queued}, true, nil
 		case errors.Is(err, ledger.ErrTooLarge):
-			return st, false, errors.Join(server.ErrNeverRuns, err)
-		case !errors.Is(err, ledger.ErrStale):
+			return st, false, errors.Join(server.ErrUnschedulable, err)
+		case !errors.Is(err, ledger.ErrPreconditionFailed):
 			return st, false, err
 		}
 	}
@@ -89,7 +89,7 @@
 	if c.store == nil {
 		return wire.WorkflowStatus{}, ErrNoWorkflows
 	}
-	if err := c.Mirror.Fresh(ctx); err != nil {
+	if err := c.Mirror.ReadIndex(ctx); err != nil {
 		return wire.WorkflowStatus{}, err
 	}
 	c.Mirror.Lock()
@@ -196,16 +196,16 @@
 		return "is about to be submitted"
 	case j.State != ledger.Active || j.Claimed > 0:
 		return ""
-	case j.Doomed:
+	case j.Cancelling:
 		return "is being cancelled"
 	}
 	now := time.Now()
-	v := c.Schedule.View(now)
+	v := c.Schedule.Snapshot(now)
 	at := slices.IndexFunc(v.Queue, func(e place.Entry) bool { return e.Job.ID == id })
 	switch {
 	case at < 0:
 		return "has just been accepted"
-	case v.Queue[at].Suspect:
+	case v.Queue[at].CrashLooping:
 		return fmt.Sprintf("failed on several machines and rests for %v", max(0, v.Queue[at].Retry.Sub(now)).Round(time.Second))
 	case v.TeamRoom(j, ledger.Resources{}, 1) < 1:
 		return "its team is at its limit"
--- a/internal/workflowrunner/runner.go
+++ b/internal/workflowrunner/runner.go
@@ -47,11 +47,11 @@
 	Mirror   *mirror.Mirror
 	Writer   *writer.Writer
 	Members  *members.Members
-	Book     *evidence.Book
+	Book     *evidence.FailureTracker
 	Schedule *schedule.Scheduler
-	Users    *server.Users
-	Past     *archiver.Keeper
-	Promises *promises.Promises
+	Users    *server.JobServer
+	Past     *archiver.Archiver
+	Promises *promises.Tracker
 }
 
 // Flows is that part of a controller. It is off until Set.
@@ -123,7 +123,7 @@
 		clock.Sleep(ctx, driveEvery)
 		c.Mirror.Lock()
 		var mine []*ledger.Workflow
-		if c.store != nil && c.Mirror.InTouch(time.Now(), settings.StartContact) {
+		if c.store != nil && c.Mirror.SyncedWithin(time.Now(), settings.StartContact) {
 			mine = c.myWorkflows(time.Now())
 		}
 		c.Mirror.Unlock()
@@ -147,7 +147,7 @@
 // myWorkflows are those that are not over and that fall to this controller, by weights
 // that each member has for each workflow, so that few change hands when a member goes.
 func (c *Flows) myWorkflows(now time.Time) []*ledger.Workflow {
-	members := append(c.Members.InTouch(now), c.set.Member)
+	members := append(c.Members.ReachablePeers(now), c.set.Member)
 	var out []*ledger.Workflow
 	for id := range c.driven {
 		if c.led().Workflow(id) == nil {
@@ -213,13 +213,13 @@
 	if w.State == ledger.WorkflowCancelled && ctx.Err() == nil {
 		gone, e := d.run.Cancel(ctx)
 		if err = e; gone && e == nil {
-			err = c.Writer.CommitNow(ctx, func(dr *ledger.Draft) error {
+			err = c.Writer.CommitNow(ctx, func(dr *ledger.Transaction) error {
 				if now := c.led().Workflow(w.ID); now != nil {
 					return dr.SweepWorkflow(now)
 				}
-				return ledger.ErrStale
+				return ledger.ErrPreconditionFailed
 			})
-			if errors.Is(err, ledger.ErrStale) {
+			if errors.Is(err, ledger.ErrPreconditionFailed) {
 				err = nil
 			}
 		}
@@ -258,7 +258,7 @@
 		pieces = append(pieces, base64.StdEncoding.EncodeToString(part))
 	}
 	if len(pieces) > mostPieces {
-		return "", nil, fmt.Errorf("%w: its documents are too large", server.ErrNeverRuns)
+		return "", nil, fmt.Errorf("%w: its documents are too large", server.ErrUnschedulable)
 	}
 	return hex.EncodeToString(sum[:]), pieces, nil
 }
--- a/internal/workflowrunner/steps.go
+++ b/internal/workflowrunner/steps.go
@@ -59,9 +59,9 @@
 func (s stepJobs) SubmitStep(ctx context.Context, of wire.WorkflowID, spec *wire.JobSpec) error {
 	c := s.c
 	c.Mirror.Lock()
-	verdict := c.Users.MayCome(spec, time.Now())
+	verdict := c.Users.Admit(spec, time.Now())
 	c.Mirror.Unlock()
-	if errors.Is(verdict, server.ErrNeverRuns) {
+	if errors.Is(verdict, server.ErrUnschedulable) {
 		return errors.Join(workflow.ErrNever, verdict)
 	}
 	if verdict != nil {
@@ -70,10 +70,10 @@
 	at := wire.UnixMillis(time.Now().UnixMilli())
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	err := c.Writer.CommitNow(ctx, func(d *ledger.Draft) error {
+	err := c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
 		w := c.led().Workflow(of)
 		if w == nil {
-			return ledger.ErrStale
+			return ledger.ErrPreconditionFailed
 		}
 		return d.SubmitStep(w, spec, at, c.Promises.GalleryOf(spec, of))
 	})
@@ -82,7 +82,7 @@
 		c.log.Info("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "workflow", of)
 		c.stats.Add("jobs_accepted_total", 1)
 		return nil
-	case errors.Is(err, ledger.ErrStale):
+	case errors.Is(err, ledger.ErrPreconditionFailed):
 		return nil // it is known, or the workflow is over: the next look tells
 	case errors.Is(err, ledger.ErrTooLarge):
 		return errors.Join(workflow.ErrNever, err)
@@ -105,10 +105,10 @@
 func (c *Flows) endWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) (got ledger.WorkflowState, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	err = c.Writer.CommitNow(ctx, func(d *ledger.Draft) error {
+	err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
 		w := c.led().Workflow(id)
 		if w == nil {
-			return ledger.ErrStale
+			return ledger.ErrPreconditionFailed
 		}
 		var err error
 		got, err = d.EndWorkflow(w, state, why)
--- a/internal/writer/writer.go
+++ b/internal/writer/writer.go
@@ -31,14 +31,14 @@
 // Change is one step to be made durable. Its draft function may run several times, each time
 // over newer records, under the mirror's lock.
 type Change struct {
-	Draft func(*ledger.Draft) error
-	Drop  bool // a start: given up after Until
-	Until time.Time
-	First bool          // of what nobody can tell once this process ends: before all others
-	Late  bool          // of work that has waited for too long: before other starts
-	Work  wire.Priority // of what it is about; "": it comes with the highest
-	Spare bool          // of work that only takes what others leave
-	Made  func()        // called once it is durable, if given
+	Draft      func(*ledger.Transaction) error
+	Expires    bool // a start: given up after Until
+	ExpiresAt  time.Time
+	Urgent     bool          // of what nobody can tell once this process ends: before all others
+	Overdue    bool          // of work that has waited for too long: before other starts
+	Priority   wire.Priority // of what it is about; "": it comes with the highest
+	BestEffort bool          // of work that only takes what others leave
+	OnCommit   func()        // called once it is durable, if given
 
 	asked time.Time
 	done  chan error // gets one value
@@ -47,8 +47,8 @@
 // Done gets one value: nil once the change is durable, or why it was not made.
 func (ch *Change) Done() <-chan error { return ch.done }
 
-// Open reports whether the change is neither made nor dropped yet, as far as nobody has taken from Done.
-func (ch *Change) Open() bool { return len(ch.done) == 0 }
+// Pending reports whether the change is neither made nor dropped yet, as far as nobody has taken from Done.
+func (ch *Change) Pending() bool { return len(ch.done) == 0 }
 
 // Options are the settings of a writer.
 type Options struct {
@@ -164,11 +164,11 @@
 	var first, others, late, starts []*Change
 	for _, ch := range queue {
 		switch {
-		case ch.First:
+		case ch.Urgent:
 			first = append(first, ch)
-		case !ch.Drop:
+		case !ch.Expires:
 			others = append(others, ch)
-		case ch.Late:
+		case ch.Overdue:
 			late = append(late, ch)
 		default:
 			starts = append(starts, ch)
@@ -184,7 +184,7 @@
 func byPriority(queue []*Change) []*Change {
 	var of [5][]*Change
 	for _, ch := range queue {
-		n := ch.Work.Rank() + 1 // 0: none is told
+		n := ch.Priority.Rank() + 1 // 0: none is told
 		of[n] = append(of[n], ch)
 	}
 	urgent, rest := turns(of[:3]...), turns(of[3:]...)
@@ -219,7 +219,7 @@
 
 // isSpare reports whether a change is to leave room in the budget for others.
 func (ch *Change) isSpare(now time.Time) bool {
-	return ch.Spare && (ch.Drop || now.Sub(ch.asked) < spareAfter)
+	return ch.BestEffort && (ch.Expires || now.Sub(ch.asked) < spareAfter)
 }
 
 // reserve is the part of the budget that spare changes leave: a start of other work
@@ -236,7 +236,7 @@
 // than what they are to leave.
 func (w *Writer) waits(queue []*Change, now time.Time) bool {
 	return !w.plenty() &&
-		!slices.ContainsFunc(queue, func(ch *Change) bool { return !ch.isSpare(now) || ch.Drop && now.After(ch.Until) })
+		!slices.ContainsFunc(queue, func(ch *Change) bool { return !ch.isSpare(now) || ch.Expires && now.After(ch.ExpiresAt) })
 }
 
 // writeBatch commits as many changes as fit and returns those left. A batch larger
@@ -263,8 +263,8 @@
 	}
 	if err == nil {
 		for _, ch := range in {
-			if ch.Made != nil {
-				ch.Made()
+			if ch.OnCommit != nil {
+				ch.OnCommit()
 			}
 			ch.done <- nil
 		}
@@ -285,7 +285,7 @@
 }
 
 // dated tells a draft the time of day.
-func dated(d *ledger.Draft) *ledger.Draft {
+func dated(d *ledger.Transaction) *ledger.Transaction {
 	d.At(wire.UnixMillis(time.Now().UnixMilli()))
 	return d
 }
@@ -293,13 +293,13 @@
 // draft gathers what of a queue fits into a number of changes, and tells what is left.
 func (w *Writer) draft(queue []*Change, changes int) (in, left []*Change, txn wire.Txn, err error) {
 	w.mirror.Read(func(l *ledger.Ledger) {
-		d := dated(l.NewDraftOf(changes))
+		d := dated(l.NewTransactionOf(changes))
 		now := time.Now()
-		add := func(d *ledger.Draft, ch *Change) {
+		add := func(d *ledger.Transaction, ch *Change) {
 			switch err := ch.Draft(d); {
 			case err == nil:
 				in = append(in, ch)
-			case errors.Is(err, ledger.ErrFull):
+			case errors.Is(err, ledger.ErrTransactionFull):
 				left = append(left, ch)
 			default:
 				ch.done <- err
@@ -326,7 +326,7 @@
 				d.Limit(max(least, changes-w.reserve()))
 			}
 			switch {
-			case ch.Drop && now.After(ch.Until):
+			case ch.Expires && now.After(ch.ExpiresAt):
 				ch.done <- ErrDropped
 			case i > mostTried && len(left) > 0:
 				left = append(left, ch)
@@ -338,7 +338,7 @@
 			// The first alone is more than the budget has room for: let it wait.
 			first := left[0]
 			left = left[1:]
-			d = dated(l.NewDraft())
+			d = dated(l.NewTransaction())
 			add(d, first)
 		}
 		txn, err = d.Txn()
@@ -368,7 +368,7 @@
 
 // CommitNow commits one user's change at once, trying again on conflicts. An
 // error other than the draft's own leaves the outcome open.
-func (w *Writer) CommitNow(ctx context.Context, draft func(*ledger.Draft) error) error {
+func (w *Writer) CommitNow(ctx context.Context, draft func(*ledger.Transaction) error) error {
 	select {
 	case w.users <- struct{}{}:
 		defer func() { <-w.users }()
@@ -379,7 +379,7 @@
 		var txn wire.Txn
 		var err error
 		w.mirror.Read(func(l *ledger.Ledger) {
-			d := dated(l.NewDraft())
+			d := dated(l.NewTransaction())
 			err = draft(d)
 			var e error
 			txn, e = d.Txn()
@@ -395,7 +395,7 @@
 		var conflict *state.Conflict
 		if errors.As(err, &conflict) {
 			if slices.ContainsFunc(conflict.Failed, ledger.IsFinalKey) {
-				return ledger.ErrStale // the job is archived, which the ledger can't tell
+				return ledger.ErrPreconditionFailed // the job is archived, which the ledger can't tell
 			}
 			continue
 		}
@@ -411,24 +411,24 @@
 	return state.ErrNoReach
 }
 
-// Spare is how many changes a transaction may have now that is in nobody's way: none while
+// SpareCapacity is how many changes a transaction may have now that is in nobody's way: none while
 // changes of reports wait, and otherwise what leaves room for a start that comes the next
 // moment.
-func (w *Writer) Spare() int {
+func (w *Writer) SpareCapacity() int {
 	if len(w.submitted) > 0 || !w.plenty() {
 		return 0
 	}
 	return max(5, w.store.Changes()-w.reserve())
 }
 
-// Relaxed reports whether the budget has more than what spare changes leave.
-func (w *Writer) Relaxed() bool { return w.store.Changes() > w.reserve() }
+// HasSpareCapacity reports whether the budget has more than what spare changes leave.
+func (w *Writer) HasSpareCapacity() bool { return w.store.Changes() > w.reserve() }
 
 // longQueue is how much of the queue may wait without that being worth telling of.
 const longQueue = mostQueued / 2
 
-// Amiss tells what keeps changes from being made durable; "": nothing.
-func (w *Writer) Amiss(time.Time) string {
+// HealthProblem tells what keeps changes from being made durable; "": nothing.
+func (w *Writer) HealthProblem(time.Time) string {
 	if n := len(w.submitted); n > longQueue {
 		return fmt.Sprintf("%d changes wait", n)
 	}
--- a/internal/writer/writer_test.go
+++ b/internal/writer/writer_test.go
@@ -61,9 +61,9 @@
 		led.Apply(ledger.Event{Key: "mm1/j/" + string(id(i)), Value: []byte(value), Version: wire.Revision(i + 1)})
 	}
 	exit := func(job, task int) *Change {
-		return &Change{done: make(chan error, 1), Draft: func(d *ledger.Draft) error {
+		return &Change{done: make(chan error, 1), Draft: func(d *ledger.Transaction) error {
 			j := led.Job(id(job))
-			_, err := d.Exit(j, ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}, []wire.TaskIndex{wire.TaskIndex(task)}, true)
+			_, err := d.ReleaseTasks(j, ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}, []wire.TaskIndex{wire.TaskIndex(task)}, true)
 			return err
 		}}
 	}
@@ -92,8 +92,8 @@
 		Value: []byte(`{"spec":{"id":"wk-000001","pieces":1,"shape":"array","owner":"free"},"at":1,"a":1,"c":[[0,1,1,"host-1","a",1,1]]}`)})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	c.writeBatch(ctx, []*Change{{done: make(chan error, 1), Draft: func(d *ledger.Draft) error {
-		_, err := d.Exit(led.Job("wk-000001"), ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}, []wire.TaskIndex{0}, true)
+	c.writeBatch(ctx, []*Change{{done: make(chan error, 1), Draft: func(d *ledger.Transaction) error {
+		_, err := d.ReleaseTasks(led.Job("wk-000001"), ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}, []wire.TaskIndex{0}, true)
 		return err
 	}}})
 	if len(s.sizes) != 1 || ctx.Err() != nil {
@@ -106,20 +106,20 @@
 func TestStartsAndExitsTakeTurns(t *testing.T) {
 	var queue []*Change
 	for i := range 6 {
-		queue = append(queue, &Change{Drop: i >= 4, Until: time.Unix(int64(i), 0)})
+		queue = append(queue, &Change{Expires: i >= 4, ExpiresAt: time.Unix(int64(i), 0)})
 	}
 	got := ""
 	for _, ch := range alternate(queue) {
-		got += fmt.Sprint(ch.Until.Unix())
+		got += fmt.Sprint(ch.ExpiresAt.Unix())
 	}
 	if got != "041523" {
 		t.Errorf("order %s", got)
 	}
 	// Starts of what has waited for too long come before others.
-	queue[5].Late = true
+	queue[5].Overdue = true
 	got = ""
 	for _, ch := range alternate(queue) {
-		got += fmt.Sprint(ch.Until.Unix())
+		got += fmt.Sprint(ch.ExpiresAt.Unix())
 	}
 	if got != "051423" {
 		t.Errorf("order %s with a late start", got)
@@ -131,11 +131,11 @@
 	for _, drop := range []bool{true, false} {
 		queue = nil
 		for i, work := range []wire.Priority{wire.Normal, wire.Normal, wire.Production, wire.Production, wire.Production, wire.Production, wire.Production, wire.High, wire.High} {
-			queue = append(queue, &Change{Drop: drop, Work: work, Until: time.Unix(int64(i), 0)})
+			queue = append(queue, &Change{Expires: drop, Priority: work, ExpiresAt: time.Unix(int64(i), 0)})
 		}
 		got = ""
 		for _, ch := range alternate(queue) {
-			got += fmt.Sprint(ch.Until.Unix())
+			got += fmt.Sprint(ch.ExpiresAt.Unix())
 		}
 		if got != "273084516" {
 			t.Errorf("order %s of several priorities, starts %v", got, drop)
@@ -150,7 +150,7 @@
 func TestSpareChangesLeaveRoom(t *testing.T) {
 	now := time.Now()
 	mark := func(led *ledger.Ledger, i int, spare bool, age time.Duration) *Change {
-		return &Change{done: make(chan error, 1), Spare: spare, asked: now.Add(-age), Draft: func(d *ledger.Draft) error {
+		return &Change{done: make(chan error, 1), BestEffort: spare, asked: now.Add(-age), Draft: func(d *ledger.Transaction) error {
 			_, err := d.Cancel(led.Job(wire.JobID(fmt.Sprintf("wk-%06d", i))))
 			return err
 		}}
@@ -189,7 +189,7 @@
 			t.Errorf("%s: batches of %v changes, want %d", tc.name, s.sizes, tc.made)
 		}
 		for _, ch := range left {
-			if !ch.Spare && tc.lastKind {
+			if !ch.BestEffort && tc.lastKind {
 				t.Errorf("%s: others are left behind", tc.name)
 			}
 		}
@@ -204,8 +204,8 @@
 		c, led := writerOn(s, ops)
 		addJob(led, 1)
 		now := time.Now()
-		queue := []*Change{{done: make(chan error, 1), Drop: true, Until: now.Add(time.Minute), Spare: true, asked: now, Draft: func(d *ledger.Draft) error {
-			_, err := d.Claim(led.Job("wk-000001"), ledger.Site{Machine: "host-1", Zone: "a", Session: 1, Token: 1}, 1, nil)
+		queue := []*Change{{done: make(chan error, 1), Expires: true, ExpiresAt: now.Add(time.Minute), BestEffort: true, asked: now, Draft: func(d *ledger.Transaction) error {
+			_, err := d.Claim(led.Job("wk-000001"), ledger.ClaimTarget{Machine: "host-1", Zone: "a", Session: 1, Token: 1}, 1, nil)
 			return err
 		}}}
 		if c.waits(queue, now) {
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,38 +1,38 @@
 package wire
 
-// Flavor is a machine type that the cloud rents out.
-type Flavor struct {
-	Name      MachineSKU `json:"sku"`
-	CPUs      float64    `json:"cores"`
-	GPUs      float64    `json:"accelerators"`
-	MemoryGB  float64    `json:"ram_gb"`
-	CacheGB   float64    `json:"local_gb"`
-	FetchGBps float64    `json:"fetch_gb_per_s"`
-	Price     float64    `json:"price"`
-	SpotPrice float64    `json:"market_price"`
-	Boot      Seconds    `json:"startup_s"`
-	Zones     []Zone     `json:"yards"`
+// MachineType is a machine type that the cloud rents out.
+type MachineType struct {
+	Name      MachineTypeName `json:"sku"`
+	CPUs      float64         `json:"cores"`
+	GPUs      float64         `json:"accelerators"`
+	MemoryGB  float64         `json:"ram_gb"`
+	CacheGB   float64         `json:"local_gb"`
+	FetchGBps float64         `json:"fetch_gb_per_s"`
+	Price     float64         `json:"price"`
+	SpotPrice float64         `json:"market_price"`
+	Boot      Seconds         `json:"startup_s"`
+	Zones     []Zone          `json:"yards"`
 }
 
-// Flavors answers the question for machine types.
-type Flavors struct {
-	Types []Flavor `json:"builds"`
+// MachineTypeList answers the question for machine types.
+type MachineTypeList struct {
+	Types []MachineType `json:"builds"`
 }
 
-// HireName names a rental request; one is never used twice.
-type HireName string
+// ScaleOutID names a rental request; one is never used twice.
+type ScaleOutID string
 
-// Hire asks the cloud for machines.
-type Hire struct {
-	Request HireName   `json:"hire"`
-	Type    MachineSKU `json:"build"`
-	Zone    Zone       `json:"yard"`
-	Spot    bool       `json:"loaners"`
-	Count   int        `json:"number"`
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
+	Request ScaleOutID      `json:"hire"`
+	Type    MachineTypeName `json:"build"`
+	Zone    Zone            `json:"yard"`
+	Spot    bool            `json:"loaners"`
+	Count   int             `json:"number"`
 }
 
-// Machines is a set of machine names: a rental's answer, a return's body.
-type Machines struct {
+// MachineIDList is a set of machine names: a rental's answer, a return's body.
+type MachineIDList struct {
 	Names []MachineID `json:"millstones"`
 }
 
@@ -48,13 +48,13 @@
 
 // ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
-	ID    MachineID    `json:"id"`
-	Addr  string       `json:"endpoint"`
-	Type  MachineSKU   `json:"build"`
-	Zone  Zone         `json:"yard"`
-	Spot  bool         `json:"loaners"`
-	State MachineState `json:"status"`
-	Age   Seconds      `json:"age_s"`
+	ID    MachineID       `json:"id"`
+	Addr  string          `json:"endpoint"`
+	Type  MachineTypeName `json:"build"`
+	Zone  Zone            `json:"yard"`
+	Spot  bool            `json:"loaners"`
+	State MachineState    `json:"status"`
+	Age   Seconds         `json:"age_s"`
 }
 
 // MachineList is a page of the cloud's list.
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -24,10 +24,10 @@
 		{"topology_gang", golden.Fill[GangView]()}, {"judgement", golden.Fill[Judgement]()},
 		{"workflow", golden.Fill[WorkflowSpec]()}, {"workflow_status", golden.Fill[WorkflowStatus]()},
 		{"job", golden.Fill[JobSpec]()}, {"job_status", golden.Fill[JobStatus]()},
-		{"error", golden.Fill[Problem]()}, {"machine_types", golden.Fill[Flavors]()},
-		{"scale_out", golden.Fill[Hire]()}, {"machine_names", golden.Fill[Machines]()},
-		{"machine_list", golden.Fill[MachineList]()}, {"heartbeat", golden.Fill[Report]()},
-		{"heartbeat_response", golden.Fill[ReportResponse]()}, {"redirect", golden.Fill[Redirect]()},
+		{"error", golden.Fill[ErrorBody]()}, {"machine_types", golden.Fill[MachineTypeList]()},
+		{"scale_out", golden.Fill[ScaleOutRequest]()}, {"machine_names", golden.Fill[MachineIDList]()},
+		{"machine_list", golden.Fill[MachineList]()}, {"heartbeat", golden.Fill[Heartbeat]()},
+		{"heartbeat_response", golden.Fill[HeartbeatResponse]()}, {"redirect", golden.Fill[Redirect]()},
 	}
 	for _, form := range forms {
 		t.Run(form.name, func(t *testing.T) {
@@ -50,9 +50,9 @@
 // TestWordsOfTheProtocolStay: the values of named constants that travel on the wire.
 func TestWordsOfTheProtocolStay(t *testing.T) {
 	words, err := json.Marshal([]any{
-		Array, Gang, Service, Production, High, Normal, Low,
+		Array, Gang, Service, Production, High, Normal, BestEffort,
 		TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited,
-		CauseDone, CauseStopped, CausePeers, CauseAlone, CauseError, CauseNoRoom, CauseBusy, CauseUnknown,
+		CauseDone, CausePreempted, CauseGangPeerLost, CauseGangIncomplete, CauseError, CauseInsufficientRoom, CauseBusy, CauseNotFound,
 		OpStart, OpStop, OpForget, MachineBooting, MachineRunning, MachineFailed,
 	})
 	if err != nil {
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -70,20 +70,20 @@
 // Small types of the protocol. Each is its own type so that a session is never
 // passed where a token is meant.
 type (
-	MachineID  string // a rented machine; names are never used twice
-	MemberID   string // a controller
-	Zone       string
-	MachineSKU string // a machine type
-	Image      string
-	Team       string
-	Class      string // a class of jobs, as named by objectives
-
-	Attempt  uint64 // tells one start of a task from another
-	Token    uint64 // entitles a controller to command a worker
-	Session  uint64 // a worker's life between lease expiries
-	Tally    uint64 // orders a worker's messages within a session
-	Revision uint64 // counts the changes of the state service
-	LeaseID  uint64 // a lease at the state service
+	MachineID       string // a rented machine; names are never used twice
+	MemberID        string // a controller
+	Zone            string
+	MachineTypeName string // a machine type
+	Image           string
+	Team            string
+	Class           string // a class of jobs, as named by objectives
+
+	Attempt           uint64 // tells one start of a task from another
+	FencingToken      uint64 // entitles a controller to command a worker
+	AgentEpoch        uint64 // a worker's life between lease expiries
+	HeartbeatSequence uint64 // orders a worker's messages within a session
+	Revision          uint64 // counts the changes of the state service
+	LeaseID           uint64 // a lease at the state service
 )
 
 // Seconds is a duration as the protocol writes it.
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -27,7 +27,7 @@
 	Production Priority = "prod"
 	High       Priority = "high"
 	Normal     Priority = "normal"
-	Low        Priority = "best_effort"
+	BestEffort Priority = "best_effort"
 )
 
 // Rank orders priorities: 0 is the highest. Unknown ones rank -1.
@@ -39,7 +39,7 @@
 		return 1
 	case Normal:
 		return 2
-	case Low:
+	case BestEffort:
 		return 3
 	}
 	return -1
@@ -50,26 +50,26 @@
 
 // JobSpec is a submission.
 type JobSpec struct {
-	ID         JobID        `json:"id"`
-	Class      Class        `json:"workclass"`
-	Team       Team         `json:"owner"`
-	Shape      Shape        `json:"shape"`
-	Priority   Priority     `json:"urgency"`
-	Tasks      int          `json:"pieces"`
-	CPUs       float64      `json:"cores"`
-	GPUs       float64      `json:"accelerators"`
-	MemoryGB   float64      `json:"ram_gb"`
-	Image      Image        `json:"bundle"`
-	ImageGB    float64      `json:"pull_gb"`
-	Types      []MachineSKU `json:"builds"`
-	Zone       *Zone        `json:"yard"`
-	OneZone    bool         `json:"together"`
-	Spread     bool         `json:"scatter"`
-	Spot       bool         `json:"loaners"`
-	Estimate   Seconds      `json:"expect_s"`
-	Checkpoint Seconds      `json:"snapshot_s"`
-	Save       Seconds      `json:"stash_s"`
-	Deadline   *Seconds     `json:"due_s"`
+	ID         JobID             `json:"id"`
+	Class      Class             `json:"workclass"`
+	Team       Team              `json:"owner"`
+	Shape      Shape             `json:"shape"`
+	Priority   Priority          `json:"urgency"`
+	Tasks      int               `json:"pieces"`
+	CPUs       float64           `json:"cores"`
+	GPUs       float64           `json:"accelerators"`
+	MemoryGB   float64           `json:"ram_gb"`
+	Image      Image             `json:"bundle"`
+	ImageGB    float64           `json:"pull_gb"`
+	Types      []MachineTypeName `json:"builds"`
+	Zone       *Zone             `json:"yard"`
+	OneZone    bool              `json:"together"`
+	Spread     bool              `json:"scatter"`
+	Spot       bool              `json:"loaners"`
+	Estimate   Seconds           `json:"expect_s"`
+	Checkpoint Seconds           `json:"snapshot_s"`
+	Save       Seconds           `json:"stash_s"`
+	Deadline   *Seconds          `json:"due_s"`
 }
 
 var requiredJobFields = []string{"id", "workclass", "owner", "shape", "urgency", "pieces",
@@ -181,7 +181,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// Problem is the body of answers other than success.
-type Problem struct {
+// ErrorBody is the body of answers other than success.
+type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -17,18 +17,18 @@
 
 // The causes of exits.
 const (
-	CauseDone    Cause = "done"
-	CauseStopped Cause = "halted"
-	CausePeers   Cause = "mates_gone"
-	CauseAlone   Cause = "incomplete"
-	CauseError   Cause = "error"
-	CauseNoRoom  Cause = "full"
-	CauseBusy    Cause = "busy"
-	CauseUnknown Cause = "no_such"
+	CauseDone             Cause = "done"
+	CausePreempted        Cause = "halted"
+	CauseGangPeerLost     Cause = "mates_gone"
+	CauseGangIncomplete   Cause = "incomplete"
+	CauseError            Cause = "error"
+	CauseInsufficientRoom Cause = "full"
+	CauseBusy             Cause = "busy"
+	CauseNotFound         Cause = "no_such"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
 	Task    TaskID    `json:"piece"`
 	Attempt Attempt   `json:"try"`
 	State   TaskState `json:"status"`
@@ -36,18 +36,18 @@
 	Saved   bool      `json:"saved,omitempty"`
 }
 
-// Report is what a worker tells of its machine.
-type Report struct {
-	Machine MachineID    `json:"millstone"`
-	Addr    string       `json:"endpoint"`
-	Type    MachineSKU   `json:"build"`
-	Zone    Zone         `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session Session      `json:"shift"`
-	Tally   Tally        `json:"tally"`
-	Token   Token        `json:"warrant"`
-	Notice  *Seconds     `json:"recall_s"`
-	Tasks   []TaskReport `json:"pieces"`
+// Heartbeat is what a worker tells of its machine.
+type Heartbeat struct {
+	Machine       MachineID         `json:"millstone"`
+	Addr          string            `json:"endpoint"`
+	Type          MachineTypeName   `json:"build"`
+	Zone          Zone              `json:"yard"`
+	Spot          bool              `json:"loaners"`
+	Session       AgentEpoch        `json:"shift"`
+	Sequence      HeartbeatSequence `json:"tally"`
+	Token         FencingToken      `json:"warrant"`
+	ReclaimNotice *Seconds          `json:"recall_s"`
+	Tasks         []TaskStatus      `json:"pieces"`
 }
 
 // Op is what a command asks for.
@@ -68,10 +68,10 @@
 	Grace   *Seconds `json:"leeway_s,omitempty"`
 }
 
-// ReportResponse answers a report with commands under a token.
-type ReportResponse struct {
-	Token    Token     `json:"warrant"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse answers a report with commands under a token.
+type HeartbeatResponse struct {
+	Token    FencingToken `json:"warrant"`
+	Commands []Command    `json:"orders"`
 }
 
 // Redirect is the body of a 421: the member to report to, if known.
--- a/wire/workers_test.go
+++ b/wire/workers_test.go
@@ -15,7 +15,7 @@
 	f.Add([]byte(`{"pieces":[{"piece":"wk-000412"}]}`))
 	f.Add([]byte(`{"pieces":[{"piece":"wk-000412/-1"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var r, again wire.Report
+		var r, again wire.Heartbeat
 		if json.Unmarshal(b, &r) != nil {
 			return
 		}
