--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -199,7 +199,7 @@
 	client := &http.Client{Timeout: 4 * time.Second}
 	for ctx.Err() == nil && !m.Gone() {
 		time.Sleep(time.Second)
-		r, begun := m.Report()
+		r, begun := m.Heartbeat()
 		if r == nil {
 			continue
 		}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -31,7 +31,7 @@
 
 // Workers is the service as workers' reports see it.
 type Workers interface {
-	Report(ctx context.Context, r *wire.Heartbeat) server.HeartbeatAnswer
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) server.HeartbeatAnswer
 }
 
 // View is what is told of the controller itself.
@@ -293,7 +293,7 @@
 	if err := json.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
 		return problem(400, "not a report")
 	}
-	a := s.Workers.Report(ctx, &r)
+	a := s.Workers.Heartbeat(ctx, &r)
 	switch a.Status {
 	case 200:
 		return reply(200, a.Response)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -49,7 +49,7 @@
 func (s service) Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	return s.Status(ctx, id)
 }
-func (service) Report(context.Context, *wire.Heartbeat) server.HeartbeatAnswer {
+func (service) Heartbeat(context.Context, *wire.Heartbeat) server.HeartbeatAnswer {
 	return server.HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{Token: 3, Commands: []wire.Command{}}}
 }
 func (service) Healthy() bool                        { return true }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -85,15 +85,15 @@
 	return f.Types, err
 }
 
-// Hire rents machines.
-func (c *Client) Hire(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
+// ScaleOut rents machines.
+func (c *Client) ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	var m wire.MachineIDList
 	err := c.do(ctx, "POST", "/machines", "", h, &m)
 	return m.Names, err
 }
 
-// Return gives machines back. When it succeeds, they and all on them are gone.
-func (c *Client) Return(ctx context.Context, names []wire.MachineID) error {
+// ScaleIn gives machines back. When it succeeds, they and all on them are gone.
+func (c *Client) ScaleIn(ctx context.Context, names []wire.MachineID) error {
 	return c.do(ctx, "POST", "/machines/return", "", wire.MachineIDList{Names: names}, nil)
 }
 
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -146,7 +146,7 @@
 			if c := h.core(i); c != nil {
 				h.group.Go(func() {
 					report := k
-					_ = c.Workers.Report(ctx, &report)
+					_ = c.Workers.Heartbeat(ctx, &report)
 				})
 			}
 		}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -253,7 +253,7 @@
 			c.mirror.SetForTest(c.mirror.Token(), time.Now()) // a few seconds are within what safety allows without
 			c.mirror.Unlock()
 			r := &wire.Heartbeat{Machine: "host-9999999", Type: "g2", Zone: "a", Session: 1, Sequence: wire.HeartbeatSequence(n), Token: 1, Tasks: tasks}
-			if a := c.Workers.Report(t.Context(), r); a.Status == 200 {
+			if a := c.Workers.Heartbeat(t.Context(), r); a.Status == 200 {
 				answered++
 				for _, cmd := range a.Response.Commands {
 					if cmd.Op == wire.OpStart {
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -140,21 +140,21 @@
 	c := quietCore(t, 0)
 	c.mirror.SetForTest(1, now.Add(-8*time.Second))
 	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
-	if a := c.Workers.Report(t.Context(), r); a.Status != 200 {
+	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
 	}
 	c.heardPeer(answerOf("m-1", time.Now(), 0, true, 100*time.Millisecond))
 	r.Sequence = 2
-	if a := c.Workers.Report(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
+	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
 		t.Errorf("%d %q with a peer in touch", a.Status, a.Redirect.ReportTo)
 	}
 	r.Sequence = 3
-	if a := c.Workers.Report(t.Context(), r); a.Status != 200 {
+	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d for a worker that came back", a.Status)
 	}
 	c.mirror.SetForTest(c.mirror.Token(), now.Add(-time.Hour))
 	r.Sequence = 4
-	if a := c.Workers.Report(t.Context(), r); a.Status != 421 {
+	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 421 {
 		t.Errorf("%d long after a cancellation may have been missed", a.Status)
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -40,17 +40,17 @@
 	Duties    supervise.Group
 	Users     *server.JobServer
 	Workers   *server.HeartbeatServer
-	Workflows *workflowrunner.Flows
+	Workflows *workflowrunner.Runner
 	Places    *places.Tracker
 
 	set      *settings.Settings
 	store    state.Store
 	log      *slog.Logger
 	boot     time.Time
-	mirror   *mirror.Mirror
-	writer   *writer.Writer
-	members  *members.Members
-	book     *evidence.FailureTracker
+	mirror   *mirror.Cache
+	writer   *writer.Committer
+	members  *members.Membership
+	book     *evidence.Tracker
 	roster   *workers.Registry
 	done     *completion.Log
 	told     *completion.Exchange
@@ -71,7 +71,7 @@
 	c.members = members.New(membersOptions(set), c.Stats, log)
 	c.book = evidence.New(c.members, c.Stats, log)
 	if q := set.Operators.Quarantine; q.On {
-		c.book.SetOdds(evidence.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
+		c.book.EnableQuarantine(evidence.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
 	}
 	c.done = completion.New(completion.Capacity(set.MemoryBytes() / completionShare))
 	c.told = completion.NewExchange(c.done, c.boot, membersOptions(set).Others)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -36,11 +36,11 @@
 		c.mirror.SetForTest(1, now)
 		c.members.SetRunningForTest(now.Add(-50 * time.Second))
 		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
-		if a := c.Workers.Report(t.Context(), r); a.Status != 503 {
+		if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 503 {
 			t.Errorf("%d for a report from before", a.Status)
 		}
 		time.Sleep(time.Second)
-		if a := c.Workers.Report(t.Context(), r); a.Status != 200 {
+		if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 200 {
 			t.Errorf("%d for a report from after", a.Status)
 		}
 	})
--- a/internal/controller/first_test.go
+++ b/internal/controller/first_test.go
@@ -49,7 +49,7 @@
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Duties.Run(ctx) })
 				for _, r := range f.Reports {
-					running.Go(func() { c.Workers.Report(ctx, r) })
+					running.Go(func() { c.Workers.Heartbeat(ctx, r) })
 				}
 				for answered := false; !answered; {
 					one, stop := context.WithTimeout(ctx, 2*time.Second)
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -46,7 +46,7 @@
 				}
 				w := g.roster.Worker(r.Machine)
 				r.Sequence = w.Sequence + 1
-				g.Workers.Report(b.Context(), &r)
+				g.Workers.Heartbeat(b.Context(), &r)
 			}
 		})
 		run("picture", func(b *testing.B) {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -184,26 +184,26 @@
 	step func(string)
 }
 
-func (f frozenCloud) Hire(ctx context.Context, r wire.ScaleOutRequest) ([]wire.MachineID, error) {
+func (f frozenCloud) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	f.step("rental sent")
 	if f.link.Copies {
-		time.AfterFunc(7*time.Second, func() { _, _ = f.Cloud.Hire(context.Background(), r) })
+		time.AfterFunc(7*time.Second, func() { _, _ = f.Cloud.ScaleOut(context.Background(), r) })
 	}
 	f.link.Thaw()
 	defer f.link.Thaw()
 	defer f.step("rental answered")
-	return f.Cloud.Hire(ctx, r)
+	return f.Cloud.ScaleOut(ctx, r)
 }
 
-func (f frozenCloud) Return(ctx context.Context, names []wire.MachineID) error {
+func (f frozenCloud) ScaleIn(ctx context.Context, names []wire.MachineID) error {
 	f.step("return sent")
 	if f.link.Copies {
-		time.AfterFunc(7*time.Second, func() { _ = f.Cloud.Return(context.Background(), names) })
+		time.AfterFunc(7*time.Second, func() { _ = f.Cloud.ScaleIn(context.Background(), names) })
 	}
 	f.link.Thaw()
 	defer f.link.Thaw()
 	defer f.step("return answered")
-	return f.Cloud.Return(ctx, names)
+	return f.Cloud.ScaleIn(ctx, names)
 }
 
 // step makes a controller stand still if it is at the step to do so.
@@ -330,7 +330,7 @@
 			clock.Sleep(ctx, time.Duration(every*3/4+h.chance(every/2))*time.Millisecond)
 		}
 		retry = false
-		r, begun := m.Report()
+		r, begun := m.Heartbeat()
 		if r == nil {
 			continue
 		}
@@ -349,7 +349,7 @@
 			late := *r
 			h.group.Go(func() {
 				clock.Sleep(ctx, d+time.Duration(h.chance(900))*time.Millisecond)
-				_ = c.Workers.Report(ctx, &late)
+				_ = c.Workers.Heartbeat(ctx, &late)
 			})
 			at = (at + 1 + h.chance(h.n-1)) % h.n
 			clock.Sleep(ctx, 4*time.Second)
@@ -361,7 +361,7 @@
 			h.group.Go(func() {
 				clock.Sleep(ctx, delay)
 				if c := h.core(to); c != nil {
-					_ = c.Workers.Report(ctx, &late)
+					_ = c.Workers.Heartbeat(ctx, &late)
 				}
 			})
 			at = (at + 1 + h.chance(h.n-1)) % h.n
@@ -373,11 +373,11 @@
 			h.group.Go(func() {
 				clock.Sleep(ctx, delay)
 				if c := h.core(to); c != nil {
-					_ = c.Workers.Report(ctx, &copied)
+					_ = c.Workers.Heartbeat(ctx, &copied)
 				}
 			})
 		}
-		a := c.Workers.Report(ctx, r)
+		a := c.Workers.Heartbeat(ctx, r)
 		switch {
 		case a.Status != 200:
 			at, retry = (at+1)%h.n, true
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -156,7 +156,7 @@
 								}
 								clock.Sleep(ctx, after)
 								if c := h.core(to); c != nil {
-									_ = c.Workers.Report(ctx, &copied)
+									_ = c.Workers.Heartbeat(ctx, &copied)
 								}
 							})
 						}
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -23,10 +23,10 @@
 type fullCloud struct{ flavors []wire.MachineType }
 
 func (f fullCloud) Flavors(context.Context) ([]wire.MachineType, error) { return f.flavors, nil }
-func (fullCloud) Hire(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
+func (fullCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	return nil, cloud.ErrNoCapacity
 }
-func (fullCloud) Return(context.Context, []wire.MachineID) error     { return nil }
+func (fullCloud) ScaleIn(context.Context, []wire.MachineID) error     { return nil }
 func (fullCloud) List(context.Context) ([]wire.ListedMachine, error) { return nil, nil }
 
 // BenchmarkReportWaits plays half a minute of a controller that leads a fleet and holds a third
@@ -90,7 +90,7 @@
 			due = due.Add(period)
 			one := *r
 			r.Sequence++
-			c.Workers.Report(ctx, &one)
+			c.Workers.Heartbeat(ctx, &one)
 			if len(r.Tasks) > 0 && asked.After(settled) && ctx.Err() == nil {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/evidence/boots.go
+++ b/internal/evidence/boots.go
@@ -19,10 +19,10 @@
 	Zone wire.Zone
 }
 
-// Boots remembers, of each kind, how long the last machines took from their rental to their
+// BootTimes remembers, of each kind, how long the last machines took from their rental to their
 // first report, and when the one rented last that is up was rented. The zero value remembers
 // nothing.
-type Boots struct{ logs map[Kind]*bootLog }
+type BootTimes struct{ logs map[Kind]*bootLog }
 
 type bootLog struct {
 	took []time.Duration
@@ -39,7 +39,7 @@
 
 // Observe notes that a machine rented at one time was first heard at another. One that is known
 // from its report alone tells nothing.
-func (b *Boots) Observe(k Kind, hired, at time.Time) {
+func (b *BootTimes) Observe(k Kind, hired, at time.Time) {
 	took := at.Sub(hired)
 	if took <= 0 {
 		return
@@ -61,7 +61,7 @@
 
 // usual is how long machines of the kind took lately, all but the slowest sixth of
 // them, and never below what the type states.
-func (b *Boots) usual(k Kind, stated time.Duration) time.Duration {
+func (b *BootTimes) usual(k Kind, stated time.Duration) time.Duration {
 	l := b.logs[k]
 	if l == nil || len(l.took) < fewBoots {
 		return stated * 3 / 2
@@ -71,13 +71,13 @@
 
 // Overdue reports whether a machine that isn't up is no longer to be counted on. stated is
 // what its type states.
-func (b *Boots) Overdue(k Kind, hired time.Time, stated time.Duration, now time.Time) bool {
+func (b *BootTimes) Overdue(k Kind, hired time.Time, stated time.Duration, now time.Time) bool {
 	l := b.logs[k]
 	return l != nil && stated > 0 && !hired.After(l.last.Add(rentedNearby)) && now.Sub(hired) > b.usual(k, stated)*3/2
 }
 
 // BootTimeout is how long a machine may take before it is returned as one that never
 // comes up.
-func (b *Boots) BootTimeout(k Kind, stated time.Duration) time.Duration {
+func (b *BootTimes) BootTimeout(k Kind, stated time.Duration) time.Duration {
 	return max(3*stated, 2*b.usual(k, stated))
 }
--- a/internal/evidence/boots_test.go
+++ b/internal/evidence/boots_test.go
@@ -27,7 +27,7 @@
 		{"all took three times as long", []time.Duration{130 * time.Second, 130 * time.Second, 130 * time.Second, 130 * time.Second}, 3 * stated, 130 * time.Second, false, false},
 		{"all are up at once: the stated time still holds", []time.Duration{50 * time.Second, 50 * time.Second, 50 * time.Second, 50 * time.Second}, time.Second, 50 * time.Second, false, false},
 	} {
-		var b Boots
+		var b BootTimes
 		for _, ago := range tc.others {
 			b.Observe(kind, now.Add(-ago), now.Add(tc.took-ago))
 		}
--- a/internal/evidence/explain.go
+++ b/internal/evidence/explain.go
@@ -21,7 +21,7 @@
 
 // Explain tells what is believed of a machine and why; false if there is nothing to tell: no task
 // failed there that is remembered, and it isn't slow.
-func (j *QuarantineJudge) Explain(m wire.MachineID) (wire.Judgement, bool) {
+func (j *Judge) Explain(m wire.MachineID) (wire.Judgement, bool) {
 	j.settle()
 	p := SuspectedCause{Kind: OfMachine, Name: string(m)}
 	out := wire.Judgement{Machine: m, Before: j.odds.Faulty, Sure: j.odds.Faulty, Times: 1, Done: int(j.done[p]), Accident: j.accident}
@@ -46,7 +46,7 @@
 const mostDigest = 200
 
 // Digest is why a machine is judged as it is in a few words, to be kept with its mark.
-func (j *QuarantineJudge) Digest(m wire.MachineID) string {
+func (j *Judge) Digest(m wire.MachineID) string {
 	x, ok := j.Explain(m)
 	if !ok {
 		return ""
@@ -68,7 +68,7 @@
 
 // Why is why a machine is judged faulty in a few words; "" where machines are not judged by
 // evidence.
-func (b *FailureTracker) Why(m wire.MachineID) string {
+func (b *Tracker) Why(m wire.MachineID) string {
 	if b.judge == nil {
 		return ""
 	}
@@ -76,7 +76,7 @@
 }
 
 // Judgements explains all machines of a list that there is something to tell of, the worst first.
-func (b *FailureTracker) Judgements(machines []wire.MachineID) []wire.Judgement {
+func (b *Tracker) Judgements(machines []wire.MachineID) []wire.Judgement {
 	out := []wire.Judgement{}
 	if b.judge == nil {
 		return out
@@ -93,7 +93,7 @@
 }
 
 // Judged reports whether machines are judged by evidence.
-func (b *FailureTracker) Judged() bool { return b.judge != nil }
+func (b *Tracker) Judged() bool { return b.judge != nil }
 
 // likely is how sure it must be of a party that a sentence names it.
 const likely = 0.5
--- a/internal/evidence/explain_test.go
+++ b/internal/evidence/explain_test.go
@@ -25,7 +25,7 @@
 			w := newWorld(100+seed, 64)
 			w.accident = 0
 			fault(w)
-			j := NewJudge(DefaultOdds)
+			j := NewJudge(DefaultPriors)
 			w.play(watching{j}, 700)
 			// The machine that failed most: for a fault of its own the faulty one.
 			most, text := 0, ""
@@ -49,7 +49,7 @@
 }
 
 // watching judges and replaces nothing.
-type watching struct{ *QuarantineJudge }
+type watching struct{ *Judge }
 
 func (r watching) see(o *Outcome) { r.Observe(o) }
 func (r watching) faulty(m wire.MachineID) bool {
--- a/internal/evidence/judge.go
+++ b/internal/evidence/judge.go
@@ -69,7 +69,7 @@
 }
 
 // DefaultOdds: one machine in a hundred is faulty, and one judgement in 250 is wrong.
-var DefaultOdds = Priors{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
+var DefaultPriors = Priors{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
 
 // rates are what a party that is at fault may fail its tasks with.
 var rates = [...]float64{0.08, 0.2, 0.5, 0.9, 0.999}
@@ -111,8 +111,8 @@
 	mostAccident  = 1e-2
 )
 
-// QuarantineJudge holds outcomes and judges by them. It does no I/O, is told the time, and has no lock.
-type QuarantineJudge struct {
+// Judge holds outcomes and judges by them. It does no I/O, is told the time, and has no lock.
+type Judge struct {
 	odds     Priors
 	done     map[SuspectedCause]float64 // tasks done
 	all      float64
@@ -152,8 +152,8 @@
 }
 
 // NewJudge returns one that has seen nothing.
-func NewJudge(o Priors) *QuarantineJudge {
-	return &QuarantineJudge{odds: o, done: map[SuspectedCause]float64{}, ofJob: map[wire.JobID]int{}, belief: map[SuspectedCause]*belief{}, accident: 2e-3,
+func NewJudge(o Priors) *Judge {
+	return &Judge{odds: o, done: map[SuspectedCause]float64{}, ofJob: map[wire.JobID]int{}, belief: map[SuspectedCause]*belief{}, accident: 2e-3,
 		speed: map[wire.MachineID]*pace{}, classes: map[wire.Class]*spread{}, mates: map[wire.JobID]*spread{}}
 }
 
@@ -177,7 +177,7 @@
 }
 
 // Observe takes in an outcome.
-func (j *QuarantineJudge) Observe(o *Outcome) {
+func (j *Judge) Observe(o *Outcome) {
 	if o.At.After(j.now) {
 		j.now = o.At
 	}
@@ -222,7 +222,7 @@
 }
 
 // ask has a party judged anew.
-func (j *QuarantineJudge) ask(b *belief) {
+func (j *Judge) ask(b *belief) {
 	if !b.queued {
 		b.queued = true
 		j.queue = append(j.queue, b)
@@ -230,7 +230,7 @@
 }
 
 // drop forgets a failure.
-func (j *QuarantineJudge) drop(at int) {
+func (j *Judge) drop(at int) {
 	f := j.failures[at]
 	j.failures = slices.Delete(j.failures, at, at+1)
 	if j.ofJob[f.Job]--; j.ofJob[f.Job] == 0 {
@@ -247,11 +247,11 @@
 }
 
 // limit is the logarithm of the odds that make a judgement.
-func (j *QuarantineJudge) limit() float64 { return math.Log(1/j.odds.Wrong - 1) }
+func (j *Judge) limit() float64 { return math.Log(1/j.odds.Wrong - 1) }
 
 // Faulty tells how sure it is that a machine fails tasks that others would not, and with what
 // rate; yes: sure enough.
-func (j *QuarantineJudge) Faulty(m wire.MachineID) (yes bool, sure, rate float64) {
+func (j *Judge) Faulty(m wire.MachineID) (yes bool, sure, rate float64) {
 	j.settle()
 	b := j.belief[SuspectedCause{Kind: OfMachine, Name: string(m)}]
 	if b == nil {
@@ -261,13 +261,13 @@
 }
 
 // Forget drops what is known of a machine that is gone; what it said of others stays.
-func (j *QuarantineJudge) Forget(m wire.MachineID) {
+func (j *Judge) Forget(m wire.MachineID) {
 	delete(j.done, SuspectedCause{Kind: OfMachine, Name: string(m)})
 	delete(j.speed, m)
 }
 
 // Prune drops what is too old to judge by, and all of jobs that are over.
-func (j *QuarantineJudge) Prune(now time.Time, active func(wire.JobID) bool) {
+func (j *Judge) Prune(now time.Time, active func(wire.JobID) bool) {
 	for len(j.failures) > 0 && now.Sub(j.failures[0].At) > failuresFor {
 		j.drop(0)
 	}
@@ -290,7 +290,7 @@
 )
 
 // FailuresToShare lists the latest failures on machines that report here, for other controllers.
-func (j *QuarantineJudge) FailuresToShare(now time.Time) (out []mesh.Failure) {
+func (j *Judge) FailuresToShare(now time.Time) (out []mesh.Failure) {
 	for i := len(j.failures) - 1; i >= 0 && len(out) < failuresTold; i-- {
 		f := j.failures[i]
 		if now.Sub(f.At) > toldFor {
@@ -307,7 +307,7 @@
 // MergeFailures takes in failures that another controller tells of: they speak for and against jobs and
 // tasks, whose success is in the records. Machines are judged by who holds them, images and
 // blocks by each controller from what it sees.
-func (j *QuarantineJudge) MergeFailures(list []mesh.Failure) {
+func (j *Judge) MergeFailures(list []mesh.Failure) {
 	for i := len(list) - 1; i >= 0; i-- {
 		x := &list[i]
 		o := &Outcome{Machine: x.Machine, Job: x.Job, Task: x.Task, Array: x.Array, Image: x.Image, Block: x.Block, Failed: true, Far: true, At: time.UnixMilli(x.At)}
@@ -324,7 +324,7 @@
 
 // Progress takes in how many tasks of a job are done, on whichever machine, and which: what can
 // run is not at fault.
-func (j *QuarantineJudge) Progress(job wire.JobID, done int, isDone func(wire.TaskIndex) bool) {
+func (j *Judge) Progress(job wire.JobID, done int, isDone func(wire.TaskIndex) bool) {
 	if j.ofJob[job] == 0 {
 		return
 	}
--- a/internal/evidence/settle.go
+++ b/internal/evidence/settle.go
@@ -9,7 +9,7 @@
 // settle judges anew the parties of new failures, and those that share failures with them, from
 // what is believed of any party to begin with: what was believed so far would keep a party from
 // being blamed that explains all of it better.
-func (j *QuarantineJudge) settle() {
+func (j *Judge) settle() {
 	if len(j.queue) == 0 || j.now.Sub(j.settled) < settleEvery {
 		return
 	}
@@ -67,7 +67,7 @@
 
 // prior is how likely a party of a kind is at fault to begin with. How many jobs and tasks are is
 // learned: on some days every tenth is.
-func (j *QuarantineJudge) prior(k PartyKind) float64 {
+func (j *Judge) prior(k PartyKind) float64 {
 	switch k {
 	case OfMachine:
 		return j.odds.Faulty
@@ -78,7 +78,7 @@
 }
 
 // others is how likely a failure's other parties would not have failed the task.
-func (j *QuarantineJudge) others(f *failure, but *belief) float64 {
+func (j *Judge) others(f *failure, but *belief) float64 {
 	sound := 1 - j.accident
 	for _, b := range f.of[:f.n] {
 		if b != but {
@@ -90,7 +90,7 @@
 
 // explain judges parties from what is believed of any to begin with, in an order of their kinds,
 // until that no longer moves.
-func (j *QuarantineJudge) explain(kinds *[partyKinds][]*belief, order [partyKinds]PartyKind) {
+func (j *Judge) explain(kinds *[partyKinds][]*belief, order [partyKinds]PartyKind) {
 	for _, list := range kinds {
 		for _, b := range list {
 			b.rate = j.prior(b.Kind)
@@ -113,7 +113,7 @@
 
 // likelihood is the logarithm of how likely what is believed of some parties makes what they did,
 // and they themselves are.
-func (j *QuarantineJudge) likelihood(all []*belief) (l float64) {
+func (j *Judge) likelihood(all []*belief) (l float64) {
 	j.passes++ // of failures
 	for _, b := range all {
 		// What is believed costs as much as it is unlikely to begin with.
@@ -142,7 +142,7 @@
 
 // expected is the logarithm of how likely a failure is, on average over which of its parties are
 // at fault: parties that are all half believed to be explain it less well than one that is.
-func (j *QuarantineJudge) expected(f *failure) (l float64) {
+func (j *Judge) expected(f *failure) (l float64) {
 	for mask := range 1 << f.n {
 		weight, sound := 1.0, 1-j.accident
 		for i, b := range f.of[:f.n] {
@@ -161,7 +161,7 @@
 }
 
 // judge judges one party by what is believed of the others.
-func (j *QuarantineJudge) judge(b *belief) {
+func (j *Judge) judge(b *belief) {
 	prior := j.prior(b.Kind)
 	sound := make([]float64, len(b.fail))
 	for k, f := range b.fail {
@@ -197,7 +197,7 @@
 
 // confirm notes since when it has been sure of a party. A judgement stands until the contrary is
 // likelier: a failure that is yet to be explained makes it waver.
-func (j *QuarantineJudge) confirm(b *belief) {
+func (j *Judge) confirm(b *belief) {
 	switch {
 	case b.sure < likely:
 		b.since = time.Time{}
@@ -209,7 +209,7 @@
 func (f *failure) at(b *belief) int { return slices.Index(f.of[:f.n], b) }
 
 // judgeAccidents takes from failures that no party explains how often they happen.
-func (j *QuarantineJudge) judgeAccidents() {
+func (j *Judge) judgeAccidents() {
 	nobodys := 0.0
 	for _, f := range j.failures {
 		nobodys += j.accident / max(j.accident, 1-j.others(f, nil))
--- a/internal/evidence/speed.go
+++ b/internal/evidence/speed.go
@@ -29,7 +29,7 @@
 }
 
 // seeSpeed takes in how long a task ran.
-func (j *QuarantineJudge) seeSpeed(o *Outcome) {
+func (j *Judge) seeSpeed(o *Outcome) {
 	if o.Ran <= 0 || o.Expected <= 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // Slow reports whether a machine's tasks take longer than others', and by what factor.
-func (j *QuarantineJudge) Slow(m wire.MachineID) (bool, float64) {
+func (j *Judge) Slow(m wire.MachineID) (bool, float64) {
 	p := j.speed[m]
 	if p == nil || p.n < fewToBeSlow || p.score < j.limit()-math.Log(j.odds.Faulty) {
 		return false, 1
--- a/internal/evidence/suspects.go
+++ b/internal/evidence/suspects.go
@@ -18,11 +18,11 @@
 	"maddermill/wire"
 )
 
-// FailureTracker is what a controller has seen.
-type FailureTracker struct {
+// Tracker is what a controller has seen.
+type Tracker struct {
 	SpotReclaims SpotReclaims // of spot machines, as the fleet's leader sees them
 
-	members *members.Members // who tell of run times seen elsewhere
+	members *members.Membership // who tell of run times seen elsewhere
 	stats   *metrics.Set
 	log     *slog.Logger
 
@@ -30,17 +30,17 @@
 	errors  map[wire.MachineID]map[wire.JobID]time.Time // jobs whose tasks failed there
 	classes map[wire.Class]*mesh.ClassSum               // as seen here
 	claimed map[claimKey]time.Time                      // when a claim was first seen
-	judge   *QuarantineJudge                            // nil: two jobs that fail on a machine make it faulty
+	judge   *Judge                                      // nil: two jobs that fail on a machine make it faulty
 }
 
 // New returns an empty book.
-func New(members *members.Members, stats *metrics.Set, log *slog.Logger) *FailureTracker {
-	return &FailureTracker{members: members, stats: stats, log: log, jobs: map[wire.JobID]*notes{}, errors: map[wire.MachineID]map[wire.JobID]time.Time{},
+func New(members *members.Membership, stats *metrics.Set, log *slog.Logger) *Tracker {
+	return &Tracker{members: members, stats: stats, log: log, jobs: map[wire.JobID]*notes{}, errors: map[wire.MachineID]map[wire.JobID]time.Time{},
 		classes: map[wire.Class]*mesh.ClassSum{}, claimed: map[claimKey]time.Time{}}
 }
 
-// SetOdds has machines judged by likelihood, and slow ones found.
-func (b *FailureTracker) SetOdds(o Priors) { b.judge = NewJudge(o) }
+// EnableQuarantine has machines judged by likelihood, and slow ones found.
+func (b *Tracker) EnableQuarantine(o Priors) { b.judge = NewJudge(o) }
 
 // notes is what is remembered of a job.
 type notes struct {
@@ -51,7 +51,7 @@
 	avoid    map[wire.MachineID]time.Time
 }
 
-func (b *FailureTracker) notes(id wire.JobID) *notes {
+func (b *Tracker) notes(id wire.JobID) *notes {
 	n := b.jobs[id]
 	if n == nil {
 		n = &notes{avoid: map[wire.MachineID]time.Time{}}
@@ -128,7 +128,7 @@
 
 // Failed notes a task's error on a machine that is in a block of the topology, "" if none is
 // declared.
-func (b *FailureTracker) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
+func (b *Tracker) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
 	if b.judge != nil {
 		o := outcome(j, task, machine, block, now)
 		o.Failed = true
@@ -158,7 +158,7 @@
 }
 
 // tellSuspect logs that a job has become suspect.
-func (b *FailureTracker) tellSuspect(j *ledger.Job, n *notes, was bool) {
+func (b *Tracker) tellSuspect(j *ledger.Job, n *notes, was bool) {
 	if n.failures.blamed() && !was {
 		b.log.Warn("job suspect", "job", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(n.failures.on), "rests", time.Until(n.failures.until).Round(time.Second))
 	}
@@ -166,7 +166,7 @@
 
 // Completed notes that a task completed on a machine, which is then not the one at fault, after
 // it ran for a time; 0: unknown.
-func (b *FailureTracker) Completed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, ran time.Duration, now time.Time) {
+func (b *Tracker) Completed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, ran time.Duration, now time.Time) {
 	delete(b.errors, machine)
 	if b.judge != nil {
 		o := outcome(j, task, machine, block, now)
@@ -179,12 +179,12 @@
 }
 
 // Avoid keeps a job off a machine for a while.
-func (b *FailureTracker) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
+func (b *Tracker) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
 	b.notes(job).avoid[machine] = now
 }
 
 // Retry puts a job's next start off until a time.
-func (b *FailureTracker) Retry(job wire.JobID, at time.Time) { b.notes(job).retry = at }
+func (b *Tracker) Retry(job wire.JobID, at time.Time) { b.notes(job).retry = at }
 
 // RetryState is what speaks against starting tasks of a job now.
 type RetryState struct {
@@ -197,7 +197,7 @@
 // RetryState tells what speaks against a job. One a task of which has completed since the last
 // look, by whichever controller that was recorded, is cleared. A task that failed everywhere
 // rests on.
-func (b *FailureTracker) RetryState(j *ledger.Job, now time.Time) RetryState {
+func (b *Tracker) RetryState(j *ledger.Job, now time.Time) RetryState {
 	n := b.notes(j.ID)
 	n.acquit(j)
 	for m, at := range n.avoid {
@@ -235,7 +235,7 @@
 
 // BackedOff tells which tasks of a job have failed on several machines and are not yet to be tried
 // again.
-func (b *FailureTracker) BackedOff(job wire.JobID) func(wire.TaskIndex) bool {
+func (b *Tracker) BackedOff(job wire.JobID) func(wire.TaskIndex) bool {
 	n := b.notes(job)
 	return func(t wire.TaskIndex) bool { return n.resting(t, time.Now()) }
 }
@@ -258,7 +258,7 @@
 
 // Suspect reports whether a job is believed to fail wherever it runs, and after how many rounds
 // of failures.
-func (b *FailureTracker) Suspect(id wire.JobID) (rounds int, yes bool) {
+func (b *Tracker) Suspect(id wire.JobID) (rounds int, yes bool) {
 	n := b.jobs[id]
 	if n == nil || !n.failures.blamed() {
 		return 0, false
@@ -267,7 +267,7 @@
 }
 
 // CountSuspects counts the jobs that are believed to fail wherever they run.
-func (b *FailureTracker) CountSuspects() (k int) {
+func (b *Tracker) CountSuspects() (k int) {
 	for id := range b.jobs {
 		if _, yes := b.Suspect(id); yes {
 			k++
@@ -277,14 +277,14 @@
 }
 
 // Failing reports whether a task of a job has failed since one completed.
-func (b *FailureTracker) Failing(id wire.JobID) bool {
+func (b *Tracker) Failing(id wire.JobID) bool {
 	n := b.jobs[id]
 	return n != nil && len(n.failures.on) > 0
 }
 
 // Suspects are told to peers: also jobs that have failed on one machine only, since
 // the other one may be theirs.
-func (b *FailureTracker) Suspects(now time.Time) []mesh.Suspect {
+func (b *Tracker) Suspects(now time.Time) []mesh.Suspect {
 	var out []mesh.Suspect
 	for id, n := range b.jobs {
 		if len(n.failures.on) == 0 || len(out) == mostTold {
@@ -300,7 +300,7 @@
 
 // MergeSuspects takes over what a peer told of failures, but for those of a job a task of which has
 // completed since.
-func (b *FailureTracker) MergeSuspects(l *ledger.Ledger, list []mesh.Suspect, asked time.Time) {
+func (b *Tracker) MergeSuspects(l *ledger.Ledger, list []mesh.Suspect, asked time.Time) {
 	for i := range list {
 		x := &list[i]
 		j := l.Job(x.Job)
@@ -317,7 +317,7 @@
 // Faulty reports whether a machine is to blame for its tasks' errors: several jobs
 // failed there that do not fail elsewhere. One that its user has cancelled since
 // proves nothing.
-func (b *FailureTracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
+func (b *Tracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
 	if b.judge != nil {
 		yes, _, _ := b.judge.Faulty(machine)
 		return yes
@@ -337,7 +337,7 @@
 }
 
 // Slow reports whether a machine's tasks take longer than others'.
-func (b *FailureTracker) Slow(machine wire.MachineID) bool {
+func (b *Tracker) Slow(machine wire.MachineID) bool {
 	if b.judge == nil {
 		return false
 	}
@@ -346,7 +346,7 @@
 }
 
 // Failures are told to peers.
-func (b *FailureTracker) Failures(now time.Time) []mesh.Failure {
+func (b *Tracker) Failures(now time.Time) []mesh.Failure {
 	if b.judge == nil {
 		return nil
 	}
@@ -354,14 +354,14 @@
 }
 
 // MergeFailures takes in what a peer tells.
-func (b *FailureTracker) MergeFailures(list []mesh.Failure) {
+func (b *Tracker) MergeFailures(list []mesh.Failure) {
 	if b.judge != nil {
 		b.judge.MergeFailures(list)
 	}
 }
 
 // ForgetMachine drops what is known of a machine that is gone.
-func (b *FailureTracker) ForgetMachine(id wire.MachineID) {
+func (b *Tracker) ForgetMachine(id wire.MachineID) {
 	delete(b.errors, id)
 	if b.judge != nil {
 		b.judge.Forget(id)
@@ -369,10 +369,10 @@
 }
 
 // ForgetJob drops what is known of a job that is no longer among the records.
-func (b *FailureTracker) ForgetJob(id wire.JobID) { delete(b.jobs, id) }
+func (b *Tracker) ForgetJob(id wire.JobID) { delete(b.jobs, id) }
 
 // Prune drops what is known of jobs and claims that are over.
-func (b *FailureTracker) Prune(l *ledger.Ledger, now time.Time) {
+func (b *Tracker) Prune(l *ledger.Ledger, now time.Time) {
 	for id := range b.jobs {
 		if j := l.Job(id); j == nil || j.State != ledger.Active {
 			delete(b.jobs, id)
--- a/internal/evidence/times.go
+++ b/internal/evidence/times.go
@@ -16,7 +16,7 @@
 const priorWeight = 4
 
 // ran notes how long a task of a class ran that was estimated to run for a time.
-func (b *FailureTracker) ran(class wire.Class, ran, estimate time.Duration) {
+func (b *Tracker) ran(class wire.Class, ran, estimate time.Duration) {
 	o := b.classes[class]
 	if o == nil {
 		o = &mesh.ClassSum{Class: class}
@@ -29,7 +29,7 @@
 }
 
 // Classes is what was seen here of the classes' run times, for peers.
-func (b *FailureTracker) Classes() []mesh.ClassSum {
+func (b *Tracker) Classes() []mesh.ClassSum {
 	out := make([]mesh.ClassSum, 0, len(b.classes))
 	for _, o := range b.classes {
 		out = append(out, *o)
@@ -39,7 +39,7 @@
 
 // correction is what estimates of a class are to be multiplied by, from what
 // all controllers have seen.
-func (b *FailureTracker) correction(class wire.Class) float64 {
+func (b *Tracker) correction(class wire.Class) float64 {
 	var ran, estimated, count float64
 	add := func(o *mesh.ClassSum) {
 		ran, estimated, count = ran+o.Ran, estimated+o.Estimated, count+o.Count
@@ -62,7 +62,7 @@
 }
 
 // Expected is how long a task of the job will run.
-func (b *FailureTracker) Expected(j *ledger.Job) time.Duration {
+func (b *Tracker) Expected(j *ledger.Job) time.Duration {
 	return time.Duration(float64(j.Spec.Estimate.Duration()) * b.correction(j.Spec.Class))
 }
 
@@ -74,7 +74,7 @@
 }
 
 // ClaimedSince is when a claim was first seen here.
-func (b *FailureTracker) ClaimedSince(h ledger.HeldClaim, now time.Time) time.Time {
+func (b *Tracker) ClaimedSince(h ledger.HeldClaim, now time.Time) time.Time {
 	key := claimKey{h.Machine, h.Job.ID, h.Attempt, h.First}
 	since, ok := b.claimed[key]
 	if !ok {
@@ -86,7 +86,7 @@
 
 // Until is when a claim's tasks are expected to be over. One that has outlived
 // its expectation may take half as long again as it is over already.
-func (b *FailureTracker) Until(h ledger.HeldClaim, now time.Time) time.Time {
+func (b *Tracker) Until(h ledger.HeldClaim, now time.Time) time.Time {
 	if h.Job.Spec.Shape == wire.Service {
 		return now.Add(24 * time.Hour)
 	}
@@ -98,7 +98,7 @@
 }
 
 // forgetClaims drops what is noted of claims that are over.
-func (b *FailureTracker) forgetClaims(l *ledger.Ledger) {
+func (b *Tracker) forgetClaims(l *ledger.Ledger) {
 	for key := range b.claimed {
 		if !slices.ContainsFunc(l.HeldBy(key.machine), func(h ledger.HeldClaim) bool {
 			return h.Job.ID == key.job && h.Attempt == key.attempt && h.First == key.first
--- a/internal/evidence/worlds_test.go
+++ b/internal/evidence/worlds_test.go
@@ -70,7 +70,7 @@
 	return n >= enoughToBlame
 }
 
-type judges struct{ *QuarantineJudge }
+type judges struct{ *Judge }
 
 func (r judges) see(o *Outcome) { r.Observe(o) }
 func (r judges) faulty(m wire.MachineID) bool {
@@ -195,7 +195,7 @@
 				g.Go(func() error {
 					w := newWorld(seed, 64)
 					kind.make(w)
-					var r rule = judges{NewJudge(DefaultOdds)}
+					var r rule = judges{NewJudge(DefaultPriors)}
 					if which == "today" {
 						r = &todays{map[wire.JobID]map[wire.MachineID]bool{}, map[wire.MachineID]map[wire.JobID]time.Time{}}
 					}
@@ -245,7 +245,7 @@
 		wrong, all := 0, 0
 		for seed := range uint64(seeds) {
 			rng := rand.New(rand.NewPCG(seed, 19))
-			j := NewJudge(DefaultOdds)
+			j := NewJudge(DefaultPriors)
 			given := make([]int, 64)
 			found := map[int]bool{}
 			for n := range 1500 {
@@ -289,8 +289,8 @@
 func TestNeighboursSettle(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	sure := func(others, progress bool) float64 {
-		here, there := NewJudge(DefaultOdds), NewJudge(DefaultOdds)
-		see := func(j *QuarantineJudge, m, job string, failed bool, at time.Time) {
+		here, there := NewJudge(DefaultPriors), NewJudge(DefaultPriors)
+		see := func(j *Judge, m, job string, failed bool, at time.Time) {
 			j.Observe(&Outcome{Machine: wire.MachineID(m), Job: wire.JobID(job), Failed: failed, At: at})
 		}
 		for i := range 50 {
@@ -329,7 +329,7 @@
 // BenchmarkJudge is what an outcome costs beside 2,048 failures on 16,000 machines: one that is
 // done, and one that fails and is judged.
 func BenchmarkJudge(b *testing.B) {
-	j := NewJudge(DefaultOdds)
+	j := NewJudge(DefaultPriors)
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1_800_000_000, 0)
 	see := func(failed bool) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -32,8 +32,8 @@
 // Cloud is what the fleet's leader needs of the cloud.
 type Cloud interface {
 	Flavors(ctx context.Context) ([]wire.MachineType, error)
-	Hire(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error)
-	Return(ctx context.Context, names []wire.MachineID) error
+	ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error)
+	ScaleIn(ctx context.Context, names []wire.MachineID) error
 	List(ctx context.Context) ([]wire.ListedMachine, error)
 }
 
@@ -46,11 +46,11 @@
 
 // Parts are what the leader works with.
 type Parts struct {
-	Mirror    *mirror.Mirror
-	Writer    *writer.Writer
-	Members   *members.Members
+	Mirror    *mirror.Cache
+	Writer    *writer.Committer
+	Members   *members.Membership
 	Roster    *workers.Registry
-	Book      *evidence.FailureTracker
+	Book      *evidence.Tracker
 	Schedule  *schedule.Scheduler
 	Policies  *policies.Manager
 	Completed *completion.Log
@@ -122,7 +122,7 @@
 // term is one time as the leader, from the lease's grant to its end.
 func (c *Leader) term(ctx context.Context, cl Cloud) error {
 	asked := time.Now()
-	lease, err := c.store.Grant(ctx, leaderTTL)
+	lease, err := c.store.GrantLease(ctx, leaderTTL)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.Mirror.Reach(ctx, version); err != nil {
+	if err := c.Mirror.WaitForRevision(ctx, version); err != nil {
 		return err
 	}
 	c.log.Info("leading the fleet", "token", token)
@@ -151,7 +151,7 @@
 		for ctx.Err() == nil {
 			clock.Sleep(ctx, leaderRenew)
 			asked := time.Now()
-			err := c.store.Renew(ctx, lease)
+			err := c.store.RenewLease(ctx, lease)
 			if errors.Is(err, state.ErrNoLease) {
 				cancel(err)
 			}
@@ -232,7 +232,7 @@
 	refused   map[fleet.MachineOption]time.Time // no capacity until
 	recent    []ledger.ScaleOutIntent           // asked for lately, by predecessors too
 	relearn   []ledger.ScaleOutIntent           // whose outcome is not known in this term
-	boots     evidence.Boots
+	boots     evidence.BootTimes
 	madeRoom  time.Time                           // when room for gangs was last looked for,
 	roomTook  time.Duration                       // and how long that took
 	dark      map[wire.Zone]time.Time             // cut off, to be left alone until
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -66,7 +66,7 @@
 	fail  error
 }
 
-func (a *askedCloud) Hire(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
+func (a *askedCloud) ScaleOut(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	a.asked = append(a.asked, h.Request)
 	if a.fail != nil {
 		return nil, a.fail
--- a/internal/leader/rent.go
+++ b/internal/leader/rent.go
@@ -181,7 +181,7 @@
 	if !l.entitled(now) {
 		return errNotEntitled
 	}
-	got, err := l.cloud.Hire(ctx, h.ScaleOutRequest)
+	got, err := l.cloud.ScaleOut(ctx, h.ScaleOutRequest)
 	l.c.log.Info("hire", "request", h.Request, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(got), "err", err)
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(got) < h.Count {
 		l.refused[fleet.MachineOption{Type: h.Type, Zone: h.Zone, Spot: h.Spot}] = time.Now().Add(20 * time.Second)
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -31,7 +31,7 @@
 	c.Mirror.Unlock()
 	slices.Sort(leaving)
 	for batch := range slices.Chunk(leaving, cloud.MaxReturn) {
-		if err := l.cloud.Return(ctx, batch); err != nil {
+		if err := l.cloud.ScaleIn(ctx, batch); err != nil {
 			return err
 		}
 		for _, id := range batch {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -43,8 +43,8 @@
 	ValueBytes int             // that a stored value may have
 }
 
-// Members is that part of a controller.
-type Members struct {
+// Membership is that part of a controller.
+type Membership struct {
 	opt   Options
 	stats *metrics.Set
 	log   *slog.Logger
@@ -58,32 +58,32 @@
 }
 
 // New returns a membership that has heard of nobody.
-func New(opt Options, stats *metrics.Set, log *slog.Logger) *Members {
-	return &Members{opt: opt, stats: stats, log: log, peers: map[wire.MemberID]*Peer{}, told: map[wire.MemberID]time.Time{}}
+func New(opt Options, stats *metrics.Set, log *slog.Logger) *Membership {
+	return &Membership{opt: opt, stats: stats, log: log, peers: map[wire.MemberID]*Peer{}, told: map[wire.MemberID]time.Time{}}
 }
 
 // ObserveStatus takes in what a peer told.
-func (m *Members) ObserveStatus(s mesh.Status, asked time.Time) {
+func (m *Membership) ObserveStatus(s mesh.Status, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hear(s, asked)
 }
 
-func (m *Members) hear(s mesh.Status, asked time.Time) {
+func (m *Membership) hear(s mesh.Status, asked time.Time) {
 	m.peers[s.Member] = &Peer{s, asked}
 	m.list = slices.SortedFunc(maps.Values(m.peers), func(a, b *Peer) int { return cmp.Compare(a.Status.Member, b.Status.Member) })
 }
 
 // Peers lists what each peer that was ever heard told last, in the order of their names. The
 // list is not to be changed.
-func (m *Members) Peers() []*Peer {
+func (m *Membership) Peers() []*Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list
 }
 
 // Peer is what one peer told last; nil: it was never heard.
-func (m *Members) Peer(id wire.MemberID) *Peer {
+func (m *Membership) Peer(id wire.MemberID) *Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.peers[id]
@@ -93,7 +93,7 @@
 const lately = 3 * time.Second
 
 // ReachablePeers lists the peers that can take workers, in the order of their names.
-func (m *Members) ReachablePeers(now time.Time) []wire.MemberID {
+func (m *Membership) ReachablePeers(now time.Time) []wire.MemberID {
 	var fit []wire.MemberID
 	for _, p := range m.Peers() {
 		if now.Sub(p.AsOf) < lately && p.Status.Loaded && p.Status.ContactMS < m.opt.Contact.Milliseconds()/2 {
@@ -106,7 +106,7 @@
 // CancellationsConfirmedUntil is the time up to which every other controller has said that it told of no
 // cancellation that a ledger lacks which has come as far as a revision; false while one of them
 // doesn't. What peers list as cancelled must have been noted in the ledger before.
-func (m *Members) CancellationsConfirmedUntil(rev wire.Revision, now time.Time) (time.Time, bool) {
+func (m *Membership) CancellationsConfirmedUntil(rev wire.Revision, now time.Time) (time.Time, bool) {
 	if len(m.opt.Others) != m.opt.Count-1 {
 		return time.Time{}, false
 	}
@@ -126,14 +126,14 @@
 }
 
 // PeersReachStore reports whether some other controller reaches the state service now.
-func (m *Members) PeersReachStore(now time.Time) bool {
+func (m *Membership) PeersReachStore(now time.Time) bool {
 	return slices.ContainsFunc(m.Peers(), func(p *Peer) bool {
 		return now.Sub(p.AsOf) < lately && p.Status.Loaded && p.Status.ContactMS < 1500
 	})
 }
 
 // LastHeard is when another controller last told anything; zero: never.
-func (m *Members) LastHeard() (at time.Time) {
+func (m *Membership) LastHeard() (at time.Time) {
 	for _, p := range m.Peers() {
 		if p.AsOf.After(at) {
 			at = p.AsOf
@@ -143,7 +143,7 @@
 }
 
 // AllRead reports whether every controller says that it reads a format of records.
-func (m *Members) AllRead(format int) bool {
+func (m *Membership) AllRead(format int) bool {
 	for _, o := range m.Others(time.Now()) {
 		if o.Peer == nil || o.Peer.Status.MaxFormat < format {
 			return false
@@ -152,16 +152,16 @@
 	return len(m.opt.Others) == m.opt.Count-1
 }
 
-// Other is another controller as configured, and what it told lately; nil: nothing.
-type Other struct {
+// PeerState is another controller as configured, and what it told lately; nil: nothing.
+type PeerState struct {
 	Member wire.MemberID
 	Peer   *Peer
 }
 
 // Others lists all other controllers as configured.
-func (m *Members) Others(now time.Time) (out []Other) {
+func (m *Membership) Others(now time.Time) (out []PeerState) {
 	for _, id := range m.opt.Others {
-		o := Other{Member: id}
+		o := PeerState{Member: id}
 		if p := m.Peer(id); p != nil && now.Sub(p.AsOf) < lately {
 			o.Peer = p
 		}
@@ -171,7 +171,7 @@
 }
 
 // ObserveProbe notes that a peer asked over the mesh.
-func (m *Members) ObserveProbe(id wire.MemberID, now time.Time) {
+func (m *Membership) ObserveProbe(id wire.MemberID, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.told[id] = now
@@ -187,7 +187,7 @@
 )
 
 // DetectPauses keeps note that the process runs, until ctx ends.
-func (m *Members) DetectPauses(ctx context.Context) error {
+func (m *Membership) DetectPauses(ctx context.Context) error {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, attendEvery)
 		m.RunningSince(time.Now())
@@ -198,7 +198,7 @@
 // RunningSince tells since when the process has been running without a break; zero: ever since its
 // start. Whoever judges by time passed asks first: no duty can be sure to run before another
 // when the process goes on.
-func (m *Members) RunningSince(now time.Time) time.Time {
+func (m *Membership) RunningSince(now time.Time) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if gap := now.Sub(m.ranAt); gap > standstill && !m.ranAt.IsZero() {
@@ -214,7 +214,7 @@
 
 // RecentlyPaused reports whether the process has stood still a moment ago, so that a
 // request read now may have waited as long as that.
-func (m *Members) RecentlyPaused(now time.Time) bool {
+func (m *Membership) RecentlyPaused(now time.Time) bool {
 	since := m.RunningSince(now)
 	return !since.IsZero() && now.Sub(since) < oldRequests
 }
@@ -226,7 +226,7 @@
 // Settled is since when silence of machines counts, if it did since a time: not while this
 // controller was out of touch with the state service, as by its last contact, or stood still.
 // Every judgement of silence asks anew, since a standstill may lie between two.
-func (m *Members) Settled(since, contact, now time.Time) time.Time {
+func (m *Membership) Settled(since, contact, now time.Time) time.Time {
 	if now.Sub(contact) > longOut {
 		since = now
 	}
@@ -237,7 +237,7 @@
 }
 
 // SetRunningForTest has the process have run last at a time. It is for tests of other parts.
-func (m *Members) SetRunningForTest(ranAt time.Time) {
+func (m *Membership) SetRunningForTest(ranAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ranAt = ranAt
@@ -246,15 +246,15 @@
 // publishEvery is how often a picture is published, if it must be.
 const publishEvery = 5 * time.Second
 
-// Mirror is what publishing needs of the mirror of the records.
-type Mirror interface {
+// Records is what publishing needs of the mirror of the records.
+type Records interface {
 	Read(f func(l *ledger.Ledger))
 }
 
 // Publish writes this controller's status, as describe gives it, to the state service every
 // few seconds while there are peers that the mesh does not reach, until ctx ends. Changes are
 // scarce. describe tells false while there is nothing to publish.
-func (m *Members) Publish(ctx context.Context, store state.Store, describe func() (mesh.Status, bool)) error {
+func (m *Membership) Publish(ctx context.Context, store state.Store, describe func() (mesh.Status, bool)) error {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, publishEvery)
 		m.mu.Lock()
@@ -290,7 +290,7 @@
 
 // ReadPublished takes peers' published pictures where the mesh has nothing newer, until ctx
 // ends.
-func (m *Members) ReadPublished(ctx context.Context, mirror Mirror) error {
+func (m *Membership) ReadPublished(ctx context.Context, mirror Records) error {
 	last := map[wire.MemberID]string{}
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, time.Second)
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -41,8 +41,8 @@
 	Reads    int     // the newest format of records that this controller reads
 }
 
-// Mirror is that part of a controller. Watch, ReadBarriers and TakeTokens run once each.
-type Mirror struct {
+// Cache is that part of a controller. Watch, ReadBarriers and TakeTokens run once each.
+type Cache struct {
 	opt      Options
 	store    state.Store
 	stats    *metrics.Set
@@ -63,13 +63,13 @@
 }
 
 // New returns a mirror that hasn't read anything yet.
-func New(opt Options, store state.Store, follower Follower, stats *metrics.Set, log *slog.Logger) *Mirror {
-	return &Mirror{opt: opt, store: store, stats: stats, log: log, follower: follower, led: ledger.New(opt.Limits),
+func New(opt Options, store state.Store, follower Follower, stats *metrics.Set, log *slog.Logger) *Cache {
+	return &Cache{opt: opt, store: store, stats: stats, log: log, follower: follower, led: ledger.New(opt.Limits),
 		advanced: make(chan struct{}), barriers: make(chan *barrier, 1), wantToken: make(chan wire.FencingToken, 1)}
 }
 
 // Lock takes the lock of the records. What is waited for it is measured.
-func (m *Mirror) Lock() {
+func (m *Cache) Lock() {
 	if m.mu.TryLock() {
 		return
 	}
@@ -79,10 +79,10 @@
 }
 
 // Unlock gives the lock back.
-func (m *Mirror) Unlock() { m.mu.Unlock() }
+func (m *Cache) Unlock() { m.mu.Unlock() }
 
 // Read gives f the records under the lock. f must not wait, nor keep them beyond drafts.
-func (m *Mirror) Read(f func(l *ledger.Ledger)) {
+func (m *Cache) Read(f func(l *ledger.Ledger)) {
 	m.Lock()
 	defer m.Unlock()
 	f(m.led)
@@ -90,27 +90,27 @@
 
 // Records are the mirrored records, for whoever holds the lock. After a new reading they are
 // others.
-func (m *Mirror) Records() *ledger.Ledger { return m.led }
+func (m *Cache) Records() *ledger.Ledger { return m.led }
 
 // Loaded reports, under the lock, whether the records have been read.
-func (m *Mirror) Loaded() bool { return m.loaded }
+func (m *Cache) Loaded() bool { return m.loaded }
 
 // Token is, under the lock, the token to command workers under; 0: none yet.
-func (m *Mirror) Token() wire.FencingToken { return m.token }
+func (m *Cache) Token() wire.FencingToken { return m.token }
 
 // SyncedAt is, under the lock, a time before which all that was committed is in the records;
 // zero: never.
-func (m *Mirror) SyncedAt() time.Time { return m.contact }
+func (m *Cache) SyncedAt() time.Time { return m.contact }
 
 // SyncedWithin reports, under the lock, whether the records are read and the last contact is less
 // than a time ago.
-func (m *Mirror) SyncedWithin(now time.Time, within time.Duration) bool {
+func (m *Cache) SyncedWithin(now time.Time, within time.Duration) bool {
 	return m.loaded && now.Sub(m.contact) < within
 }
 
 // SetForTest has the mirror take its records for read, a token for its own and a contact for
 // made, under the lock. It is for tests of other parts.
-func (m *Mirror) SetForTest(token wire.FencingToken, contact time.Time) {
+func (m *Cache) SetForTest(token wire.FencingToken, contact time.Time) {
 	m.loaded, m.token, m.contact = true, token, contact
 }
 
@@ -119,7 +119,7 @@
 
 // Watch reads all records, then follows the changes, until ctx ends. Records of a format that
 // this version can't read end it.
-func (m *Mirror) Watch(ctx context.Context) error {
+func (m *Cache) Watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		at, err := m.Load(ctx)
 		if errors.Is(err, ledger.ErrFormat) {
@@ -159,7 +159,7 @@
 }
 
 // apply takes over the changes up to a revision.
-func (m *Mirror) apply(ev wire.Events) error {
+func (m *Cache) apply(ev wire.Events) error {
 	m.Lock()
 	defer m.Unlock()
 	for _, e := range ev.Events {
@@ -177,7 +177,7 @@
 
 // Load reads all records anew. Pages are of different revisions; a watch goes on from the
 // first one's, which is returned, and each key's version keeps it in order.
-func (m *Mirror) Load(ctx context.Context) (wire.Revision, error) {
+func (m *Cache) Load(ctx context.Context) (wire.Revision, error) {
 	led := ledger.New(m.opt.Limits)
 	var from wire.Revision
 	after := ""
@@ -211,15 +211,15 @@
 	return from, nil
 }
 
-func (m *Mirror) advance(to wire.Revision) {
+func (m *Cache) advance(to wire.Revision) {
 	m.led.AdvanceRevision(to)
 	m.follower.Advanced(time.Now())
 	close(m.advanced)
 	m.advanced = make(chan struct{})
 }
 
-// Reach waits until the records have caught up to a revision.
-func (m *Mirror) Reach(ctx context.Context, r wire.Revision) error {
+// WaitForRevision waits until the records have caught up to a revision.
+func (m *Cache) WaitForRevision(ctx context.Context, r wire.Revision) error {
 	for {
 		m.Lock()
 		ok, ch := m.loaded && m.led.Revision() >= r, m.advanced
@@ -242,7 +242,7 @@
 }
 
 // ReadIndex returns once the records hold all that was committed before the call.
-func (m *Mirror) ReadIndex(ctx context.Context) error {
+func (m *Cache) ReadIndex(ctx context.Context) error {
 	m.pendingMu.Lock()
 	b := m.nextRead
 	if b == nil {
@@ -267,7 +267,7 @@
 
 // ServeReadIndex runs the reads that Fresh asks for, one after the other, and one a second by
 // itself so that contact is known, until ctx ends.
-func (m *Mirror) ServeReadIndex(ctx context.Context) error {
+func (m *Cache) ServeReadIndex(ctx context.Context) error {
 	limiter := rate.NewLimiter(rate.Limit(m.opt.Requests*barrierShare), 2)
 	idle := time.NewTicker(time.Second)
 	defer idle.Stop()
@@ -305,18 +305,18 @@
 	}
 }
 
-func (m *Mirror) readBarrier(ctx context.Context) error {
+func (m *Cache) readBarrier(ctx context.Context) error {
 	rev, err := m.store.Revision(ctx)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer cancel()
-	return m.Reach(ctx, rev)
+	return m.WaitForRevision(ctx, rev)
 }
 
 // RequestToken asks for a token above one that a worker showed. It never waits.
-func (m *Mirror) RequestToken(above wire.FencingToken) {
+func (m *Cache) RequestToken(above wire.FencingToken) {
 	select {
 	case m.wantToken <- above:
 	default:
@@ -325,7 +325,7 @@
 
 // AcquireTokens takes a token at the start and whenever a worker shows a higher one, until ctx
 // ends.
-func (m *Mirror) AcquireTokens(ctx context.Context) error {
+func (m *Cache) AcquireTokens(ctx context.Context) error {
 	var above wire.FencingToken
 	for {
 		if err := m.takeToken(ctx, above); err != nil {
@@ -358,10 +358,10 @@
 	}
 }
 
-func (m *Mirror) takeToken(ctx context.Context, above wire.FencingToken) error {
+func (m *Cache) takeToken(ctx context.Context, above wire.FencingToken) error {
 	waiting, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	if err := m.Reach(waiting, 0); err != nil {
+	if err := m.WaitForRevision(waiting, 0); err != nil {
 		return err
 	}
 	m.Lock()
@@ -377,14 +377,14 @@
 		Then: []wire.Change{{Put: ledger.TokenKey, Value: value}}})
 	var conflict *state.Conflict
 	if errors.As(err, &conflict) {
-		return errors.Join(err, m.Reach(waiting, conflict.Revision))
+		return errors.Join(err, m.WaitForRevision(waiting, conflict.Revision))
 	}
 	if err != nil {
 		return err
 	}
 	// Acting under the token before the records hold everything older than it could release
 	// or start what a predecessor has changed.
-	if err := m.Reach(waiting, rev); err != nil {
+	if err := m.WaitForRevision(waiting, rev); err != nil {
 		return err
 	}
 	m.Lock()
--- a/internal/parttest/parttest.go
+++ b/internal/parttest/parttest.go
@@ -84,10 +84,10 @@
 	Store     state.Store
 	Stats     *metrics.Set
 	Log       *slog.Logger
-	Mirror    *mirror.Mirror
-	Writer    *writer.Writer
-	Members   *members.Members
-	Book      *evidence.FailureTracker
+	Mirror    *mirror.Cache
+	Writer    *writer.Committer
+	Members   *members.Membership
+	Book      *evidence.Tracker
 	Roster    *workers.Registry
 	Policies  *policies.Manager
 	Places    *places.Tracker
@@ -203,7 +203,7 @@
 }
 
 // Join has the records read, and the machines held and heard, by parts of the first member.
-func (g *Fleet) Join(m *mirror.Mirror, others *members.Members, r *workers.Registry) {
+func (g *Fleet) Join(m *mirror.Cache, others *members.Membership, r *workers.Registry) {
 	now := time.Now()
 	m.Read(func(l *ledger.Ledger) {
 		for _, e := range g.Records {
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -34,10 +34,10 @@
 // Tracker is that part of a controller.
 type Tracker struct {
 	set     *settings.Settings
-	mirror  *mirror.Mirror
-	members *members.Members
+	mirror  *mirror.Cache
+	members *members.Membership
 	roster  *workers.Registry
-	book    *evidence.FailureTracker
+	book    *evidence.Tracker
 	stats   *metrics.Set
 	log     *slog.Logger
 	changed func() // what is placed by this is to be looked at anew
@@ -52,7 +52,7 @@
 
 // New returns places without a topology. changed is called, under the mirror's lock, whenever
 // other places may be used than before.
-func New(set *settings.Settings, mir *mirror.Mirror, m *members.Members, r *workers.Registry, b *evidence.FailureTracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
+func New(set *settings.Settings, mir *mirror.Cache, m *members.Membership, r *workers.Registry, b *evidence.Tracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
 	return &Tracker{set: set, mirror: mir, members: m, roster: r, book: b, changed: changed, stats: stats, log: log}
 }
 
--- a/internal/promises/promises.go
+++ b/internal/promises/promises.go
@@ -33,10 +33,10 @@
 
 // Parts are what galleries are kept with.
 type Parts struct {
-	Mirror  *mirror.Mirror
-	Writer  *writer.Writer
-	Book    *evidence.FailureTracker
-	Members *members.Members
+	Mirror  *mirror.Cache
+	Writer  *writer.Committer
+	Book    *evidence.Tracker
+	Members *members.Membership
 	Roster  *workers.Registry
 }
 
--- a/internal/schedule/believe_test.go
+++ b/internal/schedule/believe_test.go
@@ -19,7 +19,7 @@
 	for _, faulty := range []int{1, 2, 3} {
 		p := parttest.New(t, 0)
 		p.Set.Operators.Quarantine = settings.Quarantine{On: true, Most: 0.1}
-		p.Book.SetOdds(evidence.DefaultOdds)
+		p.Book.EnableQuarantine(evidence.DefaultPriors)
 		now := time.Now()
 		led := p.Mirror.Records()
 		p.Mirror.SetForTest(1, now)
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -26,10 +26,10 @@
 
 // Parts are what a scheduler looks at.
 type Parts struct {
-	Mirror   *mirror.Mirror
-	Members  *members.Members
+	Mirror   *mirror.Cache
+	Members  *members.Membership
 	Roster   *workers.Registry
-	Book     *evidence.FailureTracker
+	Book     *evidence.Tracker
 	Places   *places.Tracker
 	Policies *policies.Manager
 	Promises *promises.Tracker
@@ -38,10 +38,10 @@
 // Scheduler is that part of a controller.
 type Scheduler struct {
 	set      *settings.Settings
-	mirror   *mirror.Mirror
-	members  *members.Members
+	mirror   *mirror.Cache
+	members  *members.Membership
 	roster   *workers.Registry
-	book     *evidence.FailureTracker
+	book     *evidence.Tracker
 	places   *places.Tracker
 	policies *policies.Manager
 	promises *promises.Tracker
--- a/internal/server/spread_test.go
+++ b/internal/server/spread_test.go
@@ -42,7 +42,7 @@
 		report := func(tally wire.HeartbeatSequence) (sent int, to wire.MemberID) {
 			for i := range workers {
 				r := &wire.Heartbeat{Machine: wire.MachineID(fmt.Sprint("host-", i)), Session: 1, Sequence: tally, Token: 1}
-				if a := c.Report(t.Context(), r); a.Status == 421 {
+				if a := c.Heartbeat(t.Context(), r); a.Status == 421 {
 					sent, to = sent+1, a.Redirect.ReportTo
 				}
 			}
@@ -59,12 +59,12 @@
 		}
 		first := &wire.Heartbeat{Machine: "host-0", Session: 1, Sequence: 3, Token: 1}
 		c.surplus.count = 100
-		if a := c.Report(t.Context(), first); a.Status != 200 {
+		if a := c.Heartbeat(t.Context(), first); a.Status != 200 {
 			t.Errorf("%s: %d for a worker that has just been sent on and came back", tc.name, a.Status)
 		}
 		c.led().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 5, Value: []byte(`{"spec":{"id":"wk-000001","pieces":1,"shape":"array"},"at":1,"a":1,"c":[[0,1,1,"host-20","a",1,1]]}`)})
 		busy := &wire.Heartbeat{Machine: "host-20", Session: 1, Sequence: 3, Token: 1}
-		if a := c.Report(t.Context(), busy); a.Status != 200 || len(a.Response.Commands) != 1 {
+		if a := c.Heartbeat(t.Context(), busy); a.Status != 200 || len(a.Response.Commands) != 1 {
 			t.Errorf("%s: %d for a worker whose start is under way", tc.name, a.Status)
 		}
 	}
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -29,8 +29,8 @@
 
 // UsersParts are what the server of users works with.
 type UsersParts struct {
-	Mirror   *mirror.Mirror
-	Writer   *writer.Writer
+	Mirror   *mirror.Cache
+	Writer   *writer.Committer
 	Policies *policies.Manager
 	Archiver *archiver.Archiver
 	Promises *promises.Tracker
@@ -65,7 +65,7 @@
 func (c *JobServer) loading(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadWait)
 	defer cancel()
-	return c.Mirror.Reach(ctx, 0)
+	return c.Mirror.WaitForRevision(ctx, 0)
 }
 
 // Submit accepts a job, or tells of one that is known. created is true when
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -50,11 +50,11 @@
 
 // WorkersParts are what the server of workers works with.
 type WorkersParts struct {
-	Mirror    *mirror.Mirror
-	Writer    *writer.Writer
-	Members   *members.Members
+	Mirror    *mirror.Cache
+	Writer    *writer.Committer
+	Members   *members.Membership
 	Roster    *workers.Registry
-	Book      *evidence.FailureTracker
+	Book      *evidence.Tracker
 	Places    *places.Tracker
 	Schedule  *schedule.Scheduler
 	Completed *completion.Log
@@ -93,8 +93,8 @@
 	return contact
 }
 
-// Report takes in one report and answers it.
-func (c *HeartbeatServer) Report(ctx context.Context, r *wire.Heartbeat) HeartbeatAnswer {
+// Heartbeat takes in one report and answers it.
+func (c *HeartbeatServer) Heartbeat(ctx context.Context, r *wire.Heartbeat) HeartbeatAnswer {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.reportWait())
 	defer cancel()
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -61,8 +61,8 @@
 	return c.Types, c.travel()
 }
 
-// Hire implements the controllers' view of the cloud.
-func (c *Cloud) Hire(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
+// ScaleOut implements the controllers' view of the cloud.
+func (c *Cloud) ScaleOut(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	if err := c.travel(); err != nil {
 		return nil, err
 	}
@@ -173,8 +173,8 @@
 	return fmt.Sprintf("127.%d.%d.%d:9000", zone+1, n%racksPerZone+1, n/racksPerZone%250+1)
 }
 
-// Return implements the controllers' view of the cloud.
-func (c *Cloud) Return(_ context.Context, names []wire.MachineID) error {
+// ScaleIn implements the controllers' view of the cloud.
+func (c *Cloud) ScaleIn(_ context.Context, names []wire.MachineID) error {
 	if err := c.travel(); err != nil {
 		return err
 	}
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -46,12 +46,12 @@
 		if !take(w, r, &q) {
 			return
 		}
-		id, err := l.Grant(r.Context(), time.Duration(q.TTLMillis)*time.Millisecond)
+		id, err := l.GrantLease(r.Context(), time.Duration(q.TTLMillis)*time.Millisecond)
 		answer(w, wire.LeaseGrant{Lease: id}, err)
 	})
 	mux.HandleFunc("POST /leases/{id}/renew", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-		err := l.Renew(r.Context(), wire.LeaseID(id))
+		err := l.RenewLease(r.Context(), wire.LeaseID(id))
 		if errors.Is(err, state.ErrNoLease) {
 			err = state.ErrNotFound
 		}
@@ -72,7 +72,7 @@
 		if !take(w, r, &h) {
 			return
 		}
-		names, err := c.Hire(r.Context(), h)
+		names, err := c.ScaleOut(r.Context(), h)
 		answer(w, wire.MachineIDList{Names: names}, err)
 	})
 	mux.HandleFunc("POST /machines/return", func(w http.ResponseWriter, r *http.Request) {
@@ -80,7 +80,7 @@
 		if !take(w, r, &m) {
 			return
 		}
-		answer(w, struct{}{}, c.Return(r.Context(), m.Names))
+		answer(w, struct{}{}, c.ScaleIn(r.Context(), m.Names))
 	})
 	mux.HandleFunc("GET /machines", func(w http.ResponseWriter, r *http.Request) {
 		all, err := c.List(r.Context())
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -417,8 +417,8 @@
 	}
 }
 
-// Grant implements state.Store.
-func (l *Link) Grant(ctx context.Context, ttl time.Duration) (wire.LeaseID, error) {
+// GrantLease implements state.Store.
+func (l *Link) GrantLease(ctx context.Context, ttl time.Duration) (wire.LeaseID, error) {
 	if err := l.travel(ctx); err != nil {
 		return 0, err
 	}
@@ -430,8 +430,8 @@
 	return s.last, nil
 }
 
-// Renew implements state.Store.
-func (l *Link) Renew(ctx context.Context, id wire.LeaseID) error {
+// RenewLease implements state.Store.
+func (l *Link) RenewLease(ctx context.Context, id wire.LeaseID) error {
 	if err := l.travel(ctx); err != nil {
 		return err
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -256,9 +256,9 @@
 	}
 }
 
-// Report lets time pass on the machine and returns its next report, or nil when
+// Heartbeat lets time pass on the machine and returns its next report, or nil when
 // it sends none. begun is when the report was begun.
-func (m *Machine) Report() (r *wire.Heartbeat, begun time.Time) {
+func (m *Machine) Heartbeat() (r *wire.Heartbeat, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.gone || m.hung {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -47,8 +47,8 @@
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
 	Changes() int // how many a transaction may have without waiting for the budget
 	Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error)
-	Grant(ctx context.Context, ttl time.Duration) (wire.LeaseID, error)
-	Renew(ctx context.Context, id wire.LeaseID) error
+	GrantLease(ctx context.Context, ttl time.Duration) (wire.LeaseID, error)
+	RenewLease(ctx context.Context, id wire.LeaseID) error
 }
 
 // TxnBytes bounds a transaction: under the service's 64 KiB, with room for framing.
@@ -242,8 +242,8 @@
 	return wire.Events{}, unexpected(p)
 }
 
-// Grant asks for a lease.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.LeaseID, error) {
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (wire.LeaseID, error) {
 	p, err := c.do(ctx, "POST", "/leases", "", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()})
 	if err != nil {
 		return 0, err
@@ -255,8 +255,8 @@
 	return g.Lease, err
 }
 
-// Renew keeps a lease.
-func (c *Client) Renew(ctx context.Context, id wire.LeaseID) error {
+// RenewLease keeps a lease.
+func (c *Client) RenewLease(ctx context.Context, id wire.LeaseID) error {
 	p, err := c.do(ctx, "POST", fmt.Sprintf("/leases/%d/renew", id), "", nil)
 	switch {
 	case err != nil:
--- a/internal/workers/exits.go
+++ b/internal/workers/exits.go
@@ -10,7 +10,7 @@
 )
 
 // ExitChanges makes one change a job out of what is over.
-func ExitChanges(m *mirror.Mirror, exits []TaskExit) []*writer.Change {
+func ExitChanges(m *mirror.Cache, exits []TaskExit) []*writer.Change {
 	byJob := map[*ledger.Job][]TaskExit{}
 	var order []*ledger.Job
 	for _, e := range exits {
--- a/internal/workers/recorder.go
+++ b/internal/workers/recorder.go
@@ -32,8 +32,8 @@
 // and report only seconds later. It also drops completions that are on record.
 type Recorder struct {
 	completed *completion.Log
-	mirror    *mirror.Mirror
-	writer    *writer.Writer
+	mirror    *mirror.Cache
+	writer    *writer.Committer
 	limits    ledger.Limits
 	stats     *metrics.Set
 	log       *slog.Logger
@@ -44,7 +44,7 @@
 
 // NewRecorder returns a recorder that does nothing before Run. Limits tell which of how many
 // controllers this one is.
-func NewRecorder(completed *completion.Log, m *mirror.Mirror, w *writer.Writer, limits ledger.Limits, stats *metrics.Set, log *slog.Logger) *Recorder {
+func NewRecorder(completed *completion.Log, m *mirror.Cache, w *writer.Committer, limits ledger.Limits, stats *metrics.Set, log *slog.Logger) *Recorder {
 	return &Recorder{completed: completed, mirror: m, writer: w, limits: limits, stats: stats, log: log, recording: map[wire.JobID][]*writer.Change{}}
 }
 
--- a/internal/workers/roster.go
+++ b/internal/workers/roster.go
@@ -13,7 +13,7 @@
 // Registry is the machines that report to this controller, and what is known of their images.
 // It has no lock: it is used under the mirror's.
 type Registry struct {
-	members   *members.Members
+	members   *members.Membership
 	completed *completion.Log
 	workers   map[wire.MachineID]*Worker
 	images    map[wire.MachineID]*cached
@@ -27,7 +27,7 @@
 
 // NewRoster returns a roster without machines. Members tell of the images of a machine that
 // another controller held before.
-func NewRoster(m *members.Members, completed *completion.Log) *Registry {
+func NewRoster(m *members.Membership, completed *completion.Log) *Registry {
 	return &Registry{members: m, completed: completed, workers: map[wire.MachineID]*Worker{}, images: map[wire.MachineID]*cached{}}
 }
 
--- a/internal/workflowrunner/requests.go
+++ b/internal/workflowrunner/requests.go
@@ -19,7 +19,7 @@
 
 // Submit accepts a workflow that Check has found right, or tells of one that is
 // known. Its documents are written first, under their hash, and only then the record.
-func (c *Flows) Submit(ctx context.Context, spec *wire.WorkflowSpec) (st wire.WorkflowStatus, created bool, err error) {
+func (c *Runner) Submit(ctx context.Context, spec *wire.WorkflowSpec) (st wire.WorkflowStatus, created bool, err error) {
 	if c.store == nil {
 		return st, false, ErrNoWorkflows
 	}
@@ -65,7 +65,7 @@
 }
 
 // writePieces writes documents under their hash: writing them twice changes nothing.
-func (c *Flows) writePieces(ctx context.Context, hash string, pieces []string) error {
+func (c *Runner) writePieces(ctx context.Context, hash string, pieces []string) error {
 	limits := ledger.Limits{TxnOps: c.set.Cluster.State.TxnOps, TxnBytes: state.TxnBytes}
 	batch := ledger.Batch{Limits: limits, Commit: func(changes []wire.Change) error {
 		_, err := c.records.Commit(ctx, wire.Txn{Then: changes})
@@ -85,7 +85,7 @@
 
 // Status tells a workflow's state, at least as new as the call. The controller that
 // drives it tells of its steps, too.
-func (c *Flows) Status(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
+func (c *Runner) Status(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	if c.store == nil {
 		return wire.WorkflowStatus{}, ErrNoWorkflows
 	}
@@ -142,7 +142,7 @@
 
 // lookAt tells the steps of a workflow that another controller drives, from its documents
 // and jobs as any driver would; nil if that can't be had, or too many are looked at.
-func (c *Flows) lookAt(ctx context.Context, w *ledger.Workflow) []wire.StepStatus {
+func (c *Runner) lookAt(ctx context.Context, w *ledger.Workflow) []wire.StepStatus {
 	now := time.Now()
 	c.Mirror.Lock()
 	for id, l := range c.looked {
@@ -187,7 +187,7 @@
 }
 
 // whyWaits tells in a few words what a step's job waits for, "" if it runs.
-func (c *Flows) whyWaits(id wire.JobID) string {
+func (c *Runner) whyWaits(id wire.JobID) string {
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
 	j := c.led().Job(id)
@@ -215,16 +215,16 @@
 
 // Cancel cancels a workflow and tells its final state. Its steps' jobs are
 // cancelled by whoever drives it; none is submitted any more.
-func (c *Flows) Cancel(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
+func (c *Runner) Cancel(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	return c.move(ctx, id, ledger.WorkflowCancelled)
 }
 
 // Resume lets a workflow that failed go on from the failure.
-func (c *Flows) Resume(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
+func (c *Runner) Resume(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	return c.move(ctx, id, ledger.WorkflowActive)
 }
 
-func (c *Flows) move(ctx context.Context, id wire.WorkflowID, to ledger.WorkflowState) (wire.WorkflowStatus, error) {
+func (c *Runner) move(ctx context.Context, id wire.WorkflowID, to ledger.WorkflowState) (wire.WorkflowStatus, error) {
 	st, err := c.Status(ctx, id)
 	if err != nil {
 		return st, err
--- a/internal/workflowrunner/runner.go
+++ b/internal/workflowrunner/runner.go
@@ -44,18 +44,18 @@
 
 // Parts are what workflows are driven with.
 type Parts struct {
-	Mirror   *mirror.Mirror
-	Writer   *writer.Writer
-	Members  *members.Members
-	Book     *evidence.FailureTracker
+	Mirror   *mirror.Cache
+	Writer   *writer.Committer
+	Members  *members.Membership
+	Book     *evidence.Tracker
 	Schedule *schedule.Scheduler
 	Users    *server.JobServer
 	Past     *archiver.Archiver
 	Promises *promises.Tracker
 }
 
-// Flows is that part of a controller. It is off until Set.
-type Flows struct {
+// Runner is that part of a controller. It is off until Set.
+type Runner struct {
 	set     *settings.Settings
 	records state.Store
 	Parts
@@ -69,11 +69,11 @@
 }
 
 // New returns a part with workflows off.
-func New(set *settings.Settings, records state.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Flows {
-	return &Flows{set: set, records: records, Parts: p, stats: stats, log: log}
+func New(set *settings.Settings, records state.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
+	return &Runner{set: set, records: records, Parts: p, stats: stats, log: log}
 }
 
-func (c *Flows) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *Runner) led() *ledger.Ledger { return c.Mirror.Records() }
 
 // looked is a workflow that another controller drives, as far as it is looked at here.
 type looked struct {
@@ -113,12 +113,12 @@
 )
 
 // Set switches workflows on, before Run. What steps pass to each other is kept in store.
-func (c *Flows) Set(store data.Store) {
+func (c *Runner) Set(store data.Store) {
 	c.store, c.driven, c.looked = store, map[wire.WorkflowID]*driven{}, map[wire.WorkflowID]*looked{}
 }
 
 // Run drives this controller's part of the workflows, until ctx ends.
-func (c *Flows) Run(ctx context.Context) error {
+func (c *Runner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, driveEvery)
 		c.Mirror.Lock()
@@ -146,7 +146,7 @@
 
 // myWorkflows are those that are not over and that fall to this controller, by weights
 // that each member has for each workflow, so that few change hands when a member goes.
-func (c *Flows) myWorkflows(now time.Time) []*ledger.Workflow {
+func (c *Runner) myWorkflows(now time.Time) []*ledger.Workflow {
 	members := append(c.Members.ReachablePeers(now), c.set.Member)
 	var out []*ledger.Workflow
 	for id := range c.driven {
@@ -183,7 +183,7 @@
 }
 
 // drive moves one workflow on.
-func (c *Flows) drive(ctx context.Context, w *ledger.Workflow, most int) (submitted int, err error) {
+func (c *Runner) drive(ctx context.Context, w *ledger.Workflow, most int) (submitted int, err error) {
 	c.Mirror.Lock()
 	d := c.driven[w.ID]
 	if d != nil && d.at != w.Version {
@@ -239,7 +239,7 @@
 }
 
 // pack turns documents into pieces that fit the state service's values, and their hash.
-func (c *Flows) pack(docs *workflow.Documents) (hash string, pieces []string, err error) {
+func (c *Runner) pack(docs *workflow.Documents) (hash string, pieces []string, err error) {
 	b, err := json.Marshal(docs)
 	if err != nil {
 		return "", nil, err
@@ -264,7 +264,7 @@
 }
 
 // documents reads a workflow's documents from their pieces and checks them.
-func (c *Flows) documents(ctx context.Context, w *ledger.Workflow) (*workflow.Documents, error) {
+func (c *Runner) documents(ctx context.Context, w *ledger.Workflow) (*workflow.Documents, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	var packed []byte
@@ -302,7 +302,7 @@
 var errNoDocuments = errors.New("documents can't be read")
 
 // resume takes a workflow up from its documents and its steps' jobs.
-func (c *Flows) resume(ctx context.Context, w *ledger.Workflow, miss *atomic.Bool) (*workflow.Run, error) {
+func (c *Runner) resume(ctx context.Context, w *ledger.Workflow, miss *atomic.Bool) (*workflow.Run, error) {
 	docs, err := c.documents(ctx, w)
 	if err != nil {
 		return nil, errors.Join(errNoDocuments, err)
--- a/internal/workflowrunner/steps.go
+++ b/internal/workflowrunner/steps.go
@@ -15,7 +15,7 @@
 
 // stepJobs is the service as workflows see it.
 type stepJobs struct {
-	c    *Flows
+	c    *Runner
 	over bool         // the workflow is, so its steps' jobs may be archived
 	miss *atomic.Bool // set when the archive could not be read
 }
@@ -102,7 +102,7 @@
 	return err
 }
 
-func (c *Flows) endWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) (got ledger.WorkflowState, err error) {
+func (c *Runner) endWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) (got ledger.WorkflowState, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
--- a/internal/writer/writer.go
+++ b/internal/writer/writer.go
@@ -22,10 +22,10 @@
 // ErrDropped: a start was given up before it was tried, or the queue is full.
 var ErrDropped = errors.New("writer: start dropped")
 
-// Mirror is what the writer needs of the mirror of the records.
-type Mirror interface {
+// Records is what the writer needs of the mirror of the records.
+type Records interface {
 	Read(f func(l *ledger.Ledger))
-	Reach(ctx context.Context, r wire.Revision) error
+	WaitForRevision(ctx context.Context, r wire.Revision) error
 }
 
 // Change is one step to be made durable. Its draft function may run several times, each time
@@ -56,10 +56,10 @@
 	TxnOps  int     // changes that a transaction may have
 }
 
-// Writer is that part of a controller. Run runs once; all else may be called at any time.
-type Writer struct {
+// Committer is that part of a controller. Run runs once; all else may be called at any time.
+type Committer struct {
 	opt    Options
-	mirror Mirror
+	mirror Records
 	store  state.Store
 	stats  *metrics.Set
 	log    *slog.Logger
@@ -75,13 +75,13 @@
 )
 
 // New returns a writer that takes changes and writes none before Run.
-func New(opt Options, mirror Mirror, store state.Store, stats *metrics.Set, log *slog.Logger) *Writer {
-	return &Writer{opt: opt, mirror: mirror, store: store, stats: stats, log: log,
+func New(opt Options, mirror Records, store state.Store, stats *metrics.Set, log *slog.Logger) *Committer {
+	return &Committer{opt: opt, mirror: mirror, store: store, stats: stats, log: log,
 		submitted: make(chan *Change, mostQueued), users: make(chan struct{}, mostUsers)}
 }
 
 // Enqueue adds a change to the next batch. It never waits.
-func (w *Writer) Enqueue(ch *Change) {
+func (w *Committer) Enqueue(ch *Change) {
 	ch.done, ch.asked = make(chan error, 1), time.Now()
 	select {
 	case w.submitted <- ch:
@@ -92,7 +92,7 @@
 
 // batchEvery is how long changes of reports are gathered: about as long as this
 // controller's share of changes takes to grow by one.
-func (w *Writer) batchEvery() time.Duration {
+func (w *Committer) batchEvery() time.Duration {
 	return time.Duration(float64(time.Second) / min(10, max(2, w.opt.Changes)))
 }
 
@@ -104,7 +104,7 @@
 
 // Run commits what reports and duties ask for, gathered into one
 // transaction at a time.
-func (w *Writer) Run(ctx context.Context) error {
+func (w *Committer) Run(ctx context.Context) error {
 	var queue []*Change
 	for {
 		if len(queue) == 0 {
@@ -143,13 +143,13 @@
 // leastBatch is how many changes a batch waits for when the budget is short: an eighth of a second's
 // share. With few changes to spare queues are long, and so batches gather enough for each record that
 // they write; to wait for more only keeps machines idle.
-func (w *Writer) leastBatch() int { return w.shareOf(8) }
+func (w *Committer) leastBatch() int { return w.shareOf(8) }
 
 // leastPlenty is how many more changes than what they are to leave spare changes wait for.
-func (w *Writer) leastPlenty() int { return w.shareOf(2) }
+func (w *Committer) leastPlenty() int { return w.shareOf(2) }
 
 // shareOf is a part of the changes of a second, as a transaction may have them.
-func (w *Writer) shareOf(second float64) int {
+func (w *Committer) shareOf(second float64) int {
 	return max(2, min(w.opt.TxnOps, int(w.opt.Changes/second)))
 }
 
@@ -224,17 +224,17 @@
 
 // reserve is the part of the budget that spare changes leave: a start of other work
 // that comes the next moment must not wait for it to grow back.
-func (w *Writer) reserve() int { return w.opt.TxnOps / 2 }
+func (w *Committer) reserve() int { return w.opt.TxnOps / 2 }
 
 // plenty reports whether the budget has room for a batch beside what spare changes are
 // to leave, or for all that it may ever have: where transactions are small that is less.
-func (w *Writer) plenty() bool {
+func (w *Committer) plenty() bool {
 	return w.store.Changes() >= min(w.reserve()+w.leastPlenty()+changesForUsers, w.opt.TxnOps)
 }
 
 // waits reports whether a queue holds spare changes only, and the budget little more
 // than what they are to leave.
-func (w *Writer) waits(queue []*Change, now time.Time) bool {
+func (w *Committer) waits(queue []*Change, now time.Time) bool {
 	return !w.plenty() &&
 		!slices.ContainsFunc(queue, func(ch *Change) bool { return !ch.isSpare(now) || ch.Expires && now.After(ch.ExpiresAt) })
 }
@@ -243,7 +243,7 @@
 // than what the budget has left would wait for it, be given up, and be drafted anew
 // for ever; one that leaves nothing would keep users waiting. Changes after the one
 // that fills the batch are still tried: many of them only add to a record in it.
-func (w *Writer) writeBatch(ctx context.Context, queue []*Change) []*Change {
+func (w *Committer) writeBatch(ctx context.Context, queue []*Change) []*Change {
 	// No more than a transaction's changes may be waited for: the budget may never
 	// hold more.
 	least := min(w.leastBatch()+changesForUsers, w.opt.TxnOps)
@@ -291,7 +291,7 @@
 }
 
 // draft gathers what of a queue fits into a number of changes, and tells what is left.
-func (w *Writer) draft(queue []*Change, changes int) (in, left []*Change, txn wire.Txn, err error) {
+func (w *Committer) draft(queue []*Change, changes int) (in, left []*Change, txn wire.Txn, err error) {
 	w.mirror.Read(func(l *ledger.Ledger) {
 		d := dated(l.NewTransactionOf(changes))
 		now := time.Now()
@@ -347,7 +347,7 @@
 }
 
 // Commit runs a transaction, waits until the mirror shows its outcome, and tells the revision.
-func (w *Writer) Commit(ctx context.Context, txn wire.Txn) (wire.Revision, error) {
+func (w *Committer) Commit(ctx context.Context, txn wire.Txn) (wire.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
 	defer cancel()
 	w.stats.Add("transactions_total", 1)
@@ -360,7 +360,7 @@
 	} else if err != nil {
 		return 0, err
 	}
-	if e := w.mirror.Reach(ctx, rev); e != nil {
+	if e := w.mirror.WaitForRevision(ctx, rev); e != nil {
 		return 0, e
 	}
 	return rev, err
@@ -368,7 +368,7 @@
 
 // CommitNow commits one user's change at once, trying again on conflicts. An
 // error other than the draft's own leaves the outcome open.
-func (w *Writer) CommitNow(ctx context.Context, draft func(*ledger.Transaction) error) error {
+func (w *Committer) CommitNow(ctx context.Context, draft func(*ledger.Transaction) error) error {
 	select {
 	case w.users <- struct{}{}:
 		defer func() { <-w.users }()
@@ -414,7 +414,7 @@
 // SpareCapacity is how many changes a transaction may have now that is in nobody's way: none while
 // changes of reports wait, and otherwise what leaves room for a start that comes the next
 // moment.
-func (w *Writer) SpareCapacity() int {
+func (w *Committer) SpareCapacity() int {
 	if len(w.submitted) > 0 || !w.plenty() {
 		return 0
 	}
@@ -422,13 +422,13 @@
 }
 
 // HasSpareCapacity reports whether the budget has more than what spare changes leave.
-func (w *Writer) HasSpareCapacity() bool { return w.store.Changes() > w.reserve() }
+func (w *Committer) HasSpareCapacity() bool { return w.store.Changes() > w.reserve() }
 
 // longQueue is how much of the queue may wait without that being worth telling of.
 const longQueue = mostQueued / 2
 
 // HealthProblem tells what keeps changes from being made durable; "": nothing.
-func (w *Writer) HealthProblem(time.Time) string {
+func (w *Committer) HealthProblem(time.Time) string {
 	if n := len(w.submitted); n > longQueue {
 		return fmt.Sprintf("%d changes wait", n)
 	}
--- a/internal/writer/writer_test.go
+++ b/internal/writer/writer_test.go
@@ -25,11 +25,11 @@
 
 func (r records) Read(f func(*ledger.Ledger)) { f(r.Ledger) }
 
-func (r records) Reach(context.Context, wire.Revision) error { return nil }
+func (r records) WaitForRevision(context.Context, wire.Revision) error { return nil }
 
 const txnOps = 12
 
-func writerOn(s state.Store, ops int) (*Writer, *ledger.Ledger) {
+func writerOn(s state.Store, ops int) (*Committer, *ledger.Ledger) {
 	led := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: state.TxnBytes})
 	return New(Options{Changes: 40.0 / 3, TxnOps: ops}, records{led}, s, metrics.New(), slog.New(slog.DiscardHandler)), led
 }
