--- a/cmd/maddermill/commands.go
+++ b/cmd/maddermill/commands.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/http1"
 	"maddermill/internal/settings"
 	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
 	"maddermill/wire"
 )
 
--- a/cmd/maddermill/cwl.go
+++ b/cmd/maddermill/cwl.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/cwl"
+	"maddermill/internal/workflow/cwl"
 	"maddermill/wire"
 )
 
--- a/cmd/maddermill/plugin.go
+++ b/cmd/maddermill/plugin.go
@@ -17,8 +17,8 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/ledger"
 	"maddermill/internal/plugin"
+	"maddermill/internal/state/ledger"
 	"maddermill/policy"
 	"maddermill/wire"
 )
--- a/cmd/maddermill/promises.go
+++ b/cmd/maddermill/promises.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/promises"
+	"maddermill/internal/scheduler/deadlinetracker"
 	"maddermill/internal/settings"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -31,7 +31,7 @@
 				}
 				set = s
 			}
-			r, err := promises.Read(args[0], set)
+			r, err := deadlinetracker.Read(args[0], set)
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], r)
 			}
@@ -53,12 +53,12 @@
 }
 
 // showGalleries prints the galleries on record and in the archive.
-func showGalleries(ctx context.Context, store state.Store, limits ledger.Limits, w io.Writer, dates bool) error {
+func showGalleries(ctx context.Context, store kvstore.Store, limits ledger.Limits, w io.Writer, dates bool) error {
 	out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "GALLERY\tTEAM\tPROMISED\tSTATE\tSINCE\tWHY")
 	count := 0
 	for _, prefix := range []string{ledger.GalleryPrefix, ledger.FinalGalleryKey("")} {
-		err := state.Each(ctx, store, prefix, 1000, func(it wire.Item) error {
+		err := kvstore.Each(ctx, store, prefix, 1000, func(it wire.Item) error {
 			var g ledger.GalleryRecord
 			if err := json.Unmarshal(it.Value, &g); err != nil || len(g.Promises) == 0 {
 				return errors.Join(fmt.Errorf("%s: is no gallery", it.Key), err)
--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
 	"maddermill/internal/plugin"
-	"maddermill/internal/state"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -72,7 +72,7 @@
 
 // listPast prints the marks of machines that were judged faulty.
 func listPast(ctx context.Context, store plugin.Records, out io.Writer) error {
-	return state.Each(ctx, store, ledger.MarksPrefix, 1000, func(it wire.Item) error {
+	return kvstore.Each(ctx, store, ledger.MarksPrefix, 1000, func(it wire.Item) error {
 		if m, mark, why, ok := ledger.DecodeMark(it); ok && strings.HasPrefix(why, "faulty") {
 			fmt.Fprintf(out, "%s  %s  %s\n", m, mark, why)
 		}
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -19,19 +19,19 @@
 	"golang.org/x/sync/errgroup"
 	"gopkg.in/natefinch/lumberjack.v2"
 
-	"maddermill/internal/api"
-	"maddermill/internal/cloud"
 	"maddermill/internal/controller"
-	"maddermill/internal/data"
-	"maddermill/internal/http1"
-	"maddermill/internal/places"
+	"maddermill/internal/leader/cloud"
 	"maddermill/internal/plugin"
-	"maddermill/internal/policies"
-	"maddermill/internal/promises"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/topologytracker"
+	"maddermill/internal/server/api"
 	"maddermill/internal/settings"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
 	"maddermill/internal/supervise"
 	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/policy"
 )
 
@@ -115,7 +115,7 @@
 		return err
 	}
 	defer dialer.Stop()
-	store := state.NewClient(
+	store := kvstore.NewClient(
 		&http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 8, MaxBody: held},
 		&http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 1, MaxBody: held},
 		set.Cluster.State.RPS, set.Cluster.State.WriteRPS, set.Cluster.Count, set.Cluster.State.TxnOps)
@@ -124,12 +124,12 @@
 		if err := os.MkdirAll(workflows, 0o755); err != nil {
 			return fmt.Errorf("--workflows: %w", err)
 		}
-		core.Workflows.Set(data.Dir{Root: workflows})
+		core.Workflows.Set(stepdata.Dir{Root: workflows})
 	}
 	if p := set.Operators.Plugins; p.On {
 		bounds := plugin.DefaultBounds
 		bounds.Memory, bounds.Call = p.MemoryMB<<20, p.Call
-		initial := policies.Initial{Name: strings.TrimSuffix(filepath.Base(p.Initial), ".wasm"), Signature: p.Signature}
+		initial := policymanager.Initial{Name: strings.TrimSuffix(filepath.Base(p.Initial), ".wasm"), Signature: p.Signature}
 		if p.Initial != "" {
 			if initial.Code, err = os.ReadFile(p.Initial); err != nil {
 				return fmt.Errorf("%s: plugins.initial_module: %w", operators, err)
@@ -146,7 +146,7 @@
 		core.RecordPasses(recordQueue(out, log))
 	}
 	if register != "" {
-		r, err := promises.Read(register, set)
+		r, err := deadlinetracker.Read(register, set)
 		if err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 	}
 	var reread chan os.Signal
 	if topology != "" {
-		t, err := places.Read(topology, set.Cluster.Zones)
+		t, err := topologytracker.Read(topology, set.Cluster.Zones)
 		if err != nil {
 			return err
 		}
--- a/cmd/maddermill/state.go
+++ b/cmd/maddermill/state.go
@@ -19,12 +19,12 @@
 	"github.com/spf13/cobra"
 
 	"maddermill/internal/controller"
-	"maddermill/internal/http1"
-	"maddermill/internal/ledger"
 	"maddermill/internal/settings"
-	"maddermill/internal/snapshot"
-	"maddermill/internal/state"
+	"maddermill/internal/state/backup"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
 	"maddermill/wire"
 )
 
@@ -34,7 +34,7 @@
 	root := &cobra.Command{Use: "state", Short: "Look at, check, save and restore the records in the state service",
 		Long: "The state service and its limits are those of the settings file (--config).\nNone of these commands but import writes anything."}
 	root.PersistentFlags().Float64Var(&share, "share", 0.05, "the `PART` of the service's requests and changes a second to take at the most")
-	open := func(cmd *cobra.Command) (context.Context, *state.Client, ledger.Limits, func(), error) {
+	open := func(cmd *cobra.Command) (context.Context, *kvstore.Client, ledger.Limits, func(), error) {
 		return openState(cmd, *config, share)
 	}
 	root.AddCommand(
@@ -54,7 +54,7 @@
 					return err
 				}
 				defer done()
-				r, err := snapshot.Verify(ctx, store, limits)
+				r, err := backup.Verify(ctx, store, limits)
 				if err != nil {
 					return err
 				}
@@ -93,7 +93,7 @@
 					return err
 				}
 				defer done()
-				end, err := snapshot.Import(ctx, f, store, limits, time.Now())
+				end, err := backup.Import(ctx, f, store, limits, time.Now())
 				if err != nil {
 					return fmt.Errorf("%s: %w", args[0], err)
 				}
@@ -107,7 +107,7 @@
 					return err
 				}
 				defer f.Close()
-				end, err := snapshot.Check(f)
+				end, err := backup.Check(f)
 				if err != nil {
 					return fmt.Errorf("%s: %w", args[0], err)
 				}
@@ -119,8 +119,8 @@
 
 // openState opens the state service that a settings file names, for a part of its requests
 // and changes a second.
-func openState(cmd *cobra.Command, config string, share float64) (context.Context, *state.Client, ledger.Limits, func(), error) {
-	fail := func(err error) (context.Context, *state.Client, ledger.Limits, func(), error) {
+func openState(cmd *cobra.Command, config string, share float64) (context.Context, *kvstore.Client, ledger.Limits, func(), error) {
+	fail := func(err error) (context.Context, *kvstore.Client, ledger.Limits, func(), error) {
 		return nil, nil, ledger.Limits{}, nil, err
 	}
 	if config == "" {
@@ -140,12 +140,12 @@
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 	h := &http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 2, MaxBody: 64 << 20}
 	s := set.Cluster.State
-	return ctx, state.NewClient(h, h, s.RPS*share, s.WriteRPS*share, 1, s.TxnOps), controller.Limits(set), func() { stop(); dialer.Stop() }, nil
+	return ctx, kvstore.NewClient(h, h, s.RPS*share, s.WriteRPS*share, 1, s.TxnOps), controller.Limits(set), func() { stop(); dialer.Stop() }, nil
 }
 
 // exportTo writes an export beside FILE and gives it its name only once it is whole and on
 // the disk.
-func exportTo(ctx context.Context, store snapshot.Source, name string) (end snapshot.End, err error) {
+func exportTo(ctx context.Context, store backup.Source, name string) (end backup.End, err error) {
 	f, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".part-*")
 	if err != nil {
 		return end, err
@@ -159,17 +159,17 @@
 			os.Remove(f.Name())
 		}
 	}()
-	if end, err = snapshot.Export(ctx, store, f, time.Now()); err != nil {
+	if end, err = backup.Export(ctx, store, f, time.Now()); err != nil {
 		return end, err
 	}
 	return end, f.Sync()
 }
 
 // stateStats prints counts and bytes of records, jobs by their state.
-func stateStats(ctx context.Context, store snapshot.Source, w io.Writer) error {
+func stateStats(ctx context.Context, store backup.Source, w io.Writer) error {
 	type sum struct{ keys, bytes int }
 	sums := map[string]sum{}
-	revision, err := snapshot.Pages(ctx, store, ledger.AllPrefix, func(items []wire.Item) error {
+	revision, err := backup.Pages(ctx, store, ledger.AllPrefix, func(items []wire.Item) error {
 		for _, it := range items {
 			kind := cmp.Or(ledger.Kind(it.Key), "unknown keys")
 			if kind == "jobs" {
--- a/cmd/maddermill/topology.go
+++ b/cmd/maddermill/topology.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/places"
+	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/settings"
 	"maddermill/wire"
 )
@@ -24,7 +24,7 @@
 				}
 				zones = s.Cluster.Zones
 			}
-			t, err := places.Read(args[0], zones)
+			t, err := topologytracker.Read(args[0], zones)
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d levels, %d blocks\n", args[0], len(t.Levels()), len(t.Blocks()))
 			}
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/regress"
+	"maddermill/internal/testing/regress"
 )
 
 const (
--- a/cmd/regress/own.go
+++ b/cmd/regress/own.go
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"golang.org/x/sync/errgroup"
 
-	"maddermill/internal/regress"
+	"maddermill/internal/testing/regress"
 )
 
 const ownDir = "target/own"
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -19,8 +19,8 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/data"
-	"maddermill/internal/standin"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
@@ -137,14 +137,14 @@
 	}
 	addr := func(i uint16) string { return netip.AddrPortFrom(first.Addr(), first.Port()+i).String() }
 	file := func(ending string) string { return filepath.Join(dir, "maddermill-try"+ending) }
-	world := standin.NewWorld(40 * time.Second)
-	store := standin.NewStore(20, 16<<10)
+	world := emulator.NewWorld(40 * time.Second)
+	store := emulator.NewStore(20, 16<<10)
 	store.Seen = func(c wire.Change) {
-		if spec, ok := standin.Spec(c); ok {
+		if spec, ok := emulator.Spec(c); ok {
 			world.Upload(spec)
 		}
 	}
-	cl := &standin.Cloud{World: world, Lag: time.Second, Lease: 15 * time.Second, Most: 8,
+	cl := &emulator.Cloud{World: world, Lag: time.Second, Lease: 15 * time.Second, Most: 8,
 		Run: func(t wire.TaskID) time.Duration {
 			if t.Job == gangJob {
 				return time.Minute // long enough to look where it sits
@@ -153,23 +153,23 @@
 		},
 		Types: []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.4,
 			Boot: 3, Zones: []wire.Zone{"here", "there"}}}}
-	steps := data.Dir{Root: file("-data")}
+	steps := stepdata.Dir{Root: file("-data")}
 	world.Finished = func(t wire.TaskID) {
-		if err := standin.RunStep(ctx, steps, t.Job); err != nil {
+		if err := emulator.RunStep(ctx, steps, t.Job); err != nil {
 			log.Printf("step %s: %v", t.Job, err)
 		}
 	}
-	cl.Started = func(m *standin.Machine) { go work(ctx, m, addr(0)) }
+	cl.Started = func(m *emulator.Machine) { go work(ctx, m, addr(0)) }
 	config, job, gang, places, register := file(".toml"), file(".json"), file("-gang.json"), file("-topology.txtpb"), file("-promises.txtpb")
 	for name, text := range map[string]string{config: fmt.Sprintf(settingsFile, addr(0), addr(1), addr(2), addr(3)),
 		register: fmt.Sprintf(registerFile, time.Now().Add(10*time.Minute).UTC().Format(time.RFC3339)),
-		job:      jobFile, gang: gangFile, file("-chain.cwl"): chainFile, places: standin.Topology(cl.Types[0].Zones)} {
+		job:      jobFile, gang: gangFile, file("-chain.cwl"): chainFile, places: emulator.Topology(cl.Types[0].Zones)} {
 		if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
 			return err
 		}
 	}
 	failed := make(chan error, 2)
-	for at, h := range map[string]http.Handler{addr(2): standin.CloudHandler(cl), addr(3): standin.StateHandler(standin.NewLink(store, 1))} {
+	for at, h := range map[string]http.Handler{addr(2): emulator.CloudHandler(cl), addr(3): emulator.StateHandler(emulator.NewLink(store, 1))} {
 		l, err := net.Listen("tcp4", at)
 		if err != nil {
 			return err
@@ -195,7 +195,7 @@
 }
 
 // work is one worker's loop.
-func work(ctx context.Context, m *standin.Machine, controller string) {
+func work(ctx context.Context, m *emulator.Machine, controller string) {
 	client := &http.Client{Timeout: 4 * time.Second}
 	for ctx.Err() == nil && !m.Gone() {
 		time.Sleep(time.Second)
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"maddermill/internal/clock"
 	"maddermill/internal/server"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -81,7 +81,7 @@
 		if st, ok := h.askAt(ctx, id, at, r); ok {
 			return st
 		}
-		clock.Sleep(ctx, 500*time.Millisecond)
+		wait.For(ctx, 500*time.Millisecond)
 	}
 	return ""
 }
@@ -92,7 +92,7 @@
 	for i := range h.n {
 		h.group.Go(func() {
 			for _, pause := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 40 * time.Millisecond} {
-				clock.Sleep(ctx, pause)
+				wait.For(ctx, pause)
 				h.askAt(ctx, spec.ID, i, status(spec.ID))
 			}
 			h.askAt(ctx, spec.ID, i, submission(spec))
@@ -130,17 +130,17 @@
 	h.mu.Lock()
 	h.keeping, h.kept = true, nil
 	h.mu.Unlock()
-	clock.Sleep(ctx, length)
+	wait.For(ctx, length)
 	h.mu.Lock()
 	h.keeping = false
 	kept := h.kept
 	h.mu.Unlock()
-	for _, before := h.leadership(); ctx.Err() == nil; clock.Sleep(ctx, 10*time.Millisecond) {
+	for _, before := h.leadership(); ctx.Err() == nil; wait.For(ctx, 10*time.Millisecond) {
 		if at, now := h.leadership(); at >= 0 && now > before {
 			break
 		}
 	}
-	clock.Sleep(ctx, after)
+	wait.For(ctx, after)
 	for _, k := range kept {
 		for i := range h.n {
 			if c := h.core(i); c != nil {
@@ -150,6 +150,6 @@
 				})
 			}
 		}
-		clock.Sleep(ctx, time.Millisecond)
+		wait.For(ctx, time.Millisecond)
 	}
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -15,11 +15,11 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
 	"maddermill/internal/server"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -80,7 +80,7 @@
 
 // shelf is a state service that only holds what it was given, and counts what is asked of it.
 type shelf struct {
-	state.Store
+	kvstore.Store
 	items       []wire.Item // in order
 	lists, gets int
 	bytes       int
@@ -97,7 +97,7 @@
 	s.gets++
 	at, ok := slices.BinarySearchFunc(s.items, key, func(it wire.Item, k string) int { return strings.Compare(it.Key, k) })
 	if !ok {
-		return wire.Item{}, state.ErrNotFound
+		return wire.Item{}, kvstore.ErrNotFound
 	}
 	return s.items[at], nil
 }
@@ -189,7 +189,7 @@
 		defer func() { cancel(); synctest.Wait() }()
 		poll := func(id wire.JobID) (st wire.JobStatus, err error) {
 			for range 50 {
-				if st, err = c.Users.Status(t.Context(), id); !errors.Is(err, state.ErrNoReach) {
+				if st, err = c.Users.Status(t.Context(), id); !errors.Is(err, kvstore.ErrNoReach) {
 					return st, err
 				}
 				time.Sleep(time.Second) // put off
@@ -286,7 +286,7 @@
 			if err == nil {
 				err = json.Unmarshal(it.Value, &f)
 			}
-			if err != nil && !errors.Is(err, state.ErrNotFound) {
+			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				t.Error(err)
 			}
 			return f
@@ -304,9 +304,9 @@
 				roll := func(i, to int) {
 					h.crash(i)
 					h.upTo[i] = to
-					clock.Sleep(ctx, 5*time.Second)
+					wait.For(ctx, 5*time.Second)
 					h.startCore(ctx, i)
-					clock.Sleep(ctx, 25*time.Second)
+					wait.For(ctx, 25*time.Second)
 				}
 				roll(0, 0)
 				roll(1, 0)
@@ -320,8 +320,8 @@
 				if f.Format != ledger.NewestFormat || f.Fresh || archived() != 0 {
 					t.Errorf("format %+v and %d archived when all read it", f, archived())
 				}
-				clock.Sleep(ctx, h.settle())
-				clock.Sleep(ctx, time.Minute)
+				wait.For(ctx, h.settle())
+				wait.For(ctx, time.Minute)
 				if archived() == 0 {
 					t.Error("nothing is archived afterwards")
 				}
@@ -355,7 +355,7 @@
 		var told int
 		h.also = func(ctx context.Context) {
 			h.group.Go(func() {
-				clock.Sleep(ctx, 10*time.Minute)
+				wait.For(ctx, 10*time.Minute)
 				for i := range old {
 					id := wire.JobID(fmt.Sprintf("wk-9%08d", i))
 					st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Core) (wire.JobStatus, error) { return c.Users.Status(ctx, id) })
@@ -453,7 +453,7 @@
 				cancelAfter = 30 * time.Second
 			}
 			h.group.Go(func() { h.user(ctx, spec, cancelAfter, &finished) })
-			clock.Sleep(ctx, 90*time.Second)
+			wait.For(ctx, 90*time.Second)
 			if n%3 == 2 {
 				h.group.Go(func() { h.trouble(ctx) })
 			}
@@ -465,7 +465,7 @@
 				t.Logf("after %v: %+v", time.Since(began), weigh())
 			}
 		}
-		clock.Sleep(ctx, 5*time.Minute) // for the last ones
+		wait.For(ctx, 5*time.Minute) // for the last ones
 		late := weigh()
 		h.finish(cancel)
 		h.checkPast()
--- a/internal/controller/bound_test.go
+++ b/internal/controller/bound_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -45,14 +45,14 @@
 				// A tenth more than twelve machines do.
 				for i := range 190 {
 					r.group.Go(func() {
-						clock.Sleep(ctx, time.Duration(i)*1650*time.Millisecond+time.Millisecond)
+						wait.For(ctx, time.Duration(i)*1650*time.Millisecond+time.Millisecond)
 						r.poll(spec(i, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2}))
 					})
 				}
 				large := spec(900000, tc.large)
 				const came = 60 * time.Second
 				r.group.Go(func() {
-					clock.Sleep(ctx, came)
+					wait.For(ctx, came)
 					r.poll(large)
 				})
 				r.every, r.most = 0, 1000
--- a/internal/controller/closeness_test.go
+++ b/internal/controller/closeness_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/topology"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	h.begin(ctx, 32, 0)
 	rng := rand.New(rand.NewPCG(seed, 7))
-	clock.Sleep(ctx, 10*time.Second)
+	wait.For(ctx, 10*time.Second)
 	began := time.Now()
 	var out sitting
 	finished, jobs := 0, 0
@@ -72,7 +72,7 @@
 		if s%20 == 10 && s < 200 {
 			submit(wire.Array, 1+rng.IntN(8))
 		}
-		clock.Sleep(ctx, time.Second)
+		wait.For(ctx, time.Second)
 		for id := range submitted {
 			if looked[id] || !h.world.Whole(id) {
 				continue
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -19,17 +19,17 @@
 	old, fresh, fresher := now.Add(-time.Minute), now.Add(-2*time.Second), now.Add(-time.Second)
 	for _, tc := range []struct {
 		name  string
-		peers []mesh.Answer
+		peers []peer.Answer
 		want  time.Time
 	}{
 		{"nobody answers", nil, old},
-		{"one of two answers", []mesh.Answer{answerOf("m-1", fresh, 5, true, 0)}, old},
-		{"both vouch: the older answer counts", []mesh.Answer{answerOf("m-1", fresh, 5, true, 0), answerOf("m-2", fresher, 7, true, 0)}, fresh},
-		{"one told of a cancellation that this ledger lacks", []mesh.Answer{answerOf("m-1", fresh, 8, true, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
-		{"one lists what this ledger lacks, from where it is", []mesh.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 7, true), answerOf("m-2", fresher, 7, true, 0)}, fresh},
-		{"one lists what a newer ledger lacks", []mesh.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 8, true), answerOf("m-2", fresher, 7, true, 0)}, old},
-		{"one can't list all", []mesh.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 7, false), answerOf("m-2", fresher, 7, true, 0)}, old},
-		{"one has restarted and knows nothing", []mesh.Answer{answerOf("m-1", fresh, 0, false, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
+		{"one of two answers", []peer.Answer{answerOf("m-1", fresh, 5, true, 0)}, old},
+		{"both vouch: the older answer counts", []peer.Answer{answerOf("m-1", fresh, 5, true, 0), answerOf("m-2", fresher, 7, true, 0)}, fresh},
+		{"one told of a cancellation that this ledger lacks", []peer.Answer{answerOf("m-1", fresh, 8, true, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
+		{"one lists what this ledger lacks, from where it is", []peer.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 7, true), answerOf("m-2", fresher, 7, true, 0)}, fresh},
+		{"one lists what a newer ledger lacks", []peer.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 8, true), answerOf("m-2", fresher, 7, true, 0)}, old},
+		{"one can't list all", []peer.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 7, false), answerOf("m-2", fresher, 7, true, 0)}, old},
+		{"one has restarted and knows nothing", []peer.Answer{answerOf("m-1", fresh, 0, false, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
 	} {
 		c := quietCore(t, 0)
 		c.mirror.SetForTest(0, old)
@@ -83,7 +83,7 @@
 	})
 }
 
-func listing(a mesh.Answer, since wire.Revision, whole bool) mesh.Answer {
+func listing(a peer.Answer, since wire.Revision, whole bool) peer.Answer {
 	a.Status.Since, a.Status.CancellationsComplete, a.Status.Ended = since, whole, []wire.JobID{"wk-000001"}
 	return a
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -8,27 +8,27 @@
 	"math"
 	"time"
 
-	"maddermill/internal/archiver"
-	"maddermill/internal/completion"
-	"maddermill/internal/evidence"
 	"maddermill/internal/leader"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/places"
 	"maddermill/internal/plugin"
-	"maddermill/internal/policies"
-	"maddermill/internal/promises"
-	"maddermill/internal/schedule"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/server"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/supervise"
-	"maddermill/internal/workers"
-	"maddermill/internal/workflowrunner"
-	"maddermill/internal/writer"
+	"maddermill/internal/workflow/runner"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -40,52 +40,52 @@
 	Duties    supervise.Group
 	Users     *server.JobServer
 	Workers   *server.HeartbeatServer
-	Workflows *workflowrunner.Runner
-	Places    *places.Tracker
+	Workflows *runner.Runner
+	Places    *topologytracker.Tracker
 
 	set      *settings.Settings
-	store    state.Store
+	store    kvstore.Store
 	log      *slog.Logger
 	boot     time.Time
-	mirror   *mirror.Cache
-	writer   *writer.Committer
-	members  *members.Membership
+	mirror   *watchcache.Cache
+	writer   *committer.Committer
+	members  *membership.Membership
 	book     *evidence.Tracker
-	roster   *workers.Registry
+	roster   *reconcile.Registry
 	done     *completion.Log
 	told     *completion.Exchange
-	recorder *workers.Recorder
-	schedule *schedule.Scheduler
+	recorder *reconcile.Recorder
+	schedule *scheduler.Scheduler
 	lead     *leader.Leader
 	past     *archiver.Archiver
-	policies *policies.Manager
-	Promises *promises.Tracker
+	policies *policymanager.Manager
+	Promises *deadlinetracker.Tracker
 }
 
 // New returns a controller that hasn't read anything yet.
-func New(set *settings.Settings, store state.Store, log *slog.Logger) *Core {
+func New(set *settings.Settings, store kvstore.Store, log *slog.Logger) *Core {
 	c := &Core{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
 	svc, count, reads := set.Cluster.State, float64(set.Cluster.Count), archiver.SupportedFormat(set.Operators.FormatUpTo)
-	c.mirror = mirror.New(mirror.Options{Member: set.Member, Limits: Limits(set), Requests: svc.RPS / count, Reads: reads}, store, follower{c}, c.Stats, log)
-	c.writer = writer.New(writer.Options{Changes: svc.WriteRPS / count, TxnOps: svc.TxnOps}, c.mirror, store, c.Stats, log)
-	c.members = members.New(membersOptions(set), c.Stats, log)
+	c.mirror = watchcache.New(watchcache.Options{Member: set.Member, Limits: Limits(set), Requests: svc.RPS / count, Reads: reads}, store, follower{c}, c.Stats, log)
+	c.writer = committer.New(committer.Options{Changes: svc.WriteRPS / count, TxnOps: svc.TxnOps}, c.mirror, store, c.Stats, log)
+	c.members = membership.New(membersOptions(set), c.Stats, log)
 	c.book = evidence.New(c.members, c.Stats, log)
 	if q := set.Operators.Quarantine; q.On {
 		c.book.EnableQuarantine(evidence.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
 	}
 	c.done = completion.New(completion.Capacity(set.MemoryBytes() / completionShare))
 	c.told = completion.NewExchange(c.done, c.boot, membersOptions(set).Others)
-	c.roster = workers.NewRoster(c.members, c.done)
-	c.recorder = workers.NewRecorder(c.done, c.mirror, c.writer, Limits(set), c.Stats, log)
-	c.policies = policies.New(host{c}, store, set.Member, c.Stats, log)
+	c.roster = reconcile.NewRoster(c.members, c.done)
+	c.recorder = reconcile.NewRecorder(c.done, c.mirror, c.writer, Limits(set), c.Stats, log)
+	c.policies = policymanager.New(host{c}, store, set.Member, c.Stats, log)
 	c.past = archiver.New(host{c}, store, pastOptions(set), c.Stats, log)
-	c.Places = places.New(set, c.mirror, c.members, c.roster, c.book, func() { c.schedule.InvalidateSnapshot() }, c.Stats, log)
-	c.Promises = promises.New(set, promises.Parts{Mirror: c.mirror, Writer: c.writer, Book: c.book, Members: c.members, Roster: c.roster}, c.Stats, log)
-	c.schedule = schedule.New(set, schedule.Parts{Mirror: c.mirror, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Policies: c.policies, Promises: c.Promises}, c.Stats, log)
+	c.Places = topologytracker.New(set, c.mirror, c.members, c.roster, c.book, func() { c.schedule.InvalidateSnapshot() }, c.Stats, log)
+	c.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: c.mirror, Writer: c.writer, Book: c.book, Members: c.members, Roster: c.roster}, c.Stats, log)
+	c.schedule = scheduler.New(set, scheduler.Parts{Mirror: c.mirror, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Policies: c.policies, Promises: c.Promises}, c.Stats, log)
 	c.Workers = server.NewWorkers(set, server.WorkersParts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Schedule: c.schedule, Completed: c.done, Exchange: c.told}, c.Stats, log)
 	c.Users = server.NewUsers(set, server.UsersParts{Mirror: c.mirror, Writer: c.writer, Policies: c.policies, Archiver: c.past, Promises: c.Promises}, c.Stats, log)
 	c.lead = leader.New(set, store, leader.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Schedule: c.schedule, Policies: c.policies, Completed: c.done}, c.Stats, log)
-	c.Workflows = workflowrunner.New(set, store, workflowrunner.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Book: c.book, Schedule: c.schedule, Users: c.Users, Past: c.past, Promises: c.Promises}, c.Stats, log)
+	c.Workflows = runner.New(set, store, runner.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Book: c.book, Schedule: c.schedule, Users: c.Users, Past: c.past, Promises: c.Promises}, c.Stats, log)
 	c.gauges()
 	return c
 }
@@ -93,7 +93,7 @@
 // Limits are what a deployment's state service takes, and the rules of its teams.
 func Limits(set *settings.Settings) ledger.Limits {
 	l := ledger.Limits{ValueBytes: set.ValueBytes(), TxnOps: set.Cluster.State.TxnOps,
-		TxnBytes: state.TxnBytes, TeamMax: map[wire.Team]ledger.Resources{}, ControllerCount: 1 + len(set.Peers)}
+		TxnBytes: kvstore.TxnBytes, TeamMax: map[wire.Team]ledger.Resources{}, ControllerCount: 1 + len(set.Peers)}
 	for _, p := range set.Peers {
 		if p.Member < set.Member {
 			l.ControllerIndex++
@@ -107,8 +107,8 @@
 	return l
 }
 
-func membersOptions(set *settings.Settings) members.Options {
-	o := members.Options{Self: set.Member, Count: set.Cluster.Count, Contact: settings.StartContact, ValueBytes: set.ValueBytes()}
+func membersOptions(set *settings.Settings) membership.Options {
+	o := membership.Options{Self: set.Member, Count: set.Cluster.Count, Contact: settings.StartContact, ValueBytes: set.ValueBytes()}
 	for _, p := range set.Peers {
 		o.Others = append(o.Others, p.Member)
 	}
@@ -144,14 +144,14 @@
 		}
 		return 0
 	})
-	gauge("galleries_open", func(l *ledger.Ledger) float64 { open, _ := promises.Count(l); return float64(open) })
-	gauge("galleries_at_risk", func(l *ledger.Ledger) float64 { _, risky := promises.Count(l); return float64(risky) })
+	gauge("galleries_open", func(l *ledger.Ledger) float64 { open, _ := deadlinetracker.Count(l); return float64(open) })
+	gauge("galleries_at_risk", func(l *ledger.Ledger) float64 { _, risky := deadlinetracker.Count(l); return float64(risky) })
 	gauge("completions_kept", func(*ledger.Ledger) float64 { return float64(c.done.Len()) })
 	gauge("completions_lost", func(*ledger.Ledger) float64 { return float64(c.done.Lost()) })
 	gauge("jobs_suspect", func(*ledger.Ledger) float64 { return float64(c.book.CountSuspects()) })
-	count := func(name string, is func(l *ledger.Ledger, w *workers.Worker) bool) {
+	count := func(name string, is func(l *ledger.Ledger, w *reconcile.Worker) bool) {
 		gauge(name, func(l *ledger.Ledger) (k float64) {
-			c.roster.Each(func(w *workers.Worker) {
+			c.roster.Each(func(w *reconcile.Worker) {
 				if is(l, w) {
 					k++
 				}
@@ -159,9 +159,9 @@
 			return k
 		})
 	}
-	count("machines_faulty", func(l *ledger.Ledger, w *workers.Worker) bool { return c.book.Faulty(l, w.ID, time.Now()) })
-	count("machines_slow", func(_ *ledger.Ledger, w *workers.Worker) bool { return c.book.Slow(w.ID) })
-	count("machines_deaf", func(_ *ledger.Ledger, w *workers.Worker) bool { return w.Unreachable() })
+	count("machines_faulty", func(l *ledger.Ledger, w *reconcile.Worker) bool { return c.book.Faulty(l, w.ID, time.Now()) })
+	count("machines_slow", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return c.book.Slow(w.ID) })
+	count("machines_deaf", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return w.Unreachable() })
 	gauge("machines_awaited", func(*ledger.Ledger) float64 { k, _ := c.lead.BootingMachines(); return float64(k) })
 	gauge("machines_overdue", func(*ledger.Ledger) float64 { _, k := c.lead.BootingMachines(); return float64(k) })
 	gauge("machines_held", func(*ledger.Ledger) float64 { return float64(c.roster.Len()) })
@@ -181,15 +181,15 @@
 
 // SetPlugins switches plug-ins on. With keys only modules signed by one of them are used; the
 // initial one is, where no policy was ever chosen.
-func (c *Core) SetPlugins(keys []ed25519.PublicKey, bounds plugin.Bounds, starve time.Duration, initial policies.Initial) {
-	c.policies.Set(func(o *policies.Options) {
+func (c *Core) SetPlugins(keys []ed25519.PublicKey, bounds plugin.Bounds, starve time.Duration, initial policymanager.Initial) {
+	c.policies.Set(func(o *policymanager.Options) {
 		o.On, o.Keys, o.Bounds, o.Starve, o.Initial, o.Limits = true, keys, bounds, starve, initial, Limits(c.set)
 	})
 }
 
 // RecordPasses gives every pass over the queue to f, which must not keep it.
 func (c *Core) RecordPasses(f func(*policy.Pass)) {
-	c.policies.Set(func(o *policies.Options) { o.Record = f })
+	c.policies.Set(func(o *policymanager.Options) { o.Record = f })
 }
 
 // Healthy reports whether users should be sent here: the ledger is read and the state service
@@ -237,14 +237,14 @@
 func (c *Core) Judgements() (out []wire.Judgement, judged bool) {
 	c.mirror.Read(func(*ledger.Ledger) {
 		var held []wire.MachineID
-		c.roster.Each(func(w *workers.Worker) { held = append(held, w.ID) })
+		c.roster.Each(func(w *reconcile.Worker) { held = append(held, w.ID) })
 		out, judged = c.book.Judgements(held), c.book.Judged()
 	})
 	return out, judged
 }
 
 // statusFor answers a peer that asks over the mesh.
-func (c *Core) statusFor(ask mesh.Status) mesh.Status {
+func (c *Core) statusFor(ask peer.Status) peer.Status {
 	c.members.ObserveProbe(ask.Member, time.Now())
 	s := c.status()
 	c.mirror.Read(func(l *ledger.Ledger) {
@@ -265,21 +265,21 @@
 const mostEnded = 400
 
 // questionTo is what this controller says of itself when it asks a peer.
-func (c *Core) questionTo(peer wire.MemberID) mesh.Status {
-	s := mesh.Status{Member: c.set.Member}
+func (c *Core) questionTo(member wire.MemberID) peer.Status {
+	s := peer.Status{Member: c.set.Member}
 	c.mirror.Read(func(l *ledger.Ledger) {
 		s.Revision = l.Revision()
-		c.told.Request(peer, &s)
+		c.told.Request(member, &s)
 	})
 	return s
 }
 
 // status is what this controller tells its peers.
-func (c *Core) status() mesh.Status {
+func (c *Core) status() peer.Status {
 	c.mirror.Lock()
 	defer c.mirror.Unlock()
 	led, now := c.mirror.Records(), time.Now()
-	s := mesh.Status{Version: mesh.Version, Member: c.set.Member, Boot: c.boot.UnixMilli(), Revision: led.Revision(),
+	s := peer.Status{Version: peer.Version, Member: c.set.Member, Boot: c.boot.UnixMilli(), Revision: led.Revision(),
 		Cancelled: led.LastCancel(), ContactMS: math.MaxInt32, Loaded: c.mirror.Loaded(), MaxFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo)}
 	if contact := c.mirror.SyncedAt(); !contact.IsZero() {
 		s.ContactMS = now.Sub(contact).Milliseconds()
@@ -288,11 +288,11 @@
 	s.Classes, s.Modules = c.book.Classes(), c.policies.Modules(led)
 	s.Suspects, s.Emptying, s.Partings = c.book.Suspects(now), c.schedule.PreemptionReservations(now), c.Places.Partitions(now)
 	s.GangReservations, s.Register = c.schedule.GangReservations(now), c.Promises.Edition()
-	c.roster.Each(func(w *workers.Worker) {
+	c.roster.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) > 2*time.Minute {
 			return
 		}
-		m := mesh.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken,
+		m := peer.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken,
 			Endpoint: c.Places.EndpointOf(w), AgeMS: now.Sub(w.LastHeartbeat).Milliseconds(), Usable: c.schedule.Usable(w, now), Faulty: c.book.Faulty(led, w.ID, now), Slow: c.book.Slow(w.ID), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
 		if m.Faulty {
 			m.QuarantineReason = c.book.Why(w.ID)
@@ -310,12 +310,12 @@
 }
 
 // listed is what a peer lists as cancelled.
-func listed(s *mesh.Status) ledger.Cancellations {
+func listed(s *peer.Status) ledger.Cancellations {
 	return ledger.Cancellations{Jobs: s.Ended, Flows: s.Flows}
 }
 
 // heardPeer takes in what a peer told.
-func (c *Core) heardPeer(a mesh.Answer) {
+func (c *Core) heardPeer(a peer.Answer) {
 	c.mirror.Read(func(l *ledger.Ledger) {
 		l.MarkCancelling(listed(&a.Status))
 		now := time.Now()
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -3,9 +3,9 @@
 import (
 	"io"
 	"log/slog"
-	"maddermill/internal/parttest"
-	"maddermill/internal/standin"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 	"testing"
 	"testing/synctest"
@@ -15,17 +15,17 @@
 func quietCore(t testing.TB, member int) *Core {
 	t.Helper()
 	set := testSettings(t, member)
-	link := standin.NewLink(standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1))
+	link := emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1))
 	return New(set, link, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // coreOn is a controller that says nothing, on a store.
-func coreOn(t testing.TB, s state.Store) *Core {
+func coreOn(t testing.TB, s kvstore.Store) *Core {
 	return New(testSettings(t, 0), s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // answerOf is what a peer tells that was asked at a time.
-var answerOf = parttest.Answer
+var answerOf = controllertest.Answer
 
 // TestReportsFromBeforeAStandstill: what waited at the door while the process stood
 // still is refused; workers gave it up long ago and report elsewhere.
--- a/internal/controller/first_test.go
+++ b/internal/controller/first_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/parttest"
-	"maddermill/internal/standin"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
@@ -22,9 +22,9 @@
 func BenchmarkFirstAnswer(b *testing.B) {
 	for _, machines := range []int{1840, 16000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			f := parttest.NewFleet(machines)
+			f := controllertest.NewFleet(machines)
 			set := testSettings(b, 0)
-			store := standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+			store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 			for _, e := range f.Records {
 				if _, err := store.Apply(wire.Txn{Then: []wire.Change{{Put: e.Key, Value: e.Value}}}); err != nil {
 					b.Fatal(err)
@@ -37,7 +37,7 @@
 					b.Fatal(err)
 				}
 			}
-			link := standin.NewLink(store, 1)
+			link := emulator.NewLink(store, 1)
 			link.Pages = 1000
 			flavor := wire.MachineType{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, Boot: 20, Zones: []wire.Zone{"a", "b", "c"}}
 			var wall, cpu time.Duration
--- a/internal/controller/floods_test.go
+++ b/internal/controller/floods_test.go
@@ -12,15 +12,15 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/ledger"
 	"maddermill/internal/server"
-	"maddermill/internal/standin"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
 // countedLink counts what is asked of the state service.
 type countedLink struct {
-	*standin.Link
+	*emulator.Link
 	reads, commits, changes, bytes atomic.Int64
 }
 
@@ -44,7 +44,7 @@
 func TestFloods(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := testSettings(t, 0)
-		store := &countedLink{Link: standin.NewLink(standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
+		store := &countedLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
 		c := New(set, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		c.mirror.Records().Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -7,13 +7,13 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/promise"
+	"maddermill/internal/scheduler/deadline"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
 // registerOf is a register of two galleries by class and one by its jobs.
-func registerOf(t *testing.T, revision int, free, capped, some time.Time) *promise.Register {
+func registerOf(t *testing.T, revision int, free, capped, some time.Time) *deadline.Register {
 	text := fmt.Sprintf("revision: %d\nmargin_s: 20\n", revision)
 	for _, g := range []struct {
 		name, team, of string
@@ -24,7 +24,7 @@
 			text += fmt.Sprintf("gallery { name: %q team: %q promised: %q %s }\n", g.name, g.team, g.date.Format(time.RFC3339), g.of)
 		}
 	}
-	r, err := promise.Parse([]byte(text), []wire.Team{"free", "capped"})
+	r, err := deadline.Parse([]byte(text), []wire.Team{"free", "capped"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,11 +45,11 @@
 					r.past = false
 					began := time.Now()
 					in := func(d time.Duration) time.Time { return began.Add(d) }
-					var registers [3]*promise.Register
+					var registers [3]*deadline.Register
 					first := registerOf(t, 1, in(260*time.Second), in(250*time.Second), in(100*time.Second))
 					second := registerOf(t, 2, in(260*time.Second), in(120*time.Second), in(100*time.Second))
 					third := registerOf(t, 3, in(260*time.Second), in(280*time.Second), in(100*time.Second))
-					give := func(i int, reg *promise.Register) {
+					give := func(i int, reg *deadline.Register) {
 						r.mu.Lock()
 						registers[i] = reg
 						r.mu.Unlock()
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
 	"maddermill/internal/settings"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -71,7 +71,7 @@
 		// Half of the jobs are cancelled, some just before the refusal, most within it.
 		for k, s := range jobs[6*round : 6*round+6] {
 			h.group.Go(func() {
-				clock.Sleep(ctx, time.Millisecond+time.Duration(k)*g.outage/5)
+				wait.For(ctx, time.Millisecond+time.Duration(k)*g.outage/5)
 				by, ok := h.cancelAt(ctx, s.ID, old)
 				if !ok {
 					return
@@ -82,12 +82,12 @@
 				switch g.then {
 				case "restart":
 					h.crash(by)
-					clock.Sleep(ctx, 300*time.Millisecond)
+					wait.For(ctx, 300*time.Millisecond)
 					h.restart(ctx, by)
 				case "restart in it":
-					clock.Sleep(ctx, g.outage+10*time.Second)
+					wait.For(ctx, g.outage+10*time.Second)
 					h.crash(by)
-					clock.Sleep(ctx, 300*time.Millisecond)
+					wait.For(ctx, 300*time.Millisecond)
 					h.restart(ctx, by)
 				case "reload":
 					h.store.Forget()
@@ -179,7 +179,7 @@
 				return 0, false
 			}
 		}
-		clock.Sleep(ctx, 300*time.Millisecond)
+		wait.For(ctx, 300*time.Millisecond)
 	}
 	return 0, false
 }
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/parttest"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 )
 
-func growTo(b *testing.B, machines int) (*Core, *parttest.Fleet) {
-	c, f := quietCore(b, 0), parttest.NewFleet(machines)
+func growTo(b *testing.B, machines int) (*Core, *controllertest.Fleet) {
+	c, f := quietCore(b, 0), controllertest.NewFleet(machines)
 	f.Join(c.mirror, c.members, c.roster)
 	c.boot = time.Now().Add(-time.Hour)
 	return c, f
@@ -25,7 +25,7 @@
 func BenchmarkGrowth(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		var g *Core
-		var f *parttest.Fleet
+		var f *controllertest.Fleet
 		run := func(name string, what func(b *testing.B)) {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				if g == nil {
@@ -60,7 +60,7 @@
 			b.ResetTimer()
 			for range b.N {
 				v.Reserve()
-				place.PlanPreemption(v)
+				placement.PlanPreemption(v)
 			}
 		})
 		run("gather", func(b *testing.B) {
@@ -70,7 +70,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				place.ReserveForOverdueGangs(v)
+				placement.ReserveForOverdueGangs(v)
 			}
 		})
 		run("status", func(b *testing.B) {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -16,21 +16,23 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/archiver"
-	"maddermill/internal/clock"
-	"maddermill/internal/data"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/parttest"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/topology"
 	"maddermill/internal/server"
 	"maddermill/internal/settings"
-	"maddermill/internal/standin"
-	"maddermill/internal/topology"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
-func testSettings(t testing.TB, member int) *settings.Settings { return parttest.Settings(t, member) }
+func testSettings(t testing.TB, member int) *settings.Settings {
+	return controllertest.Settings(t, member)
+}
 
 // history is a whole deployment of stand-ins on a fake clock, with troubles
 // drawn from a seed.
@@ -38,10 +40,10 @@
 	t     *testing.T
 	seed  uint64
 	rng   *rand.Rand
-	world *standin.World
-	store *standin.Store
-	cloud *standin.Cloud
-	links []*standin.Link
+	world *emulator.World
+	store *emulator.Store
+	cloud *emulator.Cloud
+	links []*emulator.Link
 	group sync.WaitGroup
 
 	mu    sync.Mutex
@@ -62,8 +64,8 @@
 
 	tree *topology.Tree                     // declared to all controllers, if given
 	told func(msg string, a map[string]any) // what controllers log, if given
-	dead func(*standin.Machine) bool        // machines that are out of reach, if given
-	data data.Store                         // switches workflows on, if given
+	dead func(*emulator.Machine) bool       // machines that are out of reach, if given
+	data stepdata.Store                     // switches workflows on, if given
 	also func(context.Context)              // started with the jobs, if given
 
 	plugins func(*Core) // switches plug-ins on, if given
@@ -94,14 +96,14 @@
 	h := &history{t: t, seed: seed, n: n, tune: tune, rng: rand.New(rand.NewPCG(seed, 2)), cores: make([]*Core, n), lives: make([]context.Context, n),
 		stop: make([]context.CancelFunc, n), cut: make([]bool, n), upTo: make([]int, n), deaf: map[wire.MachineID]bool{}, mute: map[wire.MachineID]bool{}, shut: map[wire.Zone]int{}, answers: answers{latest: map[wire.JobID]wire.Status{}}}
 	set := h.settings(0)
-	h.world = standin.NewWorld(set.Cluster.Workers.Cancel.Duration())
+	h.world = emulator.NewWorld(set.Cluster.Workers.Cancel.Duration())
 	h.world.TeamMax["capped"] = 4
-	h.store = standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
-	h.cloud = &standin.Cloud{World: h.world, Lag: 4 * time.Second, Lease: set.Cluster.Workers.Lease.Duration(), Most: 12,
+	h.store = emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+	h.cloud = &emulator.Cloud{World: h.world, Lag: 4 * time.Second, Lease: set.Cluster.Workers.Lease.Duration(), Most: 12,
 		Run:   func(t wire.TaskID) time.Duration { return time.Duration(5+int(t.Index)*7%40) * time.Second },
 		Types: []wire.MachineType{{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1, Boot: 20, Zones: []wire.Zone{"a", "b"}}}}
 	for i := range n {
-		l := standin.NewLink(h.store, seed*10+uint64(i))
+		l := emulator.NewLink(h.store, seed*10+uint64(i))
 		l.Step = func(t wire.Txn, applied bool) { h.step(i, stepOf(t, applied)) }
 		h.links = append(h.links, l)
 	}
@@ -110,7 +112,7 @@
 
 // settings are a controller's.
 func (h *history) settings(i int) *settings.Settings {
-	set := parttest.SettingsOf(h.t, i, h.n)
+	set := controllertest.SettingsOf(h.t, i, h.n)
 	if h.tune != nil {
 		h.tune(set)
 	}
@@ -161,7 +163,7 @@
 	h.group.Go(func() { _ = c.Duties.Run(ctx) })
 	h.group.Go(func() {
 		for ctx.Err() == nil {
-			clock.Sleep(ctx, time.Second)
+			wait.For(ctx, time.Second)
 			for o := range h.n {
 				p := h.core(o)
 				h.mu.Lock()
@@ -169,8 +171,8 @@
 				h.mu.Unlock()
 				if o != i && p != nil && !cut && h.links[i].Frozen() <= 0 && h.links[o].Frozen() <= 0 {
 					asked := time.Now()
-					clock.Sleep(ctx, 3*time.Millisecond)
-					c.heardPeer(mesh.Answer{Status: p.statusFor(c.questionTo(p.set.Member)), Asked: asked})
+					wait.For(ctx, 3*time.Millisecond)
+					c.heardPeer(peer.Answer{Status: p.statusFor(c.questionTo(p.set.Member)), Asked: asked})
 				}
 			}
 		}
@@ -179,8 +181,8 @@
 
 // frozenCloud is the cloud as a process sees it that may stand still.
 type frozenCloud struct {
-	*standin.Cloud
-	link *standin.Link
+	*emulator.Cloud
+	link *emulator.Link
 	step func(string)
 }
 
@@ -306,7 +308,7 @@
 func (h *history) freeze(ctx context.Context, i int, d time.Duration) {
 	h.links[i].Freeze(d)
 	ran := time.Now()
-	clock.Sleep(ctx, d)
+	wait.For(ctx, d)
 	if c := h.core(i); c != nil {
 		c.members.SetRunningForTest(ran)
 	}
@@ -322,12 +324,12 @@
 }
 
 // work is a worker's loop, with lost answers and reports that arrive late.
-func (h *history) work(ctx context.Context, m *standin.Machine) {
+func (h *history) work(ctx context.Context, m *emulator.Machine) {
 	at, retry := h.chance(h.n), false
 	for ctx.Err() == nil && !m.Gone() {
 		if !retry { // one that was sent elsewhere tries there a second later
 			every := int(h.settings(0).Cluster.Workers.Report.Duration() / time.Millisecond)
-			clock.Sleep(ctx, time.Duration(every*3/4+h.chance(every/2))*time.Millisecond)
+			wait.For(ctx, time.Duration(every*3/4+h.chance(every/2))*time.Millisecond)
 		}
 		retry = false
 		r, begun := m.Heartbeat()
@@ -341,37 +343,37 @@
 		c := h.core(at)
 		if c == nil || !h.reaches(m, at) {
 			at, retry = (at+1)%h.n, true
-			clock.Sleep(ctx, time.Second)
+			wait.For(ctx, time.Second)
 			continue
 		}
 		if d := h.links[at].Frozen(); d > 0 {
 			// It waits at the door of a process that stands still, and is read late.
 			late := *r
 			h.group.Go(func() {
-				clock.Sleep(ctx, d+time.Duration(h.chance(900))*time.Millisecond)
+				wait.For(ctx, d+time.Duration(h.chance(900))*time.Millisecond)
 				_ = c.Workers.Heartbeat(ctx, &late)
 			})
 			at = (at + 1 + h.chance(h.n-1)) % h.n
-			clock.Sleep(ctx, 4*time.Second)
+			wait.For(ctx, 4*time.Second)
 			continue
 		}
 		if !h.calm && h.chance(12) == 0 {
 			// This one is held back; the worker gives up and goes on elsewhere.
 			late, to, delay := *r, at, time.Duration(1+h.chance(40))*time.Second
 			h.group.Go(func() {
-				clock.Sleep(ctx, delay)
+				wait.For(ctx, delay)
 				if c := h.core(to); c != nil {
 					_ = c.Workers.Heartbeat(ctx, &late)
 				}
 			})
 			at = (at + 1 + h.chance(h.n-1)) % h.n
-			clock.Sleep(ctx, 4*time.Second)
+			wait.For(ctx, 4*time.Second)
 			continue
 		}
 		if h.copies && h.chance(3) == 0 { // it arrives once more, some time later, wherever
 			copied, to, delay := *r, h.chance(h.n), time.Duration(1+h.chance(45_000))*time.Millisecond
 			h.group.Go(func() {
-				clock.Sleep(ctx, delay)
+				wait.For(ctx, delay)
 				if c := h.core(to); c != nil {
 					_ = c.Workers.Heartbeat(ctx, &copied)
 				}
@@ -381,7 +383,7 @@
 		switch {
 		case a.Status != 200:
 			at, retry = (at+1)%h.n, true
-			clock.Sleep(ctx, time.Second)
+			wait.For(ctx, time.Second)
 		case h.isDeaf(m.Type.ID) || !h.calm && h.chance(15) == 0 || h.links[at].Frozen() > 0: // the answer is lost
 		default:
 			m.Answer(begun, r.Session, a.Response)
@@ -396,7 +398,7 @@
 }
 
 // reaches reports whether a machine's reports reach a controller.
-func (h *history) reaches(m *standin.Machine, at int) bool {
+func (h *history) reaches(m *emulator.Machine, at int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if inside, shut := h.shut[m.Type.Zone]; shut && inside != at {
@@ -480,7 +482,7 @@
 				h.t.Errorf("seed %d: forgotten %s", h.seed, about)
 			}
 		}
-		clock.Sleep(ctx, time.Second)
+		wait.For(ctx, time.Second)
 	}
 	return answer, false
 }
@@ -488,14 +490,14 @@
 // runSteps switches workflows on, has machines know the jobs that controllers submit, and
 // pretends to run steps before their tasks are done.
 func (h *history) runSteps(then func(wire.JobID)) {
-	h.data = new(data.Mem)
+	h.data = new(stepdata.Mem)
 	h.store.Seen = func(c wire.Change) {
-		if spec, ok := standin.Spec(c); ok {
+		if spec, ok := emulator.Spec(c); ok {
 			h.world.Upload(spec)
 		}
 	}
 	h.world.Finished = func(id wire.TaskID) {
-		if err := standin.RunStep(context.Background(), h.data, id.Job); err != nil {
+		if err := emulator.RunStep(context.Background(), h.data, id.Job); err != nil {
 			h.t.Error(err)
 		}
 		then(id.Job)
@@ -510,7 +512,7 @@
 	h.askAll(ctx, spec)
 	began := time.Now()
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, 5*time.Second)
+		wait.For(ctx, 5*time.Second)
 		r := status(spec.ID)
 		if cancelAfter > 0 && time.Since(began) > cancelAfter {
 			r = cancellation(spec.ID)
@@ -526,7 +528,7 @@
 	h.mu.Lock()
 	*finished++
 	h.mu.Unlock()
-	clock.Sleep(ctx, 70*time.Second)
+	wait.For(ctx, 70*time.Second)
 	h.askOne(ctx, spec.ID, status(spec.ID))
 	// A retry may come at any later time, and gets the state that the job ended in.
 	h.askOne(ctx, spec.ID, func(ctx context.Context, c *Core) (wire.JobStatus, error) {
@@ -578,16 +580,16 @@
 				defer h.speaks(m.Type.ID, true)
 			}
 		}
-		clock.Sleep(ctx, for_+10*time.Second)
+		wait.For(ctx, for_+10*time.Second)
 	case 16:
 		end := h.cutZone("b", i)
-		clock.Sleep(ctx, 2*for_)
+		wait.For(ctx, 2*for_)
 		end()
 	case 17: // only the answers of transactions are lost
 		for _, l := range h.links {
 			l.SetLate(func(wire.Txn) time.Duration { return time.Duration(h.chance(2)) * time.Millisecond })
 		}
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		for _, l := range h.links {
 			l.SetLate(nil)
 		}
@@ -597,15 +599,15 @@
 		for range 3 {
 			at := h.leading()
 			h.crash(at)
-			clock.Sleep(ctx, 300*time.Millisecond)
+			wait.For(ctx, 300*time.Millisecond)
 			h.restart(ctx, at)
-			clock.Sleep(ctx, 7*time.Second)
+			wait.For(ctx, 7*time.Second)
 		}
 	case 11: // transactions get no answer, and many are carried out after newer ones
 		for _, l := range h.links {
 			l.SetLossy(0.5)
 		}
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		for _, l := range h.links {
 			l.SetLossy(h.lossy)
 		}
@@ -613,30 +615,30 @@
 		if up := h.cloud.Up(); len(up) > 0 {
 			m := up[h.chance(len(up))].Type.ID
 			h.hears(m, false)
-			clock.Sleep(ctx, 2*for_+10*time.Second)
+			wait.For(ctx, 2*for_+10*time.Second)
 			h.hears(m, true)
 		}
 	case 13: // refused alone, then all of them, for longer than a cancellation may take
 		end := h.alone(i, false)
-		clock.Sleep(ctx, for_/2)
+		wait.For(ctx, for_/2)
 		over := h.outage()
-		clock.Sleep(ctx, h.world.CancelS+10*time.Second)
+		wait.For(ctx, h.world.CancelS+10*time.Second)
 		end()
 		over()
 	case 14: // users and workers still reach it
 		end := h.alone(i, true)
-		clock.Sleep(ctx, 2*for_)
+		wait.For(ctx, 2*for_)
 		end()
 	case 9:
 		h.freeze(ctx, i, 2*for_)
 	case 10:
 		over := h.outage()
 		h.group.Go(func() { h.freeze(ctx, i, for_+10*time.Second) })
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		over()
 	case 0, 1:
 		h.crash(i)
-		clock.Sleep(ctx, 5*time.Second)
+		wait.For(ctx, 5*time.Second)
 		if h.core(i) == nil {
 			h.startCore(ctx, i)
 		}
@@ -644,7 +646,7 @@
 		for k := range h.n {
 			h.crash(k)
 		}
-		clock.Sleep(ctx, 8*time.Second)
+		wait.For(ctx, 8*time.Second)
 		for k := range h.n {
 			if h.core(k) == nil {
 				h.startCore(ctx, k)
@@ -652,17 +654,17 @@
 		}
 	case 3:
 		h.links[i].SetDown(true)
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		h.links[i].SetDown(false)
 	case 4:
 		over := h.outage()
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		over()
 	case 5:
 		if up := h.cloud.Up(); len(up) > 0 {
 			m := up[h.chance(len(up))]
 			m.Hang(true)
-			clock.Sleep(ctx, for_+5*time.Second)
+			wait.For(ctx, for_+5*time.Second)
 			m.Hang(false)
 		}
 	case 6:
@@ -671,14 +673,14 @@
 		h.mu.Lock()
 		h.cut[i] = true
 		h.mu.Unlock()
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		h.mu.Lock()
 		h.cut[i] = false
 		h.mu.Unlock()
 	case 8:
 		h.store.Forget()
 		h.cloud.SetDown(true)
-		clock.Sleep(ctx, for_)
+		wait.For(ctx, for_)
 		h.cloud.SetDown(false)
 	}
 }
@@ -702,7 +704,7 @@
 			cancelAfter = time.Duration(5+h.chance(60)) * time.Second
 		}
 		h.group.Go(func() {
-			clock.Sleep(ctx, after)
+			wait.For(ctx, after)
 			h.user(ctx, spec, cancelAfter, &finished)
 		})
 	}
@@ -735,7 +737,7 @@
 	for _, l := range h.links {
 		l.SetLossy(lossy)
 	}
-	h.cloud.Started = func(m *standin.Machine) {
+	h.cloud.Started = func(m *emulator.Machine) {
 		if h.dead != nil && h.dead(m) {
 			m.Hang(true)
 		}
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/policies"
+	"maddermill/internal/plugin/policymanager"
 	"maddermill/internal/settings"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -34,9 +34,9 @@
 func (h host) Leading() bool { _, ok := h.Term(); return ok }
 
 // Others tells what the other controllers say of modules.
-func (h host) Others() (out []policies.Other) {
+func (h host) Others() (out []policymanager.Other) {
 	for _, o := range h.c.members.Others(time.Now()) {
-		other := policies.Other{Member: o.Member, Heard: o.Peer != nil}
+		other := policymanager.Other{Member: o.Member, Heard: o.Peer != nil}
 		if o.Peer != nil {
 			other.Modules = o.Peer.Status.Modules
 		}
--- a/internal/controller/judged_test.go
+++ b/internal/controller/judged_test.go
@@ -11,11 +11,11 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
+	"maddermill/internal/scheduler/evidence"
 	"maddermill/internal/settings"
-	"maddermill/internal/standin"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -50,10 +50,10 @@
 			// A controller that holds one machine only could not tell it from a few images.
 			spec.Image = wire.Image(fmt.Sprint("img-", n/3))
 			h.group.Go(func() { h.user(ctx, spec, 0, &finished) })
-			clock.Sleep(ctx, 5*time.Second)
+			wait.For(ctx, 5*time.Second)
 			if n == 20 {
 				mu.Lock()
-				bad = slices.MinFunc(h.cloud.Up(), func(a, b *standin.Machine) int { return cmp.Compare(a.Type.ID, b.Type.ID) }).Type.ID
+				bad = slices.MinFunc(h.cloud.Up(), func(a, b *emulator.Machine) int { return cmp.Compare(a.Type.ID, b.Type.ID) }).Type.ID
 				mu.Unlock()
 			}
 			if n > 200 && slices.ContainsFunc(h.store.Items(), func(it wire.Item) bool {
--- a/internal/controller/meeting_plan_test.go
+++ b/internal/controller/meeting_plan_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/clock"
 	"maddermill/internal/settings"
-	"maddermill/internal/standin"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -71,13 +71,13 @@
 			after = p.cancel(rng, i)
 		}
 		h.group.Go(func() {
-			clock.Sleep(ctx, 6*time.Second+time.Duration(i)*p.every)
+			wait.For(ctx, 6*time.Second+time.Duration(i)*p.every)
 			m.user(spec, after)
 		})
 	}
 	for _, e := range p.events {
 		h.group.Go(func() {
-			clock.Sleep(ctx, e.at+time.Millisecond)
+			wait.For(ctx, e.at+time.Millisecond)
 			e.do(m)
 		})
 	}
@@ -145,11 +145,11 @@
 	m.askAll(m.ctx, spec)
 	began := time.Now()
 	for m.ctx.Err() == nil && rankOf(st) < 2 {
-		wait := 3 * time.Second
+		pause := 3 * time.Second
 		if cancelAfter > 0 {
-			wait = min(wait, max(0, cancelAfter-time.Since(began)))
+			pause = min(pause, max(0, cancelAfter-time.Since(began)))
 		}
-		clock.Sleep(m.ctx, wait)
+		wait.For(m.ctx, pause)
 		if cancelAfter > 0 && time.Since(began) >= cancelAfter {
 			st = m.askOne(m.ctx, spec.ID, cancellation(spec.ID))
 			continue
@@ -171,7 +171,7 @@
 	return meetingEvent{at, func(m *meetingRun) {
 		i := which(m)
 		m.crash(i)
-		clock.Sleep(m.ctx, back)
+		wait.For(m.ctx, back)
 		m.restart(m.ctx, i)
 	}}
 }
@@ -185,7 +185,7 @@
 		for i := range m.n {
 			m.crash(i)
 		}
-		clock.Sleep(m.ctx, back)
+		wait.For(m.ctx, back)
 		for i := range m.n {
 			m.restart(m.ctx, i)
 		}
@@ -196,7 +196,7 @@
 func during(at, length time.Duration, begin func(m *meetingRun) (end func())) meetingEvent {
 	return meetingEvent{at, func(m *meetingRun) {
 		end := begin(m)
-		clock.Sleep(m.ctx, length)
+		wait.For(m.ctx, length)
 		end()
 	}}
 }
@@ -208,9 +208,9 @@
 }
 
 // someMachines has something done to every so manieth machine.
-func someMachines(every int, set func(m *meetingRun, machine *standin.Machine, on bool)) func(m *meetingRun) func() {
+func someMachines(every int, set func(m *meetingRun, machine *emulator.Machine, on bool)) func(m *meetingRun) func() {
 	return func(m *meetingRun) func() {
-		var chosen []*standin.Machine
+		var chosen []*emulator.Machine
 		for i, machine := range m.cloud.Up() {
 			if i%every == 0 {
 				chosen = append(chosen, machine)
@@ -225,11 +225,11 @@
 	}
 }
 
-func hung(_ *meetingRun, machine *standin.Machine, on bool) { machine.Hang(on) }
+func hung(_ *meetingRun, machine *emulator.Machine, on bool) { machine.Hang(on) }
 
-func mute(m *meetingRun, machine *standin.Machine, on bool) { m.speaks(machine.Type.ID, !on) }
+func mute(m *meetingRun, machine *emulator.Machine, on bool) { m.speaks(machine.Type.ID, !on) }
 
-func deaf(m *meetingRun, machine *standin.Machine, on bool) { m.hears(machine.Type.ID, !on) }
+func deaf(m *meetingRun, machine *emulator.Machine, on bool) { m.hears(machine.Type.ID, !on) }
 
 // slowState has each request to the state service take so long.
 func slowState(d time.Duration) func(m *meetingRun) func() {
--- a/internal/controller/meeting_table_test.go
+++ b/internal/controller/meeting_table_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
 	"maddermill/internal/server"
 	"maddermill/internal/settings"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -238,7 +238,7 @@
 			ctx := h.t.Context()
 			h.group.Go(func() { // a step is a part of what ends
 				h.crash(i)
-				clock.Sleep(ctx, back)
+				wait.For(ctx, back)
 				h.restart(ctx, i)
 			})
 		}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -148,13 +148,13 @@
 							h.group.Go(func() {
 								to := (at + 1) % h.n
 								if where != "another" {
-									clock.Sleep(ctx, after/2)
+									wait.For(ctx, after/2)
 									h.crash(at)
-									clock.Sleep(ctx, 200*time.Millisecond)
+									wait.For(ctx, 200*time.Millisecond)
 									h.restart(ctx, at)
 									to = at
 								}
-								clock.Sleep(ctx, after)
+								wait.For(ctx, after)
 								if c := h.core(to); c != nil {
 									_ = c.Workers.Heartbeat(ctx, &copied)
 								}
@@ -198,7 +198,7 @@
 				const every, jobs = 15 * time.Second, 8
 				for i := range jobs {
 					h.group.Go(func() {
-						clock.Sleep(ctx, time.Millisecond+time.Duration(i)*every)
+						wait.For(ctx, time.Millisecond+time.Duration(i)*every)
 						h.submit(ctx, &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Shape: shape, Tasks: tasks, GPUs: 2})
 					})
 				}
@@ -434,10 +434,10 @@
 					}
 					if k%2 == 0 { // the successor ends, too, at about the time of marks and returns
 						h.group.Go(func() {
-							clock.Sleep(ctx, 34*time.Second)
+							wait.For(ctx, 34*time.Second)
 							at := h.leading()
 							h.crash(at)
-							clock.Sleep(ctx, 300*time.Millisecond)
+							wait.For(ctx, 300*time.Millisecond)
 							h.restart(ctx, at)
 						})
 					}
@@ -606,7 +606,7 @@
 					h.group.Go(func() {
 						other := (i + 1 + int(seed)%2) % h.n
 						h.crash(other)
-						clock.Sleep(ctx, 6*time.Second)
+						wait.For(ctx, 6*time.Second)
 						h.restart(ctx, other)
 					})
 				})
--- a/internal/controller/places_test.go
+++ b/internal/controller/places_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/places"
-	"maddermill/internal/topology"
-	"maddermill/internal/workers"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/scheduler/topologytracker"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -60,7 +60,7 @@
 	}
 	write(hallText())
 	c := quietCore(t, 0)
-	tree, err := places.Read(path, c.set.Cluster.Zones)
+	tree, err := topologytracker.Read(path, c.set.Cluster.Zones)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,16 +104,16 @@
 func TestGangsThatPartAreTheirBlocks(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		explain func(c *Core, j *ledger.Job, w *workers.Worker, now time.Time)
+		explain func(c *Core, j *ledger.Job, w *reconcile.Worker, now time.Time)
 		down    bool
 	}{
-		{"no other reason", func(*Core, *ledger.Job, *workers.Worker, time.Time) {}, true},
-		{"a machine fell silent", func(_ *Core, _ *ledger.Job, w *workers.Worker, now time.Time) {
+		{"no other reason", func(*Core, *ledger.Job, *reconcile.Worker, time.Time) {}, true},
+		{"a machine fell silent", func(_ *Core, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
 			w.LastHeartbeat = now.Add(-time.Minute)
 		}, false},
-		{"a machine is taken back", func(_ *Core, _ *ledger.Job, w *workers.Worker, now time.Time) { w.ReclaimAt = now.Add(time.Minute) }, false},
-		{"a task failed", func(c *Core, j *ledger.Job, w *workers.Worker, now time.Time) { c.book.Failed(j, 0, w.ID, "", now) }, false},
-		{"told to stop", func(_ *Core, j *ledger.Job, _ *workers.Worker, _ time.Time) { j.Stop = 1 }, false},
+		{"a machine is taken back", func(_ *Core, _ *ledger.Job, w *reconcile.Worker, now time.Time) { w.ReclaimAt = now.Add(time.Minute) }, false},
+		{"a task failed", func(c *Core, j *ledger.Job, w *reconcile.Worker, now time.Time) { c.book.Failed(j, 0, w.ID, "", now) }, false},
+		{"told to stop", func(_ *Core, j *ledger.Job, _ *reconcile.Worker, _ time.Time) { j.Stop = 1 }, false},
 	} {
 		now := time.Now().Add(time.Hour) // long after the hall was declared
 		c := inHall(t, now)
@@ -128,7 +128,7 @@
 			c.Places.ObservePartition(j, 1, now)
 		}
 		later := now.Add(2*c.set.SilentAfter() + time.Second)
-		c.roster.Each(func(w *workers.Worker) { w.LastHeartbeat = later })
+		c.roster.Each(func(w *reconcile.Worker) { w.LastHeartbeat = later })
 		c.mirror.SetForTest(c.mirror.Token(), later)
 		for i := range 3 {
 			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
@@ -157,18 +157,18 @@
 func TestMachinesOfASilentPeerAreNotABlock(t *testing.T) {
 	now := time.Now().Add(time.Hour) // long after the hall was declared
 	c := inHall(t, now, "127.1.1.", "127.1.2.")
-	p := mesh.Status{Version: mesh.Version, Member: "m-1", Loaded: true}
-	inHall(t, now).roster.Each(func(w *workers.Worker) {
+	p := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
+	inHall(t, now).roster.Each(func(w *reconcile.Worker) {
 		if c.roster.Worker(w.ID) == nil {
-			p.Machines = append(p.Machines, mesh.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1})
+			p.Machines = append(p.Machines, peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1})
 		}
 	})
-	c.heardPeer(mesh.Answer{Status: p, Asked: now})
+	c.heardPeer(peer.Answer{Status: p, Asked: now})
 	pass := func(seconds int) (down bool) {
 		for range seconds {
 			now = now.Add(time.Second)
 			c.mirror.SetForTest(c.mirror.Token(), now)
-			c.roster.Each(func(w *workers.Worker) { w.LastHeartbeat = now })
+			c.roster.Each(func(w *reconcile.Worker) { w.LastHeartbeat = now })
 			c.Places.DetectFailedBlocks(now)
 		}
 		return isDown(c)
--- a/internal/controller/policies_test.go
+++ b/internal/controller/policies_test.go
@@ -13,13 +13,13 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
 	"maddermill/internal/plugin"
 	"maddermill/internal/plugin/plugintest"
-	"maddermill/internal/policies"
+	"maddermill/internal/plugin/policymanager"
 	"maddermill/internal/server"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -42,7 +42,7 @@
 		var gap time.Duration
 		passes, used, given := 0, 0, 0
 		h.plugins = func(c *Core) {
-			c.SetPlugins(nil, patient, 10*time.Minute, policies.Initial{})
+			c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{})
 			c.RecordPasses(func(p *policy.Pass) {
 				if len(p.Jobs) == 0 {
 					return
@@ -62,7 +62,7 @@
 				kinds := []plugintest.Kind{plugintest.Identity, plugintest.Trap, plugintest.Zeros, plugintest.Bomb, plugintest.Reversed, plugintest.Outside}
 				cat := h.catalog()
 				for n := 0; n < 50 && ctx.Err() == nil; {
-					clock.Sleep(ctx, 4*time.Second)
+					wait.For(ctx, 4*time.Second)
 					var hash wire.ModuleHash
 					var err error
 					if n%7 < 6 {
@@ -88,17 +88,17 @@
 			})
 			h.group.Go(func() {
 				for i := range 12 {
-					clock.Sleep(ctx, 50*time.Second)
+					wait.For(ctx, 50*time.Second)
 					switch i % 4 {
 					case 0, 2:
 						h.crash(i % 3)
-						clock.Sleep(ctx, 6*time.Second)
+						wait.For(ctx, 6*time.Second)
 						h.startCore(ctx, i%3)
 					case 1:
 						for _, l := range h.links {
 							l.SetDown(true)
 						}
-						clock.Sleep(ctx, 12*time.Second)
+						wait.For(ctx, 12*time.Second)
 						h.store.Extend()
 						for _, l := range h.links {
 							l.SetDown(false)
@@ -136,12 +136,12 @@
 		off := 2
 		h.plugins = func(c *Core) {
 			if c.set.Member != wire.MemberID(fmt.Sprintf("m-%d", off)) {
-				c.SetPlugins(nil, patient, 10*time.Minute, policies.Initial{})
+				c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{})
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		h.begin(ctx, 2, 0)
-		clock.Sleep(ctx, 10*time.Second)
+		wait.For(ctx, 10*time.Second)
 		cat := h.catalog()
 		load := func(name string) wire.ModuleHash {
 			hash, err := cat.Load(ctx, plugintest.Module(plugintest.Identity, name), name, nil)
@@ -165,13 +165,13 @@
 			t.Errorf("used although a controller has plug-ins switched off: %+v", r)
 		}
 		h.crash(2)
-		clock.Sleep(ctx, 5*time.Second)
+		wait.For(ctx, 5*time.Second)
 		if r := use(one); r.Use != "" || r.Why != "m-2 was not heard" {
 			t.Errorf("used although a controller is silent: %+v", r)
 		}
 		off = -1
 		h.startCore(ctx, 2)
-		clock.Sleep(ctx, 5*time.Second)
+		wait.For(ctx, 5*time.Second)
 		if r := use(one); r.Use != one {
 			t.Errorf("not used although all have it: %+v", r)
 		}
@@ -214,7 +214,7 @@
 		if r := use(refuser); r.Use != refuser {
 			t.Errorf("%+v", r)
 		}
-		clock.Sleep(ctx, 3*time.Second)
+		wait.For(ctx, 3*time.Second)
 		for i := range 3 {
 			if st, created, err := h.core(i).Users.Submit(ctx, early); err != nil || created {
 				t.Errorf("accepted before: %+v, %v, %v", st, created, err)
@@ -226,7 +226,7 @@
 		if r := use(""); r.Use != "" {
 			t.Errorf("%+v", r)
 		}
-		clock.Sleep(ctx, 3*time.Second)
+		wait.For(ctx, 3*time.Second)
 		if _, created, err := h.core(1).Users.Submit(ctx, h.spec(200)); err != nil || !created {
 			t.Errorf("with the built-in policy: %v, %v", created, err)
 		}
@@ -236,9 +236,9 @@
 		// With operators' keys an unsigned module is not used, and one that is signed is.
 		public, private, _ := ed25519.GenerateKey(rand.NewChaCha8([32]byte{1}))
 		for i := range 3 {
-			h.core(i).SetPlugins([]ed25519.PublicKey{public}, patient, 10*time.Minute, policies.Initial{})
+			h.core(i).SetPlugins([]ed25519.PublicKey{public}, patient, 10*time.Minute, policymanager.Initial{})
 		}
-		clock.Sleep(ctx, 5*time.Second)
+		wait.For(ctx, 5*time.Second)
 		if r := use(load("unsigned")); r.Use != "" || !strings.Contains(r.Why, "not signed") {
 			t.Errorf("unsigned: %+v", r)
 		}
@@ -281,7 +281,7 @@
 		_, _ = rng.Read(long)
 		code := plugintest.Module(plugintest.Identity, string(long))
 		h.plugins = func(c *Core) {
-			c.SetPlugins(nil, patient, 10*time.Minute, policies.Initial{Name: "first", Code: code})
+			c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{Name: "first", Code: code})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		h.begin(ctx, 2, 0)
@@ -295,26 +295,26 @@
 		}
 		cat := h.catalog()
 		for leader() < 0 {
-			clock.Sleep(ctx, 100*time.Millisecond)
+			wait.For(ctx, 100*time.Millisecond)
 		}
 		begun := func() bool {
 			return slices.ContainsFunc(h.store.Items(), func(it wire.Item) bool { return it.Key == ledger.CodeKey(plugin.HashOf(code), 0) })
 		}
 		for !begun() {
-			clock.Sleep(ctx, time.Millisecond)
+			wait.For(ctx, time.Millisecond)
 		}
 		first := leader()
 		h.crash(first)
-		if _, err := h.links[0].Get(ctx, ledger.PolicyKey); !errors.Is(err, state.ErrNotFound) {
+		if _, err := h.links[0].Get(ctx, ledger.PolicyKey); !errors.Is(err, kvstore.ErrNotFound) {
 			t.Errorf("a policy was chosen before the leader ended: %v", err)
 		}
 		// One is away for so long that the change is given up; it is begun again.
-		clock.Sleep(ctx, 100*time.Second)
+		wait.For(ctx, 100*time.Second)
 		if r, err := cat.Wait(ctx); err != nil || r.Use != "" || r.Why == "" {
 			t.Errorf("while a controller is away: %+v, %v", r, err)
 		}
 		h.startCore(ctx, first)
-		clock.Sleep(ctx, 6*time.Minute)
+		wait.For(ctx, 6*time.Minute)
 		if r, err := cat.Wait(ctx); err != nil || r.Use != plugin.HashOf(code) {
 			t.Errorf("after all are back: %+v, %v", r, err)
 		}
@@ -325,7 +325,7 @@
 			h.crash(i)
 			h.startCore(ctx, i)
 		}
-		clock.Sleep(ctx, time.Minute)
+		wait.For(ctx, time.Minute)
 		if r, err := cat.Wait(ctx); err != nil || r.Use != "" {
 			t.Errorf("what was chosen does not stand: %+v, %v", r, err)
 		}
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/promise"
+	"maddermill/internal/scheduler/deadline"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -64,7 +64,7 @@
 		galleries = append(galleries, g)
 	}
 	if order == "galleries" {
-		reg, err := promise.Parse([]byte(text), nil)
+		reg, err := deadline.Parse([]byte(text), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 	for i := range galleries {
 		for k, s := range galleries[i].jobs {
 			r.group.Go(func() {
-				clock.Sleep(ctx, arrive[3*i+k]+time.Millisecond)
+				wait.For(ctx, arrive[3*i+k]+time.Millisecond)
 				r.poll(s)
 			})
 		}
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
 	"maddermill/internal/server"
-	"maddermill/internal/standin"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -22,7 +22,7 @@
 // ask through a balancer, and whose messages arrive in copies.
 type returns struct {
 	*history
-	balancer *standin.Balancer
+	balancer *emulator.Balancer
 	ctx      context.Context
 	back     time.Duration // how soon an ended controller is back
 	most     int           // ends
@@ -56,7 +56,7 @@
 	for _, l := range r.links {
 		l.Copies = true
 	}
-	r.balancer = standin.NewBalancer(n, seed, func(i int) bool {
+	r.balancer = emulator.NewBalancer(n, seed, func(i int) bool {
 		c := r.core(i)
 		return c != nil && c.Healthy()
 	})
@@ -83,7 +83,7 @@
 	// Not here: a step is a part of what ends.
 	r.group.Go(func() {
 		r.crash(i)
-		clock.Sleep(r.ctx, r.back)
+		wait.For(r.ctx, r.back)
 		if r.ctx.Err() == nil && r.core(i) == nil {
 			r.startCore(r.ctx, i)
 		}
@@ -149,9 +149,9 @@
 			}
 		}
 		if submitted {
-			clock.Sleep(r.ctx, 5*time.Second)
+			wait.For(r.ctx, 5*time.Second)
 		} else {
-			clock.Sleep(r.ctx, time.Second)
+			wait.For(r.ctx, time.Second)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 		spec := r.spec(i)
 		after := time.Millisecond + time.Duration(r.chance(90_000))*time.Millisecond
 		r.group.Go(func() {
-			clock.Sleep(ctx, after)
+			wait.For(ctx, after)
 			r.poll(spec)
 		})
 	}
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"maddermill/internal/leader"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
 	"maddermill/internal/supervise"
 	"maddermill/internal/transport"
 )
@@ -17,12 +17,12 @@
 	c.register(cl)
 	c.Duties.Add(supervise.Component{Name: "mesh", Run: func(ctx context.Context) error {
 		return transport.Serve(ctx, c.set.MeshAddr, 8*len(c.set.Peers)+16, func(_ context.Context, conn *transport.Conn) {
-			mesh.Serve(conn, c.statusFor)
+			peer.Serve(conn, c.statusFor)
 		})
 	}})
 	for _, p := range c.set.Peers {
 		c.Duties.Add(supervise.Component{Name: "peer " + string(p.Member), Run: func(ctx context.Context) error {
-			mesh.Ask(ctx, dialer, p.Addr, func() mesh.Status { return c.questionTo(p.Member) }, time.Second, c.heardPeer)
+			peer.Ask(ctx, dialer, p.Addr, func() peer.Status { return c.questionTo(p.Member) }, time.Second, c.heardPeer)
 			return ctx.Err()
 		}, Amiss: func(now time.Time) string {
 			peer := c.members.Peer(p.Member)
@@ -94,7 +94,7 @@
 }
 
 // published is what peers find in the state service that the mesh does not reach.
-func (c *Core) published() (s mesh.Status, ok bool) {
+func (c *Core) published() (s peer.Status, ok bool) {
 	if !c.Users.Loaded() {
 		return s, false
 	}
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -11,11 +11,11 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/data"
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/internal/workflow"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
@@ -39,7 +39,7 @@
 		b.done[id] = time.Now()
 	})
 	h.begin(ctx, machines, 0)
-	clock.Sleep(ctx, 12*time.Second)
+	wait.For(ctx, 12*time.Second)
 	return b
 }
 
@@ -62,7 +62,7 @@
 		if _, _, err := b.core(0).Users.Submit(b.ctx, spec); err == nil {
 			return
 		}
-		clock.Sleep(b.ctx, time.Second)
+		wait.For(b.ctx, time.Second)
 	}
 }
 
@@ -125,10 +125,10 @@
 		steps := b.scatter("wf-000001", 40, "free", wire.Normal, 0)
 		var plain []wire.JobID
 		for range 40 {
-			clock.Sleep(b.ctx, time.Second/3)
+			wait.For(b.ctx, time.Second/3)
 			plain = append(plain, b.plain(1, "free", wire.Normal, 0)...)
 		}
-		clock.Sleep(b.ctx, 3*time.Minute)
+		wait.For(b.ctx, 3*time.Minute)
 		p, s := b.after(from, plain, 0.5), b.after(from, steps, 0.5)
 		t.Logf("40 and 40 on 24 places: half done after %v as plain jobs, %v as steps; all after %v and %v", p, s, b.after(from, plain, 1), b.after(from, steps, 1))
 		if d := s - p; d > 10*time.Second || d < -10*time.Second {
@@ -138,9 +138,9 @@
 	in(2, func(b *beside) {
 		from := time.Now()
 		plain := b.plain(60, "free", wire.Normal, 0)
-		clock.Sleep(b.ctx, 2*time.Second)
+		wait.For(b.ctx, 2*time.Second)
 		urgent := b.scatter("wf-000001", 16, "free", wire.High, 0)
-		clock.Sleep(b.ctx, 4*time.Minute)
+		wait.For(b.ctx, 4*time.Minute)
 		t.Logf("16 urgent steps behind 60 normal jobs on 16 places: done after %v, the jobs after %v", b.after(from, urgent, 1), b.after(from, plain, 1))
 		if b.after(from, urgent, 1) >= b.after(from, plain, 1) {
 			t.Error("urgent steps come after normal jobs")
@@ -148,7 +148,7 @@
 	})
 	in(3, func(b *beside) {
 		wide := b.scatter("wf-000001", 300, "free", wire.Normal, 0)
-		clock.Sleep(b.ctx, 20*time.Second)
+		wait.For(b.ctx, 20*time.Second)
 		// Whoever drives it, all can tell of it. What was driven last is told of with up to 3 s of
 		// lag, as any state: who told less than another catches up. The first steps end about now.
 		most := 1
@@ -162,11 +162,11 @@
 					most = max(most, st.Steps[0].Over)
 				}
 			}
-			clock.Sleep(b.ctx, 3*time.Second)
+			wait.For(b.ctx, 3*time.Second)
 		}
 		from := time.Now()
 		claim := b.plain(1, "free", wire.High, 0)
-		clock.Sleep(b.ctx, 5*time.Minute)
+		wait.For(b.ctx, 5*time.Minute)
 		t.Logf("an urgent claim beside a scatter of 300 on 24 places: done after %v; the scatter after %v", b.after(from, claim, 1), b.after(from, wide, 1))
 		if b.after(from, claim, 1) > 45*time.Second {
 			t.Error("an urgent claim waits for a wide workflow")
@@ -175,9 +175,9 @@
 	in(6, func(b *beside) { // the team may have 4 of the 12 accelerators; the world checks
 		from := time.Now()
 		steps := b.scatter("wf-000001", 8, "capped", wire.Normal, 1)
-		clock.Sleep(b.ctx, time.Second)
+		wait.For(b.ctx, time.Second)
 		plain := b.plain(8, "capped", wire.Normal, 1)
-		clock.Sleep(b.ctx, 4*time.Minute)
+		wait.For(b.ctx, 4*time.Minute)
 		t.Logf("8 and 8 of a team limited to 4: done after %v as plain jobs, %v as steps", b.after(from, plain, 1), b.after(from, steps, 1))
 		if b.after(from, steps, 1) == time.Hour {
 			t.Error("steps of a team with a limit do not end")
@@ -201,13 +201,13 @@
 	job(1, wire.Normal, claim)
 	job(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
-	victims := c.schedule.Snapshot(now).Victims(&place.Machine{ID: "host-1"})
+	victims := c.schedule.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
 	if len(victims) != 2 || victims[0].Saves != victims[1].Saves || victims[0].Beyond != victims[1].Beyond || victims[0].Ran != victims[1].Ran {
 		t.Fatalf("to preemption they are %+v", victims)
 	}
 	for priority, want := range map[wire.Priority]int{wire.High: 2, wire.Normal: 0} {
 		urgent := job(3+want, priority, "")
-		stop, room := place.SelectVictims(&place.Entry{Job: urgent}, ledger.Resources{}, 2, victims)
+		stop, room := placement.SelectVictims(&placement.Entry{Job: urgent}, ledger.Resources{}, 2, victims)
 		if len(stop) != want || room != want {
 			t.Errorf("for %s work %d are stopped, for %d tasks", priority, len(stop), room)
 		}
@@ -237,7 +237,7 @@
 		for range 8 {
 			one := time.Now()
 			ids := b.plain(1, "free", wire.High, 0)
-			clock.Sleep(ctx, time.Minute)
+			wait.For(ctx, time.Minute)
 			alone += b.after(one, ids, 1) / 8
 		}
 		b.finish(cancel)
@@ -250,7 +250,7 @@
 
 // countedJobs answers at once: each step's job is done as soon as it is submitted.
 type countedJobs struct {
-	store data.Store
+	store stepdata.Store
 	known map[wire.JobID]bool
 	ended ledger.WorkflowState
 }
@@ -302,7 +302,7 @@
 			b.Fatal(jobs.ended)
 		}
 	}
-	fresh := func() *countedJobs { return &countedJobs{store: new(data.Mem), known: map[wire.JobID]bool{}} }
+	fresh := func() *countedJobs { return &countedJobs{store: new(stepdata.Mem), known: map[wire.JobID]bool{}} }
 	b.Run("chain/20", func(b *testing.B) {
 		for b.Loop() {
 			drive(b, chain, map[string]any{"x": "r"}, fresh())
--- a/internal/controller/switch_test.go
+++ b/internal/controller/switch_test.go
@@ -11,9 +11,9 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/standin"
-	"maddermill/internal/topology"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -45,13 +45,13 @@
 	falls []string // blocks that controllers said had failed
 }
 
-func (o *outage) block(m *standin.Machine) topology.Block {
+func (o *outage) block(m *emulator.Machine) topology.Block {
 	b, _ := o.tree.Locate(m.Type.ID, m.Type.Addr, m.Type.Zone)
 	return b
 }
 
 // inside reports whether a machine is in a block.
-func (o *outage) inside(m *standin.Machine, b topology.Block) bool {
+func (o *outage) inside(m *emulator.Machine, b topology.Block) bool {
 	return b != 0 && o.tree.Common(o.block(m), b) == b
 }
 
@@ -83,24 +83,24 @@
 		{"dies", func(_ context.Context, o *outage, s topology.Block) { o.fail(s, 0) }, false},
 		{"comes back half", func(ctx context.Context, o *outage, s topology.Block) {
 			o.fail(s, 0)
-			clock.Sleep(ctx, 40*time.Second)
+			wait.For(ctx, 40*time.Second)
 			o.fail(s, 3)
 		}, false},
 		{"flaps", func(ctx context.Context, o *outage, s topology.Block) {
 			for range 3 {
 				o.fail(s, 0)
-				clock.Sleep(ctx, 7*time.Second) // with two reports' time, less than what counts as lost
+				wait.For(ctx, 7*time.Second) // with two reports' time, less than what counts as lost
 				o.fail(0, 0)
-				clock.Sleep(ctx, 8*time.Second)
+				wait.For(ctx, 8*time.Second)
 			}
 		}, true},
 		{"dies in an outage", func(ctx context.Context, o *outage, s topology.Block) {
 			for _, l := range o.links {
 				l.SetDown(true)
 			}
-			clock.Sleep(ctx, 4*time.Second)
+			wait.For(ctx, 4*time.Second)
 			o.fail(s, 0)
-			clock.Sleep(ctx, 12*time.Second)
+			wait.For(ctx, 12*time.Second)
 			o.store.Extend()
 			for _, l := range o.links {
 				l.SetDown(false)
@@ -108,7 +108,7 @@
 		}, false},
 		{"dies and the leader ends", func(ctx context.Context, o *outage, s topology.Block) {
 			o.fail(s, 0)
-			clock.Sleep(ctx, 10*time.Second)
+			wait.For(ctx, 10*time.Second)
 			for i := range 3 {
 				c := o.core(i)
 				c.mirror.Lock()
@@ -116,7 +116,7 @@
 				c.mirror.Unlock()
 				if leads.Member == c.set.Member {
 					o.crash(i)
-					clock.Sleep(ctx, 5*time.Second)
+					wait.For(ctx, 5*time.Second)
 					o.startCore(ctx, i)
 					return
 				}
@@ -140,7 +140,7 @@
 	o := &outage{history: h, tree: tree}
 	h.quiet, h.calm, h.tree, h.cloud.Most = true, true, tree, 32
 	h.cloud.Run = func(wire.TaskID) time.Duration { return 3 * time.Minute }
-	h.dead = func(m *standin.Machine) bool {
+	h.dead = func(m *emulator.Machine) bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return o.inside(m, o.down)
@@ -164,24 +164,24 @@
 		spec := &wire.JobSpec{ID: gangs[i], Class: "c", Team: "free", Shape: wire.Gang, Priority: wire.High, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 4,
 			Image: "img-1", ImageGB: 2, Spot: true, Estimate: 180, Checkpoint: 5, Save: 2}
 		h.group.Go(func() { h.user(ctx, spec, 0, &finished) })
-		clock.Sleep(ctx, 2*time.Second)
+		wait.For(ctx, 2*time.Second)
 	}
 	whole := func() bool {
 		return !slices.ContainsFunc(gangs, func(g wire.JobID) bool { return !h.world.Whole(g) })
 	}
-	wait := func(limit int) int {
+	longest := func(limit int) int {
 		for s := range limit {
 			if whole() {
 				return s
 			}
-			clock.Sleep(ctx, time.Second)
+			wait.For(ctx, time.Second)
 		}
 		return -1
 	}
-	if wait(90) < 0 {
+	if longest(90) < 0 {
 		t.Fatal("the gangs do not run to begin with")
 	}
-	machines := map[wire.MachineID]*standin.Machine{}
+	machines := map[wire.MachineID]*emulator.Machine{}
 	for _, m := range h.cloud.Up() {
 		machines[m.Type.ID] = m
 	}
@@ -189,8 +189,8 @@
 	s := tree.Parent(o.block(first))
 	began := time.Now()
 	fails(ctx, o, s)
-	clock.Sleep(ctx, time.Second)
-	after := wait(150)
+	wait.For(ctx, time.Second)
+	after := longest(150)
 	o.mu.Lock()
 	t.Logf("whole again %.0f s after %s failed under %s; failed: %v, lost: %v", time.Since(began).Seconds(), tree.Path(s), under, o.falls, o.lost)
 	if after < 0 {
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -11,11 +11,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/fxamacker/cbor/v2"
 
-	"maddermill/internal/cloud"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/parttest"
-	"maddermill/internal/standin"
+	"maddermill/internal/leader/cloud"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
@@ -26,7 +26,7 @@
 func (fullCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	return nil, cloud.ErrNoCapacity
 }
-func (fullCloud) ScaleIn(context.Context, []wire.MachineID) error     { return nil }
+func (fullCloud) ScaleIn(context.Context, []wire.MachineID) error    { return nil }
 func (fullCloud) List(context.Context) ([]wire.ListedMachine, error) { return nil, nil }
 
 // BenchmarkReportWaits plays half a minute of a controller that leads a fleet and holds a third
@@ -46,14 +46,14 @@
 func playReports(b *testing.B, machines int, length time.Duration) {
 	set := testSettings(b, 0)
 	set.Cluster.State.RPS, set.Cluster.State.WriteRPS = 200, 60
-	f := parttest.NewFleet(machines)
-	store := standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+	f := controllertest.NewFleet(machines)
+	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 	for _, e := range f.Records {
 		if _, err := store.Apply(wire.Txn{Then: []wire.Change{{Put: e.Key, Value: e.Value}}}); err != nil {
 			b.Fatal(err)
 		}
 	}
-	c := New(set, standin.NewLink(store, 1), slog.New(slog.DiscardHandler))
+	c := New(set, emulator.NewLink(store, 1), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithTimeout(b.Context(), length)
 	defer cancel()
 	flavor := wire.MachineType{Name: "g2", CPUs: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 4, Boot: 20, Zones: []wire.Zone{"a", "b", "c"}}
@@ -72,7 +72,7 @@
 		})
 	}
 	for _, s := range f.Peers {
-		every(time.Second, 0, func() { c.heardPeer(mesh.Answer{Status: s, Asked: time.Now()}) })
+		every(time.Second, 0, func() { c.heardPeer(peer.Answer{Status: s, Asked: time.Now()}) })
 		every(time.Second, 500*time.Millisecond, func() { _, _ = cbor.Marshal(c.statusFor(s)) })
 	}
 	for ready := false; !ready; {
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -14,12 +14,12 @@
 
 	"go.yaml.in/yaml/v4"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/cwl"
-	"maddermill/internal/data"
-	"maddermill/internal/ledger"
-	"maddermill/internal/standin"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
 	"maddermill/internal/workflow"
+	"maddermill/internal/workflow/cwl"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
@@ -46,7 +46,7 @@
 // sequential is the plain interpreter: one step after the other, each run once.
 func sequential(t *testing.T, doc, inputs string) map[string]any {
 	t.Helper()
-	store := new(data.Mem)
+	store := new(stepdata.Mem)
 	bundle := map[string]string{"main.cwl": workflowHead + doc}
 	p, _, err := cwl.Load(cwl.Bundle{"main.cwl": []byte(bundle["main.cwl"])}, "main.cwl")
 	if err != nil {
@@ -64,7 +64,7 @@
 		id := workflow.JobOf("wf-plain", work[0].ID, 0)
 		order, _ := json.Marshal(workflow.Order{Step: work[0].ID, Entry: "main.cwl", Bundle: cwl.Bundle{"main.cwl": []byte(bundle["main.cwl"])}, Inputs: work[0].Inputs})
 		put(t, store, workflow.OrderName(id), order)
-		if err := standin.RunStep(t.Context(), store, id); err != nil {
+		if err := emulator.RunStep(t.Context(), store, id); err != nil {
 			t.Fatal(err)
 		}
 		var res workflow.Result
@@ -85,7 +85,7 @@
 	return out
 }
 
-func put(t *testing.T, s data.Store, name string, b []byte) {
+func put(t *testing.T, s stepdata.Store, name string, b []byte) {
 	t.Helper()
 	if _, err := s.Put(t.Context(), name, bytes.NewReader(b)); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	h.also = func(ctx context.Context) {
 		for i, tc := range flowCases {
 			h.group.Go(func() {
-				clock.Sleep(ctx, time.Millisecond+time.Duration(h.chance(60))*time.Second) // never at once: see play
+				wait.For(ctx, time.Millisecond+time.Duration(h.chance(60))*time.Second) // never at once: see play
 				if h.flow(ctx, wire.WorkflowID(fmt.Sprintf("wf-%06d", i)), tc.doc, tc.inputs, tc.state) {
 					h.mu.Lock()
 					ended++
@@ -177,7 +177,7 @@
 	status := func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) { return c.Workflows.Status(ctx, id) }
 	final := map[ledger.WorkflowState]wire.Status{ledger.WorkflowDone: wire.Done, ledger.WorkflowFailed: wire.Failed}[want]
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, 3*time.Second)
+		wait.For(ctx, 3*time.Second)
 		st, ok := askAny(ctx, h, string(id), status)
 		if !ok || st.Status == wire.Running {
 			continue
@@ -187,7 +187,7 @@
 			h.t.Errorf("seed %d: %s is %s with %s (%s), want %s with %v", h.seed, id, st.Status, st.Out, st.Why, final, sequential(h.t, doc, inputs))
 		}
 		// Later it is archived, its steps' jobs too, and it is asked about and submitted again.
-		clock.Sleep(ctx, time.Minute)
+		wait.For(ctx, time.Minute)
 		for _, ask := range []func(context.Context, *Core) (wire.WorkflowStatus, error){status, func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) {
 			st, created, err := c.Workflows.Submit(ctx, spec)
 			if created {
@@ -219,7 +219,7 @@
 		st, _, err := c.Workflows.Submit(ctx, spec)
 		return st, err
 	})
-	clock.Sleep(ctx, 12*time.Second)
+	wait.For(ctx, 12*time.Second)
 	st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) { return c.Workflows.Cancel(ctx, id) })
 	if !ok || st.Status != wire.Cancelled {
 		return // it was done before, or the history ended
@@ -239,7 +239,7 @@
 // The histories alone do not find this guard missing: who drives sweeps what it knows of.
 func TestLateStepOfCancelledWorkflow(t *testing.T) {
 	set := testSettings(t, 0)
-	store := standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 	led := quietCore(t, 0).mirror.Records()
 	commit := func(draft func(*ledger.Transaction) error) (wire.Txn, error) {
 		d := led.NewTransaction()
--- a/internal/fleet/packing.go
+++ b/internal/leader/autoscale/packing.go
@@ -1,12 +1,12 @@
-package fleet
+package autoscale
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -68,7 +68,7 @@
 }
 
 // place packs a job's tasks into the machines there are, and rents for the rest.
-func (p *packer) place(e *place.Entry) {
+func (p *packer) place(e *placement.Entry) {
 	if e.CrashLooping {
 		return // nothing is rented for what fails everywhere
 	}
@@ -93,7 +93,7 @@
 // jobPacking is the packing of one job.
 type jobPacking struct {
 	*packer
-	e        *place.Entry
+	e        *placement.Entry
 	left     int       // tasks without a place
 	zone     wire.Zone // the one zone of a job that must stay together
 	by       time.Time // when it needs room
@@ -110,7 +110,7 @@
 // packing begins the packing of some of a job's tasks. A machine rented now is up a boot time from
 // now. For work with time for one more boot after that, what is free by then does as well. With less,
 // forecasts that keep being wrong would let it wait for ever.
-func (p *packer) packing(e *place.Entry, tasks int) *jobPacking {
+func (p *packer) packing(e *placement.Entry, tasks int) *jobPacking {
 	j := e.Job
 	job := &jobPacking{packer: p, e: e, left: tasks, by: p.in.Now, pressing: true, put: map[wire.Zone]int{}, taken: map[*slot]bool{},
 		near: p.in.Close && j.GangSize() > 1 && !j.Spec.OneZone && !j.Spec.Spread}
--- a/internal/fleet/plan.go
+++ b/internal/leader/autoscale/plan.go
@@ -1,6 +1,6 @@
-// Package fleet decides which machines to rent and which to give back. The
+// Package autoscale decides which machines to rent and which to give back. The
 // leader carries it out; this part does no I/O.
-package fleet
+package autoscale
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -22,10 +22,10 @@
 	Booting   bool
 	Usable    bool // takes tasks, or will when it is up
 	Total     ledger.Resources
-	Busy      []place.ExpectedRelease // what its tasks take, and until when
-	Caches    func(wire.Image) bool   // nil: nothing is known to be cached
-	Fetching  wire.Image              // under way there, "" if none
-	IdleSince time.Time               // zero while it has claims
+	Busy      []placement.ExpectedRelease // what its tasks take, and until when
+	Caches    func(wire.Image) bool       // nil: nothing is known to be cached
+	Fetching  wire.Image                  // under way there, "" if none
+	IdleSince time.Time                   // zero while it has claims
 }
 
 // room returns what is free at a time, as far as can be foreseen.
@@ -43,7 +43,7 @@
 
 // take puts n tasks on the machine until some time.
 func (u *Machine) take(need ledger.Resources, n int, until time.Time) {
-	u.Busy = append(u.Busy, place.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, n)})
+	u.Busy = append(u.Busy, placement.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, n)})
 }
 
 // MachineOption is a kind of machine to rent.
@@ -64,7 +64,7 @@
 	Now           time.Time
 	Flavors       map[wire.MachineTypeName]wire.MachineType // at current prices
 	Units         []Machine
-	Queue         []place.Entry // in policy order
+	Queue         []placement.Entry // in policy order
 	TeamRoom      func(j *ledger.Job, extra ledger.Resources, most int) int
 	OutOfCapacity func(MachineOption) bool // lately without capacity
 	Spot          bool
@@ -182,7 +182,7 @@
 		}
 	}
 	for k, n := range left {
-		left[k] = place.IdleReserve(n)
+		left[k] = placement.IdleReserve(n)
 	}
 	return left
 }
@@ -262,7 +262,7 @@
 // cheapest chooses what to rent for a job: the lowest price for the room that
 // its tasks get, which it tells, then the zone with the fewest machines. put is how many of the
 // job's tasks have a place by zone.
-func cheapest(in *Input, e *place.Entry, zone wire.Zone, put, perZone map[wire.Zone]int) (best MachineOption, bestPrice float64, found bool) {
+func cheapest(in *Input, e *placement.Entry, zone wire.Zone, put, perZone map[wire.Zone]int) (best MachineOption, bestPrice float64, found bool) {
 	j := e.Job
 	for _, f := range in.Flavors {
 		room := ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB).Times(j.Need, j.Spec.Tasks)
--- a/internal/fleet/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -1,12 +1,12 @@
-package fleet
+package autoscale
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -30,7 +30,7 @@
 		}
 		txn, _ := d.Txn()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
-		in.Queue = append(in.Queue, place.Entry{Job: l.Job(s.ID)})
+		in.Queue = append(in.Queue, placement.Entry{Job: l.Job(s.ID)})
 	}
 	return in
 }
@@ -189,7 +189,7 @@
 			u := Machine{ID: wire.MachineID(fmt.Sprint("host-", i)), Type: "gpu", Zone: "a", Usable: true, Total: ledger.NewResources(8, 2, 32)}
 			switch {
 			case i < tc.busy:
-				u.Busy = []place.ExpectedRelease{{Until: now.Add(time.Minute), Room: u.Total}}
+				u.Busy = []placement.ExpectedRelease{{Until: now.Add(time.Minute), Room: u.Total}}
 			case i < tc.busy+tc.idle:
 				u.IdleSince = now
 			default:
--- a/internal/fleet/policy_test.go
+++ b/internal/leader/autoscale/policy_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscale
 
 import (
 	"fmt"
--- a/internal/cloud/cloud.go
+++ b/internal/leader/cloud/cloud.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/time/rate"
 
-	"maddermill/internal/http1"
+	"maddermill/internal/transport/http1"
 	"maddermill/wire"
 )
 
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -4,15 +4,15 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/settings"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
 )
 
 // gangStart is a gang's start on its way to the ledger.
 type gangStart struct {
-	change *writer.Change
+	change *committer.Change
 	tasks  int
 }
 
@@ -34,11 +34,11 @@
 		default:
 		}
 	}
-	for _, g := range place.PlaceGangs(c.Schedule.Snapshot(now)) {
+	for _, g := range placement.PlaceGangs(c.Schedule.Snapshot(now)) {
 		j, parts := g.Entry.Job, g.Parts
 		id, n := j.ID, j.Pending()
 		made := func() { c.log.Info("start", "job", id, "tasks", n, "machines", len(parts)) }
-		ch := &writer.Change{Expires: true, ExpiresAt: now.Add(2 * time.Second), Overdue: g.Entry.Overdue, Priority: j.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
+		ch := &committer.Change{Expires: true, ExpiresAt: now.Add(2 * time.Second), Overdue: g.Entry.Overdue, Priority: j.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
 			j := c.led().Job(id)
 			if j == nil || slices.ContainsFunc(parts, func(p ledger.GangPart) bool { return c.led().Free(p.Site).Times(j.Need, p.Count) < p.Count }) {
 				return ledger.ErrPreconditionFailed // a holder has given the room away meanwhile
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -12,20 +12,20 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/completion"
-	"maddermill/internal/evidence"
-	"maddermill/internal/fleet"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
+	"maddermill/internal/leader/autoscale"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/policies"
-	"maddermill/internal/schedule"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/state"
-	"maddermill/internal/workers"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -46,20 +46,20 @@
 
 // Parts are what the leader works with.
 type Parts struct {
-	Mirror    *mirror.Cache
-	Writer    *writer.Committer
-	Members   *members.Membership
-	Roster    *workers.Registry
+	Mirror    *watchcache.Cache
+	Writer    *committer.Committer
+	Members   *membership.Membership
+	Roster    *reconcile.Registry
 	Book      *evidence.Tracker
-	Schedule  *schedule.Scheduler
-	Policies  *policies.Manager
+	Schedule  *scheduler.Scheduler
+	Policies  *policymanager.Manager
 	Completed *completion.Log
 }
 
 // Leader is that part of a controller.
 type Leader struct {
 	set   *settings.Settings
-	store state.Store
+	store kvstore.Store
 	Parts
 	stats *metrics.Set
 	log   *slog.Logger
@@ -69,7 +69,7 @@
 }
 
 // New returns a part that doesn't lead before Run.
-func New(set *settings.Settings, store state.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Leader {
+func New(set *settings.Settings, store kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Leader {
 	return &Leader{set: set, store: store, Parts: p, stats: stats, log: log, boot: time.Now()}
 }
 
@@ -91,12 +91,12 @@
 			c.resign(ctx, version)
 			continue
 		case !ready || version != 0:
-			clock.Sleep(ctx, campaignEvery)
+			wait.For(ctx, campaignEvery)
 			continue
 		}
 		if err := c.term(ctx, cl); err != nil && ctx.Err() == nil {
 			c.log.Info("not leading", "err", err)
-			clock.Sleep(ctx, time.Second)
+			wait.For(ctx, time.Second)
 		}
 	}
 	return ctx.Err()
@@ -116,7 +116,7 @@
 	_, err := c.Writer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
 		Then: []wire.Change{{Delete: ledger.LeaderKey}}})
 	c.log.Info("resigned the lead of an earlier term", "version", version, "err", err)
-	clock.Sleep(ctx, standBack)
+	wait.For(ctx, standBack)
 }
 
 // term is one time as the leader, from the lease's grant to its end.
@@ -146,13 +146,13 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	l := &leader{c: c, cloud: cl, version: version, began: time.Now(),
-		units: map[wire.MachineID]*unit{}, placing: map[wire.JobID]gangStart{}, marking: map[markKey]*writer.Change{}, dark: map[wire.Zone]time.Time{}, returned: map[wire.MachineID]bool{}, releasing: map[wire.MachineID][]*writer.Change{}, refused: map[fleet.MachineOption]time.Time{}, settled: time.Now(), renewed: asked, judged: map[evidence.Kind]map[wire.MachineID]time.Time{}}
+		units: map[wire.MachineID]*unit{}, placing: map[wire.JobID]gangStart{}, marking: map[markKey]*committer.Change{}, dark: map[wire.Zone]time.Time{}, returned: map[wire.MachineID]bool{}, releasing: map[wire.MachineID][]*committer.Change{}, refused: map[autoscale.MachineOption]time.Time{}, settled: time.Now(), renewed: asked, judged: map[evidence.Kind]map[wire.MachineID]time.Time{}}
 	go func() {
 		for ctx.Err() == nil {
-			clock.Sleep(ctx, leaderRenew)
+			wait.For(ctx, leaderRenew)
 			asked := time.Now()
 			err := c.store.RenewLease(ctx, lease)
-			if errors.Is(err, state.ErrNoLease) {
+			if errors.Is(err, kvstore.ErrNoLease) {
 				cancel(err)
 			}
 			c.Mirror.Lock()
@@ -172,7 +172,7 @@
 		defer close(placing)
 		for ctx.Err() == nil {
 			l.placeGangs(time.Now())
-			clock.Sleep(ctx, 300*time.Millisecond)
+			wait.For(ctx, 300*time.Millisecond)
 		}
 		l.forgetPlacing()
 	}()
@@ -193,7 +193,7 @@
 		if err := l.step(ctx); err != nil && ctx.Err() == nil {
 			c.log.Debug("fleet step", "err", err)
 		}
-		clock.Sleep(ctx, 500*time.Millisecond)
+		wait.For(ctx, 500*time.Millisecond)
 	}
 	return context.Cause(ctx)
 }
@@ -227,17 +227,17 @@
 	began     time.Time
 	hires     int
 	units     map[wire.MachineID]*unit
-	marking   map[markKey]*writer.Change        // asked for, perhaps not yet in the ledger
-	placing   map[wire.JobID]gangStart          // decided, and not yet known to be in the ledger
-	refused   map[fleet.MachineOption]time.Time // no capacity until
-	recent    []ledger.ScaleOutIntent           // asked for lately, by predecessors too
-	relearn   []ledger.ScaleOutIntent           // whose outcome is not known in this term
+	marking   map[markKey]*committer.Change         // asked for, perhaps not yet in the ledger
+	placing   map[wire.JobID]gangStart              // decided, and not yet known to be in the ledger
+	refused   map[autoscale.MachineOption]time.Time // no capacity until
+	recent    []ledger.ScaleOutIntent               // asked for lately, by predecessors too
+	relearn   []ledger.ScaleOutIntent               // whose outcome is not known in this term
 	boots     evidence.BootTimes
-	madeRoom  time.Time                           // when room for gangs was last looked for,
-	roomTook  time.Duration                       // and how long that took
-	dark      map[wire.Zone]time.Time             // cut off, to be left alone until
-	returned  map[wire.MachineID]bool             // the cloud has confirmed it
-	releasing map[wire.MachineID][]*writer.Change // its claims, perhaps still on record
+	madeRoom  time.Time                              // when room for gangs was last looked for,
+	roomTook  time.Duration                          // and how long that took
+	dark      map[wire.Zone]time.Time                // cut off, to be left alone until
+	returned  map[wire.MachineID]bool                // the cloud has confirmed it
+	releasing map[wire.MachineID][]*committer.Change // its claims, perhaps still on record
 	flavors   map[wire.MachineTypeName]wire.MachineType
 	judged    map[evidence.Kind]map[wire.MachineID]time.Time // returned as faulty
 	settled   time.Time                                      // since when silence of machines counts
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -9,19 +9,19 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/cloud"
-	"maddermill/internal/evidence"
-	"maddermill/internal/fleet"
-	"maddermill/internal/ledger"
-	"maddermill/internal/parttest"
+	"maddermill/internal/leader/autoscale"
+	"maddermill/internal/leader/cloud"
+	"maddermill/internal/scheduler/evidence"
 	"maddermill/internal/settings"
-	"maddermill/internal/standin"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
 func quiet(t testing.TB) *Leader {
-	p := parttest.New(t, 0)
+	p := controllertest.New(t, 0)
 	return New(p.Set, p.Store, Parts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, Schedule: p.Schedule, Policies: p.Policies}, p.Stats, p.Log)
 }
 
@@ -50,7 +50,7 @@
 				c.Members.RunningSince(at)
 			}
 		}
-		l := &leader{c: c, began: now.Add(-time.Hour), settled: now.Add(-time.Hour), marking: map[markKey]*writer.Change{},
+		l := &leader{c: c, began: now.Add(-time.Hour), settled: now.Add(-time.Hour), marking: map[markKey]*committer.Change{},
 			units: map[wire.MachineID]*unit{"host-1": {ListedMachine: wire.ListedMachine{ID: "host-1", Zone: "a"}, heard: now.Add(-40 * time.Second), holder: "m-0"}}}
 		l.markLost(now)
 		if got := len(l.marking) > 0; got != tc.lost {
@@ -61,7 +61,7 @@
 
 // askedCloud counts what it is asked.
 type askedCloud struct {
-	standin.Cloud
+	emulator.Cloud
 	asked []wire.ScaleOutID
 	fail  error
 }
@@ -101,9 +101,9 @@
 		follow(t, c)
 		return rev
 	}
-	need := []fleet.ScaleOut{{MachineOption: fleet.MachineOption{Type: "g2", Zone: "a"}, Count: 3}}
+	need := []autoscale.ScaleOut{{MachineOption: autoscale.MachineOption{Type: "g2", Zone: "a"}, Count: 3}}
 	term := func(cl Cloud, v wire.Revision) *leader {
-		return &leader{c: c, cloud: cl, version: v, renewed: time.Now(), units: map[wire.MachineID]*unit{}, refused: map[fleet.MachineOption]time.Time{}}
+		return &leader{c: c, cloud: cl, version: v, renewed: time.Now(), units: map[wire.MachineID]*unit{}, refused: map[autoscale.MachineOption]time.Time{}}
 	}
 	// commit waits for the ledger, which nothing follows here.
 	rent := func(l *leader) error {
@@ -161,7 +161,7 @@
 	early := wire.MachineID("r-7-1-0")
 	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Session: 1, Sequence: 1}
 	c.Roster.Join(r, now).Reconcile(r, nil, 7, now)
-	l := &leader{c: c, cloud: &askedCloud{}, version: version, began: now, renewed: now, units: map[wire.MachineID]*unit{}, refused: map[fleet.MachineOption]time.Time{}}
+	l := &leader{c: c, cloud: &askedCloud{}, version: version, began: now, renewed: now, units: map[wire.MachineID]*unit{}, refused: map[autoscale.MachineOption]time.Time{}}
 	l.observe(now)
 	heard := l.units[early]
 	if heard == nil || heard.heard.IsZero() {
@@ -216,7 +216,7 @@
 func TestReleasesAreAskedForOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quiet(t) // its writer writes nothing
-		l := &leader{c: c, releasing: map[wire.MachineID][]*writer.Change{}}
+		l := &leader{c: c, releasing: map[wire.MachineID][]*committer.Change{}}
 		var held []ledger.HeldClaim
 		for i := range 3 {
 			j := &ledger.Job{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Spec: &wire.JobSpec{Priority: wire.Normal}}
@@ -230,7 +230,7 @@
 			t.Errorf("%d changes, then others", len(first))
 		}
 		for dropped := false; !dropped; { // the queue fills up
-			ch := &writer.Change{Draft: func(*ledger.Transaction) error { return nil }}
+			ch := &committer.Change{Draft: func(*ledger.Transaction) error { return nil }}
 			c.Writer.Enqueue(ch)
 			dropped = !ch.Pending()
 		}
--- a/internal/leader/marks.go
+++ b/internal/leader/marks.go
@@ -4,8 +4,8 @@
 	"maps"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -84,7 +84,7 @@
 		return // on its way
 	}
 	l.c.log.Info("machine leaves", "machine", id, "mark", mark, "why", why)
-	ch := &writer.Change{Draft: func(d *ledger.Transaction) error { return d.SetMachinePhase(id, mark, why, l.version) }}
+	ch := &committer.Change{Draft: func(d *ledger.Transaction) error { return d.SetMachinePhase(id, mark, why, l.version) }}
 	if _, v := l.c.led().Leader(); v != l.version {
 		return // another leads
 	}
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/workers"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -67,7 +67,7 @@
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
 	l.listen(now)
-	note := func(m *mesh.Machine, at time.Time, by wire.MemberID) {
+	note := func(m *peer.Machine, at time.Time, by wire.MemberID) {
 		u := l.units[m.ID]
 		if u == nil {
 			u = &unit{ListedMachine: wire.ListedMachine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, hired: at}
@@ -82,8 +82,8 @@
 			u.deaf = time.Duration(m.UnreachableMS) * time.Millisecond
 		}
 	}
-	c.Roster.Each(func(w *workers.Worker) {
-		m := mesh.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Faulty: c.Book.Faulty(c.led(), w.ID, now), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
+	c.Roster.Each(func(w *reconcile.Worker) {
+		m := peer.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Faulty: c.Book.Faulty(c.led(), w.ID, now), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
 		if m.Faulty {
 			m.QuarantineReason = c.Book.Why(w.ID)
 		}
--- a/internal/leader/rent.go
+++ b/internal/leader/rent.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/cloud"
-	"maddermill/internal/fleet"
-	"maddermill/internal/ledger"
+	"maddermill/internal/leader/autoscale"
+	"maddermill/internal/leader/cloud"
+	"maddermill/internal/state/ledger"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -35,16 +35,16 @@
 }
 
 // planned decides what to rent, and marks what is to be given back.
-func (l *leader) planned(now time.Time) []fleet.ScaleOut {
+func (l *leader) planned(now time.Time) []autoscale.ScaleOut {
 	c := l.c
 	settle := 2 * c.set.Cluster.Cloud.ListLag.Duration()
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
 	v := c.Schedule.Snapshot(now)
-	in := &fleet.Input{Now: now, Flavors: l.flavors, Queue: v.Queue, TeamRoom: c.led().TeamRoom,
+	in := &autoscale.Input{Now: now, Flavors: l.flavors, Queue: v.Queue, TeamRoom: c.led().TeamRoom,
 		Spot: c.set.Operators.Spot, MaxMachines: c.set.Operators.MostMachines, IdleBoots: c.set.Operators.IdleBoots,
 		Headroom: c.set.Operators.Headroom, Close: v.Tree != nil,
-		OutOfCapacity: func(o fleet.MachineOption) bool { return now.Before(l.refused[o]) || now.Before(l.dark[o.Zone]) }}
+		OutOfCapacity: func(o autoscale.MachineOption) bool { return now.Before(l.refused[o]) || now.Before(l.dark[o.Zone]) }}
 	awaited, overdue := 0, 0
 	for id, u := range l.units {
 		if c.led().MachinePhase(id) != "" {
@@ -52,7 +52,7 @@
 		}
 		f := l.flavors[u.Type]
 		booting := u.heard.IsZero()
-		n := fleet.Machine{ID: id, Type: u.Type, Zone: u.Zone, Spot: u.Spot, Booting: booting, IdleSince: u.idle,
+		n := autoscale.Machine{ID: id, Type: u.Type, Zone: u.Zone, Spot: u.Spot, Booting: booting, IdleSince: u.idle,
 			// One that is up but has yet to accept our token will take tasks in a
 			// moment; not to count it would rent another in its place.
 			Usable: booting && !now.Before(l.dark[u.Zone]) && !l.boots.Overdue(u.kind(), u.hired, f.Boot.Duration(), now) || !booting && !u.recall && !u.faulty && now.Sub(u.heard) < c.set.Operators.LostAfter && u.deaf < c.set.Operators.LostAfter}
@@ -78,9 +78,9 @@
 		c.log.Warn("machines overdue", "overdue", overdue, "awaited", awaited)
 	}
 	c.awaited, c.overdue = awaited, overdue
-	plan := fleet.ComputePlan(in)
+	plan := autoscale.ComputePlan(in)
 	if c.Policies.Plans(c.led()) {
-		plan = fleet.ApplyPolicy(in, plan, func(f *policy.Fleet) []policy.Change { return c.Policies.Plan(c.led(), f, now) })
+		plan = autoscale.ApplyPolicy(in, plan, func(f *policy.Fleet) []policy.Change { return c.Policies.Plan(c.led(), f, now) })
 	}
 	if now.Sub(l.began) < settle {
 		plan.Drain = nil
@@ -125,7 +125,7 @@
 // finds that another leads and rents nothing; one that stands still in between is
 // asked after by its successor. The record is also conditioned on its own version: one
 // carried out late does not take later rentals off it.
-func (l *leader) rent(ctx context.Context, needs []fleet.ScaleOut) error {
+func (l *leader) rent(ctx context.Context, needs []autoscale.ScaleOut) error {
 	if len(needs) == 0 {
 		return nil
 	}
@@ -184,7 +184,7 @@
 	got, err := l.cloud.ScaleOut(ctx, h.ScaleOutRequest)
 	l.c.log.Info("hire", "request", h.Request, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(got), "err", err)
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(got) < h.Count {
-		l.refused[fleet.MachineOption{Type: h.Type, Zone: h.Zone, Spot: h.Spot}] = time.Now().Add(20 * time.Second)
+		l.refused[autoscale.MachineOption{Type: h.Type, Zone: h.Zone, Spot: h.Spot}] = time.Now().Add(20 * time.Second)
 	}
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		return err
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -5,10 +5,10 @@
 	"maps"
 	"slices"
 
-	"maddermill/internal/cloud"
-	"maddermill/internal/ledger"
-	"maddermill/internal/workers"
-	"maddermill/internal/writer"
+	"maddermill/internal/leader/cloud"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -40,8 +40,8 @@
 	}
 	c.Mirror.Lock()
 	defer c.Mirror.Unlock()
-	maps.DeleteFunc(l.releasing, func(_ wire.MachineID, changes []*writer.Change) bool {
-		return !slices.ContainsFunc(changes, (*writer.Change).Pending)
+	maps.DeleteFunc(l.releasing, func(_ wire.MachineID, changes []*committer.Change) bool {
+		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
 	gone := func(id wire.MachineID) bool { return l.returned[id] || c.led().MachinePhase(id) == ledger.Terminated }
 	c.led().Holders(func(id wire.MachineID, held []ledger.HeldClaim) {
@@ -63,17 +63,17 @@
 // machines take longer than any time that could be waited for, and asked for again and again
 // they once filled the queue, so that what was lost began nowhere else for minutes.
 func (l *leader) releaseAll(id wire.MachineID, held []ledger.HeldClaim) {
-	if slices.ContainsFunc(l.releasing[id], (*writer.Change).Pending) {
+	if slices.ContainsFunc(l.releasing[id], (*committer.Change).Pending) {
 		return
 	}
-	var exits []workers.TaskExit
+	var exits []reconcile.TaskExit
 	for _, h := range held {
 		for i := range h.Count {
 			task := h.First + wire.TaskIndex(i)
-			exits = append(exits, workers.ExitOfLostClaim(l.c.Completed, h, task))
+			exits = append(exits, reconcile.ExitOfLostClaim(l.c.Completed, h, task))
 		}
 	}
-	l.releasing[id] = workers.ExitChanges(l.c.Mirror, exits)
+	l.releasing[id] = reconcile.ExitChanges(l.c.Mirror, exits)
 	for _, ch := range l.releasing[id] {
 		l.c.Writer.Enqueue(ch)
 	}
--- a/internal/completion/exchange.go
+++ b/internal/membership/completion/exchange.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
 	"maddermill/wire"
 )
 
@@ -44,13 +44,13 @@
 }
 
 // Request puts into what is said to a peer how far its log was read.
-func (x *Exchange) Request(to wire.MemberID, ask *mesh.Status) {
+func (x *Exchange) Request(to wire.MemberID, ask *peer.Status) {
 	at := x.told[to]
 	ask.CompletedBoot, ask.CompletedTo = at.boot, at.number
 }
 
 // Answer puts into the answer to a peer what it wasn't told yet.
-func (x *Exchange) Answer(ask mesh.Status, answer *mesh.Status, now time.Time) {
+func (x *Exchange) Answer(ask peer.Status, answer *peer.Status, now time.Time) {
 	number := uint64(0)
 	if ask.CompletedBoot == x.boot.UnixMilli() {
 		number = ask.CompletedTo
@@ -60,7 +60,7 @@
 }
 
 // Merge keeps what a peer told of, as far as it may still be lacking in the records; apart as in Note.
-func (x *Exchange) Merge(s *mesh.Status, lacking func(mesh.Completion) bool, apart bool, now time.Time) {
+func (x *Exchange) Merge(s *peer.Status, lacking func(peer.Completion) bool, apart bool, now time.Time) {
 	if s.CompletedBoot == 0 {
 		return // an earlier version, or a published status
 	}
--- a/internal/completion/log.go
+++ b/internal/membership/completion/log.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -27,7 +27,7 @@
 
 // entry is a completion in the order in which it came.
 type entry struct {
-	mesh.Completion
+	peer.Completion
 	number uint64
 	noted  time.Time
 	apart  bool // noted while out of touch with the state service
@@ -37,14 +37,14 @@
 type Log struct {
 	most  int
 	last  uint64 // number of the entry noted last
-	known map[mesh.Completion]struct{}
+	known map[peer.Completion]struct{}
 	order []entry // by number
 	lost  int     // entries that there was no room for
 }
 
 // New returns an empty log that holds at most so many completions.
 func New(most int) *Log {
-	return &Log{most: most, known: map[mesh.Completion]struct{}{}}
+	return &Log{most: most, known: map[peer.Completion]struct{}{}}
 }
 
 // Len is how many completions are kept.
@@ -55,7 +55,7 @@
 
 // Note keeps a completion; apart: while this controller is out of touch with the state service.
 // Where the log is full the oldest one goes.
-func (l *Log) Note(c mesh.Completion, apart bool, now time.Time) {
+func (l *Log) Note(c peer.Completion, apart bool, now time.Time) {
 	if _, ok := l.known[c]; ok {
 		return
 	}
@@ -76,7 +76,7 @@
 	if l == nil || len(l.known) == 0 {
 		return ""
 	}
-	c := mesh.Completion{Job: h.Job.ID, Task: task, Attempt: h.Attempt, Machine: h.Machine, Session: h.Session}
+	c := peer.Completion{Job: h.Job.ID, Task: task, Attempt: h.Attempt, Machine: h.Machine, Session: h.Session}
 	if _, ok := l.known[c]; !ok {
 		return ""
 	}
@@ -85,7 +85,7 @@
 
 // Since returns the completions after a number, at most so many, that are old enough to be told,
 // and the number of the last of them.
-func (l *Log) Since(number uint64, most int, now time.Time) ([]mesh.Completion, uint64) {
+func (l *Log) Since(number uint64, most int, now time.Time) ([]peer.Completion, uint64) {
 	begin, _ := slices.BinarySearchFunc(l.order, number+1, func(e entry, n uint64) int {
 		switch {
 		case e.number < n:
@@ -95,7 +95,7 @@
 		}
 		return 0
 	})
-	var out []mesh.Completion
+	var out []peer.Completion
 	for _, e := range l.order[begin:] {
 		if len(out) == most || now.Sub(e.noted) < tellAfter {
 			break
@@ -106,7 +106,7 @@
 }
 
 // EachUnrecorded gives f the completions that were noted while out of touch, in their order.
-func (l *Log) EachUnrecorded(f func(mesh.Completion)) {
+func (l *Log) EachUnrecorded(f func(peer.Completion)) {
 	for _, e := range l.order {
 		if e.apart {
 			f(e.Completion)
@@ -127,13 +127,13 @@
 }
 
 // Claimed reports whether the records hold the claim that a completion is of.
-func Claimed(records *ledger.Ledger, c mesh.Completion) bool {
+func Claimed(records *ledger.Ledger, c peer.Completion) bool {
 	_, ok := ClaimOf(records, c)
 	return ok
 }
 
 // ClaimOf is the claim that a completion is of, if the records hold it.
-func ClaimOf(records *ledger.Ledger, c mesh.Completion) (ledger.HeldClaim, bool) {
+func ClaimOf(records *ledger.Ledger, c peer.Completion) (ledger.HeldClaim, bool) {
 	for _, h := range records.HeldBy(c.Machine) {
 		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Session == c.Session && h.Covers(c.Task) {
 			return h, true
--- a/internal/completion/log_test.go
+++ b/internal/membership/completion/log_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
 func at(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 
-func done(job string, task int, attempt wire.Attempt) mesh.Completion {
-	return mesh.Completion{Job: wire.JobID(job), Task: wire.TaskIndex(task), Attempt: attempt, Machine: "host-1", Session: 3}
+func done(job string, task int, attempt wire.Attempt) peer.Completion {
+	return peer.Completion{Job: wire.JobID(job), Task: wire.TaskIndex(task), Attempt: attempt, Machine: "host-1", Session: 3}
 }
 
 // TestCompletionOfAnotherAttempt: a completion proves the claim that it is of, and nothing of another
@@ -62,7 +62,7 @@
 // TestExchange: each completion is told once to each run of a peer, none before it is old enough,
 // and all of them again to and by a new run.
 func TestExchange(t *testing.T) {
-	everything := func(mesh.Completion) bool { return true }
+	everything := func(peer.Completion) bool { return true }
 	side := func(boot float64, peer wire.MemberID) (*Log, *Exchange) {
 		l := New(2000)
 		return l, NewExchange(l, at(boot), []wire.MemberID{peer})
@@ -73,9 +73,9 @@
 		a.Note(done("wk-000001", i, 1), false, at(10))
 	}
 	round := func(s float64) int {
-		ask := mesh.Status{Member: "b"}
+		ask := peer.Status{Member: "b"}
 		askedB.Request("a", &ask)
-		answer := mesh.Status{Member: "a"}
+		answer := peer.Status{Member: "a"}
 		askedA.Answer(ask, &answer, at(s))
 		askedB.Merge(&answer, everything, false, at(s))
 		return len(answer.Completed)
@@ -92,14 +92,14 @@
 		t.Errorf("%d arrived of %d", b.Len(), a.Len())
 	}
 	a, askedA = side(20, "b") // its next run knows nothing, and asks
-	ask, answer := mesh.Status{Member: "a"}, mesh.Status{Member: "b"}
+	ask, answer := peer.Status{Member: "a"}, peer.Status{Member: "b"}
 	askedA.Request("b", &ask)
 	askedB.Answer(ask, &answer, at(21))
 	askedA.Merge(&answer, everything, false, at(21))
 	if a.Len() != mostTold {
 		t.Errorf("a new run was told %d completions", a.Len())
 	}
-	askedA.Merge(&mesh.Status{Member: "c"}, everything, false, at(22)) // an earlier version, or a published status
+	askedA.Merge(&peer.Status{Member: "c"}, everything, false, at(22)) // an earlier version, or a published status
 	if askedA.told["c"].whole {
 		t.Error("a peer that tells of no completions counts as heard")
 	}
--- a/internal/members/members.go
+++ b/internal/membership/membership.go
@@ -1,9 +1,9 @@
-// Package members is the part of a controller that knows the other controllers: what each told
+// Package membership is the part of a controller that knows the other controllers: what each told
 // last over the mesh, since when, and what may be concluded from it. It also knows when this
 // process itself stood still, since silence is then its own.
 //
 // It has a lock of its own, under which it calls nobody.
-package members
+package membership
 
 import (
 	"cmp"
@@ -15,22 +15,22 @@
 	"sync"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
 // Peer is what another controller told last. It does not change.
 type Peer struct {
-	Status mesh.Status
+	Status peer.Status
 	AsOf   time.Time // the latest time that the status can be relied on to describe
 }
 
 // Heard is when the peer last heard a machine that it tells of.
-func (p *Peer) Heard(m *mesh.Machine) time.Time {
+func (p *Peer) Heard(m *peer.Machine) time.Time {
 	return p.AsOf.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 }
 
@@ -63,13 +63,13 @@
 }
 
 // ObserveStatus takes in what a peer told.
-func (m *Membership) ObserveStatus(s mesh.Status, asked time.Time) {
+func (m *Membership) ObserveStatus(s peer.Status, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hear(s, asked)
 }
 
-func (m *Membership) hear(s mesh.Status, asked time.Time) {
+func (m *Membership) hear(s peer.Status, asked time.Time) {
 	m.peers[s.Member] = &Peer{s, asked}
 	m.list = slices.SortedFunc(maps.Values(m.peers), func(a, b *Peer) int { return cmp.Compare(a.Status.Member, b.Status.Member) })
 }
@@ -189,7 +189,7 @@
 // DetectPauses keeps note that the process runs, until ctx ends.
 func (m *Membership) DetectPauses(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, attendEvery)
+		wait.For(ctx, attendEvery)
 		m.RunningSince(time.Now())
 	}
 	return ctx.Err()
@@ -254,9 +254,9 @@
 // Publish writes this controller's status, as describe gives it, to the state service every
 // few seconds while there are peers that the mesh does not reach, until ctx ends. Changes are
 // scarce. describe tells false while there is nothing to publish.
-func (m *Membership) Publish(ctx context.Context, store state.Store, describe func() (mesh.Status, bool)) error {
+func (m *Membership) Publish(ctx context.Context, store kvstore.Store, describe func() (peer.Status, bool)) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, publishEvery)
+		wait.For(ctx, publishEvery)
 		m.mu.Lock()
 		needed := slices.ContainsFunc(m.opt.Others, func(id wire.MemberID) bool { return time.Since(m.told[id]) > publishEvery })
 		m.mu.Unlock()
@@ -293,7 +293,7 @@
 func (m *Membership) ReadPublished(ctx context.Context, mirror Records) error {
 	last := map[wire.MemberID]string{}
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, time.Second)
+		wait.For(ctx, time.Second)
 		for _, id := range m.opt.Others {
 			var raw []byte
 			mirror.Read(func(l *ledger.Ledger) { raw = l.Member(id) })
@@ -302,8 +302,8 @@
 			}
 			last[id] = string(raw)
 			now := time.Now()
-			var s mesh.Status
-			if json.Unmarshal(raw, &s) != nil || s.Version != mesh.Version {
+			var s peer.Status
+			if json.Unmarshal(raw, &s) != nil || s.Version != peer.Version {
 				continue
 			}
 			if p := m.Peer(id); p != nil && s.Boot == p.Status.Boot && s.Revision < p.Status.Revision {
--- a/internal/members/members_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -37,7 +37,7 @@
 		version := wire.Revision(0)
 		publish := func(boot int64, rev wire.Revision) wire.Revision {
 			version++
-			b, err := json.Marshal(mesh.Status{Version: mesh.Version, Member: "m-1", Boot: boot, Revision: rev, Loaded: true})
+			b, err := json.Marshal(peer.Status{Version: peer.Version, Member: "m-1", Boot: boot, Revision: rev, Loaded: true})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/mesh/golden_test.go
+++ b/internal/membership/peer/golden_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"maddermill/internal/golden"
+	"maddermill/internal/testing/golden"
 )
 
 // TestSerializedFormsStay: a status is byte for byte what the sources before the renaming of 2026
--- a/internal/mesh/mesh.go
+++ b/internal/membership/peer/peer.go
@@ -1,6 +1,6 @@
-// Package mesh carries what controllers tell each other: liveness and hints for
+// Package peer carries what controllers tell each other: liveness and hints for
 // placement, as CBOR frames. No rule depends on a message arriving.
-package mesh
+package peer
 
 import (
 	"bufio"
--- a/internal/mesh/mesh_test.go
+++ b/internal/membership/peer/peer_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"bufio"
--- a/internal/plugin/catalog.go
+++ b/internal/plugin/catalog.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -42,7 +42,7 @@
 // List returns the loaded modules in order of their hashes, and the policy's record.
 func (c *Catalog) List(ctx context.Context) (out []Listed, r ledger.PolicyRecord, err error) {
 	prefix := ledger.ModuleKey("")
-	err = state.Each(ctx, c.Records, prefix, 100, func(it wire.Item) error {
+	err = kvstore.Each(ctx, c.Records, prefix, 100, func(it wire.Item) error {
 		m := Listed{Hash: wire.ModuleHash(strings.TrimPrefix(it.Key, prefix))}
 		if err := json.Unmarshal(it.Value, &m.ModuleRecord); err != nil {
 			return fmt.Errorf("%s: %w", it.Key, err)
@@ -110,7 +110,7 @@
 
 func (c *Catalog) policy(ctx context.Context) (r ledger.PolicyRecord, at wire.Revision, err error) {
 	it, err := c.Records.Get(ctx, ledger.PolicyKey)
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return r, 0, nil
 	}
 	if err == nil {
@@ -166,7 +166,7 @@
 		if r.Next != "" {
 			// One that is being removed must not be asked for.
 			it, err := c.Records.Get(ctx, ledger.ModuleKey(r.Next))
-			if errors.Is(err, state.ErrNotFound) {
+			if errors.Is(err, kvstore.ErrNotFound) {
 				return fmt.Errorf("%w: %s is not loaded", ErrUnknownModule, r.Next.Short())
 			}
 			if err != nil {
@@ -175,7 +175,7 @@
 			t.If = append(t.If, wire.Condition{Key: ledger.ModuleKey(r.Next), Version: it.Version})
 		}
 		_, err = c.Records.Commit(ctx, t)
-		var conflict *state.Conflict
+		var conflict *kvstore.Conflict
 		if !errors.As(err, &conflict) {
 			return err
 		}
--- a/internal/policies/policies.go
+++ b/internal/plugin/policymanager/policies.go
@@ -1,7 +1,7 @@
-// Package policies is the part of a controller that has the modules of plug-ins at hand, asks
+// Package policymanager is the part of a controller that has the modules of plug-ins at hand, asks
 // the one in use for the order of jobs, and at the fleet's leader completes changes of it or
 // gives them up (docs/plugins.md). It reaches the rest of the controller through Host alone.
-package policies
+package policymanager
 
 import (
 	"cmp"
@@ -13,12 +13,12 @@
 	"sync"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
 	"maddermill/internal/plugin"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -42,7 +42,7 @@
 type Other struct {
 	Member  wire.MemberID
 	Heard   bool // lately
-	Modules []mesh.Module
+	Modules []peer.Module
 }
 
 // Options are the settings of a keeper.
@@ -68,7 +68,7 @@
 // way round. Run is to be called once, the rest at any time.
 type Manager struct {
 	host   Host
-	store  state.Store
+	store  kvstore.Store
 	member wire.MemberID
 	stats  *metrics.Set
 	log    *slog.Logger
@@ -95,7 +95,7 @@
 )
 
 // New returns a keeper with plug-ins switched off.
-func New(host Host, store state.Store, member wire.MemberID, stats *metrics.Set, log *slog.Logger) *Manager {
+func New(host Host, store kvstore.Store, member wire.MemberID, stats *metrics.Set, log *slog.Logger) *Manager {
 	return &Manager{host: host, store: store, member: member, stats: stats, log: log, modules: map[wire.ModuleHash]*module{}}
 }
 
@@ -207,15 +207,15 @@
 }
 
 // Modules is what this controller tells others of modules. It is called under the mirror's lock.
-func (k *Manager) Modules(l *ledger.Ledger) (out []mesh.Module) {
+func (k *Manager) Modules(l *ledger.Ledger) (out []peer.Module) {
 	r, _ := l.Policy()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if r.Next != "" && !k.opt.On {
-		return []mesh.Module{{Hash: r.Next, Fault: "plug-ins are switched off"}}
+		return []peer.Module{{Hash: r.Next, Fault: "plug-ins are switched off"}}
 	}
 	for h, m := range k.modules {
-		out = append(out, mesh.Module{Hash: h, Fault: m.fault})
+		out = append(out, peer.Module{Hash: h, Fault: m.fault})
 	}
 	return out
 }
@@ -224,7 +224,7 @@
 func (k *Manager) Run(ctx context.Context) error {
 	defer k.drop(func(wire.ModuleHash) bool { return false })
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, every)
+		wait.For(ctx, every)
 		var r ledger.PolicyRecord
 		k.host.Read(func(l *ledger.Ledger) { r, _ = l.Policy() })
 		for _, h := range []wire.ModuleHash{r.Use, r.Next} {
@@ -336,13 +336,13 @@
 
 // paced is the state service to whoever only takes changes that are in nobody's way.
 type paced struct {
-	state.Store
+	kvstore.Store
 	host Host
 }
 
 func (p paced) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	for p.host.Spare() < len(t.Then) {
-		if clock.Sleep(ctx, every/5); ctx.Err() != nil {
+		if wait.For(ctx, every/5); ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
 	}
@@ -354,7 +354,7 @@
 func (k *Manager) swap(ctx context.Context, now time.Time) {
 	var r ledger.PolicyRecord
 	var version wire.Revision
-	var mine []mesh.Module
+	var mine []peer.Module
 	k.host.Read(func(l *ledger.Ledger) {
 		if r, version = l.Policy(); r.Next != "" {
 			mine = k.Modules(l)
--- a/internal/schedule/aims.go
+++ b/internal/scheduler/aims.go
@@ -1,10 +1,10 @@
-package schedule
+package scheduler
 
 import (
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -12,7 +12,7 @@
 // still be met, or to begin within the bound on waiting; whether that bound leaves no more time;
 // and whether what is else left alone may be stopped for it. It is the zero time if none can be
 // met and nothing bounds waiting.
-func (s *Scheduler) startBy(e *place.Entry, now time.Time) (by time.Time, late, pressed bool) {
+func (s *Scheduler) startBy(e *placement.Entry, now time.Time) (by time.Time, late, pressed bool) {
 	j := e.Job
 	by = s.aimBy(j, e.OverGuarantee, e.Expected, now)
 	if date, ok := s.promises.StartBy(j); ok && date.After(now) && (by.IsZero() || date.Before(by)) {
@@ -23,11 +23,11 @@
 		return by, false, false
 	}
 	f, _ := s.led().Flavor(s.firstType(j))
-	latest := place.LatestStart(j.Accepted.Time(), bound, j.Spec.ImageGB, f.FetchGBps)
+	latest := placement.LatestStart(j.Accepted.Time(), bound, j.Spec.ImageGB, f.FetchGBps)
 	if late = !e.CrashLooping && !now.Before(latest); late || by.IsZero() || latest.Before(by) {
 		by = latest
 	}
-	return by, late, late && j.Attempt() == 0 && place.AlmostOverdue(latest, bound, now)
+	return by, late, late && j.Attempt() == 0 && placement.AlmostOverdue(latest, bound, now)
 }
 
 // aimBy is when the job's tasks must start for it to meet the strictest of its aims that can
@@ -63,10 +63,10 @@
 }
 
 // Busy is what the claims on a machine take, and until when.
-func (s *Scheduler) Busy(id wire.MachineID, now time.Time) []place.ExpectedRelease {
-	var out []place.ExpectedRelease
+func (s *Scheduler) Busy(id wire.MachineID, now time.Time) []placement.ExpectedRelease {
+	var out []placement.ExpectedRelease
 	for _, h := range s.led().HeldBy(id) {
-		out = append(out, place.ExpectedRelease{Until: s.book.Until(h, now), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
+		out = append(out, placement.ExpectedRelease{Until: s.book.Until(h, now), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
 	}
 	return out
 }
--- a/internal/schedule/believe_test.go
+++ b/internal/scheduler/believe_test.go
@@ -1,14 +1,14 @@
-package schedule_test
+package scheduler_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/parttest"
+	"maddermill/internal/scheduler/evidence"
 	"maddermill/internal/settings"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
 
@@ -17,7 +17,7 @@
 // judgement than of the machines.
 func TestTooManyFaultyAreNotBelieved(t *testing.T) {
 	for _, faulty := range []int{1, 2, 3} {
-		p := parttest.New(t, 0)
+		p := controllertest.New(t, 0)
 		p.Set.Operators.Quarantine = settings.Quarantine{On: true, Most: 0.1}
 		p.Book.EnableQuarantine(evidence.DefaultPriors)
 		now := time.Now()
@@ -31,7 +31,7 @@
 		}
 		at := now.Add(-time.Hour)
 		for n := range 200 { // each job fails on the faulty machines and is done elsewhere
-			j := parttest.AddJob(led, n, wire.Array, 1)
+			j := controllertest.AddJob(led, n, wire.Array, 1)
 			at = at.Add(10 * time.Second)
 			for i := range faulty {
 				p.Book.Failed(j, 0, name(i), "", at)
--- a/internal/promise/judge.go
+++ b/internal/scheduler/deadline/judge.go
@@ -1,4 +1,4 @@
-package promise
+package deadline
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/promise/promise_test.go
+++ b/internal/scheduler/deadline/promise_test.go
@@ -1,4 +1,4 @@
-package promise
+package deadline
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/promise/register.go
+++ b/internal/scheduler/deadline/register.go
@@ -1,7 +1,7 @@
-// Package promise knows of galleries, work with one promised date each: the operators' register,
+// Package deadline knows of galleries, work with one promised date each: the operators' register,
 // when a promise is at risk, kept or broken, and what is promised beyond what the fleet can do.
 // It does no I/O and is told the time. docs/promises.md tells why it is so.
-package promise
+package deadline
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"github.com/protocolbuffers/txtpbfmt/parser"
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"maddermill/internal/configfile"
-	"maddermill/internal/promise/promisepb"
+	"maddermill/internal/scheduler/deadline/promisepb"
+	"maddermill/internal/settings/configfile"
 	"maddermill/wire"
 )
 
--- a/internal/promises/promises.go
+++ b/internal/scheduler/deadlinetracker/promises.go
@@ -1,11 +1,11 @@
-// Package promises is the part of a controller that keeps galleries: it ties jobs to them as they
+// Package deadlinetracker is the part of a controller that keeps galleries: it ties jobs to them as they
 // are accepted, and, while it leads or has a newer register than the leader, brings the records up to the operators' register, judges which
 // promises are at risk, kept or broken, and tells of what is promised beyond what the fleet can do
 // (docs/promises.md). All that lasts is in the records, each change conditioned on the one before:
 // whoever leads next goes on where this one ended.
 //
 // It has no lock: but for its duties, it is used under the mirror's.
-package promises
+package deadlinetracker
 
 import (
 	"context"
@@ -16,28 +16,28 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/configfile"
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
+	"maddermill/internal/membership"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/place"
-	"maddermill/internal/promise"
+	"maddermill/internal/scheduler/deadline"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/workers"
-	"maddermill/internal/writer"
+	"maddermill/internal/settings/configfile"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
 // Parts are what galleries are kept with.
 type Parts struct {
-	Mirror  *mirror.Cache
-	Writer  *writer.Committer
+	Mirror  *watchcache.Cache
+	Writer  *committer.Committer
 	Book    *evidence.Tracker
-	Members *members.Membership
-	Roster  *workers.Registry
+	Members *membership.Membership
+	Roster  *reconcile.Registry
 }
 
 // Tracker is that part of a controller.
@@ -47,12 +47,12 @@
 	stats *metrics.Set
 	log   *slog.Logger
 
-	register *promise.Register // nil: no register is given
+	register *deadline.Register // nil: no register is given
 	needs    map[wire.GalleryName]need
 	tiedAt   time.Time // when jobs were last looked through for ties
 	refused  map[wire.GalleryName]int
 	over     string // what was last told of promises beyond the fleet
-	asked    map[wire.GalleryName]*writer.Change
+	asked    map[wire.GalleryName]*committer.Change
 }
 
 // need is what is left of a gallery.
@@ -65,13 +65,13 @@
 // New returns promises without a register.
 func New(set *settings.Settings, p Parts, stats *metrics.Set, log *slog.Logger) *Tracker {
 	return &Tracker{set: set, Parts: p, stats: stats, log: log, needs: map[wire.GalleryName]need{}, refused: map[wire.GalleryName]int{},
-		asked: map[wire.GalleryName]*writer.Change{}}
+		asked: map[wire.GalleryName]*committer.Change{}}
 }
 
 func (p *Tracker) led() *ledger.Ledger { return p.Mirror.Records() }
 
 // Set takes over a register.
-func (p *Tracker) Set(r *promise.Register) {
+func (p *Tracker) Set(r *deadline.Register) {
 	p.Mirror.Lock()
 	defer p.Mirror.Unlock()
 	p.register, p.tiedAt = r, time.Time{}
@@ -79,14 +79,14 @@
 }
 
 // Read reads and checks a register's file. An error names file, line and reason.
-func Read(path string, set *settings.Settings) (*promise.Register, error) {
+func Read(path string, set *settings.Settings) (*deadline.Register, error) {
 	var teams []wire.Team
 	if set != nil {
 		for _, t := range set.Cluster.Teams {
 			teams = append(teams, t.Name)
 		}
 	}
-	return configfile.Read(path, func(b []byte) (*promise.Register, error) { return promise.Parse(b, teams) })
+	return configfile.Read(path, func(b []byte) (*deadline.Register, error) { return deadline.Parse(b, teams) })
 }
 
 // Reload reads the register's file again when it changes, until ctx ends. A file that is wrong, or
@@ -127,7 +127,7 @@
 		n := p.needs[j.Gallery]
 		long := p.Book.Expected(j) * 5 / 4
 		if pending > 0 {
-			long += place.FetchTime(j.Spec.ImageGB, f.FetchGBps)
+			long += placement.FetchTime(j.Spec.ImageGB, f.FetchGBps)
 		}
 		n.longest, n.waiting = max(n.longest, long), n.waiting || pending > 0
 		if room := ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB).Times(j.Need, 1<<20); room > 0 {
@@ -217,7 +217,7 @@
 // Run keeps the records while it is for this controller to do, until ctx ends.
 func (p *Tracker) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, passEvery)
+		wait.For(ctx, passEvery)
 		p.Mirror.Lock()
 		if now := time.Now(); p.Mirror.SyncedWithin(now, settings.StartContact) && p.keeps(now) {
 			p.pass(now)
@@ -235,7 +235,7 @@
 			return // on its way
 		}
 		left--
-		ch := &writer.Change{Expires: true, ExpiresAt: now.Add(5 * time.Second), OnCommit: made, Draft: draft}
+		ch := &committer.Change{Expires: true, ExpiresAt: now.Add(5 * time.Second), OnCommit: made, Draft: draft}
 		p.asked[n] = ch
 		p.Writer.Enqueue(ch)
 	}
@@ -258,7 +258,7 @@
 		p.reconcile(now, &left, ask)
 		p.tie(now, &left)
 	}
-	var loads []promise.Load
+	var loads []deadline.Load
 	p.led().Galleries(func(g *ledger.Gallery) {
 		if left <= 0 {
 			return
@@ -267,7 +267,7 @@
 			p.archive(g, ask)
 			return
 		}
-		loads = append(loads, promise.Load{Name: g.Name, Date: g.Date().Time(), Work: p.needs[g.Name].work})
+		loads = append(loads, deadline.Load{Name: g.Name, Date: g.Date().Time(), Work: p.needs[g.Name].work})
 		p.judge(g, inForce, now, ask)
 	})
 	p.tellOvercommitment(loads, now)
@@ -326,7 +326,7 @@
 		}
 		*left--
 		id, name := j.ID, g.Name
-		p.Writer.Enqueue(&writer.Change{Expires: true, ExpiresAt: now.Add(tieEvery), Draft: func(d *ledger.Transaction) error {
+		p.Writer.Enqueue(&committer.Change{Expires: true, ExpiresAt: now.Add(tieEvery), Draft: func(d *ledger.Transaction) error {
 			j, g := p.led().Job(id), p.led().Gallery(name)
 			if j == nil || g == nil {
 				return ledger.ErrPreconditionFailed
@@ -342,7 +342,7 @@
 // judge moves a gallery to the state that it is in by what is on record.
 func (p *Tracker) judge(g *ledger.Gallery, inForce bool, now time.Time, ask func(wire.GalleryName, func(), func(*ledger.Transaction) error)) {
 	e := p.register.Entry(g.Name)
-	to, why := promise.Judge(p.facts(g, inForce, e), p.margin(), p.skew(), now)
+	to, why := deadline.Judge(p.facts(g, inForce, e), p.margin(), p.skew(), now)
 	if to == g.State {
 		return
 	}
@@ -364,7 +364,7 @@
 			return ledger.ErrPreconditionFailed
 		}
 		// What was decided may no longer hold by what is on record now.
-		if now, _ := promise.Judge(p.facts(g, inForce, e), p.margin(), p.skew(), now); now != to {
+		if now, _ := deadline.Judge(p.facts(g, inForce, e), p.margin(), p.skew(), now); now != to {
 			return ledger.ErrPreconditionFailed
 		}
 		if to == ledger.GalleryWithdrawn {
@@ -374,9 +374,9 @@
 	})
 }
 
-func (p *Tracker) facts(g *ledger.Gallery, inForce bool, e *promise.Entry) *promise.Facts {
+func (p *Tracker) facts(g *ledger.Gallery, inForce bool, e *deadline.Entry) *deadline.Facts {
 	n := p.needs[g.Name]
-	f := &promise.Facts{Date: g.Date().Time(), State: g.State, Count: g.Count, Need: n.longest,
+	f := &deadline.Facts{Date: g.Date().Time(), State: g.State, Count: g.Count, Need: n.longest,
 		Complete: e != nil && e.Complete, Withdrawn: inForce && e == nil}
 	if n.waiting {
 		for _, o := range p.led().Flavors() {
@@ -412,7 +412,7 @@
 }
 
 // tellOvercommitment warns once of galleries that the fleet, as it is now, can't all keep.
-func (p *Tracker) tellOvercommitment(loads []promise.Load, now time.Time) {
+func (p *Tracker) tellOvercommitment(loads []deadline.Load, now time.Time) {
 	machines := p.Roster.Len()
 	for _, o := range p.Members.Peers() {
 		machines += len(o.Status.Machines)
@@ -423,7 +423,7 @@
 	for i := range loads {
 		loads[i].Work /= float64(machines)
 	}
-	list := promise.Overcommitted(loads, now)
+	list := deadline.Overcommitted(loads, now)
 	if text := fmt.Sprint(list); text != p.over {
 		if p.over = text; len(list) > 0 {
 			p.log.Warn("more is promised than the fleet can do as it is", "galleries", list[:min(len(list), 20)], "of", len(list), "machines", machines)
--- a/internal/promises/promises_test.go
+++ b/internal/scheduler/deadlinetracker/promises_test.go
@@ -1,4 +1,4 @@
-package promises_test
+package deadlinetracker_test
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/parttest"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
 
@@ -16,7 +16,7 @@
 func BenchmarkLook(b *testing.B) {
 	for _, galleries := range []int{0, 5000} {
 		b.Run(fmt.Sprint(galleries), func(b *testing.B) {
-			p := parttest.New(b, 0)
+			p := controllertest.New(b, 0)
 			led := p.Mirror.Records()
 			now := time.Now()
 			p.Mirror.SetForTest(1, now)
@@ -28,7 +28,7 @@
 			for i := range galleries {
 				apply(fmt.Sprint(ledger.GalleryPrefix, "g-", i), fmt.Appendf(nil, `{"team":"free","dates":[{"at":1,"date":%d}],"since":1,"reg":1}`, now.Add(time.Hour).UnixMilli()))
 			}
-			for i, e := range parttest.NewFleet(16000).Records {
+			for i, e := range controllertest.NewFleet(16000).Records {
 				value := e.Value
 				if i < 3*galleries {
 					value = bytes.Replace(value, []byte(`,"at":`), fmt.Appendf(nil, `,"g":"g-%d","at":`, i%max(1, galleries)), 1)
--- a/internal/evidence/judge.go
+++ b/internal/scheduler/evidence/judge.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
 	"maddermill/wire"
 )
 
@@ -290,14 +290,14 @@
 )
 
 // FailuresToShare lists the latest failures on machines that report here, for other controllers.
-func (j *Judge) FailuresToShare(now time.Time) (out []mesh.Failure) {
+func (j *Judge) FailuresToShare(now time.Time) (out []peer.Failure) {
 	for i := len(j.failures) - 1; i >= 0 && len(out) < failuresTold; i-- {
 		f := j.failures[i]
 		if now.Sub(f.At) > toldFor {
 			break
 		}
 		if !f.Far {
-			out = append(out, mesh.Failure{Job: f.Job, Task: f.Task, Array: f.Array, Machine: f.Machine, Image: f.Image, Block: f.Block,
+			out = append(out, peer.Failure{Job: f.Job, Task: f.Task, Array: f.Array, Machine: f.Machine, Image: f.Image, Block: f.Block,
 				Done: f.before[0], At: f.At.UnixMilli()})
 		}
 	}
@@ -307,7 +307,7 @@
 // MergeFailures takes in failures that another controller tells of: they speak for and against jobs and
 // tasks, whose success is in the records. Machines are judged by who holds them, images and
 // blocks by each controller from what it sees.
-func (j *Judge) MergeFailures(list []mesh.Failure) {
+func (j *Judge) MergeFailures(list []peer.Failure) {
 	for i := len(list) - 1; i >= 0; i-- {
 		x := &list[i]
 		o := &Outcome{Machine: x.Machine, Job: x.Job, Task: x.Task, Array: x.Array, Image: x.Image, Block: x.Block, Failed: true, Far: true, At: time.UnixMilli(x.At)}
--- a/internal/evidence/suspects.go
+++ b/internal/scheduler/evidence/suspects.go
@@ -11,10 +11,10 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -22,21 +22,21 @@
 type Tracker struct {
 	SpotReclaims SpotReclaims // of spot machines, as the fleet's leader sees them
 
-	members *members.Membership // who tell of run times seen elsewhere
+	members *membership.Membership // who tell of run times seen elsewhere
 	stats   *metrics.Set
 	log     *slog.Logger
 
 	jobs    map[wire.JobID]*notes
 	errors  map[wire.MachineID]map[wire.JobID]time.Time // jobs whose tasks failed there
-	classes map[wire.Class]*mesh.ClassSum               // as seen here
+	classes map[wire.Class]*peer.ClassSum               // as seen here
 	claimed map[claimKey]time.Time                      // when a claim was first seen
 	judge   *Judge                                      // nil: two jobs that fail on a machine make it faulty
 }
 
 // New returns an empty book.
-func New(members *members.Membership, stats *metrics.Set, log *slog.Logger) *Tracker {
+func New(members *membership.Membership, stats *metrics.Set, log *slog.Logger) *Tracker {
 	return &Tracker{members: members, stats: stats, log: log, jobs: map[wire.JobID]*notes{}, errors: map[wire.MachineID]map[wire.JobID]time.Time{},
-		classes: map[wire.Class]*mesh.ClassSum{}, claimed: map[claimKey]time.Time{}}
+		classes: map[wire.Class]*peer.ClassSum{}, claimed: map[claimKey]time.Time{}}
 }
 
 // EnableQuarantine has machines judged by likelihood, and slow ones found.
@@ -103,7 +103,7 @@
 }
 
 // hear takes over what a peer knows.
-func (f *failures) hear(s *mesh.Suspect, at time.Time) {
+func (f *failures) hear(s *peer.Suspect, at time.Time) {
 	if f.on == nil {
 		f.on = map[wire.MachineID]time.Time{}
 	}
@@ -284,13 +284,13 @@
 
 // Suspects are told to peers: also jobs that have failed on one machine only, since
 // the other one may be theirs.
-func (b *Tracker) Suspects(now time.Time) []mesh.Suspect {
-	var out []mesh.Suspect
+func (b *Tracker) Suspects(now time.Time) []peer.Suspect {
+	var out []peer.Suspect
 	for id, n := range b.jobs {
 		if len(n.failures.on) == 0 || len(out) == mostTold {
 			continue
 		}
-		s := mesh.Suspect{Job: id, Done: n.done, Rounds: n.failures.rounds, RestMS: max(0, n.failures.until.Sub(now).Milliseconds())}
+		s := peer.Suspect{Job: id, Done: n.done, Rounds: n.failures.rounds, RestMS: max(0, n.failures.until.Sub(now).Milliseconds())}
 		s.Machines = slices.Sorted(maps.Keys(n.failures.on))
 		s.Machines = s.Machines[:min(len(s.Machines), enoughToBlame)]
 		out = append(out, s)
@@ -300,7 +300,7 @@
 
 // MergeSuspects takes over what a peer told of failures, but for those of a job a task of which has
 // completed since.
-func (b *Tracker) MergeSuspects(l *ledger.Ledger, list []mesh.Suspect, asked time.Time) {
+func (b *Tracker) MergeSuspects(l *ledger.Ledger, list []peer.Suspect, asked time.Time) {
 	for i := range list {
 		x := &list[i]
 		j := l.Job(x.Job)
@@ -346,7 +346,7 @@
 }
 
 // Failures are told to peers.
-func (b *Tracker) Failures(now time.Time) []mesh.Failure {
+func (b *Tracker) Failures(now time.Time) []peer.Failure {
 	if b.judge == nil {
 		return nil
 	}
@@ -354,7 +354,7 @@
 }
 
 // MergeFailures takes in what a peer tells.
-func (b *Tracker) MergeFailures(list []mesh.Failure) {
+func (b *Tracker) MergeFailures(list []peer.Failure) {
 	if b.judge != nil {
 		b.judge.MergeFailures(list)
 	}
--- a/internal/evidence/times.go
+++ b/internal/scheduler/evidence/times.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -19,7 +19,7 @@
 func (b *Tracker) ran(class wire.Class, ran, estimate time.Duration) {
 	o := b.classes[class]
 	if o == nil {
-		o = &mesh.ClassSum{Class: class}
+		o = &peer.ClassSum{Class: class}
 		b.classes[class] = o
 	}
 	// Older tasks fade, so that a change of mood is followed.
@@ -29,8 +29,8 @@
 }
 
 // Classes is what was seen here of the classes' run times, for peers.
-func (b *Tracker) Classes() []mesh.ClassSum {
-	out := make([]mesh.ClassSum, 0, len(b.classes))
+func (b *Tracker) Classes() []peer.ClassSum {
+	out := make([]peer.ClassSum, 0, len(b.classes))
 	for _, o := range b.classes {
 		out = append(out, *o)
 	}
@@ -41,7 +41,7 @@
 // all controllers have seen.
 func (b *Tracker) correction(class wire.Class) float64 {
 	var ran, estimated, count float64
-	add := func(o *mesh.ClassSum) {
+	add := func(o *peer.ClassSum) {
 		ran, estimated, count = ran+o.Ran, estimated+o.Estimated, count+o.Count
 	}
 	if o := b.classes[class]; o != nil {
--- a/internal/schedule/gather.go
+++ b/internal/scheduler/gather.go
@@ -1,11 +1,11 @@
-package schedule
+package scheduler
 
 import (
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/place"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -27,16 +27,16 @@
 // keeping is the room kept for late gangs, as told by a controller at a time.
 type keeping struct {
 	from wire.MemberID
-	list []mesh.Reservation
+	list []peer.Reservation
 	at   time.Time
 }
 
 // ReserveForOverdueGangs chooses, as the leader, the machines whose room late gangs are kept.
 func (s *Scheduler) ReserveForOverdueGangs(now time.Time) {
 	v := s.Snapshot(now)
-	list := []mesh.Reservation{}
-	for m, k := range place.ReserveForOverdueGangs(v) {
-		list = append(list, mesh.Reservation{Machine: m, Job: k.Job})
+	list := []peer.Reservation{}
+	for m, k := range placement.ReserveForOverdueGangs(v) {
+		list = append(list, peer.Reservation{Machine: m, Job: k.Job})
 	}
 	s.keeping = keeping{s.set.Member, list, now}
 	s.gathered(v, now)
@@ -53,7 +53,7 @@
 
 // GangReservations lists, for peers, the room that this controller keeps for late gangs as the leader: what
 // its predecessor kept until it has chosen itself.
-func (s *Scheduler) GangReservations(now time.Time) []mesh.Reservation {
+func (s *Scheduler) GangReservations(now time.Time) []peer.Reservation {
 	leads, _ := s.led().Leader()
 	if leads.Member != s.set.Member || !s.keeping.stands(leads.Member, now) {
 		return nil
@@ -63,7 +63,7 @@
 
 // ObserveGangReservations takes over what the fleet's leader keeps. asked is when it was asked for. A leader that
 // begins and knows of nothing that is kept ends nothing.
-func (s *Scheduler) ObserveGangReservations(from wire.MemberID, list []mesh.Reservation, asked, now time.Time) {
+func (s *Scheduler) ObserveGangReservations(from wire.MemberID, list []peer.Reservation, asked, now time.Time) {
 	if leads, _ := s.led().Leader(); leads.Member != from || asked.Before(s.keeping.at) && s.keeping.from == from {
 		return
 	}
@@ -77,7 +77,7 @@
 }
 
 // gathered has a picture keep what the leader does.
-func (s *Scheduler) gathered(v *place.Snapshot, now time.Time) {
+func (s *Scheduler) gathered(v *placement.Snapshot, now time.Time) {
 	v.GangReservations = nil
 	if leads, _ := s.led().Leader(); !s.keeping.stands(leads.Member, now) {
 		return
--- a/internal/schedule/pace_test.go
+++ b/internal/scheduler/pace_test.go
@@ -1,7 +1,7 @@
-package schedule_test
+package scheduler_test
 
 import (
-	"maddermill/internal/parttest"
+	"maddermill/internal/testing/controllertest"
 	"testing"
 	"time"
 )
@@ -19,7 +19,7 @@
 		{0.12, time.Second, 5 * time.Second},
 		{0, 400 * time.Millisecond, 1600 * time.Millisecond}, // no quota
 	} {
-		p := parttest.New(t, 0)
+		p := controllertest.New(t, 0)
 		p.Set.Cluster.Quota.CPUShare = tc.share
 		if got := p.Schedule.SnapshotInterval(tc.took).Truncate(time.Millisecond); got != tc.want {
 			t.Errorf("share %v, a pass of %v: the next after %v, want %v", tc.share, tc.took, got, tc.want)
--- a/internal/schedule/picture.go
+++ b/internal/scheduler/picture.go
@@ -1,13 +1,13 @@
-package schedule
+package scheduler
 
 import (
 	"time"
 
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/place"
-	"maddermill/internal/workers"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/state/ledger"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -35,7 +35,7 @@
 }
 
 // Snapshot is what placement decides from.
-func (s *Scheduler) Snapshot(now time.Time) *place.Snapshot {
+func (s *Scheduler) Snapshot(now time.Time) *placement.Snapshot {
 	if s.seen == nil || now.Sub(s.seenAt) > s.SnapshotInterval(s.seenTook) {
 		s.seenAt = now
 		s.seen = s.look(now)
@@ -46,13 +46,13 @@
 }
 
 // look makes a new picture.
-func (s *Scheduler) look(now time.Time) *place.Snapshot {
+func (s *Scheduler) look(now time.Time) *placement.Snapshot {
 	s.led().DrainChangedMachines(func(wire.MachineID) {}) // all are read anew
-	v := &place.Snapshot{Now: now, Queue: s.order(now), TeamRoom: s.led().TeamRoom, Machines: s.machines(now), Tree: s.places.Tree(),
-		Limits: place.Limits{Starts: s.set.Cluster.State.TxnOps, ColdStarts: s.set.Operators.ColdStarts, FetchAssumed: s.set.Operators.FetchMark,
+	v := &placement.Snapshot{Now: now, Queue: s.order(now), TeamRoom: s.led().TeamRoom, Machines: s.machines(now), Tree: s.places.Tree(),
+		Limits: placement.Limits{Starts: s.set.Cluster.State.TxnOps, ColdStarts: s.set.Operators.ColdStarts, FetchAssumed: s.set.Operators.FetchMark,
 			ReserveAfter: s.set.Operators.WithholdAfter, DeferCold: 3 * s.set.Cluster.Workers.Report.Duration()}}
 	if s.set.Operators.Preempt {
-		v.Victims = func(m *place.Machine) []place.Victim { return s.victims(m, v.Now) }
+		v.Victims = func(m *placement.Machine) []placement.Victim { return s.victims(m, v.Now) }
 	}
 	if s.policies.Prefers(s.led()) {
 		v.Prefer = func(m *policy.Machines) []uint32 { return s.policies.Prefer(s.led(), m, v.Now) }
@@ -63,8 +63,8 @@
 		}
 	}
 	s.believe(v.Machines)
-	place.KeepLargeGangsOffSpot(v.Queue, v.Machines, s.book.SpotReclaims.PerHour())
-	s.withheld = place.ReserveForHead(v, s.withheld)
+	placement.KeepLargeGangsOffSpot(v.Queue, v.Machines, s.book.SpotReclaims.PerHour())
+	s.withheld = placement.ReserveForHead(v, s.withheld)
 	v.HeadReservations = s.keptFor(now)
 	s.gathered(v, now)
 	v.Reserve()
@@ -76,7 +76,7 @@
 // believe takes it back that machines are slow, or faulty, where more of a type's machines in a
 // zone are than may be: then the judgement is wrong, or there is nothing left to choose from. The
 // next picture uses those that are not believed to be faulty.
-func (s *Scheduler) believe(machines []*place.Machine) {
+func (s *Scheduler) believe(machines []*placement.Machine) {
 	q := s.set.Operators.Quarantine
 	if !q.On {
 		return
@@ -125,9 +125,9 @@
 }
 
 // MachineOf is a machine held here, as placement sees it.
-func (s *Scheduler) MachineOf(w *workers.Worker, now time.Time) *place.Machine {
+func (s *Scheduler) MachineOf(w *reconcile.Worker, now time.Time) *placement.Machine {
 	block, up := s.places.Locate(w.ID, w.Addr, w.Zone)
-	m := &place.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken, Block: block,
+	m := &placement.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken, Block: block,
 		Images: s.roster.Images(s.led(), w), Usable: up && s.Usable(w, now), Owned: true,
 		Slow: s.book.Slow(w.ID), Faulty: s.book.Faulty(s.led(), w.ID, now)}
 	s.setRoom(m, now)
@@ -135,11 +135,11 @@
 }
 
 // machineOfPeer is a machine that a peer holds, as it was at a time.
-func (s *Scheduler) machineOfPeer(o *mesh.Machine, at, now time.Time) *place.Machine {
+func (s *Scheduler) machineOfPeer(o *peer.Machine, at, now time.Time) *placement.Machine {
 	f, _ := s.led().Flavor(o.Type)
 	block, up := s.places.Locate(o.ID, o.Endpoint, o.Zone)
-	m := &place.Machine{ID: o.ID, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Session: o.Session, Token: o.Token, Block: block,
-		Images: place.NewImages(f.CacheGB), Usable: up && o.Usable, Slow: o.Slow, Faulty: o.Faulty}
+	m := &placement.Machine{ID: o.ID, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Session: o.Session, Token: o.Token, Block: block,
+		Images: placement.NewImages(f.CacheGB), Usable: up && o.Usable, Slow: o.Slow, Faulty: o.Faulty}
 	for _, name := range o.Images {
 		m.Images.Used(name, 0)
 	}
@@ -150,7 +150,7 @@
 	return m
 }
 
-func (s *Scheduler) setRoom(m *place.Machine, now time.Time) {
+func (s *Scheduler) setRoom(m *placement.Machine, now time.Time) {
 	f, _ := s.led().Flavor(m.Type)
 	m.FetchGB, m.Busy = f.FetchGBps, s.Busy(m.ID, now)
 	m.Total = s.led().Total(m.Type)
@@ -167,11 +167,11 @@
 }
 
 // machines lists every machine that some controller has heard lately.
-func (s *Scheduler) machines(now time.Time) []*place.Machine {
+func (s *Scheduler) machines(now time.Time) []*placement.Machine {
 	silent, overdue := s.set.SilentAfter(), s.overdueAfter()
-	byID := map[wire.MachineID]*place.Machine{}
+	byID := map[wire.MachineID]*placement.Machine{}
 	heard := map[wire.MachineID]time.Time{}
-	s.roster.Each(func(w *workers.Worker) {
+	s.roster.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) < silent {
 			m := s.MachineOf(w, now)
 			m.Overdue = now.Sub(w.LastHeartbeat) > overdue
@@ -190,7 +190,7 @@
 			}
 		}
 	}
-	out := make([]*place.Machine, 0, len(byID))
+	out := make([]*placement.Machine, 0, len(byID))
 	for _, m := range byID {
 		out = append(out, m)
 	}
@@ -198,8 +198,8 @@
 }
 
 // order puts the jobs that have something to place into policy order.
-func (s *Scheduler) order(now time.Time) []place.Entry {
-	var entries []place.Entry
+func (s *Scheduler) order(now time.Time) []placement.Entry {
+	var entries []placement.Entry
 	s.led().Active(func(j *ledger.Job) {
 		n := s.notes(j.ID)
 		standing := s.book.RetryState(j, now)
@@ -210,7 +210,7 @@
 		if n.since.IsZero() {
 			n.since = now
 		}
-		e := place.Entry{Job: j, Retry: standing.Retry, Waiting: now.Sub(n.since), StartsPlanned: &n.taken, BackedOff: standing.Resting,
+		e := placement.Entry{Job: j, Retry: standing.Retry, Waiting: now.Sub(n.since), StartsPlanned: &n.taken, BackedOff: standing.Resting,
 			Avoid: standing.Avoid, CrashLooping: standing.Suspect}
 		entries = append(entries, e)
 	})
@@ -229,20 +229,20 @@
 		e := &entries[i]
 		e.Expected = s.book.Expected(e.Job)
 		e.LatestStart, e.Overdue, e.AlmostOverdue = s.startBy(e, now)
-		e.Plain = !e.Overdue && place.RunsWithoutAccelerator(e.Job, s.led().Flavors())
+		e.Plain = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.led().Flavors())
 	}
-	place.OrderBy(entries, now, s.policies.Decide(s.led(), now))
+	placement.OrderBy(entries, now, s.policies.Decide(s.led(), now))
 	return entries
 }
 
 // markBeyond marks the jobs that do not fit into their team's guarantee
 // together with the team's earlier unfinished jobs.
-func (s *Scheduler) markBeyond(entries []place.Entry) {
+func (s *Scheduler) markBeyond(entries []placement.Entry) {
 	sum := map[wire.Team]ledger.Resources{}
 	s.led().Active(func(j *ledger.Job) {
 		sum[j.Spec.Team] = sum[j.Spec.Team].Add(j.Need, j.Claimed)
 	})
-	place.Order(entries)
+	placement.Order(entries)
 	for i := range entries {
 		e := &entries[i]
 		t := s.set.Team(e.Job.Spec.Team)
--- a/internal/place/close.go
+++ b/internal/scheduler/placement/close.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/topology"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/place/close_test.go
+++ b/internal/scheduler/placement/close_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
-	"maddermill/internal/topology"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/state/ledger"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -57,12 +57,12 @@
 }
 
 // hall is a view of machines, eight a rack, of two tasks each.
-func hall(tree *topology.Tree, l *ledger.Ledger, blocks []topology.Block, rng *rand.Rand, full float64) *place.Snapshot {
-	v := &place.Snapshot{Now: start, TeamRoom: l.TeamRoom, Tree: tree, Limits: place.Limits{FetchAssumed: time.Minute, ColdStarts: 99, DeferCold: 9 * time.Second}}
+func hall(tree *topology.Tree, l *ledger.Ledger, blocks []topology.Block, rng *rand.Rand, full float64) *placement.Snapshot {
+	v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Tree: tree, Limits: placement.Limits{FetchAssumed: time.Minute, ColdStarts: 99, DeferCold: 9 * time.Second}}
 	for i, b := range blocks {
 		for k := range 8 {
-			m := &place.Machine{ID: wire.MachineID(fmt.Sprintf("host-%d-%d", i, k)), Type: "g", Zone: wire.Zone(tree.Path(b)[:1]), Usable: true, Spot: true, Block: b,
-				Total: ledger.NewResources(8, 0, 16), Images: place.NewImages(100), FetchGB: 1}
+			m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%d-%d", i, k)), Type: "g", Zone: wire.Zone(tree.Path(b)[:1]), Usable: true, Spot: true, Block: b,
+				Total: ledger.NewResources(8, 0, 16), Images: placement.NewImages(100), FetchGB: 1}
 			m.Free = m.Total
 			if rng.Float64() < full {
 				m.Free = ledger.NewResources(4*float64(rng.IntN(2)), 0, 16)
@@ -73,7 +73,7 @@
 	return v
 }
 
-func costOf(v *place.Snapshot, g place.GangStart) topology.Cost {
+func costOf(v *placement.Snapshot, g placement.GangStart) topology.Cost {
 	var on []topology.Block
 	var counts []int
 	for _, p := range g.Parts {
@@ -96,12 +96,12 @@
 			r := rand.New(rand.NewPCG(seed, 1))
 			v := hall(tree, l, blocks, r, 0.6)
 			for id := range 6 {
-				v.Queue = append(v.Queue, place.Entry{Job: submit(t, l, gangSpec(id, 2+r.IntN(7)))})
+				v.Queue = append(v.Queue, placement.Entry{Job: submit(t, l, gangSpec(id, 2+r.IntN(7)))})
 			}
 			if !with {
 				v.Tree = nil
 			}
-			gangs := place.PlaceGangs(v)
+			gangs := placement.PlaceGangs(v)
 			v.Tree = tree
 			for _, g := range gangs {
 				placed[i]++
@@ -131,8 +131,8 @@
 				m.Images.Used("i", 1) // one a rack
 			}
 		}
-		v.Queue = []place.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
-		gangs := place.PlaceGangs(v)
+		v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
+		gangs := placement.PlaceGangs(v)
 		if len(gangs) != 1 {
 			t.Fatalf("%s: not placed", setting)
 		}
@@ -167,18 +167,18 @@
 				}
 			}
 		}
-		v.Queue = []place.Entry{{Job: submit(t, l, gangSpec(1, tc.tasks)), Waiting: tc.waiting}}
-		if got := len(place.PlaceGangs(v)) == 1; got != tc.placed {
+		v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, tc.tasks)), Waiting: tc.waiting}}
+		if got := len(placement.PlaceGangs(v)) == 1; got != tc.placed {
 			t.Errorf("%d tasks after %v: placed %v", tc.tasks, tc.waiting, got)
 		}
 		// Nothing is stopped for a gang that has room and only waits for a closer place.
 		low := gangSpec(2, 1)
 		low.Shape, low.Priority, low.Checkpoint = wire.Array, wire.BestEffort, 5
 		lower := submit(t, l, low)
-		v.Victims = func(*place.Machine) []place.Victim {
-			return []place.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2}}, Saves: true}}
+		v.Victims = func(*placement.Machine) []placement.Victim {
+			return []placement.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2}}, Saves: true}}
 		}
-		if list := place.PlanPreemption(v); !tc.placed && len(list) > 0 {
+		if list := placement.PlanPreemption(v); !tc.placed && len(list) > 0 {
 			t.Errorf("%d tasks after %v: %d machines are emptied", tc.tasks, tc.waiting, len(list))
 		}
 	}
@@ -201,12 +201,12 @@
 		}
 		s := gangSpec(1, 1)
 		s.Shape = wire.Array
-		v.Queue = []place.Entry{{Job: submit(t, l, s), Waiting: tc.waiting}}
-		if got := place.PlaceOnMachine(v, v.Machines[0]); len(got) != tc.starts {
+		v.Queue = []placement.Entry{{Job: submit(t, l, s), Waiting: tc.waiting}}
+		if got := placement.PlaceOnMachine(v, v.Machines[0]); len(got) != tc.starts {
 			t.Errorf("%s: %d starts on an empty machine", tc.name, len(got))
 		}
 		if tc.broken {
-			if got := place.PlaceOnMachine(v, v.Machines[60]); len(got) != 1 {
+			if got := placement.PlaceOnMachine(v, v.Machines[60]); len(got) != 1 {
 				t.Errorf("%s: %d starts on the used machine", tc.name, len(got))
 			}
 		}
@@ -228,11 +228,11 @@
 			m.Usable = false // but for one rack that is whole, a third of the machines can be emptied
 		}
 	}
-	v.Victims = func(m *place.Machine) []place.Victim {
-		return []place.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2, Machine: m.ID}}, Saves: true}}
+	v.Victims = func(m *placement.Machine) []placement.Victim {
+		return []placement.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2, Machine: m.ID}}, Saves: true}}
 	}
-	v.Queue = []place.Entry{{Job: submit(t, l, gangSpec(1, 16))}}
-	list := place.PlanPreemption(v)
+	v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 16))}}
+	list := placement.PlanPreemption(v)
 	tasks := 0
 	for _, x := range list {
 		tasks += x.Tasks
@@ -258,9 +258,9 @@
 			for _, i := range []int{2, 3, 5, 6} {
 				v.Machines[i].Images.Used("i", 1)
 			}
-			v.Queue = []place.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
+			v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
 			var out []string
-			for _, p := range place.PlaceGangs(v)[0].Parts {
+			for _, p := range placement.PlaceGangs(v)[0].Parts {
 				out = append(out, string(p.Site.Machine))
 			}
 			slices.Sort(out)
--- a/internal/place/images.go
+++ b/internal/scheduler/placement/images.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"maps"
--- a/internal/place/late.go
+++ b/internal/scheduler/placement/late.go
@@ -1,11 +1,11 @@
-package place
+package placement
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/place/late_test.go
+++ b/internal/scheduler/placement/late_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -18,7 +18,7 @@
 	l        *ledger.Ledger
 	bound    time.Duration
 	now      time.Time
-	machines []*place.Machine
+	machines []*placement.Machine
 	at       map[string]time.Time // when attempts were first seen to run
 	queue    []*job
 	version  wire.Revision
@@ -36,8 +36,8 @@
 		l: ledger.New(ledger.Limits{ValueBytes: 1 << 20, TxnOps: 4096, TxnBytes: 1 << 24, TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 20, 0)}})}
 	s.apply(ledger.Event{Key: ledger.FlavorKey("g"), Value: []byte(`{"sku":"g","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
 	for i := range machines {
-		m := &place.Machine{ID: wire.MachineID(fmt.Sprintf("host-%03d", i)), Type: "g", Zone: []wire.Zone{"a", "b"}[i%2], Session: 1, Token: 1, Usable: true, Owned: true,
-			Total: ledger.NewResources(8, 2, 32), Images: place.NewImages(100), FetchGB: 0.25}
+		m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%03d", i)), Type: "g", Zone: []wire.Zone{"a", "b"}[i%2], Session: 1, Token: 1, Usable: true, Owned: true,
+			Total: ledger.NewResources(8, 2, 32), Images: placement.NewImages(100), FetchGB: 0.25}
 		m.Images.Used("i", 5)
 		s.machines = append(s.machines, m)
 	}
@@ -96,8 +96,8 @@
 		}
 		s.commit(func(d *ledger.Transaction) error { _, err := d.ReleaseTasks(h.Job, h.Claim, tasks, true); return err })
 	}
-	v := &place.Snapshot{Now: s.now, TeamRoom: s.l.TeamRoom, Machines: s.machines,
-		Limits: place.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
+	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.TeamRoom, Machines: s.machines,
+		Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
 	left := s.queue[:0]
 	for _, q := range s.queue {
 		j := s.l.Job(q.id)
@@ -108,12 +108,12 @@
 		if j.Pending() == 0 {
 			continue
 		}
-		e := place.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), Expected: q.run}
+		e := placement.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), Expected: q.run}
 		if aim := j.Accepted.Time().Add(60 * time.Second); aim.After(s.now) {
 			e.LatestStart = aim
 		}
 		if s.bound > 0 {
-			latest := place.LatestStart(j.Accepted.Time(), s.bound, j.Spec.ImageGB, 0.25)
+			latest := placement.LatestStart(j.Accepted.Time(), s.bound, j.Spec.ImageGB, 0.25)
 			if e.Overdue = !s.now.Before(latest); e.Overdue || e.LatestStart.IsZero() {
 				e.LatestStart = latest
 			}
@@ -121,21 +121,21 @@
 		v.Queue = append(v.Queue, e)
 	}
 	s.queue = left
-	place.Order(v.Queue)
+	placement.Order(v.Queue)
 	for _, m := range s.machines {
 		m.Free, m.Busy = s.l.Free(m.Site()), nil
 		for _, h := range s.l.HeldBy(m.ID) {
-			m.Busy = append(m.Busy, place.ExpectedRelease{Until: s.since(h).Add(s.runOf(h.Job.ID)), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
+			m.Busy = append(m.Busy, placement.ExpectedRelease{Until: s.since(h).Add(s.runOf(h.Job.ID)), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
 		}
 	}
-	v.HeadReservations = place.ReserveForHead(v, nil)
+	v.HeadReservations = placement.ReserveForHead(v, nil)
 	v.Reserve()
 	if s.bound > 0 {
-		v.GangReservations = place.ReserveForOverdueGangs(v)
+		v.GangReservations = placement.ReserveForOverdueGangs(v)
 		v.ReserveTeamLimits()
 	}
 	for _, m := range s.machines { // reports come before the leader's pass
-		for _, st := range place.PlaceOnMachine(v, m) {
+		for _, st := range placement.PlaceOnMachine(v, m) {
 			p := ledger.GangPart{Site: m.Site(), Count: st.Count}
 			if s.commit(func(d *ledger.Transaction) error {
 				if st.Job.Spec.Shape == wire.Gang {
@@ -149,7 +149,7 @@
 			m.Free = s.l.Free(m.Site())
 		}
 	}
-	for _, g := range place.PlaceGangs(v) {
+	for _, g := range placement.PlaceGangs(v) {
 		if s.commit(func(d *ledger.Transaction) error { return d.ClaimGang(g.Entry.Job, g.Parts) }) {
 			s.mark(g.Entry.Job)
 		}
--- a/internal/place/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -1,10 +1,10 @@
-package place
+package placement
 
 import (
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/topology"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/place/place.go
+++ b/internal/scheduler/placement/place.go
@@ -1,16 +1,16 @@
-// Package place is the design's placement path: on a report of free room, jobs
+// Package placement is the design's placement path: on a report of free room, jobs
 // in policy order are each offered a task whose image the machine caches, else
 // one being fetched there, else a capped cold start. It does no I/O and is told
 // the time.
-package place
+package placement
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/topology"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/state/ledger"
 	"maddermill/policy"
 	"maddermill/wire"
 )
--- a/internal/place/place_test.go
+++ b/internal/scheduler/placement/place_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/model"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/model"
 	"maddermill/wire"
 )
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func jobs(t *testing.T, rng *rand.Rand, l *ledger.Ledger, n int) []place.Entry {
+func jobs(t *testing.T, rng *rand.Rand, l *ledger.Ledger, n int) []placement.Entry {
 	t.Helper()
-	var out []place.Entry
+	var out []placement.Entry
 	for i := range n {
 		s := &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Class: "c", Team: []wire.Team{"free", "capped"}[rng.IntN(2)],
 			Shape: wire.Array, Priority: []wire.Priority{wire.Production, wire.High, wire.Normal, wire.BestEffort}[rng.IntN(4)],
@@ -33,20 +33,20 @@
 		txn, _ := d.Txn()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
 		taken := rng.IntN(2) * rng.IntN(2)
-		out = append(out, place.Entry{Job: l.Job(s.ID), OverGuarantee: rng.IntN(2) == 0, StartsPlanned: &taken, Waiting: time.Duration(rng.IntN(20)) * time.Second,
+		out = append(out, placement.Entry{Job: l.Job(s.ID), OverGuarantee: rng.IntN(2) == 0, StartsPlanned: &taken, Waiting: time.Duration(rng.IntN(20)) * time.Second,
 			LatestStart: start.Add(time.Duration(rng.IntN(30)) * time.Second),
 			Retry:       start.Add(time.Duration(rng.IntN(8)-6) * time.Second), Overdue: rng.IntN(4) == 0})
 	}
-	place.Order(out)
+	placement.Order(out)
 	return out
 }
 
-func machine(rng *rand.Rand, id int) *place.Machine {
-	m := &place.Machine{ID: wire.MachineID(fmt.Sprint("host-", id)), Type: "g", Zone: []wire.Zone{"a", "b"}[rng.IntN(2)], Spot: rng.IntN(2) == 0,
-		Total: ledger.NewResources(8, 4, 16), Images: place.NewImages(100), Usable: rng.IntN(5) > 0, FetchGB: 1}
+func machine(rng *rand.Rand, id int) *placement.Machine {
+	m := &placement.Machine{ID: wire.MachineID(fmt.Sprint("host-", id)), Type: "g", Zone: []wire.Zone{"a", "b"}[rng.IntN(2)], Spot: rng.IntN(2) == 0,
+		Total: ledger.NewResources(8, 4, 16), Images: placement.NewImages(100), Usable: rng.IntN(5) > 0, FetchGB: 1}
 	m.Free = ledger.NewResources(float64(rng.IntN(9)), float64(rng.IntN(5)), 16)
 	if used := (ledger.Resources{CPU: m.Total.CPU - m.Free.CPU, GPU: m.Total.GPU - m.Free.GPU}); rng.IntN(2) == 0 {
-		m.Busy = []place.ExpectedRelease{{Until: start.Add(time.Duration(rng.IntN(20)) * time.Second), Room: used}}
+		m.Busy = []placement.ExpectedRelease{{Until: start.Add(time.Duration(rng.IntN(20)) * time.Second), Room: used}}
 	}
 	for i := range 4 {
 		switch rng.IntN(4) {
@@ -69,8 +69,8 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000,
 			TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(5, 3, 0)}})
-		v := &place.Snapshot{Now: start, Queue: jobs(t, rng, l, 1+rng.IntN(8)), TeamRoom: l.TeamRoom, FetchesInFlight: rng.IntN(3),
-			Limits:           place.Limits{ColdStarts: 2, FetchAssumed: time.Minute, DeferCold: 9 * time.Second},
+		v := &placement.Snapshot{Now: start, Queue: jobs(t, rng, l, 1+rng.IntN(8)), TeamRoom: l.TeamRoom, FetchesInFlight: rng.IntN(3),
+			Limits:           placement.Limits{ColdStarts: 2, FetchAssumed: time.Minute, DeferCold: 9 * time.Second},
 			HeadReservations: map[wire.MachineID]wire.JobID{}}
 		for i := range 3 {
 			v.Machines = append(v.Machines, machine(rng, i))
@@ -89,7 +89,7 @@
 		m := v.Machines[0]
 		want := model.OnRoom(v, m)
 		got := map[wire.JobID]int{}
-		for _, s := range place.PlaceOnMachine(v, m) {
+		for _, s := range placement.PlaceOnMachine(v, m) {
 			got[s.Job.ID] += s.Count
 		}
 		if !maps.Equal(got, want) {
@@ -116,7 +116,7 @@
 		_ = d.Submit(s, 1)
 		txn, _ := d.Txn()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
-		v := &place.Snapshot{Now: start, TeamRoom: l.TeamRoom, Queue: []place.Entry{{Job: l.Job(s.ID)}}}
+		v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Queue: []placement.Entry{{Job: l.Job(s.ID)}}}
 		for i := range 5 {
 			v.Machines = append(v.Machines, machine(rng, i))
 		}
@@ -124,7 +124,7 @@
 		for _, m := range v.Machines {
 			free[m.ID] = m.Free
 		}
-		starts := place.PlaceGangs(v)
+		starts := placement.PlaceGangs(v)
 		if len(starts) == 0 {
 			continue
 		}
@@ -145,7 +145,7 @@
 }
 
 func TestImagesForgetTheLeastRecentlyUsed(t *testing.T) {
-	c := place.NewImages(10)
+	c := placement.NewImages(10)
 	c.Used("a", 4)
 	c.Used("b", 4)
 	c.Used("a", 4)
@@ -164,7 +164,7 @@
 func TestOrderIsThePolicy(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	now := time.Unix(1_800_000_000, 0)
-	plain := func(a, b place.Entry) bool {
+	plain := func(a, b placement.Entry) bool {
 		mark := map[bool]int{true: 1}
 		for _, c := range [][2]int64{
 			{int64(mark[a.CrashLooping]), int64(mark[b.CrashLooping])},
@@ -182,18 +182,18 @@
 		return a.Job.ID < b.Job.ID
 	}
 	for range 50 {
-		var queue []place.Entry
+		var queue []placement.Entry
 		for i := range rng.IntN(80) {
 			j := &ledger.Job{ID: wire.JobID(fmt.Sprintf("wk-%06d", rng.IntN(1000)*1000+i)), Accepted: wire.UnixMillis(rng.IntN(4)),
 				Spec: &wire.JobSpec{Shape: []wire.Shape{wire.Array, wire.Gang}[rng.IntN(2)], Tasks: 1 + rng.IntN(3),
 					Priority: []wire.Priority{wire.Production, wire.High, wire.Normal, wire.BestEffort}[rng.IntN(4)]}}
-			e := place.Entry{Job: j, OverGuarantee: rng.IntN(3) == 0, CrashLooping: rng.IntN(5) == 0}
+			e := placement.Entry{Job: j, OverGuarantee: rng.IntN(3) == 0, CrashLooping: rng.IntN(5) == 0}
 			if rng.IntN(4) > 0 {
 				e.LatestStart = now.Add(time.Duration(rng.IntN(60)) * time.Second)
 			}
 			queue = append(queue, e)
 		}
-		place.Order(queue)
+		placement.Order(queue)
 		for i := 1; i < len(queue); i++ {
 			if plain(queue[i], queue[i-1]) {
 				t.Fatalf("%+v comes after %+v", queue[i], queue[i-1])
@@ -202,7 +202,7 @@
 	}
 }
 
-func plainStart(e place.Entry) int64 {
+func plainStart(e placement.Entry) int64 {
 	if e.LatestStart.IsZero() {
 		return 1 << 60
 	}
@@ -221,16 +221,16 @@
 		}
 		txn, _ := d.Txn()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
-		v := &place.Snapshot{Now: start, TeamRoom: l.TeamRoom, Queue: []place.Entry{{Job: l.Job(s.ID)}}}
+		v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Queue: []placement.Entry{{Job: l.Job(s.ID)}}}
 		for i := range 2 + others {
-			m := &place.Machine{ID: wire.MachineID(fmt.Sprint("host-", i)), Type: "g", Zone: "a", Total: ledger.NewResources(8, 4, 16),
-				Free: ledger.NewResources(8, 4, 16), Images: place.NewImages(100), Usable: true, FetchGB: 1, Overdue: i < 2}
+			m := &placement.Machine{ID: wire.MachineID(fmt.Sprint("host-", i)), Type: "g", Zone: "a", Total: ledger.NewResources(8, 4, 16),
+				Free: ledger.NewResources(8, 4, 16), Images: placement.NewImages(100), Usable: true, FetchGB: 1, Overdue: i < 2}
 			if m.Overdue {
 				m.Images.Used("i1", 5)
 			}
 			v.Machines = append(v.Machines, m)
 		}
-		starts := place.PlaceGangs(v)
+		starts := placement.PlaceGangs(v)
 		if len(starts) != 1 {
 			t.Fatalf("%d others: %d gangs placed", others, len(starts))
 		}
--- a/internal/place/plain.go
+++ b/internal/scheduler/placement/plain.go
@@ -1,7 +1,7 @@
-package place
+package placement
 
 import (
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/place/plain_test.go
+++ b/internal/scheduler/placement/plain_test.go
@@ -1,11 +1,11 @@
-package place
+package placement
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
