--- a/internal/place/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -23,50 +23,50 @@
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 		return l.Job(id)
 	}
-	machine := func(id wire.MachineID, free float64, cached bool) *place.Machine {
-		m := &place.Machine{ID: id, Type: "g", Zone: "a", Usable: true, Total: ledger.NewResources(0, 4, 0),
-			Free: ledger.NewResources(0, free, 0), Images: place.NewImages(10)}
+	machine := func(id wire.MachineID, free float64, cached bool) *placement.Machine {
+		m := &placement.Machine{ID: id, Type: "g", Zone: "a", Usable: true, Total: ledger.NewResources(0, 4, 0),
+			Free: ledger.NewResources(0, free, 0), Images: placement.NewImages(10)}
 		if cached {
 			m.Images.Used("i", 1)
 		}
 		return m
 	}
 	high := job("wk-000001", wire.High, 4)
-	victim := func(p wire.Priority, saves bool) place.Victim {
-		return place.Victim{Held: ledger.HeldClaim{Job: job("wk-000002", p, 2), Claim: ledger.Claim{Count: 1}}, Saves: saves, Ran: 30e9}
+	victim := func(p wire.Priority, saves bool) placement.Victim {
+		return placement.Victim{Held: ledger.HeldClaim{Job: job("wk-000002", p, 2), Claim: ledger.Claim{Count: 1}}, Saves: saves, Ran: 30e9}
 	}
 	for _, tc := range []struct {
 		name     string
-		machines []*place.Machine
-		victims  map[wire.MachineID][]place.Victim
+		machines []*placement.Machine
+		victims  map[wire.MachineID][]placement.Victim
 		withheld map[wire.MachineID]wire.JobID
 		want     wire.MachineID
 		stopped  int
 	}{
-		{"two lower tasks make room", []*place.Machine{machine("m1", 0, false)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true), victim(wire.Normal, true)}}, nil, "m1", 2},
-		{"one is enough", []*place.Machine{machine("m1", 2, false)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true), victim(wire.Normal, true)}}, nil, "m1", 1},
-		{"it would not be enough", []*place.Machine{machine("m1", 0, false)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true)}}, nil, "", 0},
-		{"the same priority", []*place.Machine{machine("m1", 2, false)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.High, true)}}, nil, "", 0},
-		{"much unsaved work", []*place.Machine{machine("m1", 2, false)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, false)}}, nil, "", 0},
-		{"the machine that caches the image", []*place.Machine{machine("m1", 2, false), machine("m2", 0, true)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true)}, "m2": {victim(wire.Normal, true), victim(wire.Normal, true)}}, nil, "m2", 2},
-		{"room and image elsewhere", []*place.Machine{machine("m1", 2, true), machine("m2", 4, true)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true)}}, nil, "", 0},
-		{"room without the image elsewhere: only a machine that caches it", []*place.Machine{machine("m1", 2, false), machine("m2", 4, false)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true)}}, nil, "", 0},
-		{"one is being emptied already", []*place.Machine{machine("m1", 2, true), machine("m2", 2, true)},
-			map[wire.MachineID][]place.Victim{"m1": {victim(wire.Normal, true)}}, map[wire.MachineID]wire.JobID{"m2": "wk-000001"}, "", 0},
+		{"two lower tasks make room", []*placement.Machine{machine("m1", 0, false)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true), victim(wire.Normal, true)}}, nil, "m1", 2},
+		{"one is enough", []*placement.Machine{machine("m1", 2, false)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true), victim(wire.Normal, true)}}, nil, "m1", 1},
+		{"it would not be enough", []*placement.Machine{machine("m1", 0, false)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true)}}, nil, "", 0},
+		{"the same priority", []*placement.Machine{machine("m1", 2, false)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.High, true)}}, nil, "", 0},
+		{"much unsaved work", []*placement.Machine{machine("m1", 2, false)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, false)}}, nil, "", 0},
+		{"the machine that caches the image", []*placement.Machine{machine("m1", 2, false), machine("m2", 0, true)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true)}, "m2": {victim(wire.Normal, true), victim(wire.Normal, true)}}, nil, "m2", 2},
+		{"room and image elsewhere", []*placement.Machine{machine("m1", 2, true), machine("m2", 4, true)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true)}}, nil, "", 0},
+		{"room without the image elsewhere: only a machine that caches it", []*placement.Machine{machine("m1", 2, false), machine("m2", 4, false)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true)}}, nil, "", 0},
+		{"one is being emptied already", []*placement.Machine{machine("m1", 2, true), machine("m2", 2, true)},
+			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true)}}, map[wire.MachineID]wire.JobID{"m2": "wk-000001"}, "", 0},
 	} {
-		v := &place.Snapshot{Now: start, Queue: []place.Entry{{Job: high}}, Machines: tc.machines, HeadReservations: tc.withheld,
+		v := &placement.Snapshot{Now: start, Queue: []placement.Entry{{Job: high}}, Machines: tc.machines, HeadReservations: tc.withheld,
 			TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-			Victims:  func(m *place.Machine) []place.Victim { return tc.victims[m.ID] }}
-		var x *place.Eviction
-		if list := place.Evict(v); len(list) > 0 {
+			Victims:  func(m *placement.Machine) []placement.Victim { return tc.victims[m.ID] }}
+		var x *placement.Eviction
+		if list := placement.Evict(v); len(list) > 0 {
 			x = list[0]
 		}
 		switch {
@@ -91,13 +91,13 @@
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 		return l.Job(id)
 	}
-	machine := func(id wire.MachineID, zone wire.Zone, free float64) *place.Machine {
-		return &place.Machine{ID: id, Type: "g", Zone: zone, Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, free, 0), Images: place.NewImages(10)}
+	machine := func(id wire.MachineID, zone wire.Zone, free float64) *placement.Machine {
+		return &placement.Machine{ID: id, Type: "g", Zone: zone, Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, free, 0), Images: placement.NewImages(10)}
 	}
-	lower := place.Victim{Held: ledger.HeldClaim{Job: job("wk-000009", wire.Array, wire.BestEffort, 1, false), Claim: ledger.Claim{Count: 1}}, Saves: true}
-	same := place.Victim{Held: ledger.HeldClaim{Job: job("wk-000008", wire.Array, wire.High, 1, false), Claim: ledger.Claim{Count: 1}}, Saves: true}
-	full := []*place.Machine{machine("m1", "a", 0), machine("m2", "b", 0), machine("m3", "b", 2)}
-	on := map[wire.MachineID][]place.Victim{"m1": {lower, lower}, "m2": {lower}, "m3": {same, lower}}
+	lower := placement.Victim{Held: ledger.HeldClaim{Job: job("wk-000009", wire.Array, wire.BestEffort, 1, false), Claim: ledger.Claim{Count: 1}}, Saves: true}
+	same := placement.Victim{Held: ledger.HeldClaim{Job: job("wk-000008", wire.Array, wire.High, 1, false), Claim: ledger.Claim{Count: 1}}, Saves: true}
+	full := []*placement.Machine{machine("m1", "a", 0), machine("m2", "b", 0), machine("m3", "b", 2)}
+	on := map[wire.MachineID][]placement.Victim{"m1": {lower, lower}, "m2": {lower}, "m3": {same, lower}}
 	for _, tc := range []struct {
 		name     string
 		tasks    int
@@ -111,11 +111,11 @@
 		{"more than one zone has", 4, true, nil, nil},
 		{"room is being made", 3, false, map[wire.MachineID]wire.JobID{"m1": "wk-000001"}, nil},
 	} {
-		v := &place.Snapshot{Now: start, Queue: []place.Entry{{Job: job("wk-000001", wire.Gang, wire.High, tc.tasks, tc.oneZone)}}, Machines: full, HeadReservations: tc.withheld,
+		v := &placement.Snapshot{Now: start, Queue: []placement.Entry{{Job: job("wk-000001", wire.Gang, wire.High, tc.tasks, tc.oneZone)}}, Machines: full, HeadReservations: tc.withheld,
 			TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-			Victims:  func(m *place.Machine) []place.Victim { return on[m.ID] }}
+			Victims:  func(m *placement.Machine) []placement.Victim { return on[m.ID] }}
 		got := map[wire.MachineID]int{}
-		for _, x := range place.PlanPreemption(v) {
+		for _, x := range placement.PlanPreemption(v) {
 			got[x.Machine.ID] = x.Tasks
 		}
 		if len(got) != len(tc.want) {
@@ -149,34 +149,34 @@
 			return l.Job(s.ID)
 		}
 		priorities := []wire.Priority{wire.High, wire.Normal, wire.BestEffort}
-		var machines []*place.Machine
-		victims := map[wire.MachineID][]place.Victim{}
+		var machines []*placement.Machine
+		victims := map[wire.MachineID][]placement.Victim{}
 		for i := range 12 {
-			m := &place.Machine{ID: wire.MachineID(fmt.Sprint("m", i)), Type: wire.MachineTypeName(fmt.Sprint("g", rng.IntN(2))), Zone: wire.Zone(fmt.Sprint("z", rng.IntN(2))), Spot: rng.IntN(2) == 0,
-				Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, float64(rng.IntN(5)/4), 0), Images: place.NewImages(10)}
+			m := &placement.Machine{ID: wire.MachineID(fmt.Sprint("m", i)), Type: wire.MachineTypeName(fmt.Sprint("g", rng.IntN(2))), Zone: wire.Zone(fmt.Sprint("z", rng.IntN(2))), Spot: rng.IntN(2) == 0,
+				Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, float64(rng.IntN(5)/4), 0), Images: placement.NewImages(10)}
 			if rng.IntN(3) == 0 {
 				m.Images.Used(wire.Image(fmt.Sprint("i", rng.IntN(2))), 1)
 			}
 			machines = append(machines, m)
 			for range rng.IntN(3) {
-				victims[m.ID] = append(victims[m.ID], place.Victim{Held: ledger.HeldClaim{Job: one("wk-000099", priorities[rng.IntN(3)]), Claim: ledger.Claim{Count: 1}},
+				victims[m.ID] = append(victims[m.ID], placement.Victim{Held: ledger.HeldClaim{Job: one("wk-000099", priorities[rng.IntN(3)]), Claim: ledger.Claim{Count: 1}},
 					Saves: rng.IntN(3) > 0, Beyond: rng.IntN(3) == 0, Ran: time.Duration(rng.IntN(20)) * time.Second})
 			}
 		}
-		var queue []place.Entry
+		var queue []placement.Entry
 		for i := range 20 {
-			queue = append(queue, place.Entry{Job: one(fmt.Sprintf("wk-%06d", i), priorities[rng.IntN(2)]), OverGuarantee: rng.IntN(4) == 0})
+			queue = append(queue, placement.Entry{Job: one(fmt.Sprintf("wk-%06d", i), priorities[rng.IntN(2)]), OverGuarantee: rng.IntN(4) == 0})
 		}
 		evict := func(shared bool) (out []string) {
-			v := &place.Snapshot{Now: start, Queue: slices.Clone(queue), Machines: machines, HeadReservations: map[wire.MachineID]wire.JobID{"m3": "wk-000002"},
+			v := &placement.Snapshot{Now: start, Queue: slices.Clone(queue), Machines: machines, HeadReservations: map[wire.MachineID]wire.JobID{"m3": "wk-000002"},
 				TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-				Victims:  func(m *place.Machine) []place.Victim { return victims[m.ID] }}
+				Victims:  func(m *placement.Machine) []placement.Victim { return victims[m.ID] }}
 			for i := range v.Queue {
 				if !shared {
 					v.Queue[i].Avoid = func(wire.MachineID) bool { return false }
 				}
 			}
-			for _, x := range place.Evict(v) {
+			for _, x := range placement.Evict(v) {
 				out = append(out, fmt.Sprint(x.Entry.Job.ID, x.Machine.ID, len(x.Victims)))
 			}
 			return out
--- a/internal/place/prefer.go
+++ b/internal/scheduler/placement/prefer.go
@@ -1,9 +1,9 @@
-package place
+package placement
 
 import (
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/policy"
 	"maddermill/wire"
 )
--- a/internal/place/scale_test.go
+++ b/internal/scheduler/placement/scale_test.go
@@ -1,22 +1,22 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"maddermill/internal/fleet"
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/leader/autoscale"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
 // crowd is a deployment where all machines but a few are full and every job waits.
-func crowd(t *testing.T, machines, waiting int) (*place.Snapshot, *ledger.Ledger) {
+func crowd(t *testing.T, machines, waiting int) (*placement.Snapshot, *ledger.Ledger) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
-	v := &place.Snapshot{Now: start, TeamRoom: l.TeamRoom, Limits: place.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
-		Victims: func(*place.Machine) []place.Victim { return nil }}
+	v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
+		Victims: func(*placement.Machine) []placement.Victim { return nil }}
 	for i := range waiting {
 		s := &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal,
 			Tasks: 1 + rng.IntN(30), CPUs: 1, GPUs: 1, Image: wire.Image(fmt.Sprint("i", i%40)), ImageGB: 5, Spot: true}
@@ -29,12 +29,12 @@
 		}
 		txn, _ := d.Txn()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
-		v.Queue = append(v.Queue, place.Entry{Job: l.Job(s.ID), LatestStart: start.Add(1e9)})
+		v.Queue = append(v.Queue, placement.Entry{Job: l.Job(s.ID), LatestStart: start.Add(1e9)})
 	}
-	place.Order(v.Queue)
+	placement.Order(v.Queue)
 	for i := range machines {
-		m := &place.Machine{ID: wire.MachineID(fmt.Sprintf("host-%06d", i)), Type: "g", Zone: []wire.Zone{"a", "b", "c"}[i%3], Usable: true,
-			Total: ledger.NewResources(8, 2, 16), Images: place.NewImages(100), FetchGB: 1, Spot: i%2 == 0}
+		m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%06d", i)), Type: "g", Zone: []wire.Zone{"a", "b", "c"}[i%3], Usable: true,
+			Total: ledger.NewResources(8, 2, 16), Images: placement.NewImages(100), FetchGB: 1, Spot: i%2 == 0}
 		for range 6 {
 			m.Images.Used(wire.Image(fmt.Sprint("i", rng.IntN(40))), 5)
 		}
@@ -59,11 +59,11 @@
 		f()
 		return v.Examined - before
 	}
-	place.PlaceOnMachine(v, v.Machines[100]) // makes the indexes
+	placement.PlaceOnMachine(v, v.Machines[100]) // makes the indexes
 	full, roomy := 0, 0
 	for _, m := range v.Machines {
 		free := m.Free
-		n := looked(func() { place.PlaceOnMachine(v, v.UpdateMachine(m)) })
+		n := looked(func() { placement.PlaceOnMachine(v, v.UpdateMachine(m)) })
 		if free == m.Total {
 			roomy += n
 		} else {
@@ -76,19 +76,19 @@
 	if most := machines / 100 * 4 * waiting; roomy == 0 || roomy > most {
 		t.Errorf("%d reports with room looked at %d, more than %d", machines/100, roomy, most)
 	}
-	if n := looked(func() { place.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
+	if n := looked(func() { placement.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
 		t.Errorf("placing gangs looked at %d", n)
 	}
-	in := &fleet.Input{Now: start, TeamRoom: l.TeamRoom, Queue: v.Queue, OutOfCapacity: func(fleet.MachineOption) bool { return true },
+	in := &autoscale.Input{Now: start, TeamRoom: l.TeamRoom, Queue: v.Queue, OutOfCapacity: func(autoscale.MachineOption) bool { return true },
 		Flavors: map[wire.MachineTypeName]wire.MachineType{"g": {Name: "g", CPUs: 8, GPUs: 2, MemoryGB: 16, Price: 1, Boot: 60, Zones: []wire.Zone{"a"}}}}
 	for i, m := range v.Machines {
-		u := fleet.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Usable: true, Total: m.Total}
+		u := autoscale.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Usable: true, Total: m.Total}
 		if i%100 != 0 {
-			u.Busy = []place.ExpectedRelease{{Until: start.Add(3600e9), Room: m.Total}}
+			u.Busy = []placement.ExpectedRelease{{Until: start.Add(3600e9), Room: m.Total}}
 		}
 		in.Units = append(in.Units, u)
 	}
-	fleet.ComputePlan(in)
+	autoscale.ComputePlan(in)
 	if most := waiting * machines / 100; in.MachinesExamined == 0 || in.MachinesExamined > most {
 		t.Errorf("a plan looked at %d machines, more than %d", in.MachinesExamined, most)
 	}
--- a/internal/schedule/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,16 +1,16 @@
-package schedule
+package scheduler
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/place"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/workers"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -28,7 +28,7 @@
 // no machine has room for.
 func (s *Scheduler) Preempt(ctx context.Context) error {
 	for s.set.Operators.Preempt && ctx.Err() == nil {
-		clock.Sleep(ctx, time.Second)
+		wait.For(ctx, time.Second)
 		s.mirror.Lock()
 		if now := time.Now(); s.mirror.SyncedWithin(now, settings.StartContact) {
 			s.makeRoom(now)
@@ -40,7 +40,7 @@
 
 func (s *Scheduler) makeRoom(now time.Time) {
 	v := s.Snapshot(now)
-	for _, x := range place.Evict(v) {
+	for _, x := range placement.Evict(v) {
 		if w := s.roster.Worker(x.Machine.ID); x.Machine.Owned && w != nil {
 			s.making[w.ID] = room{x.Entry.Job.ID, 1, now.Add(makeRoomFor)}
 			s.stopAll(w, x.Victims, x.Entry.Job.ID)
@@ -49,7 +49,7 @@
 }
 
 // stopAll has a worker told to stop what is in the way of a job.
-func (s *Scheduler) stopAll(w *workers.Worker, victims []place.Victim, job wire.JobID) {
+func (s *Scheduler) stopAll(w *reconcile.Worker, victims []placement.Victim, job wire.JobID) {
 	for _, victim := range victims {
 		h := victim.Held
 		w.Stop(h)
@@ -69,7 +69,7 @@
 		return
 	}
 	v := s.Snapshot(now)
-	for _, x := range place.PlanPreemption(v) {
+	for _, x := range placement.PlanPreemption(v) {
 		r := room{x.Job, x.Tasks, now.Add(makeRoomFor)}
 		s.making[x.Machine.ID], s.asking[x.Machine.ID] = r, r
 		v.HeadReservations[x.Machine.ID] = x.Job
@@ -80,21 +80,21 @@
 }
 
 // PreemptionReservations lists the machines that holders are to empty.
-func (s *Scheduler) PreemptionReservations(now time.Time) []mesh.Reservation {
-	var out []mesh.Reservation
+func (s *Scheduler) PreemptionReservations(now time.Time) []peer.Reservation {
+	var out []peer.Reservation
 	for id, r := range s.asking {
 		if now.After(r.until) {
 			delete(s.asking, id)
 			continue
 		}
-		out = append(out, mesh.Reservation{Machine: id, Job: r.job, Tasks: r.tasks, LeftMS: r.until.Sub(now).Milliseconds()})
+		out = append(out, peer.Reservation{Machine: id, Job: r.job, Tasks: r.tasks, LeftMS: r.until.Sub(now).Milliseconds()})
 	}
 	return out
 }
 
 // ObservePreemptionReservations does what the fleet's leader asks for on machines held here, once. now is
 // when it was asked for, so that a late answer asks for nothing.
-func (s *Scheduler) ObservePreemptionReservations(from wire.MemberID, list []mesh.Reservation, asked, now time.Time) {
+func (s *Scheduler) ObservePreemptionReservations(from wire.MemberID, list []peer.Reservation, asked, now time.Time) {
 	leads, _ := s.led().Leader()
 	if leads.Member != from || !s.set.Operators.Preempt || now.Sub(s.mirror.SyncedAt()) > settings.StartContact {
 		return
@@ -117,21 +117,21 @@
 
 // clearFor stops what is in the way of tasks of a job on a machine held here. It goes
 // by this controller's own ledger, and by the rules of preemption.
-func (s *Scheduler) clearFor(w *workers.Worker, job wire.JobID, tasks int, now time.Time) {
+func (s *Scheduler) clearFor(w *reconcile.Worker, job wire.JobID, tasks int, now time.Time) {
 	v := s.Snapshot(now)
 	m := v.Machine(w.ID)
-	at := slices.IndexFunc(v.Queue, func(e place.Entry) bool { return e.Job.ID == job })
+	at := slices.IndexFunc(v.Queue, func(e placement.Entry) bool { return e.Job.ID == job })
 	if m == nil || at < 0 {
 		return
 	}
-	victims, _ := place.SelectVictims(&v.Queue[at], m.Free, tasks, s.victims(m, now))
+	victims, _ := placement.SelectVictims(&v.Queue[at], m.Free, tasks, s.victims(m, now))
 	s.stopAll(w, victims, job)
 }
 
 // victims lists what may be stopped on a machine, from the ledger alone, so that
 // every controller sees the same.
-func (s *Scheduler) victims(m *place.Machine, now time.Time) []place.Victim {
-	var out []place.Victim
+func (s *Scheduler) victims(m *placement.Machine, now time.Time) []placement.Victim {
+	var out []placement.Victim
 	for _, h := range s.led().HeldBy(m.ID) {
 		spec := h.Job.Spec
 		if spec.Shape == wire.Gang && spec.Tasks > 1 || h.Job.State != ledger.Active {
@@ -139,7 +139,7 @@
 		}
 		t := s.set.Team(spec.Team)
 		used := s.led().Used(spec.Team)
-		out = append(out, place.Victim{Held: h, Promised: !s.canWait(h.Job, now), Saves: spec.Checkpoint > 0, Ran: now.Sub(s.book.ClaimedSince(h, now)),
+		out = append(out, placement.Victim{Held: h, Promised: !s.canWait(h.Job, now), Saves: spec.Checkpoint > 0, Ran: now.Sub(s.book.ClaimedSince(h, now)),
 			Beyond: t == nil || OverGuarantee(t, used)})
 	}
 	return out
--- a/internal/schedule/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -1,12 +1,12 @@
-package schedule_test
+package scheduler_test
 
 import (
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/parttest"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
 
@@ -25,12 +25,12 @@
 		{"by another", "m-2", now, false},
 		{"long ago", "m-1", now.Add(-time.Minute), false},
 	} {
-		p := parttest.New(t, 0)
+		p := controllertest.New(t, 0)
 		p.Mirror.SetForTest(0, now)
 		p.Mirror.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
 		p.Roster.Join(&wire.Heartbeat{Machine: "host-1"}, now)
-		j := parttest.AddJob(p.Mirror.Records(), 2, wire.Gang, 4)
-		ask := mesh.Answer{Asked: tc.asked, Status: mesh.Status{Member: tc.from, Emptying: []mesh.Reservation{{Machine: "host-1", Job: j.ID, Tasks: 2, LeftMS: 5000}, {Machine: "host-elsewhere", Job: j.ID, Tasks: 2, LeftMS: 5000}}}}
+		j := controllertest.AddJob(p.Mirror.Records(), 2, wire.Gang, 4)
+		ask := peer.Answer{Asked: tc.asked, Status: peer.Status{Member: tc.from, Emptying: []peer.Reservation{{Machine: "host-1", Job: j.ID, Tasks: 2, LeftMS: 5000}, {Machine: "host-elsewhere", Job: j.ID, Tasks: 2, LeftMS: 5000}}}}
 		for range 2 {
 			p.Schedule.ObservePreemptionReservations(ask.Status.Member, ask.Status.Emptying, ask.Asked, time.Now())
 		}
--- a/internal/schedule/promises_test.go
+++ b/internal/scheduler/promises_test.go
@@ -1,4 +1,4 @@
-package schedule_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/parttest"
-	"maddermill/internal/place"
-	"maddermill/internal/promise"
+	"maddermill/internal/scheduler/deadline"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
 
@@ -19,12 +19,12 @@
 func TestOnlyTiesChangeDecisions(t *testing.T) {
 	now := time.Now()
 	decide := func(register, tied bool) (starts map[wire.JobID]time.Time, out []string) {
-		p := parttest.New(t, 0)
+		p := controllertest.New(t, 0)
 		led := p.Mirror.Records()
 		p.Mirror.SetForTest(1, now)
 		led.Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"fetch_gb_per_s":1,"yards":["a"]}`)})
 		if register {
-			r, err := promise.Parse([]byte(`revision: 1 gallery { name: "g" team: "none" promised: "2030-01-01T00:00:00Z" class: "none" }`), nil)
+			r, err := deadline.Parse([]byte(`revision: 1 gallery { name: "g" team: "none" promised: "2030-01-01T00:00:00Z" class: "none" }`), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -58,11 +58,11 @@
 		}
 		for i := range 4 {
 			m := v.Machine(wire.MachineID(fmt.Sprint("host-", i)))
-			for _, s := range place.PlaceOnMachine(v, m) {
+			for _, s := range placement.PlaceOnMachine(v, m) {
 				out = append(out, fmt.Sprint(m.ID, s.Job.ID, s.Count, s.How))
 			}
 		}
-		for _, g := range place.PlaceGangs(v) {
+		for _, g := range placement.PlaceGangs(v) {
 			out = append(out, fmt.Sprint(g.Entry.Job.ID, g.Parts))
 		}
 		return starts, out
--- a/internal/schedule/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -1,55 +1,55 @@
-// Package schedule is the part of a controller that chooses what runs where: the picture of
+// Package scheduler is the part of a controller that chooses what runs where: the picture of
 // machines and of the queue that placement decides from, the order of the queue, and what is
 // stopped for what (PAPER, section 4.2; docs/DESIGN.md).
 //
 // A Scheduler has no lock: but for its duty, it is used under the mirror's. What it decides is
 // made durable by whoever asked, and may be refused there.
-package schedule
+package scheduler
 
 import (
 	"log/slog"
 	"time"
 
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
+	"maddermill/internal/membership"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/place"
-	"maddermill/internal/places"
-	"maddermill/internal/policies"
-	"maddermill/internal/promises"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/scheduler/topologytracker"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/workers"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/wire"
 )
 
 // Parts are what a scheduler looks at.
 type Parts struct {
-	Mirror   *mirror.Cache
-	Members  *members.Membership
-	Roster   *workers.Registry
+	Mirror   *watchcache.Cache
+	Members  *membership.Membership
+	Roster   *reconcile.Registry
 	Book     *evidence.Tracker
-	Places   *places.Tracker
-	Policies *policies.Manager
-	Promises *promises.Tracker
+	Places   *topologytracker.Tracker
+	Policies *policymanager.Manager
+	Promises *deadlinetracker.Tracker
 }
 
 // Scheduler is that part of a controller.
 type Scheduler struct {
 	set      *settings.Settings
-	mirror   *mirror.Cache
-	members  *members.Membership
-	roster   *workers.Registry
+	mirror   *watchcache.Cache
+	members  *membership.Membership
+	roster   *reconcile.Registry
 	book     *evidence.Tracker
-	places   *places.Tracker
-	policies *policies.Manager
-	promises *promises.Tracker
+	places   *topologytracker.Tracker
+	policies *policymanager.Manager
+	promises *deadlinetracker.Tracker
 	stats    *metrics.Set
 	log      *slog.Logger
 
 	jobs     map[wire.JobID]*notes
-	seen     *place.Snapshot        // the picture that placement decides from, and
+	seen     *placement.Snapshot    // the picture that placement decides from, and
 	seenAt   time.Time              // since when
 	seenTook time.Duration          // how long its making took
 	made     int                    // pictures so far
@@ -99,7 +99,7 @@
 
 // Usable reports whether a machine held here may be given tasks. A worker just taken over
 // must first report under our token, and one that does not hear answers begins nothing.
-func (s *Scheduler) Usable(w *workers.Worker, now time.Time) bool {
+func (s *Scheduler) Usable(w *reconcile.Worker, now time.Time) bool {
 	_, known := s.led().Flavor(w.Type)
 	return known && w.Fresh && !w.Unreachable() && w.ReclaimAt.IsZero() && s.led().MachinePhase(w.ID) == "" && !now.Before(w.CordonedUntil) &&
 		(s.doubted[evidence.Kind{Type: w.Type, Zone: w.Zone}] || !s.book.Faulty(s.led(), w.ID, now))
--- a/internal/schedule/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -1,15 +1,15 @@
-package schedule_test
+package scheduler_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"maddermill/internal/fleet"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/parttest"
-	"maddermill/internal/place"
+	"maddermill/internal/leader/autoscale"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
 
@@ -18,7 +18,7 @@
 // the machine. On a day with mistaken jobs nineteen good machines were returned: each
 // controller knew only of its own machines, and a cancelled job counted as a witness.
 func TestMistakenJobBesideBadMachine(t *testing.T) {
-	c := parttest.New(t, 0)
+	c := controllertest.New(t, 0)
 	led := c.Mirror.Records()
 	now := time.Now()
 	c.Mirror.SetForTest(0, now)
@@ -27,15 +27,15 @@
 		c.Book.Failed(j, task, m, "", at)
 	}
 	faulty := func(m wire.MachineID) bool { return c.Book.Faulty(led, m, now) }
-	mistaken, cancelled := parttest.AddJob(led, 1, wire.Array, 20), parttest.AddJob(led, 2, wire.Array, 1)
-	one, two := parttest.AddJob(led, 3, wire.Array, 1), parttest.AddJob(led, 4, wire.Array, 1)
+	mistaken, cancelled := controllertest.AddJob(led, 1, wire.Array, 20), controllertest.AddJob(led, 2, wire.Array, 1)
+	one, two := controllertest.AddJob(led, 3, wire.Array, 1), controllertest.AddJob(led, 4, wire.Array, 1)
 	fail(mistaken, good, 0, now)
 	fail(cancelled, good, 0, now)
 	if !faulty(good) {
 		t.Error("two jobs failed there, neither known to fail elsewhere: not held against the machine")
 	}
 	// A peer saw one of them fail elsewhere; the other's user gives up.
-	c.Book.MergeSuspects(led, []mesh.Suspect{{Job: mistaken.ID, Machines: []wire.MachineID{"host-far"}}}, now)
+	c.Book.MergeSuspects(led, []peer.Suspect{{Job: mistaken.ID, Machines: []wire.MachineID{"host-far"}}}, now)
 	if _, suspect := c.Book.Suspect(mistaken.ID); !suspect || faulty(good) {
 		t.Errorf("suspect %v, machine faulty %v after a peer told of a second machine", suspect, faulty(good))
 	}
@@ -50,11 +50,11 @@
 		t.Errorf("faulty: %v %v %v, want only the first", faulty(bad), faulty(good), faulty(other))
 	}
 
-	order := func(at time.Time) []place.Entry {
+	order := func(at time.Time) []placement.Entry {
 		c.Schedule.InvalidateSnapshot()
 		return c.Schedule.Snapshot(at).Queue
 	}
-	entry := func(id wire.JobID, at time.Time) *place.Entry {
+	entry := func(id wire.JobID, at time.Time) *placement.Entry {
 		queue := order(at)
 		for i := range queue {
 			if queue[i].Job.ID == id {
@@ -79,16 +79,16 @@
 	if got := queue[len(queue)-1].Job.ID; got != mistaken.ID {
 		t.Errorf("%s comes last, want the suspect", got)
 	}
-	plan := fleet.ComputePlan(&fleet.Input{Now: last.Add(time.Hour), Queue: []place.Entry{*entry(mistaken.ID, last)},
+	plan := autoscale.ComputePlan(&autoscale.Input{Now: last.Add(time.Hour), Queue: []placement.Entry{*entry(mistaken.ID, last)},
 		Flavors:  map[wire.MachineTypeName]wire.MachineType{"g2": {Name: "g2", CPUs: 8, Price: 1, Boot: 20, Zones: []wire.Zone{"a"}}},
-		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most }, OutOfCapacity: func(fleet.MachineOption) bool { return false }})
+		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most }, OutOfCapacity: func(autoscale.MachineOption) bool { return false }})
 	if len(plan.ScaleOut) > 0 {
 		t.Errorf("rents %v for a suspect", plan.ScaleOut)
 	}
-	m := &place.Machine{ID: "host-new", Type: "g2", Usable: true, Total: ledger.NewResources(8, 0, 0), Free: ledger.NewResources(8, 0, 0), Images: place.NewImages(10)}
-	v := &place.Snapshot{Now: last.Add(time.Hour), Queue: []place.Entry{*entry(mistaken.ID, last)}, Limits: place.Limits{ColdStarts: 9}, Machines: []*place.Machine{m},
+	m := &placement.Machine{ID: "host-new", Type: "g2", Usable: true, Total: ledger.NewResources(8, 0, 0), Free: ledger.NewResources(8, 0, 0), Images: placement.NewImages(10)}
+	v := &placement.Snapshot{Now: last.Add(time.Hour), Queue: []placement.Entry{*entry(mistaken.ID, last)}, Limits: placement.Limits{ColdStarts: 9}, Machines: []*placement.Machine{m},
 		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most }}
-	if s := place.PlaceOnMachine(v, m); len(s) != 1 || s[0].Count != 1 {
+	if s := placement.PlaceOnMachine(v, m); len(s) != 1 || s[0].Count != 1 {
 		t.Errorf("a suspect of 20 tasks is tried with %v", s)
 	}
 	// A task of it completes: it is as good as any other.
@@ -101,10 +101,10 @@
 // TestBadTaskOfAGoodArray: a task that fails everywhere rests while the array's other
 // tasks go on.
 func TestBadTaskOfAGoodArray(t *testing.T) {
-	c := parttest.New(t, 0)
+	c := controllertest.New(t, 0)
 	led := c.Mirror.Records()
 	now := time.Now()
-	j := parttest.AddJob(led, 1, wire.Array, 8)
+	j := controllertest.AddJob(led, 1, wire.Array, 8)
 	for i := range 3 {
 		c.Book.Failed(j, 5, wire.MachineID(fmt.Sprint("host-", i)), "", now)
 	}
--- a/internal/topology/tree.go
+++ b/internal/scheduler/topology/tree.go
@@ -16,8 +16,8 @@
 	"github.com/protocolbuffers/txtpbfmt/parser"
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"maddermill/internal/configfile"
-	"maddermill/internal/topology/topologypb"
+	"maddermill/internal/scheduler/topology/topologypb"
+	"maddermill/internal/settings/configfile"
 	"maddermill/wire"
 )
 
--- a/internal/places/places.go
+++ b/internal/scheduler/topologytracker/places.go
@@ -1,10 +1,10 @@
-// Package places is the part of a controller that knows where machines are, if operators have
+// Package topologytracker is the part of a controller that knows where machines are, if operators have
 // declared a topology, and how blocks of them fare. Each controller judges by what it and its
 // peers hear, so that whoever leads next has watched all along. Nothing here is a proof: what
 // is believed of a block only keeps new work away from it.
 //
 // It has no lock: but for its duties, it is used under the mirror's.
-package places
+package topologytracker
 
 import (
 	"cmp"
@@ -16,27 +16,27 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/configfile"
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/topology"
-	"maddermill/internal/workers"
+	"maddermill/internal/settings/configfile"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
 // Tracker is that part of a controller.
 type Tracker struct {
 	set     *settings.Settings
-	mirror  *mirror.Cache
-	members *members.Membership
-	roster  *workers.Registry
+	mirror  *watchcache.Cache
+	members *membership.Membership
+	roster  *reconcile.Registry
 	book    *evidence.Tracker
 	stats   *metrics.Set
 	log     *slog.Logger
@@ -52,7 +52,7 @@
 
 // New returns places without a topology. changed is called, under the mirror's lock, whenever
 // other places may be used than before.
-func New(set *settings.Settings, mir *mirror.Cache, m *members.Membership, r *workers.Registry, b *evidence.Tracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
+func New(set *settings.Settings, mir *watchcache.Cache, m *membership.Membership, r *reconcile.Registry, b *evidence.Tracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
 	return &Tracker{set: set, mirror: mir, members: m, roster: r, book: b, changed: changed, stats: stats, log: log}
 }
 
@@ -119,7 +119,7 @@
 // Watch judges blocks once a second.
 func (p *Tracker) Watch(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, time.Second)
+		wait.For(ctx, time.Second)
 		p.mirror.Lock()
 		if p.tree != nil && p.mirror.Loaded() {
 			p.DetectFailedBlocks(time.Now())
@@ -147,7 +147,9 @@
 			out[id] = h
 		}
 	}
-	p.roster.Each(func(w *workers.Worker) { note(w.ID, lastHeard{w.Addr, w.Zone, w.LastHeartbeat, !w.ReclaimAt.IsZero()}) })
+	p.roster.Each(func(w *reconcile.Worker) {
+		note(w.ID, lastHeard{w.Addr, w.Zone, w.LastHeartbeat, !w.ReclaimAt.IsZero()})
+	})
 	for _, o := range p.members.Peers() {
 		quiet := now.Sub(o.AsOf)
 		looking := quiet > 4*time.Second && quiet < p.set.SilentAfter()+p.set.ReportGrace()
@@ -241,15 +243,15 @@
 }
 
 // Partitions are told to peers.
-func (p *Tracker) Partitions(now time.Time) []mesh.GangPartition {
-	var out []mesh.GangPartition
+func (p *Tracker) Partitions(now time.Time) []peer.GangPartition {
+	var out []peer.GangPartition
 	for _, g := range p.parted {
-		out = append(out, mesh.GangPartition{Job: g.job, Block: p.tree.Path(g.block), AgeMS: now.Sub(g.at).Milliseconds()})
+		out = append(out, peer.GangPartition{Job: g.job, Block: p.tree.Path(g.block), AgeMS: now.Sub(g.at).Milliseconds()})
 	}
 	return out
 }
 
-func (p *Tracker) MergePartitions(list []mesh.GangPartition, asked time.Time) {
+func (p *Tracker) MergePartitions(list []peer.GangPartition, asked time.Time) {
 	if p.tree == nil {
 		return
 	}
@@ -261,7 +263,7 @@
 }
 
 // BlockOf is the path of the block that a machine held here is in; "" without a topology.
-func (p *Tracker) BlockOf(w *workers.Worker) string {
+func (p *Tracker) BlockOf(w *reconcile.Worker) string {
 	if p.tree == nil {
 		return ""
 	}
@@ -271,7 +273,7 @@
 
 // EndpointOf is what peers are told of a worker's endpoint: nothing while no topology
 // asks for it.
-func (p *Tracker) EndpointOf(w *workers.Worker) string {
+func (p *Tracker) EndpointOf(w *reconcile.Worker) string {
 	if p.tree == nil {
 		return ""
 	}
@@ -285,7 +287,7 @@
 
 // Topology tells of the declared topology, its machines and the gangs on them, as this
 // controller sees them. It tells false while there is none.
-func (p *Tracker) Topology(now time.Time, view func(now time.Time) *place.Snapshot) (wire.TopologyView, bool) {
+func (p *Tracker) Topology(now time.Time, view func(now time.Time) *placement.Snapshot) (wire.TopologyView, bool) {
 	p.mirror.Lock()
 	defer p.mirror.Unlock()
 	l := p.mirror.Records()
--- a/internal/api/api.go
+++ b/internal/server/api/api.go
@@ -14,11 +14,11 @@
 	"sync/atomic"
 	"time"
 
-	"maddermill/internal/http1"
 	"maddermill/internal/server"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
 	"maddermill/internal/supervise"
 	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
 	"maddermill/wire"
 )
 
@@ -309,7 +309,7 @@
 		return problem(404, "no such job")
 	case errors.Is(err, server.ErrUnschedulable):
 		return problem(422, strings.ReplaceAll(err.Error(), "\n", ": "))
-	case errors.Is(err, state.ErrNoReach):
+	case errors.Is(err, kvstore.ErrNoReach):
 	default:
 		s.Log.Error("request failed", "job", id, "err", err)
 	}
--- a/internal/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/api"
-	"maddermill/internal/http1"
 	"maddermill/internal/server"
-	"maddermill/internal/state"
+	"maddermill/internal/server/api"
+	"maddermill/internal/state/kvstore"
 	"maddermill/internal/supervise"
 	"maddermill/internal/transport"
-	"maddermill/internal/workflowrunner"
+	"maddermill/internal/transport/http1"
+	"maddermill/internal/workflow/runner"
 	"maddermill/wire"
 )
 
@@ -42,7 +42,7 @@
 		<-held
 		return wire.JobStatus{ID: id, Status: wire.Running}, nil
 	case "wk-000002":
-		return wire.JobStatus{}, state.ErrNoReach
+		return wire.JobStatus{}, kvstore.ErrNoReach
 	}
 	return wire.JobStatus{}, server.ErrNoSuchJob
 }
@@ -67,7 +67,7 @@
 	return s.Status(ctx, id)
 }
 func (workflows) Resume(context.Context, wire.WorkflowID) (wire.WorkflowStatus, error) {
-	return wire.WorkflowStatus{}, workflowrunner.ErrNotFailed
+	return wire.WorkflowStatus{}, runner.ErrNotFailed
 }
 func (service) Topology(time.Time) (wire.TopologyView, bool) {
 	return wire.TopologyView{Blocks: []wire.BlockView{{Path: "a", Level: "zone"}}, Gangs: []wire.GangView{{Job: "wk-000001"}}}, true
--- a/internal/api/workflows.go
+++ b/internal/server/api/workflows.go
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/cwl"
-	"maddermill/internal/http1"
 	"maddermill/internal/server"
 	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
 	"maddermill/internal/workflow"
-	"maddermill/internal/workflowrunner"
+	"maddermill/internal/workflow/cwl"
+	"maddermill/internal/workflow/runner"
 	"maddermill/wire"
 )
 
@@ -158,9 +158,9 @@
 func (s *Server) workflowFailure(err error) *http1.Response {
 	var problems cwl.Problems
 	switch {
-	case errors.Is(err, workflowrunner.ErrNoWorkflows):
+	case errors.Is(err, runner.ErrNoWorkflows):
 		return problem(404, err.Error())
-	case errors.Is(err, workflowrunner.ErrNotFailed):
+	case errors.Is(err, runner.ErrNotFailed):
 		return problem(409, err.Error())
 	case errors.Is(err, server.ErrNoSuchJob):
 		return problem(404, "no such workflow")
--- a/internal/workers/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -1,16 +1,16 @@
-package workers
+package reconcile
 
 import (
 	"slices"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mirror"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/wire"
 )
 
 // ExitChanges makes one change a job out of what is over.
-func ExitChanges(m *mirror.Cache, exits []TaskExit) []*writer.Change {
+func ExitChanges(m *watchcache.Cache, exits []TaskExit) []*committer.Change {
 	byJob := map[*ledger.Job][]TaskExit{}
 	var order []*ledger.Job
 	for _, e := range exits {
@@ -19,11 +19,11 @@
 		}
 		byJob[e.Held.Job] = append(byJob[e.Held.Job], e)
 	}
-	var out []*writer.Change
+	var out []*committer.Change
 	for _, j := range order {
 		list := byJob[j]
 		first := slices.ContainsFunc(list, func(e TaskExit) bool { return e.Recalled })
-		out = append(out, &writer.Change{Urgent: first, BestEffort: j.BestEffort() && !first, Priority: j.Spec.Priority, Draft: func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) }})
+		out = append(out, &committer.Change{Urgent: first, BestEffort: j.BestEffort() && !first, Priority: j.Spec.Priority, Draft: func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) }})
 	}
 	return out
 }
--- a/internal/workers/hearing.go
+++ b/internal/server/reconcile/hearing.go
@@ -1,9 +1,9 @@
-package workers
+package reconcile
 
 import (
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/workers/recorder.go
+++ b/internal/server/reconcile/recorder.go
@@ -1,4 +1,4 @@
-package workers
+package reconcile
 
 import (
 	"context"
@@ -8,14 +8,14 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/completion"
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
 	"maddermill/internal/settings"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -32,26 +32,26 @@
 // and report only seconds later. It also drops completions that are on record.
 type Recorder struct {
 	completed *completion.Log
-	mirror    *mirror.Cache
-	writer    *writer.Committer
+	mirror    *watchcache.Cache
+	writer    *committer.Committer
 	limits    ledger.Limits
 	stats     *metrics.Set
 	log       *slog.Logger
 
 	touched   time.Time // since when the state service is in reach; zero: it isn't
-	recording map[wire.JobID][]*writer.Change
+	recording map[wire.JobID][]*committer.Change
 }
 
 // NewRecorder returns a recorder that does nothing before Run. Limits tell which of how many
 // controllers this one is.
-func NewRecorder(completed *completion.Log, m *mirror.Cache, w *writer.Committer, limits ledger.Limits, stats *metrics.Set, log *slog.Logger) *Recorder {
-	return &Recorder{completed: completed, mirror: m, writer: w, limits: limits, stats: stats, log: log, recording: map[wire.JobID][]*writer.Change{}}
+func NewRecorder(completed *completion.Log, m *watchcache.Cache, w *committer.Committer, limits ledger.Limits, stats *metrics.Set, log *slog.Logger) *Recorder {
+	return &Recorder{completed: completed, mirror: m, writer: w, limits: limits, stats: stats, log: log, recording: map[wire.JobID][]*committer.Change{}}
 }
 
 // Run records and drops completions until ctx ends.
 func (r *Recorder) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, recordEvery)
+		wait.For(ctx, recordEvery)
 		r.mirror.Read(func(l *ledger.Ledger) { r.look(l, time.Now()) })
 	}
 	return ctx.Err()
@@ -67,8 +67,8 @@
 		r.touched = now
 	}
 	r.completed.Prune(l, r.mirror.SyncedAt())
-	maps.DeleteFunc(r.recording, func(_ wire.JobID, changes []*writer.Change) bool {
-		return !slices.ContainsFunc(changes, (*writer.Change).Pending)
+	maps.DeleteFunc(r.recording, func(_ wire.JobID, changes []*committer.Change) bool {
+		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
 	for id, exits := range r.lacking(l, now) {
 		r.log.Info("completions recorded", "job", id, "tasks", len(exits))
@@ -83,7 +83,7 @@
 // lacking is what this controller is to record now, by job.
 func (r *Recorder) lacking(l *ledger.Ledger, now time.Time) map[wire.JobID][]TaskExit {
 	out := map[wire.JobID][]TaskExit{}
-	r.completed.EachUnrecorded(func(c mesh.Completion) {
+	r.completed.EachUnrecorded(func(c peer.Completion) {
 		if r.recording[c.Job] != nil || !r.mine(c.Job) && now.Sub(r.touched) < othersRecord {
 			return
 		}
--- a/internal/workers/roster.go
+++ b/internal/server/reconcile/roster.go
@@ -1,19 +1,19 @@
-package workers
+package reconcile
 
 import (
 	"time"
 
-	"maddermill/internal/completion"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
-	"maddermill/internal/place"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
 // Registry is the machines that report to this controller, and what is known of their images.
 // It has no lock: it is used under the mirror's.
 type Registry struct {
-	members   *members.Membership
+	members   *membership.Membership
 	completed *completion.Log
 	workers   map[wire.MachineID]*Worker
 	images    map[wire.MachineID]*cached
@@ -22,12 +22,12 @@
 // cached is what a machine is believed to hold in a session.
 type cached struct {
 	session wire.AgentEpoch
-	images  *place.Images
+	images  *placement.Images
 }
 
 // NewRoster returns a roster without machines. Members tell of the images of a machine that
 // another controller held before.
-func NewRoster(m *members.Membership, completed *completion.Log) *Registry {
+func NewRoster(m *membership.Membership, completed *completion.Log) *Registry {
 	return &Registry{members: m, completed: completed, workers: map[wire.MachineID]*Worker{}, images: map[wire.MachineID]*cached{}}
 }
 
@@ -52,13 +52,13 @@
 }
 
 // Images is what a machine is believed to hold.
-func (r *Registry) Images(l *ledger.Ledger, w *Worker) *place.Images {
+func (r *Registry) Images(l *ledger.Ledger, w *Worker) *placement.Images {
 	c := r.images[w.ID]
 	if c != nil && c.session == w.Session {
 		return c.images
 	}
 	f, _ := l.Flavor(w.Type)
-	fresh := &cached{w.Session, place.NewImages(f.CacheGB)}
+	fresh := &cached{w.Session, placement.NewImages(f.CacheGB)}
 	if c == nil {
 		// Another controller may have held it in this session.
 		for _, p := range r.members.Peers() {
@@ -76,7 +76,7 @@
 }
 
 // Known is what a machine is believed to hold, if anything is known of it yet; else nil.
-func (r *Registry) Known(w *Worker) *place.Images {
+func (r *Registry) Known(w *Worker) *placement.Images {
 	if c := r.images[w.ID]; c != nil {
 		return c.images
 	}
--- a/internal/workers/workers.go
+++ b/internal/server/reconcile/workers.go
@@ -1,14 +1,14 @@
-// Package workers reconciles workers' reports with the ledger: by level, so that
+// Package reconcile reconciles workers' reports with the ledger: by level, so that
 // whatever was lost on the way is made up for by the next report.
-package workers
+package reconcile
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"maddermill/internal/completion"
-	"maddermill/internal/ledger"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/workers/workers_test.go
+++ b/internal/server/reconcile/workers_test.go
@@ -1,11 +1,11 @@
-package workers
+package reconcile
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/server/spread.go
+++ b/internal/server/spread.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"maddermill/internal/workers"
+	"maddermill/internal/server/reconcile"
 	"maddermill/wire"
 )
 
@@ -23,7 +23,7 @@
 func (c *HeartbeatServer) measureSurplus(now time.Time) surplus {
 	lately := 2*c.set.Cluster.Workers.Report.Duration() + time.Second
 	mine := 0
-	c.Roster.Each(func(w *workers.Worker) {
+	c.Roster.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) < lately {
 			mine++
 		}
@@ -53,7 +53,7 @@
 
 // passOn tells whether a worker is to be sent to another controller: one with
 // nothing under way, so that no start or exit is delayed by it.
-func (c *HeartbeatServer) passOn(w *workers.Worker, f *workers.Reconciliation, now time.Time) (HeartbeatAnswer, bool) {
+func (c *HeartbeatServer) passOn(w *reconcile.Worker, f *reconcile.Reconciliation, now time.Time) (HeartbeatAnswer, bool) {
 	if made := c.Schedule.SnapshotsTaken(); made != c.measured {
 		c.surplus, c.measured = c.measureSurplus(now), made
 	}
--- a/internal/server/spread_test.go
+++ b/internal/server/spread_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/mesh"
-	"maddermill/internal/parttest"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
 
@@ -29,13 +29,13 @@
 		{"shared", [2]int{28, 31}, 0, 0, ""},
 		{"peers out of touch", [2]int{0, 0}, time.Minute, 0, ""},
 	} {
-		p := parttest.New(t, 0)
+		p := controllertest.New(t, 0)
 		p.Mirror.SetForTest(1, time.Now())
 		c := NewWorkers(p.Set, WorkersParts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, Places: p.Places, Schedule: p.Schedule, Completed: p.Completed, Exchange: p.Exchange}, p.Stats, p.Log)
 		for i, n := range tc.theirs {
-			a := parttest.Answer(wire.MemberID(fmt.Sprintf("m-%d", i+1)), time.Now(), 0, true, tc.contact)
+			a := controllertest.Answer(wire.MemberID(fmt.Sprintf("m-%d", i+1)), time.Now(), 0, true, tc.contact)
 			for range n {
-				a.Status.Machines = append(a.Status.Machines, mesh.Machine{Session: 1})
+				a.Status.Machines = append(a.Status.Machines, peer.Machine{Session: 1})
 			}
 			c.Members.ObserveStatus(a.Status, a.Asked)
 		}
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -6,17 +6,17 @@
 	"log/slog"
 	"time"
 
-	"maddermill/internal/archiver"
-	"maddermill/internal/ledger"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/place"
-	"maddermill/internal/policies"
-	"maddermill/internal/promises"
-	"maddermill/internal/schedule"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/settings"
-	"maddermill/internal/state"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/policy"
 	"maddermill/wire"
 )
@@ -29,11 +29,11 @@
 
 // UsersParts are what the server of users works with.
 type UsersParts struct {
-	Mirror   *mirror.Cache
-	Writer   *writer.Committer
-	Policies *policies.Manager
+	Mirror   *watchcache.Cache
+	Writer   *committer.Committer
+	Policies *policymanager.Manager
 	Archiver *archiver.Archiver
-	Promises *promises.Tracker
+	Promises *deadlinetracker.Tracker
 }
 
 // JobServer serves users' requests.
@@ -145,7 +145,7 @@
 	}
 	need := ledger.NewResources(s.CPUs, s.GPUs, s.MemoryGB)
 	a := policy.Admission{Now: now.UnixMilli(), Names: []string{string(s.Team), string(s.Class), string(s.Image)},
-		Job: place.JobOf(s, need, wire.UnixMillis(now.UnixMilli()))}
+		Job: placement.JobOf(s, need, wire.UnixMillis(now.UnixMilli()))}
 	a.Job.Class, a.Job.Image = 1, 2
 	sum := ledger.Resources{}.Add(need, s.Tasks)
 	c.led().Active(func(j *ledger.Job) {
@@ -157,11 +157,11 @@
 		}
 	})
 	if t := c.set.Team(s.Team); t != nil {
-		a.Guaranteed = !schedule.OverGuarantee(t, sum)
+		a.Guaranteed = !scheduler.OverGuarantee(t, sum)
 	}
 	switch c.Policies.Admit(c.led(), &a, now) {
 	case policy.PutOff:
-		return state.ErrNoReach
+		return kvstore.ErrNoReach
 	case policy.Refuse:
 		return errors.Join(ErrUnschedulable, errNotAdmitted)
 	}
@@ -175,7 +175,7 @@
 		return errors.Join(ErrUnschedulable, errors.New("unknown team"))
 	}
 	if len(c.led().Flavors()) == 0 {
-		return state.ErrNoReach // machine types aren't known yet
+		return kvstore.ErrNoReach // machine types aren't known yet
 	}
 	need := ledger.NewResources(s.CPUs, s.GPUs, s.MemoryGB)
 	tasks := s.Tasks
@@ -254,7 +254,7 @@
 		return wire.JobStatus{}, err
 	}
 	if st, err = c.Status(ctx, id); err != nil || st.Status != wire.Done && st.Status != wire.Cancelled {
-		return wire.JobStatus{}, state.ErrNoReach
+		return wire.JobStatus{}, kvstore.ErrNoReach
 	}
 	c.log.Info("job cancelled", "job", id, "status", st.Status)
 	return wire.JobStatus{ID: id, Status: st.Status}, nil
@@ -267,7 +267,7 @@
 	case errors.Is(err, archiver.ErrUnknown):
 		err = ErrNoSuchJob
 	case err != nil:
-		err = errors.Join(state.ErrNoReach, err)
+		err = errors.Join(kvstore.ErrNoReach, err)
 	}
 	return st, err
 }
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -11,20 +11,20 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/completion"
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/place"
-	"maddermill/internal/places"
-	"maddermill/internal/schedule"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/scheduler/topologytracker"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/workers"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -50,13 +50,13 @@
 
 // WorkersParts are what the server of workers works with.
 type WorkersParts struct {
-	Mirror    *mirror.Cache
-	Writer    *writer.Committer
-	Members   *members.Membership
-	Roster    *workers.Registry
+	Mirror    *watchcache.Cache
+	Writer    *committer.Committer
+	Members   *membership.Membership
+	Roster    *reconcile.Registry
 	Book      *evidence.Tracker
-	Places    *places.Tracker
-	Schedule  *schedule.Scheduler
+	Places    *topologytracker.Tracker
+	Schedule  *scheduler.Scheduler
 	Completed *completion.Log
 	Exchange  *completion.Exchange
 }
@@ -151,7 +151,7 @@
 // sendToPeerInTouch sends a worker to a peer while this controller alone is cut off from the state
 // service: nothing can start or end here. A peer in touch does better, if the worker reaches it; if
 // not, it comes back and is answered for as long as that is safe.
-func (c *HeartbeatServer) sendToPeerInTouch(w *workers.Worker, began time.Time) (HeartbeatAnswer, bool) {
+func (c *HeartbeatServer) sendToPeerInTouch(w *reconcile.Worker, began time.Time) (HeartbeatAnswer, bool) {
 	if began.Sub(c.Mirror.SyncedAt()) <= settings.StartContact || began.Sub(w.RedirectedAt) <= redirectEvery {
 		return HeartbeatAnswer{}, false
 	}
@@ -164,7 +164,7 @@
 }
 
 // take compares a report with the records and notes what it tells.
-func (c *HeartbeatServer) take(w *workers.Worker, r *wire.Heartbeat, hold wire.FencingToken, began time.Time) workers.Reconciliation {
+func (c *HeartbeatServer) take(w *reconcile.Worker, r *wire.Heartbeat, hold wire.FencingToken, began time.Time) reconcile.Reconciliation {
 	if w.Session != 0 && r.Session > w.Session {
 		c.log.Info("machine began a new session", "machine", r.Machine, "session", r.Session)
 	}
@@ -180,7 +180,7 @@
 	}
 	if !c.Exchange.Complete(began) {
 		// A peer may know that they are done; the next report shows them again.
-		f.Exits = slices.DeleteFunc(f.Exits, func(e workers.TaskExit) bool { return e.Held.Session < r.Session && e.Cause == "" })
+		f.Exits = slices.DeleteFunc(f.Exits, func(e reconcile.TaskExit) bool { return e.Held.Session < r.Session && e.Cause == "" })
 	}
 	c.learn(w, &f, began)
 	return f
@@ -201,7 +201,7 @@
 
 // record has what a report proves and what the machine is given made durable, and waits for it for
 // as long as the report may wait. It tells false if a newer report has been taken in meanwhile.
-func (c *HeartbeatServer) record(ctx context.Context, w *workers.Worker, r *wire.Heartbeat, f *workers.Reconciliation, began time.Time) bool {
+func (c *HeartbeatServer) record(ctx context.Context, w *reconcile.Worker, r *wire.Heartbeat, f *reconcile.Reconciliation, began time.Time) bool {
 	waits := c.enqueueFindings(w, f, began)
 	current := func() bool { return w.Session == r.Session && w.Sequence == r.Sequence }
 	now := began
@@ -229,8 +229,8 @@
 const mostTries = 3
 
 // enqueueFindings asks for the changes that follow from what a report proves.
-func (c *HeartbeatServer) enqueueFindings(w *workers.Worker, f *workers.Reconciliation, began time.Time) []*writer.Change {
-	changes := workers.ExitChanges(c.Mirror, f.Exits)
+func (c *HeartbeatServer) enqueueFindings(w *reconcile.Worker, f *reconcile.Reconciliation, began time.Time) []*committer.Change {
+	changes := reconcile.ExitChanges(c.Mirror, f.Exits)
 	for _, h := range f.TakeOver {
 		changes = append(changes, c.takeOver(w, h, began.Add(c.reportWait())))
 	}
@@ -245,18 +245,18 @@
 
 // startsFor is what a machine is given now, and whether room that becomes free may be given away
 // at once: not where gangs of several tasks want the machine.
-func (c *HeartbeatServer) startsFor(w *workers.Worker, now time.Time) (starts []place.Start, anew bool) {
+func (c *HeartbeatServer) startsFor(w *reconcile.Worker, now time.Time) (starts []placement.Start, anew bool) {
 	if !c.Schedule.Usable(w, now) || now.Sub(c.Mirror.SyncedAt()) >= settings.StartContact {
 		return nil, true
 	}
 	v := c.Schedule.Snapshot(now)
 	m := v.UpdateMachine(c.Schedule.MachineOf(w, now))
-	starts = place.PlaceOnMachine(v, m)
+	starts = placement.PlaceOnMachine(v, m)
 	return starts, !v.WantedWhole(m)
 }
 
 // answer is what a worker is told to do, by the records as they are now.
-func (c *HeartbeatServer) answer(w *workers.Worker, r *wire.Heartbeat, began time.Time) HeartbeatAnswer {
+func (c *HeartbeatServer) answer(w *reconcile.Worker, r *wire.Heartbeat, began time.Time) HeartbeatAnswer {
 	now := time.Now()
 	mayStart := now.Sub(c.Mirror.SyncedAt()) < settings.StartContact && c.led().MachinePhase(r.Machine) != ledger.Terminating
 	commands := w.Commands(r, c.led().HeldBy(r.Machine), c.led().Total(w.Type), mayStart)
@@ -274,7 +274,7 @@
 }
 
 // noteFetch notes that a machine fetches a job's image, unless it is believed to have it.
-func (c *HeartbeatServer) noteFetch(w *workers.Worker, id wire.JobID, now time.Time) {
+func (c *HeartbeatServer) noteFetch(w *reconcile.Worker, id wire.JobID, now time.Time) {
 	images := c.Roster.Images(c.led(), w)
 	if j := c.led().Job(id); j != nil && !images.Has(j.Spec.Image) {
 		images.Fetching(j.Spec.Image, now)
@@ -289,7 +289,7 @@
 		if t.State != wire.TaskExited || t.Cause != wire.CauseDone {
 			continue
 		}
-		done := mesh.Completion{Job: t.Task.Job, Task: t.Task.Index, Attempt: t.Attempt, Machine: r.Machine, Session: r.Session}
+		done := peer.Completion{Job: t.Task.Job, Task: t.Task.Index, Attempt: t.Attempt, Machine: r.Machine, Session: r.Session}
 		if c.CompletionUnrecorded(done) {
 			c.Completed.Note(done, !c.Mirror.SyncedWithin(now, settings.StartContact), now)
 		}
@@ -298,7 +298,7 @@
 
 // CompletionUnrecorded reports, under the mirror's lock, whether the records may lack a completion: they hold the
 // claim that it is of, or they are not read yet, or may be too old to show that claim.
-func (c *HeartbeatServer) CompletionUnrecorded(done mesh.Completion) bool {
+func (c *HeartbeatServer) CompletionUnrecorded(done peer.Completion) bool {
 	return !c.Mirror.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(c.led(), done)
 }
 
@@ -324,7 +324,7 @@
 // under already while the worker has seen no higher one, else a newer one of
 // ours. It may wait for that with the lock released. One that seems deaf is to show a
 // token that it has not seen before, which is not waited for.
-func (c *HeartbeatServer) holdToken(ctx context.Context, w *workers.Worker, r *wire.Heartbeat) (wire.FencingToken, bool) {
+func (c *HeartbeatServer) holdToken(ctx context.Context, w *reconcile.Worker, r *wire.Heartbeat) (wire.FencingToken, bool) {
 	if w.CommandToken != 0 && r.Token <= w.CommandToken {
 		switch t := c.Mirror.Token(); {
 		case w.ProvesAbsence(w.CommandToken):
@@ -338,7 +338,7 @@
 	for r.Token > c.Mirror.Token() {
 		c.Mirror.RequestToken(r.Token)
 		c.Mirror.Unlock()
-		clock.Sleep(ctx, 20*time.Millisecond)
+		wait.For(ctx, 20*time.Millisecond)
 		c.Mirror.Lock()
 		if ctx.Err() != nil {
 			return 0, false
@@ -348,7 +348,7 @@
 }
 
 // learn notes what a report tells of images and faults.
-func (c *HeartbeatServer) learn(w *workers.Worker, f *workers.Reconciliation, now time.Time) {
+func (c *HeartbeatServer) learn(w *reconcile.Worker, f *reconcile.Reconciliation, now time.Time) {
 	im := c.Roster.Images(c.led(), w)
 	for _, s := range f.Seen {
 		spec := s.Held.Job.Spec
@@ -389,14 +389,14 @@
 
 // gangStops asks all holders of the gangs on a machine that is being taken back
 // to stop them. A gang saves only if all its tasks are told nearly at once.
-func (c *HeartbeatServer) gangStops(m wire.MachineID) []*writer.Change {
-	var out []*writer.Change
+func (c *HeartbeatServer) gangStops(m wire.MachineID) []*committer.Change {
+	var out []*committer.Change
 	for _, h := range c.led().HeldBy(m) {
 		if h.Job.Spec.Shape != wire.Gang || h.Job.Spec.Tasks < 2 || h.Job.Stop >= h.Attempt || h.Job.State != ledger.Active {
 			continue
 		}
 		id, attempt := h.Job.ID, h.Attempt
-		out = append(out, &writer.Change{Expires: true, ExpiresAt: time.Now().Add(c.reportWait()), Draft: func(d *ledger.Transaction) error {
+		out = append(out, &committer.Change{Expires: true, ExpiresAt: time.Now().Add(c.reportWait()), Draft: func(d *ledger.Transaction) error {
 			if j := c.led().Job(id); j != nil {
 				return d.PreemptGang(j, attempt)
 			}
@@ -409,9 +409,9 @@
 // takeOver has a gang's tasks that gave up waiting wait on, or those that were never sent begin, though
 // another controller claimed them: the claim comes under our token, and the answer starts them. A gang
 // whose machines change hands while one of them fetches would else begin anew each time.
-func (c *HeartbeatServer) takeOver(w *workers.Worker, h ledger.HeldClaim, until time.Time) *writer.Change {
+func (c *HeartbeatServer) takeOver(w *reconcile.Worker, h ledger.HeldClaim, until time.Time) *committer.Change {
 	id, attempt, site := h.Job.ID, h.Attempt, c.siteOf(w)
-	return &writer.Change{Expires: true, ExpiresAt: until, Draft: func(d *ledger.Transaction) error {
+	return &committer.Change{Expires: true, ExpiresAt: until, Draft: func(d *ledger.Transaction) error {
 		if j := c.led().Job(id); j != nil && c.holds(w, site) {
 			return d.TakeOver(j, attempt, site)
 		}
@@ -420,19 +420,19 @@
 }
 
 // siteOf is a machine as claims name it, under the token that it is held under now.
-func (c *HeartbeatServer) siteOf(w *workers.Worker) ledger.ClaimTarget {
-	m := place.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken}
+func (c *HeartbeatServer) siteOf(w *reconcile.Worker) ledger.ClaimTarget {
+	m := placement.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken}
 	return m.Site()
 }
 
 // holds reports whether a machine is still heard and held as when something was decided for it.
-func (c *HeartbeatServer) holds(w *workers.Worker, site ledger.ClaimTarget) bool {
+func (c *HeartbeatServer) holds(w *reconcile.Worker, site ledger.ClaimTarget) bool {
 	return c.Roster.Worker(w.ID) == w && w.Session == site.Session && w.CommandToken == site.Token
 }
 
 // await waits, with the lock released, until changes are durable or dropped and
 // reports whether any was not made. When ctx ends first it gives up.
-func (c *HeartbeatServer) await(ctx context.Context, waits []*writer.Change) (dropped bool) {
+func (c *HeartbeatServer) await(ctx context.Context, waits []*committer.Change) (dropped bool) {
 	if len(waits) == 0 {
 		return false
 	}
@@ -449,7 +449,7 @@
 	return dropped
 }
 
-func (c *HeartbeatServer) untake(starts []place.Start) {
+func (c *HeartbeatServer) untake(starts []placement.Start) {
 	for _, s := range starts {
 		c.Schedule.CountStarted(s.Job.ID, -s.Count)
 	}
@@ -457,8 +457,8 @@
 
 // startChanges returns the claims to commit for what a machine is given: those of
 // work that takes what others leave by themselves.
-func (c *HeartbeatServer) startChanges(w *workers.Worker, starts []place.Start, until time.Time) []*writer.Change {
-	var first, spare []place.Start
+func (c *HeartbeatServer) startChanges(w *reconcile.Worker, starts []placement.Start, until time.Time) []*committer.Change {
+	var first, spare []placement.Start
 	for _, s := range starts {
 		// Other reports that come meanwhile must not be given the same tasks.
 		c.Schedule.CountStarted(s.Job.ID, s.Count)
@@ -468,7 +468,7 @@
 			first = append(first, s)
 		}
 	}
-	var out []*writer.Change
+	var out []*committer.Change
 	if len(first) > 0 {
 		out = append(out, c.startChange(w, first, until))
 	}
@@ -481,18 +481,20 @@
 }
 
 // startChange returns the claim to commit for some of what a machine is given.
-func (c *HeartbeatServer) startChange(w *workers.Worker, starts []place.Start, until time.Time) *writer.Change {
+func (c *HeartbeatServer) startChange(w *reconcile.Worker, starts []placement.Start, until time.Time) *committer.Change {
 	site := c.siteOf(w)
-	var claimed []place.Start // by the draft made last
+	var claimed []placement.Start // by the draft made last
 	made := func() {
 		for _, s := range claimed {
 			c.log.Info("start", "job", s.Job.ID, "tasks", s.Count, "machine", w.ID, "image", s.How)
 			c.stats.Add("starts_"+string(s.How)+"_total", 1)
 		}
 	}
-	late := slices.ContainsFunc(starts, func(s place.Start) bool { return s.Late })
-	first := slices.MinFunc(starts, func(a, b place.Start) int { return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank()) })
-	return &writer.Change{Expires: true, ExpiresAt: until, Overdue: late, Priority: first.Job.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
+	late := slices.ContainsFunc(starts, func(s placement.Start) bool { return s.Late })
+	first := slices.MinFunc(starts, func(a, b placement.Start) int {
+		return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank())
+	})
+	return &committer.Change{Expires: true, ExpiresAt: until, Overdue: late, Priority: first.Job.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
 		claimed = nil
 		if !c.holds(w, site) {
 			return ledger.ErrPreconditionFailed
@@ -530,12 +532,12 @@
 // RemoveSilentWorkers ends jobs whose last tasks were recorded by two controllers at once, until ctx ends.
 func (c *HeartbeatServer) RemoveSilentWorkers(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, sweepEvery)
+		wait.For(ctx, sweepEvery)
 		c.Mirror.Read(func(l *ledger.Ledger) {
 			l.Active(func(j *ledger.Job) {
 				if j.Spec.Shape != wire.Service && j.Done == j.Spec.Tasks {
 					id := j.ID
-					c.Writer.Enqueue(&writer.Change{Expires: true, ExpiresAt: time.Now().Add(time.Second), Draft: func(d *ledger.Transaction) error {
+					c.Writer.Enqueue(&committer.Change{Expires: true, ExpiresAt: time.Now().Add(time.Second), Draft: func(d *ledger.Transaction) error {
 						if j := c.led().Job(id); j != nil {
 							return d.CompleteJob(j)
 						}
--- a/internal/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -18,11 +18,11 @@
 	"golang.org/x/sync/singleflight"
 	"golang.org/x/time/rate"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
 	"maddermill/internal/metrics"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -63,7 +63,7 @@
 // Run once.
 type Archiver struct {
 	host  Host
-	store state.Store
+	store kvstore.Store
 	opt   Options
 	stats *metrics.Set
 	log   *slog.Logger
@@ -102,7 +102,7 @@
 )
 
 // New returns a keeper that moves nothing before Run.
-func New(host Host, store state.Store, opt Options, stats *metrics.Set, log *slog.Logger) *Archiver {
+func New(host Host, store kvstore.Store, opt Options, stats *metrics.Set, log *slog.Logger) *Archiver {
 	finals, err := lru.New[wire.JobID, ledger.FinalRecord](mostFinals)
 	if err != nil {
 		panic(err) // only for a size below 1
@@ -202,7 +202,7 @@
 	}
 	got := k.reads.DoChan(string(id), func() (any, error) {
 		it, err := k.readArchive(ctx, ledger.FinalKey(id))
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			return nil, ErrUnknown
 		}
 		if err != nil {
@@ -227,7 +227,7 @@
 }
 
 // inTurn reads from the archive at the pace that such reads have. Its error wraps
-// ErrUnavailable or is state.ErrNotFound.
+// ErrUnavailable or is kvstore.ErrNotFound.
 func inTurn[T any](ctx context.Context, k *Archiver, read func(context.Context) (T, error)) (got T, err error) {
 	turn := k.pace.Reserve()
 	if d := turn.Delay(); d > longestRead {
@@ -241,7 +241,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
 	defer cancel()
 	k.stats.Add("archive_reads_total", 1)
-	if got, err = read(ctx); err != nil && !errors.Is(err, state.ErrNotFound) {
+	if got, err = read(ctx); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		err = errors.Join(ErrUnavailable, err)
 	}
 	return got, err
@@ -250,7 +250,7 @@
 // readArchive reads one key of the archive.
 func (k *Archiver) readArchive(ctx context.Context, key string) (wire.Item, error) {
 	it, err := inTurn(ctx, k, func(ctx context.Context) (wire.Item, error) { return k.store.Get(ctx, key) })
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		k.stats.Add("archive_misses_total", 1)
 	}
 	return it, err
@@ -260,7 +260,7 @@
 // what is over out of the records, in what the budget has to spare.
 func (k *Archiver) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, time.Second)
+		wait.For(ctx, time.Second)
 		if !k.host.Leading() || !k.opt.Archive || k.opt.TxnOps < leastMove {
 			k.jobs, k.machines, k.flows = nil, nil, nil
 			continue
@@ -286,7 +286,7 @@
 			if n == 0 {
 				break
 			}
-			clock.Sleep(ctx, time.Duration(float64(n)/(archiveShare*k.opt.Changes)*float64(time.Second)))
+			wait.For(ctx, time.Duration(float64(n)/(archiveShare*k.opt.Changes)*float64(time.Second)))
 		}
 	}
 	return ctx.Err()
@@ -527,7 +527,7 @@
 		return nil, err
 	}
 	it, err := k.readArchive(ctx, ledger.FinalWorkflowKey(id))
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, nil
 	}
 	if err != nil {
--- a/internal/snapshot/earlier_test.go
+++ b/internal/state/backup/earlier_test.go
@@ -1,4 +1,4 @@
-package snapshot
+package backup
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/golden"
-	"maddermill/internal/ledger"
-	"maddermill/internal/standin"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/testing/golden"
 )
 
 // earlierExport is an export that the sources before the renaming of 2026 made of the records of
@@ -34,8 +34,8 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
-	link := standin.NewLink(store, 1)
+	store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
+	link := emulator.NewLink(store, 1)
 	if _, err := Import(t.Context(), file, link, limits, time.UnixMilli(1_700_000_001_000)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/snapshot/put.go
+++ b/internal/state/backup/put.go
@@ -1,4 +1,4 @@
-package snapshot
+package backup
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"strconv"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -127,7 +127,7 @@
 		}
 		return nil
 	}
-	if !errors.Is(err, state.ErrNotFound) {
+	if !errors.Is(err, kvstore.ErrNotFound) {
 		return err
 	}
 	page, err := again(ctx, func() (wire.ItemPage, error) { return s.List(ctx, ledger.AllPrefix, "", 1) })
@@ -143,7 +143,7 @@
 // finish writes the records' format and takes the mark away, which lets controllers serve.
 func finish(ctx context.Context, s Target, format []byte) error {
 	it, err := again(ctx, func() (wire.Item, error) { return s.Get(ctx, ledger.ImportKey) })
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil // an earlier answer was lost
 	}
 	if err != nil {
@@ -157,7 +157,7 @@
 // there are as they are to be: an answer was lost, or an import is taken up again.
 func put(ctx context.Context, s Target, t wire.Txn) error {
 	_, err := again(ctx, func() (wire.Revision, error) { return s.Commit(ctx, t) })
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	if !errors.As(err, &conflict) {
 		return err
 	}
@@ -167,7 +167,7 @@
 		}
 		it, err := again(ctx, func() (wire.Item, error) { return s.Get(ctx, ch.Put) })
 		switch {
-		case errors.Is(err, state.ErrNotFound) && len(t.Then) > 1:
+		case errors.Is(err, kvstore.ErrNotFound) && len(t.Then) > 1:
 			// Some of the batch are there: one at a time.
 			one := wire.Txn{If: []wire.Condition{{Key: ch.Put}}, Then: []wire.Change{ch}}
 			if err := put(ctx, s, one); err != nil {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/state/backup/snapshot_test.go
@@ -1,4 +1,4 @@
-package snapshot
+package backup
 
 import (
 	"bytes"
@@ -13,21 +13,21 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/ledger"
-	"maddermill/internal/standin"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
-var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: state.TxnBytes,
+var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: kvstore.TxnBytes,
 	TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)}}
 
 // filled is a state service with jobs, some of them over and archived, and machines.
 type filled struct {
 	t     *testing.T
-	store *standin.Store
-	link  *standin.Link
+	store *emulator.Store
+	link  *emulator.Link
 	l     *ledger.Ledger
 	next  int
 	rev   wire.Revision
@@ -36,8 +36,8 @@
 }
 
 func fill(t *testing.T, jobs int) *filled {
-	f := &filled{t: t, store: standin.NewStore(limits.TxnOps, limits.ValueBytes), l: ledger.New(limits), now: map[string]string{}, was: map[wire.Revision]map[string]string{}}
-	f.link = standin.NewLink(f.store, 1)
+	f := &filled{t: t, store: emulator.NewStore(limits.TxnOps, limits.ValueBytes), l: ledger.New(limits), now: map[string]string{}, was: map[wire.Revision]map[string]string{}}
+	f.link = emulator.NewLink(f.store, 1)
 	f.do(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)}, {Put: ledger.TokenKey, Value: []byte(`{"n":3,"by":"m-0","r":2}`)}}}, nil)
 	f.draft(func(d *ledger.Transaction) error { return d.UpgradeFormat(ledger.ArchiveFormat, 0) })
 	for range jobs {
@@ -108,7 +108,7 @@
 	}
 }
 
-func stateOf(s *standin.Store) map[string]string {
+func stateOf(s *emulator.Store) map[string]string {
 	out := map[string]string{}
 	for _, it := range s.Items() {
 		if !ledger.Transient(it.Key) {
@@ -142,8 +142,8 @@
 		if want == nil || end.Changes == 0 || maps.Equal(want, f.now) {
 			t.Fatalf("revision %d with %d changes is none of those in the middle", end.Revision, end.Changes)
 		}
-		other := standin.NewStore(limits.TxnOps, limits.ValueBytes)
-		if _, err := Import(t.Context(), bytes.NewReader(file.Bytes()), standin.NewLink(other, 2), limits, time.Now()); err != nil {
+		other := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
+		if _, err := Import(t.Context(), bytes.NewReader(file.Bytes()), emulator.NewLink(other, 2), limits, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		got := stateOf(other)
@@ -154,10 +154,10 @@
 		if !maps.Equal(got, want) {
 			t.Errorf("%d keys, want %d", len(got), len(want))
 		}
-		if r, err := Verify(t.Context(), standin.NewLink(other, 3), limits); err != nil || len(r.Problems) > 0 || r.Archived == 0 {
+		if r, err := Verify(t.Context(), emulator.NewLink(other, 3), limits); err != nil || len(r.Problems) > 0 || r.Archived == 0 {
 			t.Errorf("%+v, %v", r, err)
 		}
-		if _, err := Import(t.Context(), bytes.NewReader(file.Bytes()), standin.NewLink(other, 2), limits, time.Now()); !errors.Is(err, ErrNotEmpty) {
+		if _, err := Import(t.Context(), bytes.NewReader(file.Bytes()), emulator.NewLink(other, 2), limits, time.Now()); !errors.Is(err, ErrNotEmpty) {
 			t.Errorf("imported twice: %v", err)
 		}
 		if len(other.Problems) > 0 {
@@ -177,8 +177,8 @@
 		}
 		whole := file.Bytes()
 		refuse := func(what string, b []byte, at int) {
-			store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
-			_, err := Import(context.Background(), bytes.NewReader(b), standin.NewLink(store, 1), limits, time.Now())
+			store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
+			_, err := Import(context.Background(), bytes.NewReader(b), emulator.NewLink(store, 1), limits, time.Now())
 			var damaged *Damaged
 			if !errors.As(err, &damaged) || damaged.Offset > int64(at) || len(store.Items()) > 0 {
 				t.Errorf("%s at %d: %v, %d keys written", what, at, err, len(store.Items()))
@@ -197,7 +197,7 @@
 
 // flaky breaks off after so many transactions, or loses their answers.
 type flaky struct {
-	*standin.Link
+	*emulator.Link
 	left int
 	lost bool
 }
@@ -208,7 +208,7 @@
 	}
 	rev, err := f.Link.Commit(ctx, t)
 	if f.lost && f.left%3 == 0 && err == nil {
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	}
 	return rev, err
 }
@@ -222,9 +222,9 @@
 		if _, err := Export(t.Context(), f.link, &file, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
+		store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 		for n := 0; ; n++ {
-			_, err := Import(t.Context(), bytes.NewReader(file.Bytes()), &flaky{standin.NewLink(store, uint64(n)), n, n%2 == 0}, limits, time.Now())
+			_, err := Import(t.Context(), bytes.NewReader(file.Bytes()), &flaky{emulator.NewLink(store, uint64(n)), n, n%2 == 0}, limits, time.Now())
 			l := ledger.New(limits)
 			for _, it := range store.Items() {
 				l.Apply(ledger.Event{Key: it.Key, Value: it.Value, Version: it.Version})
--- a/internal/snapshot/stream.go
+++ b/internal/state/backup/stream.go
@@ -1,7 +1,7 @@
-// Package snapshot takes all records at one revision while the service runs, writes them as a
+// Package backup takes all records at one revision while the service runs, writes them as a
 // stream that tells when it is damaged, and puts them into an empty state service
 // (docs/history.md, "Exports").
-package snapshot
+package backup
 
 import (
 	"bufio"
--- a/internal/snapshot/take.go
+++ b/internal/state/backup/take.go
@@ -1,4 +1,4 @@
-package snapshot
+package backup
 
 import (
 	"cmp"
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/ledger"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -34,7 +34,7 @@
 func again[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	for n := 1; ; n++ {
 		v, err := f()
-		if err == nil || n == tries || !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrUnknown) {
+		if err == nil || n == tries || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrUnknown) {
 			return v, err
 		}
 		select {
--- a/internal/writer/writer.go
+++ b/internal/state/committer/writer.go
@@ -1,8 +1,8 @@
-// Package writer is the part of a controller that makes its decisions durable: changes of
+// Package committer is the part of a controller that makes its decisions durable: changes of
 // reports and duties in batches that keep to the budget of changes, users' at once. Every
 // step is drafted over the newest records and conditioned on them (docs/DESIGN.md, points 1
 // and 2).
-package writer
+package committer
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
 	"maddermill/internal/metrics"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -60,7 +60,7 @@
 type Committer struct {
 	opt    Options
 	mirror Records
-	store  state.Store
+	store  kvstore.Store
 	stats  *metrics.Set
 	log    *slog.Logger
 
@@ -75,7 +75,7 @@
 )
 
 // New returns a writer that takes changes and writes none before Run.
-func New(opt Options, mirror Records, store state.Store, stats *metrics.Set, log *slog.Logger) *Committer {
+func New(opt Options, mirror Records, store kvstore.Store, stats *metrics.Set, log *slog.Logger) *Committer {
 	return &Committer{opt: opt, mirror: mirror, store: store, stats: stats, log: log,
 		submitted: make(chan *Change, mostQueued), users: make(chan struct{}, mostUsers)}
 }
@@ -114,7 +114,7 @@
 			case ch := <-w.submitted:
 				queue = append(queue, ch)
 			}
-			clock.Sleep(ctx, w.batchEvery()/4)
+			wait.For(ctx, w.batchEvery()/4)
 		}
 	gather:
 		for {
@@ -126,13 +126,13 @@
 			}
 		}
 		if w.waits(queue, time.Now()) {
-			clock.Sleep(ctx, w.batchEvery()/2)
+			wait.For(ctx, w.batchEvery()/2)
 			continue
 		}
 		began := time.Now()
 		queue = w.writeBatch(ctx, queue)
 		if rest := w.batchEvery() - time.Since(began); rest > 0 {
-			clock.Sleep(ctx, rest)
+			wait.For(ctx, rest)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -248,7 +248,7 @@
 	// hold more.
 	least := min(w.leastBatch()+changesForUsers, w.opt.TxnOps)
 	for w.store.Changes() < least && ctx.Err() == nil {
-		clock.Sleep(ctx, w.batchEvery()/2)
+		wait.For(ctx, w.batchEvery()/2)
 	}
 	changes := max(2, w.store.Changes()-changesForUsers)
 	in, left, txn, err := w.draft(queue, changes)
@@ -271,12 +271,12 @@
 		return left
 	}
 	w.stats.Add("transactions_failed_total", 1)
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	if !errors.As(err, &conflict) {
 		// Refused or unknown: if unknown it may still land, which then shows in
 		// the ledger; what is tried again is conditioned on the same versions.
 		w.log.Debug("batch failed", "changes", len(txn.Then), "err", err)
-		clock.Sleep(ctx, 100*time.Millisecond)
+		wait.For(ctx, 100*time.Millisecond)
 	}
 	// After a conflict all of the batch is drafted anew over the newer ledger: what
 	// no longer holds is refused there, and the rest is not lost to a neighbour in
@@ -352,7 +352,7 @@
 	defer cancel()
 	w.stats.Add("transactions_total", 1)
 	rev, err := w.store.Commit(ctx, txn)
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	if errors.As(err, &conflict) {
 		w.stats.Add("conflicts_total", 1)
 		w.log.Debug("conflict", "keys", conflict.Failed)
@@ -373,7 +373,7 @@
 	case w.users <- struct{}{}:
 		defer func() { <-w.users }()
 	case <-ctx.Done():
-		return state.ErrNoReach
+		return kvstore.ErrNoReach
 	}
 	for ctx.Err() == nil {
 		var txn wire.Txn
@@ -392,23 +392,23 @@
 			return nil
 		}
 		_, err = w.Commit(ctx, txn)
-		var conflict *state.Conflict
+		var conflict *kvstore.Conflict
 		if errors.As(err, &conflict) {
 			if slices.ContainsFunc(conflict.Failed, ledger.IsFinalKey) {
 				return ledger.ErrPreconditionFailed // the job is archived, which the ledger can't tell
 			}
 			continue
 		}
-		if errors.Is(err, state.ErrRefused) {
-			clock.Sleep(ctx, 100*time.Millisecond)
+		if errors.Is(err, kvstore.ErrRefused) {
+			wait.For(ctx, 100*time.Millisecond)
 			continue
 		}
 		if err != nil {
-			return errors.Join(state.ErrNoReach, err)
+			return errors.Join(kvstore.ErrNoReach, err)
 		}
 		return nil
 	}
-	return state.ErrNoReach
+	return kvstore.ErrNoReach
 }
 
 // SpareCapacity is how many changes a transaction may have now that is in nobody's way: none while
--- a/internal/writer/writer_test.go
+++ b/internal/state/committer/writer_test.go
@@ -1,4 +1,4 @@
-package writer
+package committer
 
 import (
 	"context"
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/ledger"
 	"maddermill/internal/metrics"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
 // scarce is a state service with a budget of changes that does not refill.
 type scarce struct {
-	state.Store
+	kvstore.Store
 	budget int
 	sizes  []int
 }
@@ -29,8 +29,8 @@
 
 const txnOps = 12
 
-func writerOn(s state.Store, ops int) (*Committer, *ledger.Ledger) {
-	led := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: state.TxnBytes})
+func writerOn(s kvstore.Store, ops int) (*Committer, *ledger.Ledger) {
+	led := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: kvstore.TxnBytes})
 	return New(Options{Changes: 40.0 / 3, TxnOps: ops}, records{led}, s, metrics.New(), slog.New(slog.DiscardHandler)), led
 }
 
--- a/internal/state/client.go
+++ b/internal/state/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package state is the client of the state service: reads, transactions, leases
+// Package kvstore is the client of the state service: reads, transactions, leases
 // and watches within the request and change budgets.
-package state
+package kvstore
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/time/rate"
 
-	"maddermill/internal/http1"
+	"maddermill/internal/transport/http1"
 	"maddermill/wire"
 )
 
--- a/internal/state/each.go
+++ b/internal/state/kvstore/each.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
--- a/internal/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strings"
 
-	"maddermill/internal/archive"
+	"maddermill/internal/state/archive"
 	"maddermill/wire"
 )
 
--- a/internal/ledger/draft.go
+++ b/internal/state/ledger/draft.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"maddermill/internal/archive"
+	"maddermill/internal/state/archive"
 	"maddermill/wire"
 )
 
--- a/internal/ledger/galleries_test.go
+++ b/internal/state/ledger/galleries_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/standin"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
@@ -19,7 +19,7 @@
 	kinds := map[string]int{}
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 12))
-		store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
+		store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 		var events []ledger.Event
 		truth := ledger.New(limits)
 		apply := func(txn wire.Txn) {
--- a/internal/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -10,15 +10,15 @@
 	"strings"
 	"testing"
 
-	"maddermill/internal/archive"
-	"maddermill/internal/ledger"
-	"maddermill/internal/model"
-	"maddermill/internal/standin"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archive"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/testing/model"
 	"maddermill/wire"
 )
 
-var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: state.TxnBytes,
+var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: kvstore.TxnBytes,
 	TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)}}
 
 func site(m int, token wire.FencingToken) ledger.ClaimTarget {
@@ -40,7 +40,7 @@
 }
 
 // pageOf reads the page of the filter that a job is on.
-func pageOf(store *standin.Store, id wire.JobID) (*archive.Page, wire.Revision) {
+func pageOf(store *emulator.Store, id wire.JobID) (*archive.Page, wire.Revision) {
 	for _, it := range store.Items() {
 		if strings.HasPrefix(it.Key, ledger.FilterPrefix) && it.Key > ledger.FilterKey(archive.Position(string(id))) {
 			p := new(archive.Page)
@@ -72,7 +72,7 @@
 // every commit that the store takes against the plain model.
 func history(seed uint64, blind string, steps int) (bad []string, commits, conflicts int) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
+	store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 	if blind != "" {
 		store.Blind = map[string]bool{blind: true}
 	}
@@ -308,7 +308,7 @@
 
 func TestLargeJobsAreKeptInRanges(t *testing.T) {
 	l := ledger.New(limits)
-	store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
+	store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 	run := func(f func(*ledger.Transaction) error) {
 		t.Helper()
 		d := l.NewTransaction()
@@ -394,7 +394,7 @@
 // ranges at once both see the other's open. The job must still end.
 func TestTwoLastRanges(t *testing.T) {
 	l := ledger.New(limits)
-	store := standin.NewStore(limits.TxnOps, limits.ValueBytes)
+	store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 	apply := func(d *ledger.Transaction) {
 		txn, _ := d.Txn()
 		rev, err := store.Apply(txn)
@@ -459,9 +459,9 @@
 // tasks. An array whose claims fell into pieces of a hundred bytes each once needed
 // records of thirty tasks, and nine changes for a machine's start alone.
 func TestHugeArray(t *testing.T) {
-	lim := ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: state.TxnBytes}
+	lim := ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.TxnBytes}
 	l := ledger.New(lim)
-	store := standin.NewStore(lim.TxnOps, lim.ValueBytes)
+	store := emulator.NewStore(lim.TxnOps, lim.ValueBytes)
 	changes := 0
 	apply := func(d *ledger.Transaction) {
 		t.Helper()
@@ -554,7 +554,7 @@
 // any more then; the head of its series is what the start fails by.
 func TestLateStartOnASweptMachine(t *testing.T) {
 	for _, blind := range []string{"", "mm1/g/"} {
-		store, l := standin.NewStore(limits.TxnOps, limits.ValueBytes), ledger.New(limits)
+		store, l := emulator.NewStore(limits.TxnOps, limits.ValueBytes), ledger.New(limits)
 		if blind != "" {
 			store.Blind = map[string]bool{blind: true}
 		}
@@ -619,7 +619,7 @@
 func TestPagesAreSplitUnderRaces(t *testing.T) {
 	for _, blind := range []string{"", "mma1/f/"} {
 		rng := rand.New(rand.NewPCG(6, 6))
-		store := standin.NewStore(40, limits.ValueBytes)
+		store := emulator.NewStore(40, limits.ValueBytes)
 		roomy := limits
 		roomy.TxnOps = 40
 		if blind != "" {
--- a/internal/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"maddermill/internal/archive"
+	"maddermill/internal/state/archive"
 	"maddermill/wire"
 )
 
--- a/internal/mirror/mirror.go
+++ b/internal/state/watchcache/mirror.go
@@ -1,10 +1,10 @@
-// Package mirror is the part of a controller that holds the records of the state service in
+// Package watchcache is the part of a controller that holds the records of the state service in
 // memory: it reads them all, follows their changes, tells how fresh it is, and takes the
 // tokens under which this controller commands workers (docs/DESIGN.md, points 4 and 6).
 //
 // Its lock is the one under which a controller decides anything from records. Records is for
 // whoever holds it; a part that needs records is given them by somebody who does.
-package mirror
+package watchcache
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 
 	"golang.org/x/time/rate"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
 	"maddermill/internal/metrics"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -44,7 +44,7 @@
 // Cache is that part of a controller. Watch, ReadBarriers and TakeTokens run once each.
 type Cache struct {
 	opt      Options
-	store    state.Store
+	store    kvstore.Store
 	stats    *metrics.Set
 	log      *slog.Logger
 	follower Follower
@@ -63,7 +63,7 @@
 }
 
 // New returns a mirror that hasn't read anything yet.
-func New(opt Options, store state.Store, follower Follower, stats *metrics.Set, log *slog.Logger) *Cache {
+func New(opt Options, store kvstore.Store, follower Follower, stats *metrics.Set, log *slog.Logger) *Cache {
 	return &Cache{opt: opt, store: store, stats: stats, log: log, follower: follower, led: ledger.New(opt.Limits),
 		advanced: make(chan struct{}), barriers: make(chan *barrier, 1), wantToken: make(chan wire.FencingToken, 1)}
 }
@@ -127,23 +127,23 @@
 		}
 		if errors.Is(err, ledger.ErrImporting) {
 			m.log.Info("waiting until the import of records is complete")
-			clock.Sleep(ctx, 2*time.Second)
+			wait.For(ctx, 2*time.Second)
 			continue
 		}
 		if err != nil {
 			m.log.Debug("reading the state service failed", "err", err)
-			clock.Sleep(ctx, 300*time.Millisecond)
+			wait.For(ctx, 300*time.Millisecond)
 			continue
 		}
 		for ctx.Err() == nil {
 			ev, err := m.store.Watch(ctx, ledger.Prefix, at, watchWait)
-			if errors.Is(err, state.ErrTooOld) {
+			if errors.Is(err, kvstore.ErrTooOld) {
 				m.log.Info("watch fell behind; reading everything again")
 				break
 			}
 			if err != nil {
 				m.log.Debug("watch failed", "err", err)
-				clock.Sleep(ctx, 200*time.Millisecond)
+				wait.For(ctx, 200*time.Millisecond)
 				continue
 			}
 			if ev.Revision < at {
@@ -230,7 +230,7 @@
 		select {
 		case <-ch:
 		case <-ctx.Done():
-			return state.ErrNoReach
+			return kvstore.ErrNoReach
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	case <-b.done:
 		return b.err
 	case <-ctx.Done():
-		return state.ErrNoReach
+		return kvstore.ErrNoReach
 	}
 }
 
@@ -298,7 +298,7 @@
 		}
 		if b != nil {
 			if err != nil {
-				b.err = state.ErrNoReach
+				b.err = kvstore.ErrNoReach
 			}
 			close(b.done)
 		}
@@ -334,12 +334,12 @@
 			}
 			m.log.Debug("no token yet", "err", err)
 			pause := 200 * time.Millisecond
-			if conflict := new(state.Conflict); errors.As(err, &conflict) {
+			if conflict := new(kvstore.Conflict); errors.As(err, &conflict) {
 				// Another took one at the same moment, as when all start together: the records
 				// show it by now.
 				pause = 10 * time.Millisecond
 			}
-			clock.Sleep(ctx, pause)
+			wait.For(ctx, pause)
 			continue
 		}
 		for {
@@ -375,7 +375,7 @@
 	rev, err := m.store.Commit(waiting, wire.Txn{
 		If:   []wire.Condition{{Key: ledger.TokenKey, Version: version}},
 		Then: []wire.Change{{Put: ledger.TokenKey, Value: value}}})
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	if errors.As(err, &conflict) {
 		return errors.Join(err, m.WaitForRevision(waiting, conflict.Revision))
 	}
--- a/internal/parttest/parttest.go
+++ b/internal/testing/controllertest/parttest.go
@@ -1,6 +1,6 @@
-// Package parttest puts the parts of a controller together for tests of the parts that build
+// Package controllertest puts the parts of a controller together for tests of the parts that build
 // on them.
-package parttest
+package controllertest
 
 import (
 	"context"
@@ -10,22 +10,22 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/completion"
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
-	"maddermill/internal/mesh"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/places"
-	"maddermill/internal/policies"
-	"maddermill/internal/promises"
-	"maddermill/internal/schedule"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/topologytracker"
+	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
-	"maddermill/internal/standin"
-	"maddermill/internal/state"
-	"maddermill/internal/workers"
-	"maddermill/internal/writer"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
 )
 
@@ -81,18 +81,18 @@
 // theirs runs.
 type Parts struct {
 	Set       *settings.Settings
-	Store     state.Store
+	Store     kvstore.Store
 	Stats     *metrics.Set
 	Log       *slog.Logger
-	Mirror    *mirror.Cache
-	Writer    *writer.Committer
-	Members   *members.Membership
+	Mirror    *watchcache.Cache
+	Writer    *committer.Committer
+	Members   *membership.Membership
 	Book      *evidence.Tracker
-	Roster    *workers.Registry
-	Policies  *policies.Manager
-	Places    *places.Tracker
-	Promises  *promises.Tracker
-	Schedule  *schedule.Scheduler
+	Roster    *reconcile.Registry
+	Policies  *policymanager.Manager
+	Places    *topologytracker.Tracker
+	Promises  *deadlinetracker.Tracker
+	Schedule  *scheduler.Scheduler
 	Completed *completion.Log
 	Exchange  *completion.Exchange
 }
@@ -100,24 +100,24 @@
 // New returns the parts of a member.
 func New(t testing.TB, member int) *Parts {
 	set := Settings(t, member)
-	p := &Parts{Set: set, Store: standin.NewLink(standin.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1)),
+	p := &Parts{Set: set, Store: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1)),
 		Stats: metrics.New(), Log: slog.New(slog.DiscardHandler)}
-	limits := ledger.Limits{ValueBytes: set.ValueBytes(), TxnOps: set.Cluster.State.TxnOps, TxnBytes: state.TxnBytes}
-	p.Mirror = mirror.New(mirror.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}, p.Store, follower{p}, p.Stats, p.Log)
-	p.Writer = writer.New(writer.Options{Changes: 13, TxnOps: limits.TxnOps}, p.Mirror, p.Store, p.Stats, p.Log)
+	limits := ledger.Limits{ValueBytes: set.ValueBytes(), TxnOps: set.Cluster.State.TxnOps, TxnBytes: kvstore.TxnBytes}
+	p.Mirror = watchcache.New(watchcache.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}, p.Store, follower{p}, p.Stats, p.Log)
+	p.Writer = committer.New(committer.Options{Changes: 13, TxnOps: limits.TxnOps}, p.Mirror, p.Store, p.Stats, p.Log)
 	others := []wire.MemberID{}
 	for _, o := range set.Peers {
 		others = append(others, o.Member)
 	}
-	p.Members = members.New(members.Options{Self: set.Member, Others: others, Count: 3, Contact: settings.StartContact, ValueBytes: limits.ValueBytes}, p.Stats, p.Log)
+	p.Members = membership.New(membership.Options{Self: set.Member, Others: others, Count: 3, Contact: settings.StartContact, ValueBytes: limits.ValueBytes}, p.Stats, p.Log)
 	p.Book = evidence.New(p.Members, p.Stats, p.Log)
 	p.Completed = completion.New(64)
 	p.Exchange = completion.NewExchange(p.Completed, time.Now(), others)
-	p.Roster = workers.NewRoster(p.Members, p.Completed)
-	p.Policies = policies.New(follower{p}, p.Store, set.Member, p.Stats, p.Log)
-	p.Places = places.New(set, p.Mirror, p.Members, p.Roster, p.Book, func() {}, p.Stats, p.Log)
-	p.Promises = promises.New(set, promises.Parts{Mirror: p.Mirror, Writer: p.Writer, Book: p.Book, Members: p.Members, Roster: p.Roster}, p.Stats, p.Log)
-	p.Schedule = schedule.New(set, schedule.Parts{Mirror: p.Mirror, Members: p.Members, Roster: p.Roster, Book: p.Book, Places: p.Places, Policies: p.Policies, Promises: p.Promises}, p.Stats, p.Log)
+	p.Roster = reconcile.NewRoster(p.Members, p.Completed)
+	p.Policies = policymanager.New(follower{p}, p.Store, set.Member, p.Stats, p.Log)
+	p.Places = topologytracker.New(set, p.Mirror, p.Members, p.Roster, p.Book, func() {}, p.Stats, p.Log)
+	p.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: p.Mirror, Writer: p.Writer, Book: p.Book, Members: p.Members, Roster: p.Roster}, p.Stats, p.Log)
+	p.Schedule = scheduler.New(set, scheduler.Parts{Mirror: p.Mirror, Members: p.Members, Roster: p.Roster, Book: p.Book, Places: p.Places, Policies: p.Policies, Promises: p.Promises}, p.Stats, p.Log)
 	return p
 }
 
@@ -129,7 +129,7 @@
 func (follower) Moved(wire.JobID, ledger.FinalRecord) {}
 func (f follower) Read(read func(l *ledger.Ledger))   { f.p.Mirror.Read(read) }
 func (follower) Term() (wire.Revision, bool)          { return 0, false }
-func (follower) Others() []policies.Other             { return nil }
+func (follower) Others() []policymanager.Other        { return nil }
 func (f follower) Spare() int                         { return f.p.Writer.SpareCapacity() }
 func (f follower) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	return f.p.Writer.Commit(ctx, t)
@@ -144,8 +144,8 @@
 }
 
 // Answer is what a peer tells that was asked at a time.
-func Answer(member wire.MemberID, asked time.Time, cancelled wire.Revision, loaded bool, contact time.Duration) mesh.Answer {
-	return mesh.Answer{Asked: asked, Status: mesh.Status{Version: mesh.Version, Member: member, Loaded: loaded,
+func Answer(member wire.MemberID, asked time.Time, cancelled wire.Revision, loaded bool, contact time.Duration) peer.Answer {
+	return peer.Answer{Asked: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
 		Cancelled: cancelled, ContactMS: contact.Milliseconds()}}
 }
 
@@ -154,7 +154,7 @@
 type Fleet struct {
 	Records []ledger.Event
 	Reports []*wire.Heartbeat // of the machines that report to the first member
-	Peers   [2]mesh.Status    // what the others tell
+	Peers   [2]peer.Status    // what the others tell
 }
 
 // Zone is the zone of a machine of a fleet.
@@ -190,20 +190,20 @@
 			}
 		}
 		if k := i % 3; k > 0 {
-			g.Peers[k-1].Machines = append(g.Peers[k-1].Machines, mesh.Machine{ID: r.Machine, Type: r.Type, Zone: r.Zone, Session: 1, Token: 1, Usable: true,
+			g.Peers[k-1].Machines = append(g.Peers[k-1].Machines, peer.Machine{ID: r.Machine, Type: r.Type, Zone: r.Zone, Session: 1, Token: 1, Usable: true,
 				Images: []wire.Image{"img-1", "img-2", "img-3", wire.Image(fmt.Sprintf("img-%d", i%20))}})
 			continue
 		}
 		g.Reports = append(g.Reports, r)
 	}
 	for i := range g.Peers {
-		g.Peers[i].Version, g.Peers[i].Member, g.Peers[i].Loaded = mesh.Version, wire.MemberID(fmt.Sprint("m-", i+1)), true
+		g.Peers[i].Version, g.Peers[i].Member, g.Peers[i].Loaded = peer.Version, wire.MemberID(fmt.Sprint("m-", i+1)), true
 	}
 	return g
 }
 
 // Join has the records read, and the machines held and heard, by parts of the first member.
-func (g *Fleet) Join(m *mirror.Cache, others *members.Membership, r *workers.Registry) {
+func (g *Fleet) Join(m *watchcache.Cache, others *membership.Membership, r *reconcile.Registry) {
 	now := time.Now()
 	m.Read(func(l *ledger.Ledger) {
 		for _, e := range g.Records {
--- a/internal/standin/balancer.go
+++ b/internal/testing/emulator/balancer.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"maddermill/internal/clock"
+	"maddermill/internal/wait"
 )
 
 // Balancer stands in for the users' load balancer, by the protocol's rules: every node is probed
@@ -58,7 +58,7 @@
 			b.took(&b.nodes[i], ok, time.Now())
 			b.mu.Unlock()
 		}
-		clock.Sleep(ctx, probeEvery)
+		wait.For(ctx, probeEvery)
 	}
 }
 
--- a/internal/standin/cloud.go
+++ b/internal/testing/emulator/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"maddermill/internal/cloud"
+	"maddermill/internal/leader/cloud"
 	"maddermill/wire"
 )
 
--- a/internal/standin/http.go
+++ b/internal/testing/emulator/http.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/cloud"
-	"maddermill/internal/state"
+	"maddermill/internal/leader/cloud"
+	"maddermill/internal/state/kvstore"
 	"maddermill/wire"
 )
 
@@ -52,8 +52,8 @@
 	mux.HandleFunc("POST /leases/{id}/renew", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 		err := l.RenewLease(r.Context(), wire.LeaseID(id))
-		if errors.Is(err, state.ErrNoLease) {
-			err = state.ErrNotFound
+		if errors.Is(err, kvstore.ErrNoLease) {
+			err = kvstore.ErrNotFound
 		}
 		answer(w, struct{}{}, err)
 	})
@@ -104,27 +104,27 @@
 func take(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(into)
 	if err != nil {
-		answer(w, nil, state.ErrInvalid)
+		answer(w, nil, kvstore.ErrInvalid)
 	}
 	return err == nil
 }
 
 func answer(w http.ResponseWriter, v any, err error) {
 	status := 200
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
 		status, v = 409, wire.TxnResult{Failed: conflict.Failed, Revision: conflict.Revision}
-	case errors.Is(err, state.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		status, v = 404, wire.TxnResult{}
-	case errors.Is(err, state.ErrTooOld):
+	case errors.Is(err, kvstore.ErrTooOld):
 		status, v = 410, wire.ErrorBody{Error: "too old"}
-	case errors.Is(err, state.ErrNoLease):
+	case errors.Is(err, kvstore.ErrNoLease):
 		status, v = 400, wire.ErrorBody{Error: "no such lease"}
 	case errors.Is(err, cloud.ErrNoCapacity):
 		status, v = 503, wire.ErrorBody{Error: "no capacity"}
-	case errors.Is(err, state.ErrInvalid):
+	case errors.Is(err, kvstore.ErrInvalid):
 		status, v = 400, wire.ErrorBody{Error: "malformed"}
 	default:
 		status, v = 503, wire.ErrorBody{Error: "trouble"}
--- a/internal/standin/steps.go
+++ b/internal/testing/emulator/steps.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"slices"
 	"strings"
 
-	"maddermill/internal/cwl"
-	"maddermill/internal/data"
 	"maddermill/internal/workflow"
+	"maddermill/internal/workflow/cwl"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
@@ -20,7 +20,7 @@
 // step's job, makes up what the tool leaves, and writes the result. echo writes its
 // arguments to its standard output, cat the contents of files, touch makes empty files, exit
 // ends with a code. It does nothing for a job that is no step.
-func RunStep(ctx context.Context, store data.Store, job wire.JobID) error {
+func RunStep(ctx context.Context, store stepdata.Store, job wire.JobID) error {
 	b, _, err := store.Get(ctx, workflow.OrderName(job))
 	if err != nil {
 		return nil
@@ -44,7 +44,7 @@
 	return err
 }
 
-func pretend(ctx context.Context, store data.Store, job wire.JobID, o *workflow.Order) (map[string]any, error) {
+func pretend(ctx context.Context, store stepdata.Store, job wire.JobID, o *workflow.Order) (map[string]any, error) {
 	p, _, err := cwl.Load(o.Bundle, o.Entry)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 // workDir is a working directory whose files are kept in the store once they are outputs.
 type workDir struct {
 	files map[string]string
-	store data.Store
+	store stepdata.Store
 	at    string
 }
 
--- a/internal/standin/store.go
+++ b/internal/testing/emulator/store.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins of the systems outside maddermill, written
+// Package emulator holds stand-ins of the systems outside maddermill, written
 // from their published protocols for tests: the state service, the cloud and
 // the workers. They run in one process, on whatever clock the test gives them.
-package standin
+package emulator
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
 	"maddermill/wire"
 )
 
@@ -49,7 +49,7 @@
 	s.expire()
 	if len(t.Then) > s.TxnOps || len(t.If) > 4*s.TxnOps {
 		s.Problems = append(s.Problems, "transaction too large")
-		return 0, state.ErrInvalid
+		return 0, kvstore.ErrInvalid
 	}
 	var failed []string
 	for _, c := range t.If {
@@ -62,15 +62,15 @@
 		}
 	}
 	if failed != nil {
-		return 0, &state.Conflict{Failed: failed, Revision: s.rev}
+		return 0, &kvstore.Conflict{Failed: failed, Revision: s.rev}
 	}
 	for _, c := range t.Then {
 		if len(c.Value) > s.Value {
 			s.Problems = append(s.Problems, "value too large: "+c.Put)
-			return 0, state.ErrInvalid
+			return 0, kvstore.ErrInvalid
 		}
 		if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
-			return 0, state.ErrNoLease
+			return 0, kvstore.ErrNoLease
 		}
 	}
 	if len(t.Then) > 0 {
@@ -186,7 +186,7 @@
 	s.expire()
 	ev := wire.Events{Revision: s.rev}
 	if after < s.rev && (len(s.log) == 0 || s.log[0].Version > after+1) {
-		return ev, nil, state.ErrTooOld
+		return ev, nil, kvstore.ErrTooOld
 	}
 	for _, e := range s.log {
 		if e.Version > after && (strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "") {
@@ -307,21 +307,21 @@
 	select {
 	case <-time.After(delay):
 	case <-ctx.Done():
-		return state.ErrRefused
+		return kvstore.ErrRefused
 	}
 	if down {
-		return state.ErrRefused
+		return kvstore.ErrRefused
 	}
 	return nil
 }
 
-// Revision implements state.Store.
+// Revision implements kvstore.Store.
 func (l *Link) Revision(ctx context.Context) (wire.Revision, error) {
 	p, err := l.List(ctx, "~", "", 1)
 	return p.Revision, err
 }
 
-// Get implements state.Store.
+// Get implements kvstore.Store.
 func (l *Link) Get(ctx context.Context, key string) (wire.Item, error) {
 	if err := l.travel(ctx); err != nil {
 		return wire.Item{}, err
@@ -330,12 +330,12 @@
 	defer l.Store.mu.Unlock()
 	it, ok := l.Store.items[key]
 	if !ok {
-		return it, state.ErrNotFound
+		return it, kvstore.ErrNotFound
 	}
 	return it, nil
 }
 
-// List implements state.Store.
+// List implements kvstore.Store.
 func (l *Link) List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
 	if err := l.travel(ctx); err != nil {
 		return wire.ItemPage{}, err
@@ -346,7 +346,7 @@
 	return l.Store.page(prefix, after, min(limit, max(l.Pages, 7))), nil
 }
 
-// Commit implements state.Store. A lost answer leaves the caller in the dark; a
+// Commit implements kvstore.Store. A lost answer leaves the caller in the dark; a
 // lost request may be applied seconds later.
 func (l *Link) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	defer l.Thaw()
@@ -361,7 +361,7 @@
 		if after := late(t); after > 0 {
 			l.applyLate(t, after)
 			time.Sleep(time.Second)
-			return 0, state.ErrUnknown
+			return 0, kvstore.ErrUnknown
 		}
 	}
 	lossy := l.share()
@@ -372,7 +372,7 @@
 			_, _ = l.Store.Apply(t)
 		}
 		time.Sleep(time.Second)
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	}
 	if l.Copies {
 		_, luck, _ := l.roll()
@@ -394,7 +394,7 @@
 // Changes is without bound: the stand-in has no budget.
 func (l *Link) Changes() int { return math.MaxInt }
 
-// Watch implements state.Store.
+// Watch implements kvstore.Store.
 func (l *Link) Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error) {
 	end := time.After(wait)
 	defer l.Thaw()
@@ -417,7 +417,7 @@
 	}
 }
 
-// GrantLease implements state.Store.
+// GrantLease implements kvstore.Store.
 func (l *Link) GrantLease(ctx context.Context, ttl time.Duration) (wire.LeaseID, error) {
 	if err := l.travel(ctx); err != nil {
 		return 0, err
@@ -430,7 +430,7 @@
 	return s.last, nil
 }
 
-// RenewLease implements state.Store.
+// RenewLease implements kvstore.Store.
 func (l *Link) RenewLease(ctx context.Context, id wire.LeaseID) error {
 	if err := l.travel(ctx); err != nil {
 		return err
@@ -440,7 +440,7 @@
 	defer s.mu.Unlock()
 	s.expire()
 	if _, ok := s.leases[id]; !ok {
-		return state.ErrNoLease
+		return kvstore.ErrNoLease
 	}
 	s.leases[id] = time.Now().Add(s.ttl[id])
 	return nil
--- a/internal/model/model.go
+++ b/internal/testing/model/model.go
@@ -8,8 +8,8 @@
 	"maps"
 	"time"
 
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
@@ -184,7 +184,7 @@
 // walk the jobs in order; of each, place task after task that has its image
 // cached here, or being fetched here. Of the jobs of one priority and standing,
 // the late ones come first, and what may then be fetched here comes after what needs no fetch.
-func OnRoom(v *place.Snapshot, m *place.Machine) map[wire.JobID]int {
+func OnRoom(v *placement.Snapshot, m *placement.Machine) map[wire.JobID]int {
 	given := map[wire.JobID]int{}
 	if !m.Usable {
 		return given
@@ -193,21 +193,21 @@
 	free, cold := m.Free, v.FetchesInFlight
 	taken := map[wire.Team]ledger.Resources{}
 	before := map[wire.Image]int{} // tasks passed over
-	left := func(e *place.Entry) int {
+	left := func(e *placement.Entry) int {
 		n := e.Job.Pending() - given[e.Job.ID]
 		if e.StartsPlanned != nil {
 			n -= *e.StartsPlanned
 		}
 		return n
 	}
-	takes := func(e *place.Entry) bool {
+	takes := func(e *placement.Entry) bool {
 		j := e.Job
 		keep, kept := v.HeadReservations[m.ID]
 		return !(kept && keep != j.ID) && !keptFrom(v, m, e) && !v.Now.Before(e.Retry) && left(e) > 0 && free.Fits(j.Need) && j.ZoneRoom(m.Zone) > given[j.ID] &&
 			ledger.Allowed(j.Spec, m.Type, m.Zone, m.Spot) && (e.Avoid == nil || !e.Avoid(m.ID)) &&
 			v.TeamRoom(j, taken[j.Spec.Team].Add(e.Ahead, 1), 1) > 0
 	}
-	give := func(e *place.Entry) {
+	give := func(e *placement.Entry) {
 		given[e.Job.ID]++
 		free = free.Add(e.Job.Need, -1)
 		taken[e.Job.Spec.Team] = taken[e.Job.Spec.Team].Add(e.Job.Need, 1)
@@ -215,7 +215,7 @@
 	for rank := range 4 {
 		for turn := range 4 { // within the guarantee, the late first, then beyond it
 			beyond, late := turn >= 2, turn%2 == 0
-			var like []place.Entry // of this priority and standing, in order
+			var like []placement.Entry // of this priority and standing, in order
 			for _, spot := range []bool{false, true} {
 				for _, e := range v.Queue {
 					// Off spot machines, work that may run nowhere else goes first.
@@ -224,7 +224,9 @@
 					}
 				}
 			}
-			single := func(e *place.Entry) bool { return e.Job.Spec.Shape != wire.Gang || e.Job.Spec.Tasks-e.Job.Done <= 1 }
+			single := func(e *placement.Entry) bool {
+				return e.Job.Spec.Shape != wire.Gang || e.Job.Spec.Tasks-e.Job.Done <= 1
+			}
 			for i := range like {
 				e := &like[i]
 				if !single(e) {
@@ -261,7 +263,7 @@
 
 // keptFrom tells whether a machine's room is kept for a late gang: from all but that gang, and
 // what comes before it by its priority or by its guarantee.
-func keptFrom(v *place.Snapshot, m *place.Machine, e *place.Entry) bool {
+func keptFrom(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) bool {
 	for _, g := range v.Queue {
 		if k := v.GangReservations[m.ID]; k.Job == g.Job.ID && k.Job != e.Job.ID {
 			a, b := e.Job.Spec.Priority.Rank(), g.Job.Spec.Priority.Rank()
@@ -272,7 +274,7 @@
 }
 
 // others lists the other machines that take tasks of the job and cache its image.
-func others(v *place.Snapshot, m *place.Machine, e *place.Entry) (out []*place.Machine) {
+func others(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) (out []*placement.Machine) {
 	for _, o := range v.Machines {
 		keep, kept := v.HeadReservations[o.ID]
 		if o.ID != m.ID && o.Usable && (!kept || keep == e.Job.ID) && !keptFrom(v, o, e) && o.Images.Has(e.Job.Spec.Image) &&
@@ -284,7 +286,7 @@
 }
 
 // elsewhere tells whether another machine has room beside the image now.
-func elsewhere(v *place.Snapshot, m *place.Machine, e *place.Entry) bool {
+func elsewhere(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) bool {
 	for _, o := range others(v, m, e) {
 		if o.Free.Fits(e.Job.Need) && e.Job.ZoneRoom(o.Zone) > 0 {
 			return true
@@ -295,7 +297,7 @@
 
 // soon counts the tasks that will have room beside the image in time, when a fetch
 // here would be late.
-func soon(v *place.Snapshot, m *place.Machine, e *place.Entry) int {
+func soon(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) int {
 	fetched := v.Now.Add(time.Duration(e.Job.Spec.ImageGB / m.FetchGB * float64(time.Second)))
 	if e.Overdue || !fetched.After(e.LatestStart) {
 		return 0
--- a/internal/model/model_test.go
+++ b/internal/testing/model/model_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
--- a/internal/workflowrunner/requests.go
+++ b/internal/workflow/runner/requests.go
@@ -1,4 +1,4 @@
-package workflowrunner
+package runner
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/clock"
-	"maddermill/internal/ledger"
-	"maddermill/internal/place"
+	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/server"
-	"maddermill/internal/state"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
 	"maddermill/internal/workflow"
 	"maddermill/wire"
 )
@@ -24,7 +24,7 @@
 		return st, false, ErrNoWorkflows
 	}
 	if !c.Users.Loaded() {
-		return st, false, state.ErrNoReach
+		return st, false, kvstore.ErrNoReach
 	}
 	c.Mirror.Lock()
 	known := c.led().Workflow(spec.ID) != nil
@@ -41,7 +41,7 @@
 			return st, false, err
 		}
 		if err := c.writePieces(ctx, hash, pieces); err != nil {
-			return st, false, errors.Join(state.ErrNoReach, err)
+			return st, false, errors.Join(kvstore.ErrNoReach, err)
 		}
 		short := *spec
 		short.Bundle, short.Inputs = nil, nil
@@ -66,7 +66,7 @@
 
 // writePieces writes documents under their hash: writing them twice changes nothing.
 func (c *Runner) writePieces(ctx context.Context, hash string, pieces []string) error {
-	limits := ledger.Limits{TxnOps: c.set.Cluster.State.TxnOps, TxnBytes: state.TxnBytes}
+	limits := ledger.Limits{TxnOps: c.set.Cluster.State.TxnOps, TxnBytes: kvstore.TxnBytes}
 	batch := ledger.Batch{Limits: limits, Commit: func(changes []wire.Change) error {
 		_, err := c.records.Commit(ctx, wire.Txn{Then: changes})
 		return err
@@ -106,7 +106,7 @@
 	if w == nil {
 		var err error
 		if w, err = c.Past.Workflow(ctx, id); err != nil {
-			return st, errors.Join(state.ErrNoReach, err)
+			return st, errors.Join(kvstore.ErrNoReach, err)
 		}
 	}
 	if w == nil {
@@ -181,7 +181,7 @@
 		if !w.Over() || !l.run.Cut() && !l.miss.Load() || ctx.Err() != nil {
 			break
 		}
-		clock.Sleep(ctx, 50*time.Millisecond)
+		wait.For(ctx, 50*time.Millisecond)
 	}
 	return l.run.Steps(c.whyWaits)
 }
@@ -201,7 +201,7 @@
 	}
 	now := time.Now()
 	v := c.Schedule.Snapshot(now)
-	at := slices.IndexFunc(v.Queue, func(e place.Entry) bool { return e.Job.ID == id })
+	at := slices.IndexFunc(v.Queue, func(e placement.Entry) bool { return e.Job.ID == id })
 	switch {
 	case at < 0:
 		return "has just been accepted"
--- a/internal/workflowrunner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -1,9 +1,9 @@
-// Package workflowrunner is the part of a controller that drives workflows: it accepts them, submits
+// Package runner is the part of a controller that drives workflows: it accepts them, submits
 // their steps' jobs as they become ready, and tells of them (docs/cwl.md).
 //
 // Which controller drives one follows from the workflow's name and the controllers in touch.
 // That two drive one for a while does no harm, that none does only lasts until the next look.
-package workflowrunner
+package runner
 
 import (
 	"bytes"
@@ -24,52 +24,52 @@
 	"sync/atomic"
 	"time"
 
-	"maddermill/internal/archiver"
-	"maddermill/internal/clock"
-	"maddermill/internal/data"
-	"maddermill/internal/evidence"
-	"maddermill/internal/ledger"
-	"maddermill/internal/members"
+	"maddermill/internal/membership"
 	"maddermill/internal/metrics"
-	"maddermill/internal/mirror"
-	"maddermill/internal/promises"
-	"maddermill/internal/schedule"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/evidence"
 	"maddermill/internal/server"
 	"maddermill/internal/settings"
-	"maddermill/internal/state"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/wait"
 	"maddermill/internal/workflow"
-	"maddermill/internal/writer"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
 // Parts are what workflows are driven with.
 type Parts struct {
-	Mirror   *mirror.Cache
-	Writer   *writer.Committer
-	Members  *members.Membership
+	Mirror   *watchcache.Cache
+	Writer   *committer.Committer
+	Members  *membership.Membership
 	Book     *evidence.Tracker
-	Schedule *schedule.Scheduler
+	Schedule *scheduler.Scheduler
 	Users    *server.JobServer
 	Past     *archiver.Archiver
-	Promises *promises.Tracker
+	Promises *deadlinetracker.Tracker
 }
 
 // Runner is that part of a controller. It is off until Set.
 type Runner struct {
 	set     *settings.Settings
-	records state.Store
+	records kvstore.Store
 	Parts
 	stats *metrics.Set
 	log   *slog.Logger
 
-	store data.Store // nil: workflows are off
+	store stepdata.Store // nil: workflows are off
 	// Under the mirror's lock:
 	driven map[wire.WorkflowID]*driven
 	looked map[wire.WorkflowID]*looked // driven elsewhere, and asked about here
 }
 
 // New returns a part with workflows off.
-func New(set *settings.Settings, records state.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
+func New(set *settings.Settings, records kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
 	return &Runner{set: set, records: records, Parts: p, stats: stats, log: log}
 }
 
@@ -113,14 +113,14 @@
 )
 
 // Set switches workflows on, before Run. What steps pass to each other is kept in store.
-func (c *Runner) Set(store data.Store) {
+func (c *Runner) Set(store stepdata.Store) {
 	c.store, c.driven, c.looked = store, map[wire.WorkflowID]*driven{}, map[wire.WorkflowID]*looked{}
 }
 
 // Run drives this controller's part of the workflows, until ctx ends.
 func (c *Runner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, driveEvery)
+		wait.For(ctx, driveEvery)
 		c.Mirror.Lock()
 		var mine []*ledger.Workflow
 		if c.store != nil && c.Mirror.SyncedWithin(time.Now(), settings.StartContact) {
--- a/internal/workflowrunner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -1,4 +1,4 @@
-package workflowrunner
+package runner
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"maddermill/internal/ledger"
 	"maddermill/internal/server"
+	"maddermill/internal/state/ledger"
 	"maddermill/internal/workflow"
 	"maddermill/wire"
 )
--- a/internal/data/data.go
+++ b/internal/workflow/stepdata/data.go
@@ -1,6 +1,6 @@
-// Package data keeps what steps of workflows pass to each other, by name: in files, not in
+// Package stepdata keeps what steps of workflows pass to each other, by name: in files, not in
 // the state service. Each carries a checksum, which whoever reads it checks.
-package data
+package stepdata
 
 import (
 	"bytes"
--- a/internal/data/data_test.go
+++ b/internal/workflow/stepdata/data_test.go
@@ -1,4 +1,4 @@
-package data
+package stepdata
 
 import (
 	"errors"
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -18,9 +18,9 @@
 	"strings"
 	"time"
 
-	"maddermill/internal/cwl"
-	"maddermill/internal/data"
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/workflow/cwl"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
@@ -81,7 +81,7 @@
 func ResultName(id wire.JobID) string       { return "results/" + string(id) + ".json" }
 func OutputsName(id wire.WorkflowID) string { return "outputs/" + string(id) + ".json" }
 
-func put(ctx context.Context, store data.Store, name string, v any) error {
+func put(ctx context.Context, store stepdata.Store, name string, v any) error {
 	b, err := json.Marshal(v)
 	if err == nil {
 		_, err = store.Put(ctx, name, bytes.NewReader(b))
@@ -112,7 +112,7 @@
 	Spec *wire.WorkflowSpec
 
 	jobs    Jobs
-	store   data.Store
+	store   stepdata.Store
 	docs    *Documents
 	run     *cwl.Run
 	out     map[string]*step
@@ -159,7 +159,7 @@
 
 // Resume is the progress of a workflow from its record and its documents. The first steps
 // tell how far it has come.
-func Resume(ctx context.Context, w *ledger.Workflow, docs *Documents, jobs Jobs, store data.Store) (*Run, error) {
+func Resume(ctx context.Context, w *ledger.Workflow, docs *Documents, jobs Jobs, store stepdata.Store) (*Run, error) {
 	p, _, err := load(w.Spec.Entry, docs.Bundle)
 	if err != nil {
 		return nil, fmt.Errorf("workflow: its documents: %w", err)
@@ -259,7 +259,7 @@
 		err = decode(b, &res)
 	}
 	switch {
-	case errors.Is(err, data.ErrNotFound):
+	case errors.Is(err, stepdata.ErrNotFound):
 		if s.doneAt.IsZero() {
 			s.doneAt = now
 		}
@@ -267,7 +267,7 @@
 			return false, nil
 		}
 		return r.failed(s, fmt.Errorf("its job %s is done and left no result", s.job)), nil
-	case errors.Is(err, data.ErrDamaged):
+	case errors.Is(err, stepdata.ErrDamaged):
 		return r.failed(s, err), nil
 	case err != nil:
 		return false, err
@@ -414,7 +414,7 @@
 // decode reads JSON with whole numbers as such.
 func decode(b []byte, res *Result) error {
 	if err := json.Unmarshal(b, res); err != nil {
-		return fmt.Errorf("%w: %w", data.ErrDamaged, err)
+		return fmt.Errorf("%w: %w", stepdata.ErrDamaged, err)
 	}
 	res.Outputs, _ = cwl.Whole(res.Outputs).(map[string]any)
 	return nil
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -10,15 +10,15 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/data"
-	"maddermill/internal/ledger"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/workflow/stepdata"
 	"maddermill/wire"
 )
 
 // script is a service in which each step's attempts come out as written: "ok", an exit code,
 // "retry", "doubtful", "silent" (done without a result), "never", "later" (not accepted yet).
 type script struct {
-	data.Mem
+	stepdata.Mem
 	steps     map[string][]string
 	submitted []string
 	jobs      map[wire.JobID]string
@@ -164,9 +164,9 @@
 	active map[wire.JobID]bool
 }
 
-func (s *slow) Get(ctx context.Context, name string) ([]byte, data.Info, error) {
+func (s *slow) Get(ctx context.Context, name string) ([]byte, stepdata.Info, error) {
 	time.Sleep(20 * time.Millisecond)
-	return []byte(`{"code":0,"outputs":{"o":"x"}}`), data.Info{}, nil
+	return []byte(`{"code":0,"outputs":{"o":"x"}}`), stepdata.Info{}, nil
 }
 
 func (s *slow) StepState(id wire.JobID) JobState {
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"maddermill/internal/golden"
+	"maddermill/internal/testing/golden"
 )
 
 // TestSerializedFormsStay: each message is byte for byte what the sources before the renaming of
