--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"maddermill/internal/plugin"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/state/ledger"
 	"maddermill/wire"
@@ -49,7 +49,7 @@
 			}
 			for i := range list {
 				if list[i].Machine == wire.MachineID(args[0]) {
-					evidence.Write(cmd.OutOrStdout(), &list[i])
+					quarantine.Write(cmd.OutOrStdout(), &list[i])
 					return nil
 				}
 			}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -16,8 +16,10 @@
 	"maddermill/internal/plugin"
 	"maddermill/internal/plugin/policymanager"
 	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/crashloop"
 	"maddermill/internal/scheduler/deadlinetracker"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/estimate"
+	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/server"
 	"maddermill/internal/server/reconcile"
@@ -43,23 +45,25 @@
 	Workflows *runner.Runner
 	Places    *topologytracker.Tracker
 
-	set      *settings.Settings
-	store    kvstore.Store
-	log      *slog.Logger
-	boot     time.Time
-	mirror   *watchcache.Cache
-	writer   *committer.Committer
-	members  *membership.Membership
-	book     *evidence.Tracker
-	roster   *reconcile.Registry
-	done     *completion.Log
-	told     *completion.Exchange
-	recorder *reconcile.Recorder
-	schedule *scheduler.Scheduler
-	lead     *leader.Leader
-	past     *archiver.Archiver
-	policies *policymanager.Manager
-	Promises *deadlinetracker.Tracker
+	set          *settings.Settings
+	store        kvstore.Store
+	log          *slog.Logger
+	boot         time.Time
+	mirror       *watchcache.Cache
+	writer       *committer.Committer
+	members      *membership.Membership
+	book         *crashloop.Tracker
+	runTimes     *estimate.RunTimes
+	spotReclaims *estimate.SpotReclaims
+	roster       *reconcile.Registry
+	done         *completion.Log
+	told         *completion.Exchange
+	recorder     *reconcile.Recorder
+	schedule     *scheduler.Scheduler
+	lead         *leader.Leader
+	past         *archiver.Archiver
+	policies     *policymanager.Manager
+	Promises     *deadlinetracker.Tracker
 }
 
 // New returns a controller that hasn't read anything yet.
@@ -69,9 +73,10 @@
 	c.mirror = watchcache.New(watchcache.Options{Member: set.Member, Limits: Limits(set), Requests: svc.RPS / count, Reads: reads}, store, follower{c}, c.Stats, log)
 	c.writer = committer.New(committer.Options{Changes: svc.WriteRPS / count, TxnOps: svc.TxnOps}, c.mirror, store, c.Stats, log)
 	c.members = membership.New(membersOptions(set), c.Stats, log)
-	c.book = evidence.New(c.members, c.Stats, log)
+	c.runTimes, c.spotReclaims = estimate.NewRunTimes(c.members), &estimate.SpotReclaims{}
+	c.book = crashloop.New(c.runTimes, c.Stats, log)
 	if q := set.Operators.Quarantine; q.On {
-		c.book.EnableQuarantine(evidence.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
+		c.book.EnableQuarantine(quarantine.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
 	}
 	c.done = completion.New(completion.Capacity(set.MemoryBytes() / completionShare))
 	c.told = completion.NewExchange(c.done, c.boot, membersOptions(set).Others)
@@ -80,11 +85,11 @@
 	c.policies = policymanager.New(host{c}, store, set.Member, c.Stats, log)
 	c.past = archiver.New(host{c}, store, pastOptions(set), c.Stats, log)
 	c.Places = topologytracker.New(set, c.mirror, c.members, c.roster, c.book, func() { c.schedule.InvalidateSnapshot() }, c.Stats, log)
-	c.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: c.mirror, Writer: c.writer, Book: c.book, Members: c.members, Roster: c.roster}, c.Stats, log)
-	c.schedule = scheduler.New(set, scheduler.Parts{Mirror: c.mirror, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Policies: c.policies, Promises: c.Promises}, c.Stats, log)
+	c.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: c.mirror, Writer: c.writer, RunTimes: c.runTimes, Members: c.members, Roster: c.roster}, c.Stats, log)
+	c.schedule = scheduler.New(set, scheduler.Parts{Mirror: c.mirror, Members: c.members, Roster: c.roster, Book: c.book, RunTimes: c.runTimes, SpotReclaims: c.spotReclaims, Places: c.Places, Policies: c.policies, Promises: c.Promises}, c.Stats, log)
 	c.Workers = server.NewWorkers(set, server.WorkersParts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Schedule: c.schedule, Completed: c.done, Exchange: c.told}, c.Stats, log)
 	c.Users = server.NewUsers(set, server.UsersParts{Mirror: c.mirror, Writer: c.writer, Policies: c.policies, Archiver: c.past, Promises: c.Promises}, c.Stats, log)
-	c.lead = leader.New(set, store, leader.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Schedule: c.schedule, Policies: c.policies, Completed: c.done}, c.Stats, log)
+	c.lead = leader.New(set, store, leader.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, SpotReclaims: c.spotReclaims, Schedule: c.schedule, Policies: c.policies, Completed: c.done}, c.Stats, log)
 	c.Workflows = runner.New(set, store, runner.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Book: c.book, Schedule: c.schedule, Users: c.Users, Past: c.past, Promises: c.Promises}, c.Stats, log)
 	c.gauges()
 	return c
@@ -285,7 +290,7 @@
 		s.ContactMS = now.Sub(contact).Milliseconds()
 	}
 	s.Failures = c.book.Failures(now)
-	s.Classes, s.Modules = c.book.Classes(), c.policies.Modules(led)
+	s.Classes, s.Modules = c.runTimes.Classes(), c.policies.Modules(led)
 	s.Suspects, s.Emptying, s.Partings = c.book.Suspects(now), c.schedule.PreemptionReservations(now), c.Places.Partitions(now)
 	s.GangReservations, s.Register = c.schedule.GangReservations(now), c.Promises.Edition()
 	c.roster.Each(func(w *reconcile.Worker) {
--- a/internal/controller/judged_test.go
+++ b/internal/controller/judged_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/ledger"
 	"maddermill/internal/testing/emulator"
@@ -29,7 +29,7 @@
 		h.cloud.Run = func(wire.TaskID) time.Duration { return 12 * time.Second }
 		h.plugins = func(c *Core) {
 			c.set.Operators.Quarantine = settings.Quarantine{On: true, Faulty: 0.01, Wrong: 0.004, Most: 0.5}
-			c.book.EnableQuarantine(evidence.DefaultPriors)
+			c.book.EnableQuarantine(quarantine.DefaultPriors)
 		}
 		var mu sync.Mutex
 		var bad wire.MachineID
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -18,7 +18,8 @@
 	"maddermill/internal/metrics"
 	"maddermill/internal/plugin/policymanager"
 	"maddermill/internal/scheduler"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/crashloop"
+	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/committer"
@@ -46,14 +47,15 @@
 
 // Parts are what the leader works with.
 type Parts struct {
-	Mirror    *watchcache.Cache
-	Writer    *committer.Committer
-	Members   *membership.Membership
-	Roster    *reconcile.Registry
-	Book      *evidence.Tracker
-	Schedule  *scheduler.Scheduler
-	Policies  *policymanager.Manager
-	Completed *completion.Log
+	Mirror       *watchcache.Cache
+	Writer       *committer.Committer
+	Members      *membership.Membership
+	Roster       *reconcile.Registry
+	Book         *crashloop.Tracker
+	SpotReclaims *estimate.SpotReclaims
+	Schedule     *scheduler.Scheduler
+	Policies     *policymanager.Manager
+	Completed    *completion.Log
 }
 
 // Leader is that part of a controller.
@@ -146,7 +148,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	l := &leader{c: c, cloud: cl, version: version, began: time.Now(),
-		units: map[wire.MachineID]*unit{}, placing: map[wire.JobID]gangStart{}, marking: map[markKey]*committer.Change{}, dark: map[wire.Zone]time.Time{}, returned: map[wire.MachineID]bool{}, releasing: map[wire.MachineID][]*committer.Change{}, refused: map[autoscale.MachineOption]time.Time{}, settled: time.Now(), renewed: asked, judged: map[evidence.Kind]map[wire.MachineID]time.Time{}}
+		units: map[wire.MachineID]*unit{}, placing: map[wire.JobID]gangStart{}, marking: map[markKey]*committer.Change{}, dark: map[wire.Zone]time.Time{}, returned: map[wire.MachineID]bool{}, releasing: map[wire.MachineID][]*committer.Change{}, refused: map[autoscale.MachineOption]time.Time{}, settled: time.Now(), renewed: asked, judged: map[estimate.Kind]map[wire.MachineID]time.Time{}}
 	go func() {
 		for ctx.Err() == nil {
 			wait.For(ctx, leaderRenew)
@@ -212,7 +214,7 @@
 	idle     time.Time
 }
 
-func (u *unit) kind() evidence.Kind { return evidence.Kind{Type: u.Type, Zone: u.Zone} }
+func (u *unit) kind() estimate.Kind { return estimate.Kind{Type: u.Type, Zone: u.Zone} }
 
 type markKey struct {
 	machine wire.MachineID
@@ -232,14 +234,14 @@
 	refused   map[autoscale.MachineOption]time.Time // no capacity until
 	recent    []ledger.ScaleOutIntent               // asked for lately, by predecessors too
 	relearn   []ledger.ScaleOutIntent               // whose outcome is not known in this term
-	boots     evidence.BootTimes
+	boots     estimate.BootTimes
 	madeRoom  time.Time                              // when room for gangs was last looked for,
 	roomTook  time.Duration                          // and how long that took
 	dark      map[wire.Zone]time.Time                // cut off, to be left alone until
 	returned  map[wire.MachineID]bool                // the cloud has confirmed it
 	releasing map[wire.MachineID][]*committer.Change // its claims, perhaps still on record
 	flavors   map[wire.MachineTypeName]wire.MachineType
-	judged    map[evidence.Kind]map[wire.MachineID]time.Time // returned as faulty
+	judged    map[estimate.Kind]map[wire.MachineID]time.Time // returned as faulty
 	settled   time.Time                                      // since when silence of machines counts
 	renewed   time.Time                                      // when the last renewal of the lease was asked for that succeeded
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -11,7 +11,7 @@
 
 	"maddermill/internal/leader/autoscale"
 	"maddermill/internal/leader/cloud"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/committer"
 	"maddermill/internal/state/ledger"
@@ -22,7 +22,7 @@
 
 func quiet(t testing.TB) *Leader {
 	p := controllertest.New(t, 0)
-	return New(p.Set, p.Store, Parts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, Schedule: p.Schedule, Policies: p.Policies}, p.Stats, p.Log)
+	return New(p.Set, p.Store, Parts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, SpotReclaims: &estimate.SpotReclaims{}, Schedule: p.Schedule, Policies: p.Policies}, p.Stats, p.Log)
 }
 
 // TestOwnSilenceIsNotTheirs: a leader that has stood still does not take machines for
@@ -187,7 +187,7 @@
 	c := quiet(t)
 	c.set.Operators.Quarantine = settings.Quarantine{On: true, Most: 0.1}
 	now := time.Now()
-	l := &leader{c: c, units: map[wire.MachineID]*unit{}, judged: map[evidence.Kind]map[wire.MachineID]time.Time{}}
+	l := &leader{c: c, units: map[wire.MachineID]*unit{}, judged: map[estimate.Kind]map[wire.MachineID]time.Time{}}
 	for i := range 30 {
 		id := wire.MachineID(fmt.Sprint("host-", i))
 		l.units[id] = &unit{ListedMachine: wire.ListedMachine{ID: id, Type: "g2", Zone: "a"}, faulty: i < 9}
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -118,14 +118,14 @@
 			u.idle = now
 		}
 	}
-	c.Book.SpotReclaims.CountMachineTime(spot, now)
+	c.SpotReclaims.CountMachineTime(spot, now)
 }
 
 // takenBack counts a spot machine that the cloud takes back, once.
 func (l *leader) takenBack(u *unit) {
 	if u.Spot && !u.taken {
 		u.taken = true
-		l.c.Book.SpotReclaims.Observe()
+		l.c.SpotReclaims.Observe()
 	}
 }
 
--- a/internal/scheduler/aims.go
+++ b/internal/scheduler/aims.go
@@ -66,7 +66,7 @@
 func (s *Scheduler) Busy(id wire.MachineID, now time.Time) []placement.ExpectedRelease {
 	var out []placement.ExpectedRelease
 	for _, h := range s.led().HeldBy(id) {
-		out = append(out, placement.ExpectedRelease{Until: s.book.Until(h, now), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
+		out = append(out, placement.ExpectedRelease{Until: s.runTimes.Until(h, now), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
 	}
 	return out
 }
--- a/internal/scheduler/believe_test.go
+++ b/internal/scheduler/believe_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/ledger"
 	"maddermill/internal/testing/controllertest"
@@ -19,7 +19,7 @@
 	for _, faulty := range []int{1, 2, 3} {
 		p := controllertest.New(t, 0)
 		p.Set.Operators.Quarantine = settings.Quarantine{On: true, Most: 0.1}
-		p.Book.EnableQuarantine(evidence.DefaultPriors)
+		p.Book.EnableQuarantine(quarantine.DefaultPriors)
 		now := time.Now()
 		led := p.Mirror.Records()
 		p.Mirror.SetForTest(1, now)
--- a/internal/scheduler/evidence/suspects.go
+++ b/internal/scheduler/crashloop/tracker.go
@@ -1,9 +1,9 @@
-// Package evidence is the part of a controller that judges by what happened: whether a failure
-// is the job's or the machine's, how long tasks of a class really take, how long machines take
-// to boot, and since when claims run.
+// Package crashloop tracks tasks' failures in a controller: which jobs crash wherever they run and are
+// backed off, which machines a job avoids, and, by the rule of two jobs or by a quarantine.Judge, which
+// machines are faulty.
 //
-// A Book has no lock: it is used under the mirror's, together with the records that it judges.
-package evidence
+// A Tracker has no lock: it is used under the watch cache's, together with the records that it judges.
+package crashloop
 
 import (
 	"log/slog"
@@ -11,36 +11,38 @@
 	"slices"
 	"time"
 
-	"maddermill/internal/membership"
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
+	"maddermill/internal/scheduler/estimate"
+	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
-// Tracker is what a controller has seen.
+// Tracker holds the failures that a controller observed or that its peers shared.
 type Tracker struct {
-	SpotReclaims SpotReclaims // of spot machines, as the fleet's leader sees them
+	runTimes *estimate.RunTimes
+	stats    *metrics.Set
+	log      *slog.Logger
 
-	members *membership.Membership // who tell of run times seen elsewhere
-	stats   *metrics.Set
-	log     *slog.Logger
-
-	jobs    map[wire.JobID]*notes
-	errors  map[wire.MachineID]map[wire.JobID]time.Time // jobs whose tasks failed there
-	classes map[wire.Class]*peer.ClassSum               // as seen here
-	claimed map[claimKey]time.Time                      // when a claim was first seen
-	judge   *Judge                                      // nil: two jobs that fail on a machine make it faulty
+	jobs   map[wire.JobID]*notes
+	errors map[wire.MachineID]map[wire.JobID]time.Time // jobs whose tasks failed there
+	judge  *quarantine.Judge                           // nil: two jobs that fail on a machine make it faulty
 }
 
-// New returns an empty book.
-func New(members *membership.Membership, stats *metrics.Set, log *slog.Logger) *Tracker {
-	return &Tracker{members: members, stats: stats, log: log, jobs: map[wire.JobID]*notes{}, errors: map[wire.MachineID]map[wire.JobID]time.Time{},
-		classes: map[wire.Class]*peer.ClassSum{}, claimed: map[claimKey]time.Time{}}
+// New returns a tracker that has observed nothing yet.
+func New(runTimes *estimate.RunTimes, stats *metrics.Set, log *slog.Logger) *Tracker {
+	return &Tracker{
+		runTimes: runTimes,
+		stats:    stats,
+		log:      log,
+		jobs:     map[wire.JobID]*notes{},
+		errors:   map[wire.MachineID]map[wire.JobID]time.Time{},
+	}
 }
 
 // EnableQuarantine has machines judged by likelihood, and slow ones found.
-func (b *Tracker) EnableQuarantine(o Priors) { b.judge = NewJudge(o) }
+func (t *Tracker) EnableQuarantine(priors quarantine.Priors) { t.judge = quarantine.NewJudge(priors) }
 
 // notes is what is remembered of a job.
 type notes struct {
@@ -51,11 +53,11 @@
 	avoid    map[wire.MachineID]time.Time
 }
 
-func (b *Tracker) notes(id wire.JobID) *notes {
-	n := b.jobs[id]
+func (t *Tracker) notes(id wire.JobID) *notes {
+	n := t.jobs[id]
 	if n == nil {
 		n = &notes{avoid: map[wire.MachineID]time.Time{}}
-		b.jobs[id] = n
+		t.jobs[id] = n
 	}
 	return n
 }
@@ -121,24 +123,24 @@
 func (f *failures) blamed() bool { return len(f.on) >= enoughToBlame }
 
 // outcome is how a task of a job ended on a machine in a block.
-func outcome(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) *Outcome {
-	return &Outcome{Machine: machine, Job: j.ID, Task: task, Array: j.Spec.Shape == wire.Array && j.Spec.Tasks > 1, Image: j.Spec.Image,
+func outcome(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) *quarantine.Outcome {
+	return &quarantine.Outcome{Machine: machine, Job: j.ID, Task: task, Array: j.Spec.Shape == wire.Array && j.Spec.Tasks > 1, Image: j.Spec.Image,
 		Class: j.Spec.Class, Block: block, At: now}
 }
 
 // Failed notes a task's error on a machine that is in a block of the topology, "" if none is
 // declared.
-func (b *Tracker) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
-	if b.judge != nil {
+func (t *Tracker) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
+	if t.judge != nil {
 		o := outcome(j, task, machine, block, now)
 		o.Failed = true
-		b.judge.Observe(o)
+		t.judge.Observe(o)
 	}
-	n := b.notes(j.ID)
-	if b.errors[machine] == nil {
-		b.errors[machine] = map[wire.JobID]time.Time{}
+	n := t.notes(j.ID)
+	if t.errors[machine] == nil {
+		t.errors[machine] = map[wire.JobID]time.Time{}
 	}
-	b.errors[machine][j.ID] = now
+	t.errors[machine][j.ID] = now
 	was := n.failures.blamed()
 	n.failures.note(machine, now)
 	n.avoid[machine] = now
@@ -153,38 +155,38 @@
 		}
 		t.note(machine, now)
 	}
-	b.stats.Add("errors_total", 1)
-	b.tellSuspect(j, n, was)
+	t.stats.Add("errors_total", 1)
+	t.tellSuspect(j, n, was)
 }
 
 // tellSuspect logs that a job has become suspect.
-func (b *Tracker) tellSuspect(j *ledger.Job, n *notes, was bool) {
+func (t *Tracker) tellSuspect(j *ledger.Job, n *notes, was bool) {
 	if n.failures.blamed() && !was {
-		b.log.Warn("job suspect", "job", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(n.failures.on), "rests", time.Until(n.failures.until).Round(time.Second))
+		t.log.Warn("job suspect", "job", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(n.failures.on), "rests", time.Until(n.failures.until).Round(time.Second))
 	}
 }
 
 // Completed notes that a task completed on a machine, which is then not the one at fault, after
 // it ran for a time; 0: unknown.
-func (b *Tracker) Completed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, ran time.Duration, now time.Time) {
-	delete(b.errors, machine)
-	if b.judge != nil {
+func (t *Tracker) Completed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, ran time.Duration, now time.Time) {
+	delete(t.errors, machine)
+	if t.judge != nil {
 		o := outcome(j, task, machine, block, now)
-		o.Ran, o.Expected = ran, b.Expected(j)
-		b.judge.Observe(o)
+		o.Ran, o.Expected = ran, t.runTimes.Expected(j)
+		t.judge.Observe(o)
 	}
 	if ran > 0 && j.Spec.Estimate > 0 {
-		b.ran(j.Spec.Class, ran, j.Spec.Estimate.Duration())
+		t.runTimes.Observe(j.Spec.Class, ran, j.Spec.Estimate.Duration())
 	}
 }
 
 // Avoid keeps a job off a machine for a while.
-func (b *Tracker) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
-	b.notes(job).avoid[machine] = now
+func (t *Tracker) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
+	t.notes(job).avoid[machine] = now
 }
 
 // Retry puts a job's next start off until a time.
-func (b *Tracker) Retry(job wire.JobID, at time.Time) { b.notes(job).retry = at }
+func (t *Tracker) Retry(job wire.JobID, at time.Time) { t.notes(job).retry = at }
 
 // RetryState is what speaks against starting tasks of a job now.
 type RetryState struct {
@@ -197,8 +199,8 @@
 // RetryState tells what speaks against a job. One a task of which has completed since the last
 // look, by whichever controller that was recorded, is cleared. A task that failed everywhere
 // rests on.
-func (b *Tracker) RetryState(j *ledger.Job, now time.Time) RetryState {
-	n := b.notes(j.ID)
+func (t *Tracker) RetryState(j *ledger.Job, now time.Time) RetryState {
+	n := t.notes(j.ID)
 	n.acquit(j)
 	for m, at := range n.avoid {
 		if now.Sub(at) > avoidFor {
@@ -235,8 +237,8 @@
 
 // BackedOff tells which tasks of a job have failed on several machines and are not yet to be tried
 // again.
-func (b *Tracker) BackedOff(job wire.JobID) func(wire.TaskIndex) bool {
-	n := b.notes(job)
+func (t *Tracker) BackedOff(job wire.JobID) func(wire.TaskIndex) bool {
+	n := t.notes(job)
 	return func(t wire.TaskIndex) bool { return n.resting(t, time.Now()) }
 }
 
@@ -258,8 +260,8 @@
 
 // Suspect reports whether a job is believed to fail wherever it runs, and after how many rounds
 // of failures.
-func (b *Tracker) Suspect(id wire.JobID) (rounds int, yes bool) {
-	n := b.jobs[id]
+func (t *Tracker) Suspect(id wire.JobID) (rounds int, yes bool) {
+	n := t.jobs[id]
 	if n == nil || !n.failures.blamed() {
 		return 0, false
 	}
@@ -267,9 +269,9 @@
 }
 
 // CountSuspects counts the jobs that are believed to fail wherever they run.
-func (b *Tracker) CountSuspects() (k int) {
-	for id := range b.jobs {
-		if _, yes := b.Suspect(id); yes {
+func (t *Tracker) CountSuspects() (k int) {
+	for id := range t.jobs {
+		if _, yes := t.Suspect(id); yes {
 			k++
 		}
 	}
@@ -277,16 +279,16 @@
 }
 
 // Failing reports whether a task of a job has failed since one completed.
-func (b *Tracker) Failing(id wire.JobID) bool {
-	n := b.jobs[id]
+func (t *Tracker) Failing(id wire.JobID) bool {
+	n := t.jobs[id]
 	return n != nil && len(n.failures.on) > 0
 }
 
 // Suspects are told to peers: also jobs that have failed on one machine only, since
 // the other one may be theirs.
-func (b *Tracker) Suspects(now time.Time) []peer.Suspect {
+func (t *Tracker) Suspects(now time.Time) []peer.Suspect {
 	var out []peer.Suspect
-	for id, n := range b.jobs {
+	for id, n := range t.jobs {
 		if len(n.failures.on) == 0 || len(out) == mostTold {
 			continue
 		}
@@ -300,35 +302,35 @@
 
 // MergeSuspects takes over what a peer told of failures, but for those of a job a task of which has
 // completed since.
-func (b *Tracker) MergeSuspects(l *ledger.Ledger, list []peer.Suspect, asked time.Time) {
+func (t *Tracker) MergeSuspects(l *ledger.Ledger, list []peer.Suspect, asked time.Time) {
 	for i := range list {
 		x := &list[i]
 		j := l.Job(x.Job)
 		if j == nil || j.State != ledger.Active || j.Done > x.Done {
 			continue
 		}
-		n := b.notes(x.Job)
+		n := t.notes(x.Job)
 		was := n.failures.blamed()
 		n.failures.hear(x, asked)
-		b.tellSuspect(j, n, was)
+		t.tellSuspect(j, n, was)
 	}
 }
 
 // Faulty reports whether a machine is to blame for its tasks' errors: several jobs
 // failed there that do not fail elsewhere. One that its user has cancelled since
 // proves nothing.
-func (b *Tracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
-	if b.judge != nil {
-		yes, _, _ := b.judge.Faulty(machine)
+func (t *Tracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
+	if t.judge != nil {
+		yes, _, _ := t.judge.Faulty(machine)
 		return yes
 	}
 	n := 0
-	for id, at := range b.errors[machine] {
+	for id, at := range t.errors[machine] {
 		j := l.Job(id)
-		_, suspect := b.Suspect(id)
+		_, suspect := t.Suspect(id)
 		switch {
 		case now.Sub(at) > blameFor || j == nil || j.State == ledger.Cancelled:
-			delete(b.errors[machine], id)
+			delete(t.errors[machine], id)
 		case !suspect:
 			n++
 		}
@@ -337,51 +339,50 @@
 }
 
 // Slow reports whether a machine's tasks take longer than others'.
-func (b *Tracker) Slow(machine wire.MachineID) bool {
-	if b.judge == nil {
+func (t *Tracker) Slow(machine wire.MachineID) bool {
+	if t.judge == nil {
 		return false
 	}
-	slow, _ := b.judge.Slow(machine)
+	slow, _ := t.judge.Slow(machine)
 	return slow
 }
 
 // Failures are told to peers.
-func (b *Tracker) Failures(now time.Time) []peer.Failure {
-	if b.judge == nil {
+func (t *Tracker) Failures(now time.Time) []peer.Failure {
+	if t.judge == nil {
 		return nil
 	}
-	return b.judge.FailuresToShare(now)
+	return t.judge.FailuresToShare(now)
 }
 
 // MergeFailures takes in what a peer tells.
-func (b *Tracker) MergeFailures(list []peer.Failure) {
-	if b.judge != nil {
-		b.judge.MergeFailures(list)
+func (t *Tracker) MergeFailures(list []peer.Failure) {
+	if t.judge != nil {
+		t.judge.MergeFailures(list)
 	}
 }
 
 // ForgetMachine drops what is known of a machine that is gone.
-func (b *Tracker) ForgetMachine(id wire.MachineID) {
-	delete(b.errors, id)
-	if b.judge != nil {
-		b.judge.Forget(id)
+func (t *Tracker) ForgetMachine(id wire.MachineID) {
+	delete(t.errors, id)
+	if t.judge != nil {
+		t.judge.Forget(id)
 	}
 }
 
 // ForgetJob drops what is known of a job that is no longer among the records.
-func (b *Tracker) ForgetJob(id wire.JobID) { delete(b.jobs, id) }
+func (t *Tracker) ForgetJob(id wire.JobID) { delete(t.jobs, id) }
 
 // Prune drops what is known of jobs and claims that are over.
-func (b *Tracker) Prune(l *ledger.Ledger, now time.Time) {
-	for id := range b.jobs {
+func (t *Tracker) Prune(l *ledger.Ledger, now time.Time) {
+	for id := range t.jobs {
 		if j := l.Job(id); j == nil || j.State != ledger.Active {
-			delete(b.jobs, id)
+			delete(t.jobs, id)
 		}
 	}
-	b.forgetClaims(l)
-	if b.judge == nil {
+	if t.judge == nil {
 		return
 	}
-	l.Active(func(j *ledger.Job) { b.judge.Progress(j.ID, j.Done, j.TaskDone) })
-	b.judge.Prune(now, func(id wire.JobID) bool { j := l.Job(id); return j != nil && j.State == ledger.Active })
+	l.Active(func(j *ledger.Job) { t.judge.Progress(j.ID, j.Done, j.TaskDone) })
+	t.judge.Prune(now, func(id wire.JobID) bool { j := l.Job(id); return j != nil && j.State == ledger.Active })
 }
--- a/internal/scheduler/deadlinetracker/promises.go
+++ b/internal/scheduler/deadlinetracker/promises.go
@@ -19,7 +19,7 @@
 	"maddermill/internal/membership"
 	"maddermill/internal/metrics"
 	"maddermill/internal/scheduler/deadline"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
@@ -33,11 +33,11 @@
 
 // Parts are what galleries are kept with.
 type Parts struct {
-	Mirror  *watchcache.Cache
-	Writer  *committer.Committer
-	Book    *evidence.Tracker
-	Members *membership.Membership
-	Roster  *reconcile.Registry
+	Mirror   *watchcache.Cache
+	Writer   *committer.Committer
+	RunTimes *estimate.RunTimes
+	Members  *membership.Membership
+	Roster   *reconcile.Registry
 }
 
 // Tracker is that part of a controller.
@@ -125,7 +125,7 @@
 		}
 		f, pending := p.flavorOf(j), j.Pending()
 		n := p.needs[j.Gallery]
-		long := p.Book.Expected(j) * 5 / 4
+		long := p.RunTimes.Expected(j) * 5 / 4
 		if pending > 0 {
 			long += placement.FetchTime(j.Spec.ImageGB, f.FetchGBps)
 		}
--- a/internal/scheduler/evidence/boots.go
+++ b/internal/scheduler/estimate/boot_times.go
@@ -1,4 +1,7 @@
-package evidence
+// Package estimate estimates from observations what configuration and owners state only roughly: how
+// long tasks of a class run (RunTimes), how long machines take to boot (BootTimes) and how often spot
+// machines are reclaimed (SpotReclaims). It does no I/O, is given the time, and has no locks.
+package estimate
 
 import (
 	"slices"
--- a/internal/scheduler/evidence/times.go
+++ b/internal/scheduler/estimate/run_times.go
@@ -1,9 +1,10 @@
-package evidence
+package estimate
 
 import (
 	"slices"
 	"time"
 
+	"maddermill/internal/membership"
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/state/ledger"
 	"maddermill/wire"
@@ -12,15 +13,33 @@
 // Owners' estimates are often wrong by half, and on some days all in the same
 // direction. What tasks of a class really took corrects them.
 
+// RunTimes corrects the owners' estimates of tasks' run times by what was observed, here and by peers,
+// and remembers since when claims run. It has no lock: it is used under the watch cache's.
+type RunTimes struct {
+	peers   Peers
+	classes map[wire.Class]*peer.ClassSum // as observed here
+	claimed map[claimKey]time.Time        // when a claim was first seen
+}
+
+// Peers is what run times need of the membership: what other controllers observed.
+type Peers interface {
+	Peers() []*membership.Peer
+}
+
+// NewRunTimes returns run times that have observed nothing yet.
+func NewRunTimes(peers Peers) *RunTimes {
+	return &RunTimes{peers: peers, classes: map[wire.Class]*peer.ClassSum{}, claimed: map[claimKey]time.Time{}}
+}
+
 // priorWeight is how many tasks' worth the estimates themselves count.
 const priorWeight = 4
 
-// ran notes how long a task of a class ran that was estimated to run for a time.
-func (b *Tracker) ran(class wire.Class, ran, estimate time.Duration) {
-	o := b.classes[class]
+// Observe records how long a task of a class ran that was estimated to run for a time.
+func (r *RunTimes) Observe(class wire.Class, ran, estimate time.Duration) {
+	o := r.classes[class]
 	if o == nil {
 		o = &peer.ClassSum{Class: class}
-		b.classes[class] = o
+		r.classes[class] = o
 	}
 	// Older tasks fade, so that a change of mood is followed.
 	o.Ran = o.Ran*0.98 + ran.Seconds()
@@ -28,10 +47,10 @@
 	o.Count = o.Count*0.98 + 1
 }
 
-// Classes is what was seen here of the classes' run times, for peers.
-func (b *Tracker) Classes() []peer.ClassSum {
-	out := make([]peer.ClassSum, 0, len(b.classes))
-	for _, o := range b.classes {
+// Classes lists the run times of classes as observed here, for peers.
+func (r *RunTimes) Classes() []peer.ClassSum {
+	out := make([]peer.ClassSum, 0, len(r.classes))
+	for _, o := range r.classes {
 		out = append(out, *o)
 	}
 	return out
@@ -39,15 +58,15 @@
 
 // correction is what estimates of a class are to be multiplied by, from what
 // all controllers have seen.
-func (b *Tracker) correction(class wire.Class) float64 {
+func (r *RunTimes) correction(class wire.Class) float64 {
 	var ran, estimated, count float64
 	add := func(o *peer.ClassSum) {
 		ran, estimated, count = ran+o.Ran, estimated+o.Estimated, count+o.Count
 	}
-	if o := b.classes[class]; o != nil {
+	if o := r.classes[class]; o != nil {
 		add(o)
 	}
-	for _, p := range b.members.Peers() {
+	for _, p := range r.peers.Peers() {
 		for i := range p.Status.Classes {
 			if o := &p.Status.Classes[i]; o.Class == class {
 				add(o)
@@ -62,8 +81,8 @@
 }
 
 // Expected is how long a task of the job will run.
-func (b *Tracker) Expected(j *ledger.Job) time.Duration {
-	return time.Duration(float64(j.Spec.Estimate.Duration()) * b.correction(j.Spec.Class))
+func (r *RunTimes) Expected(j *ledger.Job) time.Duration {
+	return time.Duration(float64(j.Spec.Estimate.Duration()) * r.correction(j.Spec.Class))
 }
 
 type claimKey struct {
@@ -74,36 +93,36 @@
 }
 
 // ClaimedSince is when a claim was first seen here.
-func (b *Tracker) ClaimedSince(h ledger.HeldClaim, now time.Time) time.Time {
+func (r *RunTimes) ClaimedSince(h ledger.HeldClaim, now time.Time) time.Time {
 	key := claimKey{h.Machine, h.Job.ID, h.Attempt, h.First}
-	since, ok := b.claimed[key]
+	since, ok := r.claimed[key]
 	if !ok {
 		since = now
-		b.claimed[key] = now
+		r.claimed[key] = now
 	}
 	return since
 }
 
 // Until is when a claim's tasks are expected to be over. One that has outlived
 // its expectation may take half as long again as it is over already.
-func (b *Tracker) Until(h ledger.HeldClaim, now time.Time) time.Time {
+func (r *RunTimes) Until(h ledger.HeldClaim, now time.Time) time.Time {
 	if h.Job.Spec.Shape == wire.Service {
 		return now.Add(24 * time.Hour)
 	}
-	end := b.ClaimedSince(h, now).Add(b.Expected(h.Job))
+	end := r.ClaimedSince(h, now).Add(r.Expected(h.Job))
 	if over := now.Sub(end); over > 0 {
 		end = now.Add(over/2 + 5*time.Second)
 	}
 	return end
 }
 
-// forgetClaims drops what is noted of claims that are over.
-func (b *Tracker) forgetClaims(l *ledger.Ledger) {
-	for key := range b.claimed {
+// Prune drops claims that are over.
+func (r *RunTimes) Prune(l *ledger.Ledger) {
+	for key := range r.claimed {
 		if !slices.ContainsFunc(l.HeldBy(key.machine), func(h ledger.HeldClaim) bool {
 			return h.Job.ID == key.job && h.Attempt == key.attempt && h.First == key.first
 		}) {
-			delete(b.claimed, key)
+			delete(r.claimed, key)
 		}
 	}
 }
--- a/internal/scheduler/evidence/takings_test.go
+++ b/internal/scheduler/estimate/spot_reclaims_test.go
@@ -1,4 +1,4 @@
-package evidence
+package estimate
 
 import (
 	"testing"
--- a/internal/scheduler/picture.go
+++ b/internal/scheduler/picture.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"maddermill/internal/membership/peer"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/server/reconcile"
 	"maddermill/internal/state/ledger"
@@ -63,7 +63,7 @@
 		}
 	}
 	s.believe(v.Machines)
-	placement.KeepLargeGangsOffSpot(v.Queue, v.Machines, s.book.SpotReclaims.PerHour())
+	placement.KeepLargeGangsOffSpot(v.Queue, v.Machines, s.spotReclaims.PerHour())
 	s.withheld = placement.ReserveForHead(v, s.withheld)
 	v.HeadReservations = s.keptFor(now)
 	s.gathered(v, now)
@@ -81,9 +81,9 @@
 	if !q.On {
 		return
 	}
-	all, slow, faulty := map[evidence.Kind]int{}, map[evidence.Kind]int{}, map[evidence.Kind]int{}
+	all, slow, faulty := map[estimate.Kind]int{}, map[estimate.Kind]int{}, map[estimate.Kind]int{}
 	for _, m := range machines {
-		k := evidence.Kind{Type: m.Type, Zone: m.Zone}
+		k := estimate.Kind{Type: m.Type, Zone: m.Zone}
 		all[k]++
 		if m.Slow {
 			slow[k]++
@@ -106,7 +106,7 @@
 		}
 	}
 	for _, m := range machines {
-		k := evidence.Kind{Type: m.Type, Zone: m.Zone}
+		k := estimate.Kind{Type: m.Type, Zone: m.Zone}
 		m.Slow = m.Slow && slow[k] <= q.MostOf(all[k])
 	}
 }
@@ -220,6 +220,7 @@
 		}
 	}
 	s.book.Prune(s.led(), now)
+	s.runTimes.Prune(s.led())
 	for _, id := range s.roster.Forget(s.led(), now) {
 		s.book.ForgetMachine(id)
 	}
@@ -227,7 +228,7 @@
 	s.markBeyond(entries)
 	for i := range entries {
 		e := &entries[i]
-		e.Expected = s.book.Expected(e.Job)
+		e.Expected = s.runTimes.Expected(e.Job)
 		e.LatestStart, e.Overdue, e.AlmostOverdue = s.startBy(e, now)
 		e.Plain = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.led().Flavors())
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -139,7 +139,7 @@
 		}
 		t := s.set.Team(spec.Team)
 		used := s.led().Used(spec.Team)
-		out = append(out, placement.Victim{Held: h, Promised: !s.canWait(h.Job, now), Saves: spec.Checkpoint > 0, Ran: now.Sub(s.book.ClaimedSince(h, now)),
+		out = append(out, placement.Victim{Held: h, Promised: !s.canWait(h.Job, now), Saves: spec.Checkpoint > 0, Ran: now.Sub(s.runTimes.ClaimedSince(h, now)),
 			Beyond: t == nil || OverGuarantee(t, used)})
 	}
 	return out
@@ -167,7 +167,7 @@
 	if ok {
 		again = now.Add(f.Boot.Duration())
 	}
-	if !s.aimBy(j, false, s.book.Expected(j), again).IsZero() {
+	if !s.aimBy(j, false, s.runTimes.Expected(j), again).IsZero() {
 		return true
 	}
 	if j.Spec.Deadline != nil {
--- a/internal/scheduler/evidence/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -1,4 +1,4 @@
-package evidence
+package quarantine
 
 import (
 	"cmp"
@@ -66,36 +66,7 @@
 	return text
 }
 
-// Why is why a machine is judged faulty in a few words; "" where machines are not judged by
-// evidence.
-func (b *Tracker) Why(m wire.MachineID) string {
-	if b.judge == nil {
-		return ""
-	}
-	return b.judge.Digest(m)
-}
-
-// Judgements explains all machines of a list that there is something to tell of, the worst first.
-func (b *Tracker) Judgements(machines []wire.MachineID) []wire.Judgement {
-	out := []wire.Judgement{}
-	if b.judge == nil {
-		return out
-	}
-	for _, m := range machines {
-		if x, ok := b.judge.Explain(m); ok {
-			out = append(out, x)
-		}
-	}
-	slices.SortFunc(out, func(a, b wire.Judgement) int {
-		return cmp.Or(cmp.Compare(b.Sure, a.Sure), cmp.Compare(b.Times, a.Times), cmp.Compare(a.Machine, b.Machine))
-	})
-	return out
-}
-
-// Judged reports whether machines are judged by evidence.
-func (b *Tracker) Judged() bool { return b.judge != nil }
-
-// likely is how sure it must be of a party that a sentence names it.
+// likely is how sure it must be of a cause that a sentence names it.
 const likely = 0.5
 
 // Write explains a judgement in sentences and a table.
--- a/internal/scheduler/evidence/worlds_test.go
+++ b/internal/scheduler/quarantine/faults_test.go
@@ -1,4 +1,4 @@
-package evidence
+package quarantine
 
 import (
 	"fmt"
@@ -18,6 +18,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// enoughToBlame is by how many jobs the plain rule finds a machine faulty, as in package crashloop.
+const enoughToBlame = 2
+
 // world is a made-up fleet with faults in it, played task by task. Every job's tasks go to
 // machines at random; one that fails is tried on another.
 type world struct {
--- a/internal/scheduler/evidence/speed.go
+++ b/internal/scheduler/quarantine/speed.go
@@ -1,4 +1,4 @@
-package evidence
+package quarantine
 
 import (
 	"math"
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -13,8 +13,9 @@
 	"maddermill/internal/membership"
 	"maddermill/internal/metrics"
 	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler/crashloop"
 	"maddermill/internal/scheduler/deadlinetracker"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/server/reconcile"
@@ -26,34 +27,38 @@
 
 // Parts are what a scheduler looks at.
 type Parts struct {
-	Mirror   *watchcache.Cache
-	Members  *membership.Membership
-	Roster   *reconcile.Registry
-	Book     *evidence.Tracker
-	Places   *topologytracker.Tracker
-	Policies *policymanager.Manager
-	Promises *deadlinetracker.Tracker
+	Mirror       *watchcache.Cache
+	Members      *membership.Membership
+	Roster       *reconcile.Registry
+	Book         *crashloop.Tracker
+	RunTimes     *estimate.RunTimes
+	SpotReclaims *estimate.SpotReclaims
+	Places       *topologytracker.Tracker
+	Policies     *policymanager.Manager
+	Promises     *deadlinetracker.Tracker
 }
 
 // Scheduler is that part of a controller.
 type Scheduler struct {
-	set      *settings.Settings
-	mirror   *watchcache.Cache
-	members  *membership.Membership
-	roster   *reconcile.Registry
-	book     *evidence.Tracker
-	places   *topologytracker.Tracker
-	policies *policymanager.Manager
-	promises *deadlinetracker.Tracker
-	stats    *metrics.Set
-	log      *slog.Logger
+	set          *settings.Settings
+	mirror       *watchcache.Cache
+	members      *membership.Membership
+	roster       *reconcile.Registry
+	book         *crashloop.Tracker
+	runTimes     *estimate.RunTimes
+	spotReclaims *estimate.SpotReclaims
+	places       *topologytracker.Tracker
+	policies     *policymanager.Manager
+	promises     *deadlinetracker.Tracker
+	stats        *metrics.Set
+	log          *slog.Logger
 
 	jobs     map[wire.JobID]*notes
 	seen     *placement.Snapshot    // the picture that placement decides from, and
 	seenAt   time.Time              // since when
 	seenTook time.Duration          // how long its making took
 	made     int                    // pictures so far
-	doubted  map[evidence.Kind]bool // of which too many are said to be faulty
+	doubted  map[estimate.Kind]bool // of which too many are said to be faulty
 	withheld map[wire.MachineID]wire.JobID
 	making   map[wire.MachineID]room
 	asking   map[wire.MachineID]room // as the leader: what holders are asked to empty
@@ -68,8 +73,8 @@
 
 // New returns a scheduler that has looked at nothing.
 func New(set *settings.Settings, p Parts, stats *metrics.Set, log *slog.Logger) *Scheduler {
-	return &Scheduler{set: set, mirror: p.Mirror, members: p.Members, roster: p.Roster, book: p.Book, places: p.Places, policies: p.Policies, promises: p.Promises,
-		stats: stats, log: log, doubted: map[evidence.Kind]bool{}, jobs: map[wire.JobID]*notes{}, withheld: map[wire.MachineID]wire.JobID{},
+	return &Scheduler{set: set, mirror: p.Mirror, members: p.Members, roster: p.Roster, book: p.Book, runTimes: p.RunTimes, spotReclaims: p.SpotReclaims, places: p.Places, policies: p.Policies, promises: p.Promises,
+		stats: stats, log: log, doubted: map[estimate.Kind]bool{}, jobs: map[wire.JobID]*notes{}, withheld: map[wire.MachineID]wire.JobID{},
 		making: map[wire.MachineID]room{}, asking: map[wire.MachineID]room{}}
 }
 
@@ -102,5 +107,5 @@
 func (s *Scheduler) Usable(w *reconcile.Worker, now time.Time) bool {
 	_, known := s.led().Flavor(w.Type)
 	return known && w.Fresh && !w.Unreachable() && w.ReclaimAt.IsZero() && s.led().MachinePhase(w.ID) == "" && !now.Before(w.CordonedUntil) &&
-		(s.doubted[evidence.Kind{Type: w.Type, Zone: w.Zone}] || !s.book.Faulty(s.led(), w.ID, now))
+		(s.doubted[estimate.Kind{Type: w.Type, Zone: w.Zone}] || !s.book.Faulty(s.led(), w.ID, now))
 }
--- a/internal/scheduler/topologytracker/places.go
+++ b/internal/scheduler/topologytracker/places.go
@@ -19,7 +19,7 @@
 	"maddermill/internal/membership"
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/crashloop"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/scheduler/topology"
 	"maddermill/internal/server/reconcile"
@@ -37,7 +37,7 @@
 	mirror  *watchcache.Cache
 	members *membership.Membership
 	roster  *reconcile.Registry
-	book    *evidence.Tracker
+	book    *crashloop.Tracker
 	stats   *metrics.Set
 	log     *slog.Logger
 	changed func() // what is placed by this is to be looked at anew
@@ -52,7 +52,7 @@
 
 // New returns places without a topology. changed is called, under the mirror's lock, whenever
 // other places may be used than before.
-func New(set *settings.Settings, mir *watchcache.Cache, m *membership.Membership, r *reconcile.Registry, b *evidence.Tracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
+func New(set *settings.Settings, mir *watchcache.Cache, m *membership.Membership, r *reconcile.Registry, b *crashloop.Tracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
 	return &Tracker{set: set, mirror: mir, members: m, roster: r, book: b, changed: changed, stats: stats, log: log}
 }
 
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -16,7 +16,7 @@
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/metrics"
 	"maddermill/internal/scheduler"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/crashloop"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/server/reconcile"
@@ -54,7 +54,7 @@
 	Writer    *committer.Committer
 	Members   *membership.Membership
 	Roster    *reconcile.Registry
-	Book      *evidence.Tracker
+	Book      *crashloop.Tracker
 	Places    *topologytracker.Tracker
 	Schedule  *scheduler.Scheduler
 	Completed *completion.Log
--- a/internal/testing/controllertest/parttest.go
+++ b/internal/testing/controllertest/parttest.go
@@ -16,8 +16,9 @@
 	"maddermill/internal/metrics"
 	"maddermill/internal/plugin/policymanager"
 	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/crashloop"
 	"maddermill/internal/scheduler/deadlinetracker"
-	"maddermill/internal/scheduler/evidence"
+	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/server/reconcile"
 	"maddermill/internal/settings"
@@ -80,21 +81,23 @@
 // Parts are those of one controller, on a state service of its own, and say nothing. No duty of
 // theirs runs.
 type Parts struct {
-	Set       *settings.Settings
-	Store     kvstore.Store
-	Stats     *metrics.Set
-	Log       *slog.Logger
-	Mirror    *watchcache.Cache
-	Writer    *committer.Committer
-	Members   *membership.Membership
-	Book      *evidence.Tracker
-	Roster    *reconcile.Registry
-	Policies  *policymanager.Manager
-	Places    *topologytracker.Tracker
-	Promises  *deadlinetracker.Tracker
-	Schedule  *scheduler.Scheduler
-	Completed *completion.Log
-	Exchange  *completion.Exchange
+	Set          *settings.Settings
+	Store        kvstore.Store
+	Stats        *metrics.Set
+	Log          *slog.Logger
+	Mirror       *watchcache.Cache
+	Writer       *committer.Committer
+	Members      *membership.Membership
+	Book         *crashloop.Tracker
+	RunTimes     *estimate.RunTimes
+	SpotReclaims *estimate.SpotReclaims
+	Roster       *reconcile.Registry
+	Policies     *policymanager.Manager
+	Places       *topologytracker.Tracker
+	Promises     *deadlinetracker.Tracker
+	Schedule     *scheduler.Scheduler
+	Completed    *completion.Log
+	Exchange     *completion.Exchange
 }
 
 // New returns the parts of a member.
@@ -110,14 +113,15 @@
 		others = append(others, o.Member)
 	}
 	p.Members = membership.New(membership.Options{Self: set.Member, Others: others, Count: 3, Contact: settings.StartContact, ValueBytes: limits.ValueBytes}, p.Stats, p.Log)
-	p.Book = evidence.New(p.Members, p.Stats, p.Log)
+	p.RunTimes, p.SpotReclaims = estimate.NewRunTimes(p.Members), &estimate.SpotReclaims{}
+	p.Book = crashloop.New(p.RunTimes, p.Stats, p.Log)
 	p.Completed = completion.New(64)
 	p.Exchange = completion.NewExchange(p.Completed, time.Now(), others)
 	p.Roster = reconcile.NewRoster(p.Members, p.Completed)
 	p.Policies = policymanager.New(follower{p}, p.Store, set.Member, p.Stats, p.Log)
 	p.Places = topologytracker.New(set, p.Mirror, p.Members, p.Roster, p.Book, func() {}, p.Stats, p.Log)
-	p.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: p.Mirror, Writer: p.Writer, Book: p.Book, Members: p.Members, Roster: p.Roster}, p.Stats, p.Log)
-	p.Schedule = scheduler.New(set, scheduler.Parts{Mirror: p.Mirror, Members: p.Members, Roster: p.Roster, Book: p.Book, Places: p.Places, Policies: p.Policies, Promises: p.Promises}, p.Stats, p.Log)
+	p.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: p.Mirror, Writer: p.Writer, RunTimes: p.RunTimes, Members: p.Members, Roster: p.Roster}, p.Stats, p.Log)
+	p.Schedule = scheduler.New(set, scheduler.Parts{Mirror: p.Mirror, Members: p.Members, Roster: p.Roster, Book: p.Book, RunTimes: p.RunTimes, SpotReclaims: p.SpotReclaims, Places: p.Places, Policies: p.Policies, Promises: p.Promises}, p.Stats, p.Log)
 	return p
 }
 
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -27,8 +27,8 @@
 	"maddermill/internal/membership"
 	"maddermill/internal/metrics"
 	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/crashloop"
 	"maddermill/internal/scheduler/deadlinetracker"
-	"maddermill/internal/scheduler/evidence"
 	"maddermill/internal/server"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/archiver"
@@ -47,7 +47,7 @@
 	Mirror   *watchcache.Cache
 	Writer   *committer.Committer
 	Members  *membership.Membership
-	Book     *evidence.Tracker
+	Book     *crashloop.Tracker
 	Schedule *scheduler.Scheduler
 	Users    *server.JobServer
 	Past     *archiver.Archiver
