--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -73,7 +73,7 @@
 // listPast prints the marks of machines that were judged faulty.
 func listPast(ctx context.Context, store plugin.Records, out io.Writer) error {
 	return kvstore.Each(ctx, store, ledger.MarksPrefix, 1000, func(it wire.Item) error {
-		if m, mark, why, ok := ledger.DecodeMark(it); ok && strings.HasPrefix(why, "faulty") {
+		if m, mark, why, ok := ledger.DecodeMachinePhase(it); ok && strings.HasPrefix(why, "faulty") {
 			fmt.Fprintf(out, "%s  %s  %s\n", m, mark, why)
 		}
 		return nil
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -150,7 +150,7 @@
 		if err != nil {
 			return err
 		}
-		core.Promises.Set(r)
+		core.Deadlines.Set(r)
 	}
 	var reread chan os.Signal
 	if topology != "" {
@@ -158,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		core.Places.Set(t)
+		core.TopologyTracker.Set(t)
 		reread = make(chan os.Signal, 1)
 		signal.Notify(reread, syscall.SIGHUP)
 		defer signal.Stop(reread)
@@ -169,15 +169,15 @@
 	if sockets == 0 {
 		sockets = 10_000
 	}
-	server := &api.Server{Users: core.Users, Workers: core.Workers, Workflows: core.Workflows, View: core, Duties: core.Duties.Status, Metrics: core.Stats.Text, RetryAfter: set.Operators.RetryAfter, Log: log,
+	server := &api.Server{Users: core.Jobs, Workers: core.Heartbeats, Workflows: core.Workflows, View: core, Duties: core.Components.Status, Metrics: core.Stats.Text, RetryAfter: set.Operators.RetryAfter, Log: log,
 		Shed:     func(kind string) { core.Stats.Add("shed_"+kind+"_total", 1) },
 		MaxUsers: int(userShare * float64(sockets)), MaxBusy: max(32, sockets/8)}
 	log.Info("starting", "version", version, "bind", set.Bind, "mesh", set.MeshAddr, "objectives", len(set.Cluster.Objectives))
 	if register != "" {
-		core.Duties.Add(supervise.Component{Name: "register", Run: func(ctx context.Context) error { return core.Promises.Reload(ctx, register) }})
+		core.Components.Add(supervise.Component{Name: "register", Run: func(ctx context.Context) error { return core.Deadlines.Reload(ctx, register) }})
 	}
 	if topology != "" {
-		core.Duties.Add(supervise.Component{Name: "topology", Run: func(ctx context.Context) error { return core.Places.Reload(ctx, topology, reread) }})
+		core.Components.Add(supervise.Component{Name: "topology", Run: func(ctx context.Context) error { return core.TopologyTracker.Reload(ctx, topology, reread) }})
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return core.Run(ctx, dialer, cl) })
--- a/cmd/maddermill/state.go
+++ b/cmd/maddermill/state.go
@@ -107,7 +107,7 @@
 					return err
 				}
 				defer f.Close()
-				end, err := backup.Check(f)
+				end, err := backup.CheckExport(f)
 				if err != nil {
 					return fmt.Errorf("%s: %w", args[0], err)
 				}
@@ -171,7 +171,7 @@
 	sums := map[string]sum{}
 	revision, err := backup.Pages(ctx, store, ledger.AllPrefix, func(items []wire.Item) error {
 		for _, it := range items {
-			kind := cmp.Or(ledger.Kind(it.Key), "unknown keys")
+			kind := cmp.Or(ledger.RecordKind(it.Key), "unknown keys")
 			if kind == "jobs" {
 				kind = "jobs that are not over"
 				if bytes.Contains(it.Value, []byte(`"state":"done"`)) || bytes.Contains(it.Value, []byte(`"state":"cancelled"`)) {
--- a/internal/controller/answers_test.go
+++ b/internal/controller/answers_test.go
@@ -47,7 +47,7 @@
 	return rankOf(got) > rankOf(before) || rankOf(got) == rankOf(before) && (rankOf(got) < 2 || got == before)
 }
 
-type request func(ctx context.Context, c *Core) (wire.JobStatus, error)
+type request func(ctx context.Context, c *Controller) (wire.JobStatus, error)
 
 // askAt asks one controller and checks what it says. A process that ends meanwhile answers nothing.
 func (h *history) askAt(ctx context.Context, id wire.JobID, at int, r request) (wire.Status, bool) {
@@ -101,18 +101,18 @@
 }
 
 func status(id wire.JobID) request {
-	return func(ctx context.Context, c *Core) (wire.JobStatus, error) { return c.Users.Status(ctx, id) }
+	return func(ctx context.Context, c *Controller) (wire.JobStatus, error) { return c.Jobs.Status(ctx, id) }
 }
 
 func submission(spec *wire.JobSpec) request {
-	return func(ctx context.Context, c *Core) (wire.JobStatus, error) {
-		st, _, err := c.Users.Submit(ctx, spec)
+	return func(ctx context.Context, c *Controller) (wire.JobStatus, error) {
+		st, _, err := c.Jobs.Submit(ctx, spec)
 		return st, err
 	}
 }
 
 func cancellation(id wire.JobID) request {
-	return func(ctx context.Context, c *Core) (wire.JobStatus, error) { return c.Users.Cancel(ctx, id) }
+	return func(ctx context.Context, c *Controller) (wire.JobStatus, error) { return c.Jobs.Cancel(ctx, id) }
 }
 
 // keep keeps a copy of a report, while that is wanted.
@@ -146,7 +146,7 @@
 			if c := h.core(i); c != nil {
 				h.group.Go(func() {
 					report := k
-					_ = c.Workers.Heartbeat(ctx, &report)
+					_ = c.Heartbeats.Heartbeat(ctx, &report)
 				})
 			}
 		}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -57,7 +57,7 @@
 		pages, _ := p.With(ids[:n], valueBytes)
 		left, ids = append(pages, left[1:]...), ids[n:]
 	}
-	g := archive.NewGone()
+	g := archive.NewTerminatedMachines()
 	for from := 0; from < over; from += archive.Span {
 		var names []string
 		for i := from; i < min(over, from+archive.Span); i++ {
@@ -65,15 +65,15 @@
 				names = append(names, fmt.Sprintf("host-%07d", i))
 			}
 		}
-		id, _ := archive.PartOf(names[0])
+		id, _ := archive.PartOfMachine(names[0])
 		head, part := g.With(id, names)
 		g.SetHead(id.Series, head)
 		g.SetPart(id, part)
-		if part.Count() > 0 {
+		if part.Len() > 0 {
 			put(ledger.Prefix+"h/"+id.String(), part)
 		}
 	}
-	id, _ := archive.PartOf("host-0000000")
+	id, _ := archive.PartOfMachine("host-0000000")
 	put(ledger.Prefix+"g/"+id.Series.String(), g.Head(id.Series))
 	return items
 }
@@ -156,7 +156,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for b.Loop() {
-		if _, err := c.mirror.Load(b.Context()); err != nil {
+		if _, err := c.cache.Load(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -180,16 +180,16 @@
 	s := newShelf(items)
 	synctest.Test(t, func(t *testing.T) {
 		c := coreOn(t, s)
-		if _, err := c.mirror.Load(t.Context()); err != nil {
+		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		loaded := s.lists
 		ctx, cancel := context.WithCancel(t.Context())
-		go c.mirror.ServeReadIndex(ctx)
+		go c.cache.ServeReadIndex(ctx)
 		defer func() { cancel(); synctest.Wait() }()
 		poll := func(id wire.JobID) (st wire.JobStatus, err error) {
 			for range 50 {
-				if st, err = c.Users.Status(t.Context(), id); !errors.Is(err, kvstore.ErrNoReach) {
+				if st, err = c.Jobs.Status(t.Context(), id); !errors.Is(err, kvstore.ErrUnreachable) {
 					return st, err
 				}
 				time.Sleep(time.Second) // put off
@@ -204,7 +204,7 @@
 			}
 		}
 		// Beside the one of a job there is one of each page of the filter.
-		if pages := c.mirror.Records().FilterPages(); s.gets != 300 || s.lists-loaded != pages || pages > 300 {
+		if pages := c.cache.Records().CountFilterPages(); s.gets != 300 || s.lists-loaded != pages || pages > 300 {
 			t.Errorf("%d reads for 300 jobs asked about three times each, and %d for %d pages", s.gets, s.lists-loaded, pages)
 		}
 		s.gets = 0
@@ -216,7 +216,7 @@
 		if s.gets > 10 {
 			t.Errorf("%d reads for 3000 unknown jobs", s.gets)
 		}
-		if pages := c.mirror.Records().FilterPages(); s.lists-loaded > pages+3 {
+		if pages := c.cache.Records().CountFilterPages(); s.lists-loaded > pages+3 {
 			t.Errorf("%d reads of %d pages", s.lists-loaded, pages)
 		}
 		t.Logf("%d reads for 3000 unknown jobs beside %d archived", s.gets, over)
@@ -239,21 +239,21 @@
 func TestReadingAnewAnswersWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := coreOn(t, slowShelf{newShelf(append(summary(t, 1000, 4096), active(400, 200)...))})
-		if _, err := c.mirror.Load(t.Context()); err != nil {
+		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		c.mirror.SetForTest(1, time.Time{})
+		c.cache.SetForTest(1, time.Time{})
 		done := make(chan error, 1)
-		go func() { _, err := c.mirror.Load(t.Context()); done <- err }()
+		go func() { _, err := c.cache.Load(t.Context()); done <- err }()
 		answered := 0
 		var tasks []wire.TaskStatus // that it was told to start: one on which nothing begins is deaf
 		for n := 1; ; n++ {
 			time.Sleep(500 * time.Millisecond)
-			c.mirror.Lock()
-			c.mirror.SetForTest(c.mirror.Token(), time.Now()) // a few seconds are within what safety allows without
-			c.mirror.Unlock()
+			c.cache.Lock()
+			c.cache.SetForTest(c.cache.Token(), time.Now()) // a few seconds are within what safety allows without
+			c.cache.Unlock()
 			r := &wire.Heartbeat{Machine: "host-9999999", Type: "g2", Zone: "a", Session: 1, Sequence: wire.HeartbeatSequence(n), Token: 1, Tasks: tasks}
-			if a := c.Workers.Heartbeat(t.Context(), r); a.Status == 200 {
+			if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status == 200 {
 				answered++
 				for _, cmd := range a.Response.Commands {
 					if cmd.Op == wire.OpStart {
@@ -358,7 +358,7 @@
 				wait.For(ctx, 10*time.Minute)
 				for i := range old {
 					id := wire.JobID(fmt.Sprintf("wk-9%08d", i))
-					st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Core) (wire.JobStatus, error) { return c.Users.Status(ctx, id) })
+					st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.JobStatus, error) { return c.Jobs.Status(ctx, id) })
 					if ok && st.Status == wire.Done && *st.Done == 2 {
 						told++
 					}
@@ -391,16 +391,16 @@
 		}
 		c := New(testSettings(t, 0), h.links[0], quietCore(t, 0).log)
 		ended := make(chan error, 1)
-		go func() { ended <- c.mirror.Watch(ctx) }()
+		go func() { ended <- c.cache.Watch(ctx) }()
 		time.Sleep(30 * time.Second)
-		if c.Users.Loaded() {
+		if c.Jobs.Loaded() {
 			t.Error("served from records that are not complete")
 		}
 		if _, err := h.store.Apply(wire.Txn{Then: []wire.Change{{Delete: ledger.ImportKey}}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(30 * time.Second)
-		if !c.Users.Loaded() {
+		if !c.Jobs.Loaded() {
 			t.Error("not served after the import")
 		}
 		if _, err := h.store.Apply(wire.Txn{Then: []wire.Change{{Put: ledger.FormatKey, Value: []byte(`{"n":99}`)}}}); err != nil {
@@ -408,7 +408,7 @@
 		}
 		select {
 		case err := <-ended:
-			if !errors.Is(err, ledger.ErrFormat) {
+			if !errors.Is(err, ledger.ErrNewerFormat) {
 				t.Error(err)
 			}
 		case <-time.After(time.Minute):
--- a/internal/controller/bound_test.go
+++ b/internal/controller/bound_test.go
@@ -33,7 +33,7 @@
 				r := newReturns(t, 31, 300*time.Millisecond)
 				r.past, r.copies = false, false
 				r.cloud.Run = func(wire.TaskID) time.Duration { return 20 * time.Second }
-				r.plugins = func(c *Core) { c.set.Operators.WaitBound = bound }
+				r.plugins = func(c *Controller) { c.set.Operators.WaitBound = bound }
 				ctx, cancel := context.WithCancel(t.Context())
 				r.begin(ctx, 4, 0)
 				r.also(ctx)
--- a/internal/controller/closeness_test.go
+++ b/internal/controller/closeness_test.go
@@ -80,14 +80,14 @@
 			looked[id] = true
 			var on []topology.Block
 			var counts []int
-			var empty []topology.Option
+			var empty []topology.MachineOption
 			tasks := h.world.On(id)
 			for _, m := range h.cloud.Up() {
 				b, _ := hall.Locate(m.Type.ID, m.Type.Addr, m.Type.Zone)
 				if n := tasks[m.Type.ID]; n > 0 {
 					on, counts = append(on, b), append(counts, n)
 				}
-				empty = append(empty, topology.Option{Machine: m.Type.ID, Block: b, Room: 2})
+				empty = append(empty, topology.MachineOption{Machine: m.Type.ID, Block: b, Room: 2})
 			}
 			_, least, _ := hall.Pack(topology.Gang{Tasks: sizes[id]}, empty)
 			cost := hall.CostOf(on, counts)
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -32,12 +32,12 @@
 		{"one has restarted and knows nothing", []peer.Answer{answerOf("m-1", fresh, 0, false, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
 	} {
 		c := quietCore(t, 0)
-		c.mirror.SetForTest(0, old)
-		c.mirror.Records().AdvanceRevision(7)
+		c.cache.SetForTest(0, old)
+		c.cache.Records().AdvanceRevision(7)
 		for _, a := range tc.peers {
 			c.heardPeer(a)
 		}
-		got, ok := c.members.CancellationsConfirmedUntil(7, now)
+		got, ok := c.membership.CancellationsConfirmedUntil(7, now)
 		if !ok {
 			got = old
 		}
@@ -55,7 +55,7 @@
 		c := quietCore(t, 0)
 		ids := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
 		a := listing(answerOf("m-1", time.Now(), 90, true, 0), 0, true)
-		a.Status.Ended, a.Status.Flows = ids[:2], []wire.WorkflowID{"wf-000001"}
+		a.Status.CancelledJobs, a.Status.CancelledWorkflows = ids[:2], []wire.WorkflowID{"wf-000001"}
 		c.heardPeer(a)
 		ctx, cancel := context.WithCancel(t.Context())
 		add := func(id wire.JobID, more string) {
@@ -67,12 +67,12 @@
 		const step = `,"of":"wf-000001"`
 		add(ids[0], "")
 		add(ids[2], step)
-		go func() { _ = c.mirror.Watch(ctx) }() // which reads all records first
+		go func() { _ = c.cache.Watch(ctx) }() // which reads all records first
 		time.Sleep(5 * time.Second)
 		add(ids[1], "")
 		add(ids[3], step)
 		time.Sleep(5 * time.Second)
-		c.mirror.Read(func(l *ledger.Ledger) {
+		c.cache.Read(func(l *ledger.Ledger) {
 			for _, id := range ids {
 				if j := l.Job(id); j == nil || !j.Cancelling || j.Pending() > 0 {
 					t.Errorf("%s counts as %+v", id, j)
@@ -84,7 +84,7 @@
 }
 
 func listing(a peer.Answer, since wire.Revision, whole bool) peer.Answer {
-	a.Status.Since, a.Status.CancellationsComplete, a.Status.Ended = since, whole, []wire.JobID{"wk-000001"}
+	a.Status.Since, a.Status.CancellationsComplete, a.Status.CancelledJobs = since, whole, []wire.JobID{"wk-000001"}
 	return a
 }
 
@@ -102,15 +102,15 @@
 	if c.Healthy() {
 		t.Error("healthy before the ledger was read, beside one that is in touch")
 	}
-	c.mirror.SetForTest(0, now)
+	c.cache.SetForTest(0, now)
 	if !c.Healthy() {
 		t.Error("not healthy for want of a token, which users need none of")
 	}
-	c.mirror.SetForTest(1, now)
+	c.cache.SetForTest(1, now)
 	if !c.Healthy() {
 		t.Error("not healthy in touch with the state service")
 	}
-	c.mirror.SetForTest(c.mirror.Token(), now.Add(-10*time.Second))
+	c.cache.SetForTest(c.cache.Token(), now.Add(-10*time.Second))
 	c.heardPeer(answerOf("m-1", now, 0, true, 10*time.Second))
 	if !c.Healthy() {
 		t.Error("not healthy in an outage that all share")
@@ -126,7 +126,7 @@
 func TestCancellationsAreVouchedFor(t *testing.T) {
 	c := quietCore(t, 0)
 	value := `{"spec":{"id":"wk-000001","pieces":1},"at":1,"state":"cancelled"}`
-	c.mirror.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
+	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
 	if got := c.status().Cancelled; got < 9 {
 		t.Errorf("vouches with %d after a cancellation at 9", got)
 	}
@@ -138,23 +138,23 @@
 func TestRedirect(t *testing.T) {
 	now := time.Now()
 	c := quietCore(t, 0)
-	c.mirror.SetForTest(1, now.Add(-8*time.Second))
+	c.cache.SetForTest(1, now.Add(-8*time.Second))
 	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
-	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 200 {
+	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
 	}
 	c.heardPeer(answerOf("m-1", time.Now(), 0, true, 100*time.Millisecond))
 	r.Sequence = 2
-	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
+	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
 		t.Errorf("%d %q with a peer in touch", a.Status, a.Redirect.ReportTo)
 	}
 	r.Sequence = 3
-	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 200 {
+	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d for a worker that came back", a.Status)
 	}
-	c.mirror.SetForTest(c.mirror.Token(), now.Add(-time.Hour))
+	c.cache.SetForTest(c.cache.Token(), now.Add(-time.Hour))
 	r.Sequence = 4
-	if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 421 {
+	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 {
 		t.Errorf("%d long after a cancellation may have been missed", a.Status)
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -35,62 +35,62 @@
 	"maddermill/wire"
 )
 
-// Core is a controller. All that it knows is rebuilt from the state service and one round of
+// Controller is a controller. All that it knows is rebuilt from the state service and one round of
 // reports after a restart.
-type Core struct {
-	Stats     *metrics.Set
-	Duties    supervise.Group
-	Users     *server.JobServer
-	Workers   *server.HeartbeatServer
-	Workflows *runner.Runner
-	Places    *topologytracker.Tracker
+type Controller struct {
+	Stats           *metrics.Set
+	Components      supervise.Group
+	Jobs            *server.JobServer
+	Heartbeats      *server.HeartbeatServer
+	Workflows       *runner.Runner
+	TopologyTracker *topologytracker.Tracker
 
 	set          *settings.Settings
 	store        kvstore.Store
 	log          *slog.Logger
 	boot         time.Time
-	mirror       *watchcache.Cache
-	writer       *committer.Committer
-	members      *membership.Membership
-	book         *crashloop.Tracker
+	cache        *watchcache.Cache
+	committer    *committer.Committer
+	membership   *membership.Membership
+	failures     *crashloop.Tracker
 	runTimes     *estimate.RunTimes
 	spotReclaims *estimate.SpotReclaims
-	roster       *reconcile.Registry
-	done         *completion.Log
-	told         *completion.Exchange
+	registry     *reconcile.Registry
+	completions  *completion.Log
+	exchange     *completion.Exchange
 	recorder     *reconcile.Recorder
-	schedule     *scheduler.Scheduler
-	lead         *leader.Leader
-	past         *archiver.Archiver
+	scheduler    *scheduler.Scheduler
+	leader       *leader.Leader
+	archiver     *archiver.Archiver
 	policies     *policymanager.Manager
-	Promises     *deadlinetracker.Tracker
+	Deadlines    *deadlinetracker.Tracker
 }
 
 // New returns a controller that hasn't read anything yet.
-func New(set *settings.Settings, store kvstore.Store, log *slog.Logger) *Core {
-	c := &Core{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
+func New(set *settings.Settings, store kvstore.Store, log *slog.Logger) *Controller {
+	c := &Controller{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
 	svc, count, reads := set.Cluster.State, float64(set.Cluster.Count), archiver.SupportedFormat(set.Operators.FormatUpTo)
-	c.mirror = watchcache.New(watchcache.Options{Member: set.Member, Limits: Limits(set), Requests: svc.RPS / count, Reads: reads}, store, follower{c}, c.Stats, log)
-	c.writer = committer.New(committer.Options{Changes: svc.WriteRPS / count, TxnOps: svc.TxnOps}, c.mirror, store, c.Stats, log)
-	c.members = membership.New(membersOptions(set), c.Stats, log)
-	c.runTimes, c.spotReclaims = estimate.NewRunTimes(c.members), &estimate.SpotReclaims{}
-	c.book = crashloop.New(c.runTimes, c.Stats, log)
+	c.cache = watchcache.New(watchcache.Options{Member: set.Member, Limits: Limits(set), Requests: svc.RPS / count, Reads: reads}, store, follower{c}, c.Stats, log)
+	c.committer = committer.New(committer.Options{Changes: svc.WriteRPS / count, TxnOps: svc.TxnOps}, c.cache, store, c.Stats, log)
+	c.membership = membership.New(membersOptions(set), c.Stats, log)
+	c.runTimes, c.spotReclaims = estimate.NewRunTimes(c.membership), &estimate.SpotReclaims{}
+	c.failures = crashloop.New(c.runTimes, c.Stats, log)
 	if q := set.Operators.Quarantine; q.On {
-		c.book.EnableQuarantine(quarantine.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
+		c.failures.EnableQuarantine(quarantine.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
 	}
-	c.done = completion.New(completion.Capacity(set.MemoryBytes() / completionShare))
-	c.told = completion.NewExchange(c.done, c.boot, membersOptions(set).Others)
-	c.roster = reconcile.NewRoster(c.members, c.done)
-	c.recorder = reconcile.NewRecorder(c.done, c.mirror, c.writer, Limits(set), c.Stats, log)
+	c.completions = completion.New(completion.Capacity(set.MemoryBytes() / completionShare))
+	c.exchange = completion.NewExchange(c.completions, c.boot, membersOptions(set).Others)
+	c.registry = reconcile.NewRegistry(c.membership, c.completions)
+	c.recorder = reconcile.NewRecorder(c.completions, c.cache, c.committer, Limits(set), c.Stats, log)
 	c.policies = policymanager.New(host{c}, store, set.Member, c.Stats, log)
-	c.past = archiver.New(host{c}, store, pastOptions(set), c.Stats, log)
-	c.Places = topologytracker.New(set, c.mirror, c.members, c.roster, c.book, func() { c.schedule.InvalidateSnapshot() }, c.Stats, log)
-	c.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: c.mirror, Writer: c.writer, RunTimes: c.runTimes, Members: c.members, Roster: c.roster}, c.Stats, log)
-	c.schedule = scheduler.New(set, scheduler.Parts{Mirror: c.mirror, Members: c.members, Roster: c.roster, Book: c.book, RunTimes: c.runTimes, SpotReclaims: c.spotReclaims, Places: c.Places, Policies: c.policies, Promises: c.Promises}, c.Stats, log)
-	c.Workers = server.NewWorkers(set, server.WorkersParts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, Places: c.Places, Schedule: c.schedule, Completed: c.done, Exchange: c.told}, c.Stats, log)
-	c.Users = server.NewUsers(set, server.UsersParts{Mirror: c.mirror, Writer: c.writer, Policies: c.policies, Archiver: c.past, Promises: c.Promises}, c.Stats, log)
-	c.lead = leader.New(set, store, leader.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Roster: c.roster, Book: c.book, SpotReclaims: c.spotReclaims, Schedule: c.schedule, Policies: c.policies, Completed: c.done}, c.Stats, log)
-	c.Workflows = runner.New(set, store, runner.Parts{Mirror: c.mirror, Writer: c.writer, Members: c.members, Book: c.book, Schedule: c.schedule, Users: c.Users, Past: c.past, Promises: c.Promises}, c.Stats, log)
+	c.archiver = archiver.New(host{c}, store, pastOptions(set), c.Stats, log)
+	c.TopologyTracker = topologytracker.New(set, c.cache, c.membership, c.registry, c.failures, func() { c.scheduler.InvalidateSnapshot() }, c.Stats, log)
+	c.Deadlines = deadlinetracker.New(set, deadlinetracker.Parts{Cache: c.cache, Committer: c.committer, RunTimes: c.runTimes, Membership: c.membership, Registry: c.registry}, c.Stats, log)
+	c.scheduler = scheduler.New(set, scheduler.Parts{Cache: c.cache, Membership: c.membership, Registry: c.registry, Failures: c.failures, RunTimes: c.runTimes, SpotReclaims: c.spotReclaims, Topology: c.TopologyTracker, Policies: c.policies, Deadlines: c.Deadlines}, c.Stats, log)
+	c.Heartbeats = server.NewHeartbeatServer(set, server.HeartbeatServerParts{Cache: c.cache, Committer: c.committer, Membership: c.membership, Registry: c.registry, Failures: c.failures, Topology: c.TopologyTracker, Scheduler: c.scheduler, Completions: c.completions, Exchange: c.exchange}, c.Stats, log)
+	c.Jobs = server.NewJobServer(set, server.JobServerParts{Cache: c.cache, Committer: c.committer, Policies: c.policies, Archiver: c.archiver, Deadlines: c.Deadlines}, c.Stats, log)
+	c.leader = leader.New(set, store, leader.Parts{Cache: c.cache, Committer: c.committer, Membership: c.membership, Registry: c.registry, Failures: c.failures, SpotReclaims: c.spotReclaims, Scheduler: c.scheduler, Policies: c.policies, Completions: c.completions}, c.Stats, log)
+	c.Workflows = runner.New(set, store, runner.Parts{Cache: c.cache, Committer: c.committer, Membership: c.membership, Failures: c.failures, Scheduler: c.scheduler, Jobs: c.Jobs, Archiver: c.archiver, Deadlines: c.Deadlines}, c.Stats, log)
 	c.gauges()
 	return c
 }
@@ -130,17 +130,17 @@
 const completionShare = 50
 
 // gauges registers what is read under the mirror's lock when metrics are asked for.
-func (c *Core) gauges() {
+func (c *Controller) gauges() {
 	gauge := func(name string, read func(l *ledger.Ledger) float64) {
 		c.Stats.Gauge(name, func() (v float64) {
-			c.mirror.Read(func(l *ledger.Ledger) { v = read(l) })
+			c.cache.Read(func(l *ledger.Ledger) { v = read(l) })
 			return v
 		})
 	}
 	gauge("jobs_active", func(l *ledger.Ledger) float64 { _, n := l.Counts(); return float64(n) })
 	gauge("jobs_finished", func(l *ledger.Ledger) float64 { k, n := l.Counts(); return float64(k - n) })
-	gauge("machines_gone_swept", func(l *ledger.Ledger) float64 { return float64(l.GoneMachines()) })
-	gauge("archive_filter_pages", func(l *ledger.Ledger) float64 { return float64(l.FilterPages()) })
+	gauge("machines_gone_swept", func(l *ledger.Ledger) float64 { return float64(l.CountTerminated()) })
+	gauge("archive_filter_pages", func(l *ledger.Ledger) float64 { return float64(l.CountFilterPages()) })
 	gauge("records_format", func(l *ledger.Ledger) float64 { f, _ := l.Format(); return float64(f.Format) })
 	gauge("ledger_revision", func(l *ledger.Ledger) float64 { return float64(l.Revision()) })
 	gauge("policy_suspended", func(l *ledger.Ledger) float64 {
@@ -149,14 +149,14 @@
 		}
 		return 0
 	})
-	gauge("galleries_open", func(l *ledger.Ledger) float64 { open, _ := deadlinetracker.Count(l); return float64(open) })
-	gauge("galleries_at_risk", func(l *ledger.Ledger) float64 { _, risky := deadlinetracker.Count(l); return float64(risky) })
-	gauge("completions_kept", func(*ledger.Ledger) float64 { return float64(c.done.Len()) })
-	gauge("completions_lost", func(*ledger.Ledger) float64 { return float64(c.done.Lost()) })
-	gauge("jobs_suspect", func(*ledger.Ledger) float64 { return float64(c.book.CountSuspects()) })
+	gauge("galleries_open", func(l *ledger.Ledger) float64 { open, _ := deadlinetracker.CountGalleries(l); return float64(open) })
+	gauge("galleries_at_risk", func(l *ledger.Ledger) float64 { _, risky := deadlinetracker.CountGalleries(l); return float64(risky) })
+	gauge("completions_kept", func(*ledger.Ledger) float64 { return float64(c.completions.Len()) })
+	gauge("completions_lost", func(*ledger.Ledger) float64 { return float64(c.completions.Lost()) })
+	gauge("jobs_suspect", func(*ledger.Ledger) float64 { return float64(c.failures.CountCrashLooping()) })
 	count := func(name string, is func(l *ledger.Ledger, w *reconcile.Worker) bool) {
 		gauge(name, func(l *ledger.Ledger) (k float64) {
-			c.roster.Each(func(w *reconcile.Worker) {
+			c.registry.Each(func(w *reconcile.Worker) {
 				if is(l, w) {
 					k++
 				}
@@ -164,18 +164,18 @@
 			return k
 		})
 	}
-	count("machines_faulty", func(l *ledger.Ledger, w *reconcile.Worker) bool { return c.book.Faulty(l, w.ID, time.Now()) })
-	count("machines_slow", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return c.book.Slow(w.ID) })
+	count("machines_faulty", func(l *ledger.Ledger, w *reconcile.Worker) bool { return c.failures.Faulty(l, w.ID, time.Now()) })
+	count("machines_slow", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return c.failures.Slow(w.ID) })
 	count("machines_deaf", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return w.Unreachable() })
-	gauge("machines_awaited", func(*ledger.Ledger) float64 { k, _ := c.lead.BootingMachines(); return float64(k) })
-	gauge("machines_overdue", func(*ledger.Ledger) float64 { _, k := c.lead.BootingMachines(); return float64(k) })
-	gauge("machines_held", func(*ledger.Ledger) float64 { return float64(c.roster.Len()) })
-	gauge("blocks_down", func(*ledger.Ledger) float64 { return float64(c.Places.Down()) })
-	gauge("machines_of_unknown_place", func(*ledger.Ledger) float64 { return float64(c.Places.Unknown()) })
-	gauge("contact_age_seconds", func(*ledger.Ledger) float64 { return time.Since(c.mirror.SyncedAt()).Seconds() })
+	gauge("machines_awaited", func(*ledger.Ledger) float64 { k, _ := c.leader.BootingMachines(); return float64(k) })
+	gauge("machines_overdue", func(*ledger.Ledger) float64 { _, k := c.leader.BootingMachines(); return float64(k) })
+	gauge("machines_held", func(*ledger.Ledger) float64 { return float64(c.registry.Len()) })
+	gauge("blocks_down", func(*ledger.Ledger) float64 { return float64(c.TopologyTracker.CountDown()) })
+	gauge("machines_of_unknown_place", func(*ledger.Ledger) float64 { return float64(c.TopologyTracker.CountUnknown()) })
+	gauge("contact_age_seconds", func(*ledger.Ledger) float64 { return time.Since(c.cache.SyncedAt()).Seconds() })
 	c.Stats.Gauge("duties_amiss", func() float64 {
 		k := 0
-		for _, s := range c.Duties.Status(time.Now()) {
+		for _, s := range c.Components.Status(time.Now()) {
 			if s.Amiss != "" {
 				k++
 			}
@@ -186,14 +186,14 @@
 
 // SetPlugins switches plug-ins on. With keys only modules signed by one of them are used; the
 // initial one is, where no policy was ever chosen.
-func (c *Core) SetPlugins(keys []ed25519.PublicKey, bounds plugin.Bounds, starve time.Duration, initial policymanager.Initial) {
+func (c *Controller) SetPlugins(keys []ed25519.PublicKey, bounds plugin.Bounds, starve time.Duration, initial policymanager.Initial) {
 	c.policies.Set(func(o *policymanager.Options) {
 		o.On, o.Keys, o.Bounds, o.Starve, o.Initial, o.Limits = true, keys, bounds, starve, initial, Limits(c.set)
 	})
 }
 
 // RecordPasses gives every pass over the queue to f, which must not keep it.
-func (c *Core) RecordPasses(f func(*policy.Pass)) {
+func (c *Controller) RecordPasses(f func(*policy.Pass)) {
 	c.policies.Set(func(o *policymanager.Options) { o.Record = f })
 }
 
@@ -207,20 +207,20 @@
 // or nobody would be there to answer when it is over. One that for a while reaches neither the state
 // service nor any other controller can't tell whether it alone is cut off: users that keep their
 // connections to it would never be answered, so it sends them away.
-func (c *Core) Healthy() bool {
+func (c *Controller) Healthy() bool {
 	now := time.Now()
-	c.mirror.Lock()
-	ready, contact := c.mirror.Loaded(), c.mirror.SyncedAt()
-	c.mirror.Unlock()
+	c.cache.Lock()
+	ready, contact := c.cache.Loaded(), c.cache.SyncedAt()
+	c.cache.Unlock()
 	if ready && now.Sub(contact) < 2500*time.Millisecond {
 		return true
 	}
 	// If another is answered it is only this controller that is refused.
-	if c.members.PeersReachStore(now) {
+	if c.membership.PeersReachStore(now) {
 		return false
 	}
 	last := c.boot
-	for _, at := range []time.Time{contact, c.members.LastHeard()} {
+	for _, at := range []time.Time{contact, c.membership.LastHeard()} {
 		if at.After(last) {
 			last = at
 		}
@@ -233,34 +233,34 @@
 
 // Topology tells of the declared topology, its machines and the gangs on them, as this
 // controller sees them. It tells false while there is none.
-func (c *Core) Topology(now time.Time) (wire.TopologyView, bool) {
-	return c.Places.Topology(now, c.schedule.Snapshot)
+func (c *Controller) Topology(now time.Time) (wire.TopologyView, bool) {
+	return c.TopologyTracker.Topology(now, c.scheduler.Snapshot)
 }
 
 // Judgements tells what is believed of the machines that report here, and why; false if machines
 // are not judged by evidence.
-func (c *Core) Judgements() (out []wire.Judgement, judged bool) {
-	c.mirror.Read(func(*ledger.Ledger) {
+func (c *Controller) Judgements() (out []wire.Judgement, judged bool) {
+	c.cache.Read(func(*ledger.Ledger) {
 		var held []wire.MachineID
-		c.roster.Each(func(w *reconcile.Worker) { held = append(held, w.ID) })
-		out, judged = c.book.Judgements(held), c.book.Judged()
+		c.registry.Each(func(w *reconcile.Worker) { held = append(held, w.ID) })
+		out, judged = c.failures.Judgements(held), c.failures.QuarantineEnabled()
 	})
 	return out, judged
 }
 
 // statusFor answers a peer that asks over the mesh.
-func (c *Core) statusFor(ask peer.Status) peer.Status {
-	c.members.ObserveProbe(ask.Member, time.Now())
+func (c *Controller) statusFor(ask peer.Status) peer.Status {
+	c.membership.ObserveProbe(ask.Member, time.Now())
 	s := c.status()
-	c.mirror.Read(func(l *ledger.Ledger) {
-		c.told.Answer(ask, &s, time.Now())
+	c.cache.Read(func(l *ledger.Ledger) {
+		c.exchange.Answer(ask, &s, time.Now())
 		if s.Cancelled <= ask.Revision {
 			return
 		}
 		// Read after the status: it may hold more, and vouches for no more than it lists.
 		lacks, whole := l.CancelledSince(ask.Revision)
 		if s.Since, s.Cancelled = ask.Revision, l.LastCancel(); lacks.Len() <= mostEnded {
-			s.Ended, s.Flows, s.CancellationsComplete = lacks.Jobs, lacks.Flows, whole
+			s.CancelledJobs, s.CancelledWorkflows, s.CancellationsComplete = lacks.Jobs, lacks.Workflows, whole
 		}
 	})
 	return s
@@ -270,44 +270,44 @@
 const mostEnded = 400
 
 // questionTo is what this controller says of itself when it asks a peer.
-func (c *Core) questionTo(member wire.MemberID) peer.Status {
+func (c *Controller) questionTo(member wire.MemberID) peer.Status {
 	s := peer.Status{Member: c.set.Member}
-	c.mirror.Read(func(l *ledger.Ledger) {
+	c.cache.Read(func(l *ledger.Ledger) {
 		s.Revision = l.Revision()
-		c.told.Request(member, &s)
+		c.exchange.Request(member, &s)
 	})
 	return s
 }
 
 // status is what this controller tells its peers.
-func (c *Core) status() peer.Status {
-	c.mirror.Lock()
-	defer c.mirror.Unlock()
-	led, now := c.mirror.Records(), time.Now()
+func (c *Controller) status() peer.Status {
+	c.cache.Lock()
+	defer c.cache.Unlock()
+	led, now := c.cache.Records(), time.Now()
 	s := peer.Status{Version: peer.Version, Member: c.set.Member, Boot: c.boot.UnixMilli(), Revision: led.Revision(),
-		Cancelled: led.LastCancel(), ContactMS: math.MaxInt32, Loaded: c.mirror.Loaded(), MaxFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo)}
-	if contact := c.mirror.SyncedAt(); !contact.IsZero() {
+		Cancelled: led.LastCancel(), ContactMS: math.MaxInt32, Loaded: c.cache.Loaded(), MaxFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo)}
+	if contact := c.cache.SyncedAt(); !contact.IsZero() {
 		s.ContactMS = now.Sub(contact).Milliseconds()
 	}
-	s.Failures = c.book.Failures(now)
+	s.Failures = c.failures.FailuresToShare(now)
 	s.Classes, s.Modules = c.runTimes.Classes(), c.policies.Modules(led)
-	s.Suspects, s.Emptying, s.Partings = c.book.Suspects(now), c.schedule.PreemptionReservations(now), c.Places.Partitions(now)
-	s.GangReservations, s.Register = c.schedule.GangReservations(now), c.Promises.Edition()
-	c.roster.Each(func(w *reconcile.Worker) {
+	s.Suspects, s.PreemptionReservations, s.GangPartitions = c.failures.SuspectsToShare(now), c.scheduler.PreemptionReservations(now), c.TopologyTracker.Partitions(now)
+	s.GangReservations, s.RegisterEdition = c.scheduler.GangReservations(now), c.Deadlines.RegisterEdition()
+	c.registry.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) > 2*time.Minute {
 			return
 		}
 		m := peer.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken,
-			Endpoint: c.Places.EndpointOf(w), AgeMS: now.Sub(w.LastHeartbeat).Milliseconds(), Usable: c.schedule.Usable(w, now), Faulty: c.book.Faulty(led, w.ID, now), Slow: c.book.Slow(w.ID), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
+			Endpoint: c.TopologyTracker.EndpointOf(w), AgeMS: now.Sub(w.LastHeartbeat).Milliseconds(), Usable: c.scheduler.Usable(w, now), Faulty: c.failures.Faulty(led, w.ID, now), Slow: c.failures.Slow(w.ID), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
 		if m.Faulty {
-			m.QuarantineReason = c.book.Why(w.ID)
+			m.QuarantineReason = c.failures.QuarantineReason(w.ID)
 		}
 		if !w.ReclaimAt.IsZero() {
 			m.ReclaimMS = max(1, w.ReclaimAt.Sub(now).Milliseconds())
 		}
-		if im := c.roster.Known(w); im != nil {
+		if im := c.registry.KnownImages(w); im != nil {
 			im.Fetches(now, c.set.Operators.FetchMark)
-			m.Images, m.Fetching = im.Names(), im.Under()
+			m.Images, m.Fetching = im.Names(), im.ListFetching()
 		}
 		s.Machines = append(s.Machines, m)
 	})
@@ -316,20 +316,20 @@
 
 // listed is what a peer lists as cancelled.
 func listed(s *peer.Status) ledger.Cancellations {
-	return ledger.Cancellations{Jobs: s.Ended, Flows: s.Flows}
+	return ledger.Cancellations{Jobs: s.CancelledJobs, Workflows: s.CancelledWorkflows}
 }
 
 // heardPeer takes in what a peer told.
-func (c *Core) heardPeer(a peer.Answer) {
-	c.mirror.Read(func(l *ledger.Ledger) {
+func (c *Controller) heardPeer(a peer.Answer) {
+	c.cache.Read(func(l *ledger.Ledger) {
 		l.MarkCancelling(listed(&a.Status))
 		now := time.Now()
-		c.told.Merge(&a.Status, c.Workers.CompletionUnrecorded, !c.mirror.SyncedWithin(now, settings.StartContact), now)
-		c.members.ObserveStatus(a.Status, a.Asked) // it may vouch from now on, for this ledger
-		c.book.MergeSuspects(l, a.Status.Suspects, a.Asked)
-		c.book.MergeFailures(a.Status.Failures)
-		c.Places.MergePartitions(a.Status.Partings, a.Asked)
-		c.schedule.ObservePreemptionReservations(a.Status.Member, a.Status.Emptying, a.Asked, time.Now())
-		c.schedule.ObserveGangReservations(a.Status.Member, a.Status.GangReservations, a.Asked, time.Now())
+		c.exchange.Merge(&a.Status, c.Heartbeats.CompletionUnrecorded, !c.cache.SyncedWithin(now, settings.StartContact), now)
+		c.membership.ObserveStatus(a.Status, a.AsOf) // it may vouch from now on, for this ledger
+		c.failures.MergeSuspects(l, a.Status.Suspects, a.AsOf)
+		c.failures.MergeFailures(a.Status.Failures)
+		c.TopologyTracker.MergePartitions(a.Status.GangPartitions, a.AsOf)
+		c.scheduler.ObservePreemptionReservations(a.Status.Member, a.Status.PreemptionReservations, a.AsOf, time.Now())
+		c.scheduler.ObserveGangReservations(a.Status.Member, a.Status.GangReservations, a.AsOf, time.Now())
 	})
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func quietCore(t testing.TB, member int) *Core {
+func quietCore(t testing.TB, member int) *Controller {
 	t.Helper()
 	set := testSettings(t, member)
 	link := emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1))
@@ -20,7 +20,7 @@
 }
 
 // coreOn is a controller that says nothing, on a store.
-func coreOn(t testing.TB, s kvstore.Store) *Core {
+func coreOn(t testing.TB, s kvstore.Store) *Controller {
 	return New(testSettings(t, 0), s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
@@ -33,14 +33,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCore(t, 0)
 		now := time.Now()
-		c.mirror.SetForTest(1, now)
-		c.members.SetRunningForTest(now.Add(-50 * time.Second))
+		c.cache.SetForTest(1, now)
+		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
 		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
-		if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 503 {
+		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 503 {
 			t.Errorf("%d for a report from before", a.Status)
 		}
 		time.Sleep(time.Second)
-		if a := c.Workers.Heartbeat(t.Context(), r); a.Status != 200 {
+		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 			t.Errorf("%d for a report from after", a.Status)
 		}
 	})
--- a/internal/controller/first_test.go
+++ b/internal/controller/first_test.go
@@ -47,13 +47,13 @@
 				c := New(testSettings(b, 0), link, slog.New(slog.DiscardHandler))
 				c.register(fullCloud{[]wire.MachineType{flavor}})
 				var running sync.WaitGroup
-				running.Go(func() { _ = c.Duties.Run(ctx) })
+				running.Go(func() { _ = c.Components.Run(ctx) })
 				for _, r := range f.Reports {
-					running.Go(func() { c.Workers.Heartbeat(ctx, r) })
+					running.Go(func() { c.Heartbeats.Heartbeat(ctx, r) })
 				}
 				for answered := false; !answered; {
 					one, stop := context.WithTimeout(ctx, 2*time.Second)
-					_, err := c.Users.Status(one, "wk-900000")
+					_, err := c.Jobs.Status(one, "wk-900000")
 					stop()
 					answered = err == nil
 				}
--- a/internal/controller/floods_test.go
+++ b/internal/controller/floods_test.go
@@ -46,17 +46,17 @@
 		set := testSettings(t, 0)
 		store := &countedLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
 		c := New(set, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.mirror.Records().Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
+		c.cache.Records().Apply(ledger.Event{Key: ledger.MachineTypeKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
 		ctx, cancel := context.WithCancel(t.Context())
 		var duties sync.WaitGroup
-		for _, duty := range []func(context.Context) error{c.mirror.Watch, c.mirror.ServeReadIndex, c.mirror.AcquireTokens} {
+		for _, duty := range []func(context.Context) error{c.cache.Watch, c.cache.ServeReadIndex, c.cache.AcquireTokens} {
 			duties.Go(func() { _ = duty(ctx) })
 		}
 		defer func() { cancel(); duties.Wait() }()
 		time.Sleep(time.Second)
-		c.mirror.Lock()
-		c.mirror.Records().Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
-		c.mirror.Unlock()
+		c.cache.Lock()
+		c.cache.Records().Apply(ledger.Event{Key: ledger.MachineTypeKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
+		c.cache.Unlock()
 
 		const jobs = 60
 		id := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
@@ -67,7 +67,7 @@
 					one, done := context.WithTimeout(ctx, 20*time.Second)
 					defer done()
 					spec := &wire.JobSpec{ID: id(i), Class: "c", Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, Image: "i"}
-					if _, _, err := c.Users.Submit(one, spec); err != nil {
+					if _, _, err := c.Jobs.Submit(one, spec); err != nil {
 						t.Errorf("%s: %v", spec.ID, err)
 					}
 				})
@@ -81,7 +81,7 @@
 			t.Errorf("%d jobs submitted twice: %d changes, %d bytes", jobs, n, b)
 		}
 		for i := range jobs / 3 {
-			if _, err := c.Users.Cancel(ctx, id(i)); err != nil {
+			if _, err := c.Jobs.Cancel(ctx, id(i)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -93,7 +93,7 @@
 					all.Go(func() {
 						one, done := context.WithTimeout(ctx, 1900*time.Millisecond)
 						defer done()
-						if _, err := c.Users.Status(one, id(i)); (i < jobs) != (err == nil) || i >= jobs && !errors.Is(err, server.ErrNoSuchJob) {
+						if _, err := c.Jobs.Status(one, id(i)); (i < jobs) != (err == nil) || i >= jobs && !errors.Is(err, server.ErrNoSuchJob) {
 							t.Errorf("%s: %v", id(i), err)
 						}
 					})
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -54,17 +54,17 @@
 						registers[i] = reg
 						r.mu.Unlock()
 						if c := r.core(i); c != nil {
-							c.Promises.Set(reg)
+							c.Deadlines.Set(reg)
 						}
 					}
-					r.plugins = func(c *Core) {
+					r.plugins = func(c *Controller) {
 						for i := range 3 {
 							if c.set.Member == testSettings(t, i).Member {
 								r.mu.Lock()
 								reg := registers[i]
 								r.mu.Unlock()
 								if reg != nil {
-									c.Promises.Set(reg)
+									c.Deadlines.Set(reg)
 								}
 							}
 						}
@@ -147,8 +147,8 @@
 	if capped == nil || len(capped.Promises) < 1 || capped.Promises[0].Why != "" {
 		t.Fatalf("gallery %+v", capped)
 	}
-	l.Galleries(func(g *ledger.Gallery) {
-		if g.Date().Time().Before(time.Now().Add(-30*time.Second)) && !g.Over() {
+	l.EachGallery(func(g *ledger.Gallery) {
+		if g.Date().Time().Before(time.Now().Add(-30*time.Second)) && !g.Ended() {
 			t.Errorf("%s is %q long after its date", g.Name, g.State)
 		}
 		if g.Jobs == nil {
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -141,7 +141,7 @@
 	at = -1
 	for i := range h.n {
 		if c := h.core(i); c != nil {
-			c.mirror.Read(func(l *ledger.Ledger) {
+			c.cache.Read(func(l *ledger.Ledger) {
 				if r, v := l.Leader(); v > since {
 					since = v
 					fmt.Sscanf(string(r.Member), "m-%d", &at)
@@ -169,7 +169,7 @@
 				continue
 			}
 			one, end := context.WithTimeout(ctx, 4*time.Second)
-			st, err := c.Users.Cancel(one, id)
+			st, err := c.Jobs.Cancel(one, id)
 			end()
 			if err == nil && st.Status == wire.Cancelled && h.core(k) == c {
 				h.world.Told(id, wire.Cancelled)
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -12,9 +12,9 @@
 	"maddermill/internal/testing/controllertest"
 )
 
-func growTo(b *testing.B, machines int) (*Core, *controllertest.Fleet) {
+func growTo(b *testing.B, machines int) (*Controller, *controllertest.Fleet) {
 	c, f := quietCore(b, 0), controllertest.NewFleet(machines)
-	f.Join(c.mirror, c.members, c.roster)
+	f.Join(c.cache, c.membership, c.registry)
 	c.boot = time.Now().Add(-time.Hour)
 	return c, f
 }
@@ -24,39 +24,39 @@
 // bytes, and a reload. What it costs the leader is in package lead.
 func BenchmarkGrowth(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
-		var g *Core
+		var g *Controller
 		var f *controllertest.Fleet
 		run := func(name string, what func(b *testing.B)) {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				if g == nil {
 					g, f = growTo(b, n)
 				}
-				g.mirror.SetForTest(1, time.Now())
+				g.cache.SetForTest(1, time.Now())
 				b.ReportAllocs()
 				b.ResetTimer()
 				what(b)
 			})
 		}
 		run("report", func(b *testing.B) {
-			g.schedule.Snapshot(time.Now())
+			g.scheduler.Snapshot(time.Now())
 			for i := range b.N {
 				r := *f.Reports[1+i%(len(f.Reports)-1)]
 				if len(r.Tasks) == 0 {
 					r = *f.Reports[1]
 				}
-				w := g.roster.Worker(r.Machine)
+				w := g.registry.Worker(r.Machine)
 				r.Sequence = w.Sequence + 1
-				g.Workers.Heartbeat(b.Context(), &r)
+				g.Heartbeats.Heartbeat(b.Context(), &r)
 			}
 		})
 		run("picture", func(b *testing.B) {
 			for range b.N {
-				g.schedule.InvalidateSnapshot()
-				g.schedule.Snapshot(time.Now())
+				g.scheduler.InvalidateSnapshot()
+				g.scheduler.Snapshot(time.Now())
 			}
 		})
 		run("gangs", func(b *testing.B) {
-			v := g.schedule.Snapshot(time.Now())
+			v := g.scheduler.Snapshot(time.Now())
 			b.ResetTimer()
 			for range b.N {
 				v.Reserve()
@@ -64,7 +64,7 @@
 			}
 		})
 		run("gather", func(b *testing.B) {
-			v := g.schedule.Snapshot(time.Now())
+			v := g.scheduler.Snapshot(time.Now())
 			for i := range v.Queue { // all have waited for long
 				v.Queue[i].Overdue, v.Queue[i].Waiting = true, time.Minute
 			}
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -47,7 +47,7 @@
 	group sync.WaitGroup
 
 	mu    sync.Mutex
-	cores []*Core           // nil while one is down
+	cores []*Controller     // nil while one is down
 	lives []context.Context // of the run of each that began last
 	stop  []context.CancelFunc
 	cut   []bool // from the mesh
@@ -68,7 +68,7 @@
 	data stepdata.Store                     // switches workflows on, if given
 	also func(context.Context)              // started with the jobs, if given
 
-	plugins func(*Core) // switches plug-ins on, if given
+	plugins func(*Controller) // switches plug-ins on, if given
 
 	at     func(i int, step string) // called at each step of a controller, if given
 	copies bool                     // all messages that were carried out arrive once more, late
@@ -93,7 +93,7 @@
 
 // newHistoryOf is a history with so many controllers, whose settings are changed by tune.
 func newHistoryOf(t *testing.T, seed uint64, n int, tune func(*settings.Settings)) *history {
-	h := &history{t: t, seed: seed, n: n, tune: tune, rng: rand.New(rand.NewPCG(seed, 2)), cores: make([]*Core, n), lives: make([]context.Context, n),
+	h := &history{t: t, seed: seed, n: n, tune: tune, rng: rand.New(rand.NewPCG(seed, 2)), cores: make([]*Controller, n), lives: make([]context.Context, n),
 		stop: make([]context.CancelFunc, n), cut: make([]bool, n), upTo: make([]int, n), deaf: map[wire.MachineID]bool{}, mute: map[wire.MachineID]bool{}, shut: map[wire.Zone]int{}, answers: answers{latest: map[wire.JobID]wire.Status{}}}
 	set := h.settings(0)
 	h.world = emulator.NewWorld(set.Cluster.Workers.Cancel.Duration())
@@ -119,7 +119,7 @@
 	return set
 }
 
-func (h *history) core(i int) *Core {
+func (h *history) core(i int) *Controller {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.cores[i]
@@ -144,13 +144,13 @@
 	if h.past {
 		opt := pastOptions(c.set)
 		opt.Kept, opt.SweepAfter, opt.Settle = 0, 1, h.settle()
-		c.past = archiver.New(host{c}, c.store, opt, c.Stats, c.log)
+		c.archiver = archiver.New(host{c}, c.store, opt, c.Stats, c.log)
 	}
 	if h.data != nil {
 		c.Workflows.Set(h.data)
 	}
 	if h.tree != nil {
-		c.Places.Set(h.tree)
+		c.TopologyTracker.Set(h.tree)
 	}
 	if h.plugins != nil {
 		h.plugins(c)
@@ -160,7 +160,7 @@
 	h.cores[i], h.lives[i], h.stop[i] = c, ctx, cancel
 	h.mu.Unlock()
 	c.register(frozenCloud{h.cloud, h.links[i], func(step string) { h.step(i, step) }})
-	h.group.Go(func() { _ = c.Duties.Run(ctx) })
+	h.group.Go(func() { _ = c.Components.Run(ctx) })
 	h.group.Go(func() {
 		for ctx.Err() == nil {
 			wait.For(ctx, time.Second)
@@ -172,7 +172,7 @@
 				if o != i && p != nil && !cut && h.links[i].Frozen() <= 0 && h.links[o].Frozen() <= 0 {
 					asked := time.Now()
 					wait.For(ctx, 3*time.Millisecond)
-					c.heardPeer(peer.Answer{Status: p.statusFor(c.questionTo(p.set.Member)), Asked: asked})
+					c.heardPeer(peer.Answer{Status: p.statusFor(c.questionTo(p.set.Member)), AsOf: asked})
 				}
 			}
 		}
@@ -260,7 +260,7 @@
 			kind = "tie"
 		case strings.HasPrefix(ch.Put, ledger.Prefix+"j/") && strings.Contains(v, `"of":`) && !strings.Contains(v, `"a":`):
 			kind = "step"
-		case strings.HasPrefix(ch.Put, ledger.HiresKey):
+		case strings.HasPrefix(ch.Put, ledger.ScaleOutKey):
 			kind = "rental record"
 		case strings.HasPrefix(ch.Put, ledger.Prefix+"m/"):
 			kind = "mark"
@@ -310,7 +310,7 @@
 	ran := time.Now()
 	wait.For(ctx, d)
 	if c := h.core(i); c != nil {
-		c.members.SetRunningForTest(ran)
+		c.membership.SetRunningForTest(ran)
 	}
 }
 
@@ -351,7 +351,7 @@
 			late := *r
 			h.group.Go(func() {
 				wait.For(ctx, d+time.Duration(h.chance(900))*time.Millisecond)
-				_ = c.Workers.Heartbeat(ctx, &late)
+				_ = c.Heartbeats.Heartbeat(ctx, &late)
 			})
 			at = (at + 1 + h.chance(h.n-1)) % h.n
 			wait.For(ctx, 4*time.Second)
@@ -363,7 +363,7 @@
 			h.group.Go(func() {
 				wait.For(ctx, delay)
 				if c := h.core(to); c != nil {
-					_ = c.Workers.Heartbeat(ctx, &late)
+					_ = c.Heartbeats.Heartbeat(ctx, &late)
 				}
 			})
 			at = (at + 1 + h.chance(h.n-1)) % h.n
@@ -375,11 +375,11 @@
 			h.group.Go(func() {
 				wait.For(ctx, delay)
 				if c := h.core(to); c != nil {
-					_ = c.Workers.Heartbeat(ctx, &copied)
+					_ = c.Heartbeats.Heartbeat(ctx, &copied)
 				}
 			})
 		}
-		a := c.Workers.Heartbeat(ctx, r)
+		a := c.Heartbeats.Heartbeat(ctx, r)
 		switch {
 		case a.Status != 200:
 			at, retry = (at+1)%h.n, true
@@ -469,7 +469,7 @@
 }
 
 // askAny asks any controller, again and again, until one answers.
-func askAny[T any](ctx context.Context, h *history, about string, f func(context.Context, *Core) (T, error)) (answer T, ok bool) {
+func askAny[T any](ctx context.Context, h *history, about string, f func(context.Context, *Controller) (T, error)) (answer T, ok bool) {
 	for ctx.Err() == nil {
 		if c := h.core(h.chance(h.n)); c != nil {
 			one, cancel := context.WithTimeout(ctx, 4*time.Second)
@@ -531,8 +531,8 @@
 	wait.For(ctx, 70*time.Second)
 	h.askOne(ctx, spec.ID, status(spec.ID))
 	// A retry may come at any later time, and gets the state that the job ended in.
-	h.askOne(ctx, spec.ID, func(ctx context.Context, c *Core) (wire.JobStatus, error) {
-		st, created, err := c.Users.Submit(ctx, spec)
+	h.askOne(ctx, spec.ID, func(ctx context.Context, c *Controller) (wire.JobStatus, error) {
+		st, created, err := c.Jobs.Submit(ctx, spec)
 		if created {
 			h.t.Errorf("seed %d: %s is accepted anew", h.seed, spec.ID)
 		}
@@ -771,7 +771,7 @@
 		}
 	}
 	passed := func(id wire.JobID) bool {
-		if !l.PageKnown(string(id)) {
+		if !l.FilterPageKnown(string(id)) {
 			page, version := archive.FirstPage(), wire.Revision(0)
 			if it, err := h.links[0].List(h.t.Context(), ledger.FilterPrefix, ledger.FilterKey(archive.Position(string(id))), 1); err != nil {
 				h.t.Fatal(err)
@@ -780,7 +780,7 @@
 					h.t.Fatal(err)
 				}
 			}
-			l.PutPage(page, version, l.Added())
+			l.PutFilterPage(page, version, l.FilterAdditions())
 		}
 		may, _ := l.MayBeArchived(id)
 		return may
@@ -795,10 +795,10 @@
 			h.t.Errorf("seed %d: %s is marked %s and counts as %s", h.seed, m, k, got)
 		}
 	})
-	if h.past && (len(finals) == 0 || l.GoneMachines() == 0) {
-		h.t.Errorf("seed %d: %d jobs archived, %d machines swept", h.seed, len(finals), l.GoneMachines())
+	if h.past && (len(finals) == 0 || l.CountTerminated() == 0) {
+		h.t.Errorf("seed %d: %d jobs archived, %d machines swept", h.seed, len(finals), l.CountTerminated())
 	}
-	h.t.Logf("%d jobs archived, %d machines swept", len(finals), l.GoneMachines())
+	h.t.Logf("%d jobs archived, %d machines swept", len(finals), l.CountTerminated())
 }
 
 // finish ends all that runs and lets come what was delayed.
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -13,19 +13,19 @@
 // host is the controller as the parts see it that state in an interface of their own what they
 // need. Read takes the mirror's lock; no part may call it with a lock of its own held that it
 // also takes under Read.
-type host struct{ c *Core }
+type host struct{ c *Controller }
 
 // Read gives f the mirrored records.
-func (h host) Read(f func(*ledger.Ledger)) { h.c.mirror.Read(f) }
+func (h host) Read(f func(*ledger.Ledger)) { h.c.cache.Read(f) }
 
 // Term is the version of the record under which this controller leads the fleet, and false if
 // it doesn't or is out of touch.
 func (h host) Term() (term wire.Revision, leads bool) {
 	c := h.c
-	c.mirror.Read(func(l *ledger.Ledger) {
+	c.cache.Read(func(l *ledger.Ledger) {
 		var leader ledger.LeaderRecord
 		leader, term = l.Leader()
-		leads = term != 0 && leader.Member == c.set.Member && c.mirror.SyncedWithin(time.Now(), settings.StartContact)
+		leads = term != 0 && leader.Member == c.set.Member && c.cache.SyncedWithin(time.Now(), settings.StartContact)
 	})
 	return term, leads
 }
@@ -35,7 +35,7 @@
 
 // Others tells what the other controllers say of modules.
 func (h host) Others() (out []policymanager.Other) {
-	for _, o := range h.c.members.Others(time.Now()) {
+	for _, o := range h.c.membership.Others(time.Now()) {
 		other := policymanager.Other{Member: o.Member, Heard: o.Peer != nil}
 		if o.Peer != nil {
 			other.Modules = o.Peer.Status.Modules
@@ -46,30 +46,30 @@
 }
 
 // AllRead reports whether every controller says that it reads a format of records.
-func (h host) AllRead(format int) bool { return h.c.members.AllRead(format) }
+func (h host) AllRead(format int) bool { return h.c.membership.AllSupportFormat(format) }
 
 // Spare is how many changes a transaction may have now that is in nobody's way.
-func (h host) Spare() int { return h.c.writer.SpareCapacity() }
+func (h host) Spare() int { return h.c.committer.SpareCapacity() }
 
 // Commit runs a transaction and waits until the mirror shows its outcome.
 func (h host) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
-	return h.c.writer.Commit(ctx, t)
+	return h.c.committer.Commit(ctx, t)
 }
 
 // follower is the controller as the mirror sees it.
-type follower struct{ c *Core }
+type follower struct{ c *Controller }
 
-func (f follower) Loaded() { f.c.schedule.InvalidateSnapshot() }
+func (f follower) Loaded() { f.c.scheduler.InvalidateSnapshot() }
 func (f follower) Advanced(now time.Time) {
 	// What peers list as cancelled they vouch with for these records as well: read anew, or with
 	// jobs that were not known when the status came.
-	for _, p := range f.c.members.Peers() {
-		f.c.mirror.Records().MarkCancelling(listed(&p.Status))
+	for _, p := range f.c.membership.Peers() {
+		f.c.cache.Records().MarkCancelling(listed(&p.Status))
 	}
-	f.c.schedule.RefreshChangedMachines(now)
+	f.c.scheduler.RefreshChangedMachines(now)
 }
-func (f follower) Moved(id wire.JobID, r ledger.FinalRecord) {
-	f.c.past.CacheFinal(id, r)
-	f.c.book.ForgetJob(id)
-	f.c.schedule.Forget(id)
+func (f follower) JobArchived(id wire.JobID, r ledger.FinalRecord) {
+	f.c.archiver.CacheFinal(id, r)
+	f.c.failures.ForgetJob(id)
+	f.c.scheduler.ForgetJob(id)
 }
--- a/internal/controller/judged_test.go
+++ b/internal/controller/judged_test.go
@@ -27,9 +27,9 @@
 		h := newHistory(t, 23)
 		h.quiet, h.calm, h.cloud.Most = true, true, 8
 		h.cloud.Run = func(wire.TaskID) time.Duration { return 12 * time.Second }
-		h.plugins = func(c *Core) {
+		h.plugins = func(c *Controller) {
 			c.set.Operators.Quarantine = settings.Quarantine{On: true, Faulty: 0.01, Wrong: 0.004, Most: 0.5}
-			c.book.EnableQuarantine(quarantine.DefaultPriors)
+			c.failures.EnableQuarantine(quarantine.DefaultPriors)
 		}
 		var mu sync.Mutex
 		var bad wire.MachineID
@@ -57,7 +57,7 @@
 				mu.Unlock()
 			}
 			if n > 200 && slices.ContainsFunc(h.store.Items(), func(it wire.Item) bool {
-				m, _, _, ok := ledger.DecodeMark(it)
+				m, _, _, ok := ledger.DecodeMachinePhase(it)
 				return ok && m == bad
 			}) {
 				break
@@ -69,7 +69,7 @@
 		}
 		left := map[wire.MachineID]string{}
 		for _, it := range h.store.Items() {
-			if m, _, why, ok := ledger.DecodeMark(it); ok {
+			if m, _, why, ok := ledger.DecodeMachinePhase(it); ok {
 				left[m] = why
 			}
 		}
--- a/internal/controller/meeting_table_test.go
+++ b/internal/controller/meeting_table_test.go
@@ -261,13 +261,13 @@
 		}
 		ctx, cancel := context.WithTimeout(m.ctx, 5*time.Second)
 		for _, spec := range []*wire.JobSpec{never, nobodys, tooMany} {
-			if _, _, err := c.Users.Submit(ctx, spec); err == nil {
+			if _, _, err := c.Jobs.Submit(ctx, spec); err == nil {
 				m.t.Errorf("%s is accepted", spec.ID)
 			}
-			if _, err := c.Users.Status(ctx, spec.ID); err == nil {
+			if _, err := c.Jobs.Status(ctx, spec.ID); err == nil {
 				m.t.Errorf("%s is known", spec.ID)
 			}
-			if _, err := c.Users.Cancel(ctx, spec.ID); err == nil || errors.Is(err, server.ErrUnschedulable) {
+			if _, err := c.Jobs.Cancel(ctx, spec.ID); err == nil || errors.Is(err, server.ErrUnschedulable) {
 				m.t.Errorf("%s can be cancelled: %v", spec.ID, err)
 			}
 		}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -49,7 +49,7 @@
 func (h *history) attempt(id wire.JobID) (last, stop wire.Attempt) {
 	for i := range h.n {
 		if c := h.core(i); c != nil {
-			c.mirror.Read(func(l *ledger.Ledger) {
+			c.cache.Read(func(l *ledger.Ledger) {
 				if j := l.Job(id); j != nil {
 					last, stop = max(last, j.Attempt()), max(stop, j.Stop)
 				}
@@ -156,7 +156,7 @@
 								}
 								wait.For(ctx, after)
 								if c := h.core(to); c != nil {
-									_ = c.Workers.Heartbeat(ctx, &copied)
+									_ = c.Heartbeats.Heartbeat(ctx, &copied)
 								}
 							})
 						}
@@ -205,7 +205,7 @@
 				h.pass(20 * time.Second)
 				deaf := h.cloud.Up()[0].Type.ID
 				claimed := func() (n int) {
-					h.core(0).mirror.Read(func(l *ledger.Ledger) { n = len(l.HeldBy(deaf)) })
+					h.core(0).cache.Read(func(l *ledger.Ledger) { n = len(l.ClaimsOn(deaf)) })
 					return n
 				}
 				h.hears(deaf, false)
@@ -566,7 +566,7 @@
 		h.world.Upload(spec)
 		first := make(chan wire.JobStatus, 1)
 		h.group.Go(func() {
-			st, _, err := h.core(0).Users.Submit(ctx, spec)
+			st, _, err := h.core(0).Jobs.Submit(ctx, spec)
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/controller/places_test.go
+++ b/internal/controller/places_test.go
@@ -20,22 +20,22 @@
 
 // inHall is a controller that holds the machines of the made-up hall, three a rack, but
 // for those on some networks.
-func inHall(t *testing.T, now time.Time, elsewhere ...string) *Core {
+func inHall(t *testing.T, now time.Time, elsewhere ...string) *Controller {
 	t.Helper()
 	tree, err := topology.Parse([]byte(hallText()), []wire.Zone{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := quietCore(t, 0)
-	c.Places.Set(tree)
-	c.mirror.SetForTest(1, now)
+	c.TopologyTracker.Set(tree)
+	c.cache.SetForTest(1, now)
 	for z, zone := range []wire.Zone{"a", "b"} {
 		for rack := 1; rack <= 4; rack++ {
 			for m := 1; m <= 3; m++ {
 				id := wire.MachineID(fmt.Sprintf("host-%d%d%d", z, rack, m))
 				r := &wire.Heartbeat{Machine: id, Addr: fmt.Sprintf("127.%d.%d.%d:9000", z+1, rack, m), Type: "g2", Zone: zone, Session: 1, Sequence: 1, Token: 1}
 				if !slices.ContainsFunc(elsewhere, func(net string) bool { return strings.HasPrefix(r.Addr, net) }) {
-					c.roster.Join(r, now).Reconcile(r, nil, 1, now)
+					c.registry.Register(r, now).Reconcile(r, nil, 1, now)
 				}
 			}
 		}
@@ -44,8 +44,8 @@
 }
 
 // isDown reports whether the first switch of zone a is avoided.
-func isDown(c *Core) bool {
-	_, up := c.Places.Locate("host-011", "127.1.1.1:9000", "a")
+func isDown(c *Controller) bool {
+	_, up := c.TopologyTracker.Locate("host-011", "127.1.1.1:9000", "a")
 	return !up
 }
 
@@ -64,14 +64,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Places.Set(tree)
+	c.TopologyTracker.Set(tree)
 	ctx, cancel := context.WithCancel(t.Context())
 	again, done := make(chan os.Signal), make(chan error)
-	go func() { done <- c.Places.Reload(ctx, path, again) }()
+	go func() { done <- c.TopologyTracker.Reload(ctx, path, again) }()
 	blocks := func() int {
-		c.mirror.Lock()
-		defer c.mirror.Unlock()
-		return len(c.Places.Tree().Blocks())
+		c.cache.Lock()
+		defer c.cache.Unlock()
+		return len(c.TopologyTracker.Tree().Blocks())
 	}
 	before := blocks()
 	write(strings.Replace(hallText(), "127.1.1.0/24", "127.1.1.1/24", 1))
@@ -104,47 +104,51 @@
 func TestGangsThatPartAreTheirBlocks(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		explain func(c *Core, j *ledger.Job, w *reconcile.Worker, now time.Time)
+		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time)
 		down    bool
 	}{
-		{"no other reason", func(*Core, *ledger.Job, *reconcile.Worker, time.Time) {}, true},
-		{"a machine fell silent", func(_ *Core, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
+		{"no other reason", func(*Controller, *ledger.Job, *reconcile.Worker, time.Time) {}, true},
+		{"a machine fell silent", func(_ *Controller, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
 			w.LastHeartbeat = now.Add(-time.Minute)
 		}, false},
-		{"a machine is taken back", func(_ *Core, _ *ledger.Job, w *reconcile.Worker, now time.Time) { w.ReclaimAt = now.Add(time.Minute) }, false},
-		{"a task failed", func(c *Core, j *ledger.Job, w *reconcile.Worker, now time.Time) { c.book.Failed(j, 0, w.ID, "", now) }, false},
-		{"told to stop", func(_ *Core, j *ledger.Job, _ *reconcile.Worker, _ time.Time) { j.Stop = 1 }, false},
+		{"a machine is taken back", func(_ *Controller, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
+			w.ReclaimAt = now.Add(time.Minute)
+		}, false},
+		{"a task failed", func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) {
+			c.failures.Failed(j, 0, w.ID, "", now)
+		}, false},
+		{"told to stop", func(_ *Controller, j *ledger.Job, _ *reconcile.Worker, _ time.Time) { j.Stop = 1 }, false},
 	} {
 		now := time.Now().Add(time.Hour) // long after the hall was declared
 		c := inHall(t, now)
 		for i := range 3 { // gangs over the two racks of a switch
 			id := fmt.Sprintf("wk-%06d", i)
-			c.mirror.Records().Apply(ledger.Event{Key: "mm1/j/" + id, Version: wire.Revision(i + 1), Value: []byte(fmt.Sprintf(
+			c.cache.Records().Apply(ledger.Event{Key: "mm1/j/" + id, Version: wire.Revision(i + 1), Value: []byte(fmt.Sprintf(
 				`{"spec":{"id":"%s","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,"c":[[1,"host-01%d","a",1,1,0,1],[1,"host-02%d","a",1,1,1,1]]}`, id, i+1, i+1))})
-			j := c.mirror.Records().Job(wire.JobID(id))
+			j := c.cache.Records().Job(wire.JobID(id))
 			if tc.name == "told to stop" {
 				tc.explain(c, j, nil, now)
 			}
-			c.Places.ObservePartition(j, 1, now)
+			c.TopologyTracker.ObservePartition(j, 1, now)
 		}
 		later := now.Add(2*c.set.SilentAfter() + time.Second)
-		c.roster.Each(func(w *reconcile.Worker) { w.LastHeartbeat = later })
-		c.mirror.SetForTest(c.mirror.Token(), later)
+		c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = later })
+		c.cache.SetForTest(c.cache.Token(), later)
 		for i := range 3 {
 			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
-			tc.explain(c, c.mirror.Records().Job(id), c.roster.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1))), later)
+			tc.explain(c, c.cache.Records().Job(id), c.registry.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1))), later)
 		}
-		c.Places.DetectFailedBlocks(later)
+		c.TopologyTracker.DetectFailedBlocks(later)
 		if isDown(c) != tc.down {
 			t.Errorf("%s: down %v", tc.name, !tc.down)
 		}
-		if told := c.Places.Partitions(later); (len(told) == 3) != tc.down {
+		if told := c.TopologyTracker.Partitions(later); (len(told) == 3) != tc.down {
 			t.Errorf("%s: peers are told of %v", tc.name, told)
 		}
 		if tc.down { // a peer that hears of them comes to the same
 			o := inHall(t, later)
-			o.Places.MergePartitions(c.Places.Partitions(later), later)
-			o.Places.DetectFailedBlocks(later)
+			o.TopologyTracker.MergePartitions(c.TopologyTracker.Partitions(later), later)
+			o.TopologyTracker.DetectFailedBlocks(later)
 			if !isDown(o) {
 				t.Error("a peer does not avoid the block")
 			}
@@ -158,22 +162,22 @@
 	now := time.Now().Add(time.Hour) // long after the hall was declared
 	c := inHall(t, now, "127.1.1.", "127.1.2.")
 	p := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
-	inHall(t, now).roster.Each(func(w *reconcile.Worker) {
-		if c.roster.Worker(w.ID) == nil {
+	inHall(t, now).registry.Each(func(w *reconcile.Worker) {
+		if c.registry.Worker(w.ID) == nil {
 			p.Machines = append(p.Machines, peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1})
 		}
 	})
-	c.heardPeer(peer.Answer{Status: p, Asked: now})
+	c.heardPeer(peer.Answer{Status: p, AsOf: now})
 	pass := func(seconds int) (down bool) {
 		for range seconds {
 			now = now.Add(time.Second)
-			c.mirror.SetForTest(c.mirror.Token(), now)
-			c.roster.Each(func(w *reconcile.Worker) { w.LastHeartbeat = now })
-			c.Places.DetectFailedBlocks(now)
+			c.cache.SetForTest(c.cache.Token(), now)
+			c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = now })
+			c.TopologyTracker.DetectFailedBlocks(now)
 		}
 		return isDown(c)
 	}
-	if pass(int(c.set.SilentAfter().Seconds() + c.set.ReportGrace().Seconds())) {
+	if pass(int(c.set.SilentAfter().Seconds() + c.set.HeartbeatGrace().Seconds())) {
 		t.Error("a switch is said to have failed with the controller that heard it")
 	}
 	if !pass(30) {
@@ -186,7 +190,7 @@
 func TestTopologyView(t *testing.T) {
 	now := time.Now()
 	c := inHall(t, now)
-	c.mirror.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: []byte(
+	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: []byte(
 		`{"spec":{"id":"wk-000001","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,"c":[[1,"host-011","a",1,1,0,1],[1,"host-021","a",1,1,1,1]]}`)})
 	v, ok := c.Topology(now)
 	if !ok {
--- a/internal/controller/policies_test.go
+++ b/internal/controller/policies_test.go
@@ -41,7 +41,7 @@
 		var last time.Time
 		var gap time.Duration
 		passes, used, given := 0, 0, 0
-		h.plugins = func(c *Core) {
+		h.plugins = func(c *Controller) {
 			c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{})
 			c.RecordPasses(func(p *policy.Pass) {
 				if len(p.Jobs) == 0 {
@@ -134,7 +134,7 @@
 		h := newHistory(t, 3)
 		h.quiet, h.calm = true, true
 		off := 2
-		h.plugins = func(c *Core) {
+		h.plugins = func(c *Controller) {
 			if c.set.Member != wire.MemberID(fmt.Sprintf("m-%d", off)) {
 				c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{})
 			}
@@ -204,7 +204,7 @@
 		}
 		// A module that refuses new jobs refuses no one who was accepted before.
 		early := h.spec(1)
-		if _, created, err := h.core(0).Users.Submit(ctx, early); err != nil || !created {
+		if _, created, err := h.core(0).Jobs.Submit(ctx, early); err != nil || !created {
 			t.Fatal(created, err)
 		}
 		refuser, err := cat.Load(ctx, plugintest.Module(plugintest.Refuser, ""), "refuser", nil)
@@ -216,10 +216,10 @@
 		}
 		wait.For(ctx, 3*time.Second)
 		for i := range 3 {
-			if st, created, err := h.core(i).Users.Submit(ctx, early); err != nil || created {
+			if st, created, err := h.core(i).Jobs.Submit(ctx, early); err != nil || created {
 				t.Errorf("accepted before: %+v, %v, %v", st, created, err)
 			}
-			if _, _, err := h.core(i).Users.Submit(ctx, h.spec(100+i)); !errors.Is(err, server.ErrUnschedulable) {
+			if _, _, err := h.core(i).Jobs.Submit(ctx, h.spec(100+i)); !errors.Is(err, server.ErrUnschedulable) {
 				t.Errorf("new: %v", err)
 			}
 		}
@@ -227,7 +227,7 @@
 			t.Errorf("%+v", r)
 		}
 		wait.For(ctx, 3*time.Second)
-		if _, created, err := h.core(1).Users.Submit(ctx, h.spec(200)); err != nil || !created {
+		if _, created, err := h.core(1).Jobs.Submit(ctx, h.spec(200)); err != nil || !created {
 			t.Errorf("with the built-in policy: %v, %v", created, err)
 		}
 		if err := cat.Remove(ctx, refuser); err != nil {
@@ -280,7 +280,7 @@
 		long := make([]byte, 300<<10) // some hundred pieces that do not pack
 		_, _ = rng.Read(long)
 		code := plugintest.Module(plugintest.Identity, string(long))
-		h.plugins = func(c *Core) {
+		h.plugins = func(c *Controller) {
 			c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{Name: "first", Code: code})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.plugins = func(c *Core) { c.Promises.Set(reg) }
+		r.plugins = func(c *Controller) { c.Deadlines.Set(reg) }
 	}
 	r.begin(ctx, 4, 0)
 	r.also(ctx)
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -112,9 +112,9 @@
 			}
 			one, cancel := context.WithTimeout(r.ctx, wait)
 			if submitted {
-				st, err = c.Users.Status(one, spec.ID)
+				st, err = c.Jobs.Status(one, spec.ID)
 			} else {
-				st, _, err = c.Users.Submit(one, spec)
+				st, _, err = c.Jobs.Submit(one, spec)
 			}
 			cancel()
 			if r.core(i) != c {
@@ -156,7 +156,7 @@
 	}
 }
 
-func (r *returns) coreAt(i int) *Core {
+func (r *returns) coreAt(i int) *Controller {
 	if i < 0 {
 		return nil
 	}
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -59,7 +59,7 @@
 
 func (b *beside) askJob(spec *wire.JobSpec) {
 	for b.ctx.Err() == nil {
-		if _, _, err := b.core(0).Users.Submit(b.ctx, spec); err == nil {
+		if _, _, err := b.core(0).Jobs.Submit(b.ctx, spec); err == nil {
 			return
 		}
 		wait.For(b.ctx, time.Second)
@@ -76,7 +76,7 @@
 	list := make([]int, n)
 	in, _ := json.Marshal(map[string]any{"x": list})
 	spec := &wire.WorkflowSpec{ID: id, Class: "c", Team: team, Priority: priority, Spot: true, Window: wire.MaxWindow, Entry: "main.cwl", Bundle: map[string]string{"main.cwl": doc}, Inputs: in}
-	askAny(b.ctx, b.history, string(id), func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) {
+	askAny(b.ctx, b.history, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		st, _, err := c.Workflows.Submit(ctx, spec)
 		return st, err
 	})
@@ -193,15 +193,15 @@
 	now := time.Now()
 	job := func(i int, priority wire.Priority, more string) *ledger.Job {
 		id := fmt.Sprintf("wk-%06d", i)
-		c.mirror.Records().Apply(ledger.Event{Key: "mm1/j/" + id, Version: wire.Revision(i + 1), Value: []byte(fmt.Sprintf(
+		c.cache.Records().Apply(ledger.Event{Key: "mm1/j/" + id, Version: wire.Revision(i + 1), Value: []byte(fmt.Sprintf(
 			`{"spec":{"id":"%s","pieces":1,"shape":"array","urgency":"%s","owner":"free","cores":2},"at":1%s}`, id, priority, more))})
-		return c.mirror.Records().Job(wire.JobID(id))
+		return c.cache.Records().Job(wire.JobID(id))
 	}
 	claim := `,"a":1,"c":[[1,"host-1","a",1,1,0,1]]`
 	job(1, wire.Normal, claim)
 	job(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
-	victims := c.schedule.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
+	victims := c.scheduler.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
 	if len(victims) != 2 || victims[0].Saves != victims[1].Saves || victims[0].Beyond != victims[1].Beyond || victims[0].Ran != victims[1].Ran {
 		t.Fatalf("to preemption they are %+v", victims)
 	}
--- a/internal/controller/switch_test.go
+++ b/internal/controller/switch_test.go
@@ -111,9 +111,9 @@
 			wait.For(ctx, 10*time.Second)
 			for i := range 3 {
 				c := o.core(i)
-				c.mirror.Lock()
-				leads, _ := c.mirror.Records().Leader()
-				c.mirror.Unlock()
+				c.cache.Lock()
+				leads, _ := c.cache.Records().Leader()
+				c.cache.Unlock()
 				if leads.Member == c.set.Member {
 					o.crash(i)
 					wait.For(ctx, 5*time.Second)
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -22,7 +22,7 @@
 // fullCloud has no machine left.
 type fullCloud struct{ flavors []wire.MachineType }
 
-func (f fullCloud) Flavors(context.Context) ([]wire.MachineType, error) { return f.flavors, nil }
+func (f fullCloud) MachineTypes(context.Context) ([]wire.MachineType, error) { return f.flavors, nil }
 func (fullCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	return nil, cloud.ErrNoCapacity
 }
@@ -60,7 +60,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	c.register(fullCloud{[]wire.MachineType{flavor}})
-	running.Go(func() { _ = c.Duties.Run(ctx) })
+	running.Go(func() { _ = c.Components.Run(ctx) })
 	every := func(period time.Duration, first time.Duration, do func()) {
 		running.Go(func() {
 			next := time.Now().Add(first)
@@ -72,11 +72,11 @@
 		})
 	}
 	for _, s := range f.Peers {
-		every(time.Second, 0, func() { c.heardPeer(peer.Answer{Status: s, Asked: time.Now()}) })
+		every(time.Second, 0, func() { c.heardPeer(peer.Answer{Status: s, AsOf: time.Now()}) })
 		every(time.Second, 500*time.Millisecond, func() { _, _ = cbor.Marshal(c.statusFor(s)) })
 	}
 	for ready := false; !ready; {
-		c.mirror.Read(func(*ledger.Ledger) { ready = c.mirror.Token() != 0 })
+		c.cache.Read(func(*ledger.Ledger) { ready = c.cache.Token() != 0 })
 		time.Sleep(10 * time.Millisecond)
 	}
 	var mu sync.Mutex
@@ -90,7 +90,7 @@
 			due = due.Add(period)
 			one := *r
 			r.Sequence++
-			c.Workers.Heartbeat(ctx, &one)
+			c.Heartbeats.Heartbeat(ctx, &one)
 			if len(r.Tasks) > 0 && asked.After(settled) && ctx.Err() == nil {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -168,13 +168,15 @@
 	}
 	in, _ := json.Marshal(values)
 	spec := &wire.WorkflowSpec{ID: id, Class: "c", Team: "free", Priority: wire.High, Spot: true, Entry: "main.cwl", Bundle: map[string]string{"main.cwl": workflowHead + doc}, Inputs: in}
-	if _, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) {
+	if _, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		st, _, err := c.Workflows.Submit(ctx, spec)
 		return st, err
 	}); !ok {
 		return false
 	}
-	status := func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) { return c.Workflows.Status(ctx, id) }
+	status := func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
+		return c.Workflows.Status(ctx, id)
+	}
 	final := map[ledger.WorkflowState]wire.Status{ledger.WorkflowDone: wire.Done, ledger.WorkflowFailed: wire.Failed}[want]
 	for ctx.Err() == nil {
 		wait.For(ctx, 3*time.Second)
@@ -188,7 +190,7 @@
 		}
 		// Later it is archived, its steps' jobs too, and it is asked about and submitted again.
 		wait.For(ctx, time.Minute)
-		for _, ask := range []func(context.Context, *Core) (wire.WorkflowStatus, error){status, func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) {
+		for _, ask := range []func(context.Context, *Controller) (wire.WorkflowStatus, error){status, func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 			st, created, err := c.Workflows.Submit(ctx, spec)
 			if created {
 				h.t.Errorf("seed %d: %s is accepted anew", h.seed, id)
@@ -215,12 +217,14 @@
 func (h *history) cancelledFlow(ctx context.Context, id wire.WorkflowID) {
 	spec := &wire.WorkflowSpec{ID: id, Class: "c", Team: "free", Priority: wire.Normal, Spot: true, Entry: "main.cwl",
 		Bundle: map[string]string{"main.cwl": workflowHead + flowCases[2].doc}, Inputs: json.RawMessage(`{"x":["1","2","3","4","5","6","7","8","9"]}`)}
-	askAny(ctx, h, string(id), func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) {
+	askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		st, _, err := c.Workflows.Submit(ctx, spec)
 		return st, err
 	})
 	wait.For(ctx, 12*time.Second)
-	st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Core) (wire.WorkflowStatus, error) { return c.Workflows.Cancel(ctx, id) })
+	st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
+		return c.Workflows.Cancel(ctx, id)
+	})
 	if !ok || st.Status != wire.Cancelled {
 		return // it was done before, or the history ended
 	}
@@ -240,13 +244,13 @@
 func TestLateStepOfCancelledWorkflow(t *testing.T) {
 	set := testSettings(t, 0)
 	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
-	led := quietCore(t, 0).mirror.Records()
+	led := quietCore(t, 0).cache.Records()
 	commit := func(draft func(*ledger.Transaction) error) (wire.Txn, error) {
 		d := led.NewTransaction()
 		if err := draft(d); err != nil {
 			return wire.Txn{}, err
 		}
-		return d.Txn()
+		return d.Request()
 	}
 	land := func(txn wire.Txn) error {
 		rev, err := store.Apply(txn)
@@ -299,7 +303,7 @@
 		if got, err := d.EndWorkflow(led.Workflow(spec.ID), to, ""); got != ledger.WorkflowCancelled || err != nil {
 			t.Errorf("cancelled, then %q: %q, %v", to, got, err)
 		}
-		if txn, _ := d.Txn(); len(txn.Then) > 0 {
+		if txn, _ := d.Request(); len(txn.Then) > 0 {
 			t.Errorf("cancelled, then %q: writes %v", to, txn.Then)
 		}
 	}
--- a/internal/leader/autoscale/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -15,7 +15,7 @@
 func input(t *testing.T, specs ...wire.JobSpec) *Input {
 	t.Helper()
 	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
-	in := &Input{Now: now, TeamRoom: l.TeamRoom, Spot: true, IdleBoots: 1, OutOfCapacity: func(MachineOption) bool { return false },
+	in := &Input{Now: now, TeamRoom: l.RemainingTeamQuota, Spot: true, IdleBoots: 1, OutOfCapacity: func(MachineOption) bool { return false },
 		Flavors: map[wire.MachineTypeName]wire.MachineType{"g": {Name: "g", CPUs: 8, GPUs: 4, MemoryGB: 64, Price: 10, SpotPrice: 3, Boot: 60, Zones: []wire.Zone{"a", "b"}}}}
 	for i := range specs {
 		s := specs[i]
@@ -28,7 +28,7 @@
 		if err := d.Submit(&s, wire.UnixMillis(i)); err != nil {
 			t.Fatal(err)
 		}
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
 		in.Queue = append(in.Queue, placement.Entry{Job: l.Job(s.ID)})
 	}
--- a/internal/leader/cloud/cloud.go
+++ b/internal/leader/cloud/cloud.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Flavors returns the machine types at current prices.
-func (c *Client) Flavors(ctx context.Context) ([]wire.MachineType, error) {
+// MachineTypes returns the machine types at current prices.
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var f wire.MachineTypeList
 	err := c.do(ctx, "GET", "/flavors", "", nil, &f)
 	return f.Types, err
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -19,22 +19,22 @@
 // placeGangs places the gangs of several tasks over all machines.
 func (l *leader) placeGangs(now time.Time) {
 	c := l.c
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	// After the start of a controller, and often of all of them, workers have yet to
 	// find one each; a gang placed before would be placed on a few of the machines.
-	if settled := c.set.Cluster.Workers.Report.Duration()*5/4 + time.Second; now.Sub(c.Mirror.SyncedAt()) > settings.StartContact || now.Sub(c.boot) < settled {
+	if settled := c.set.Cluster.Workers.Report.Duration()*5/4 + time.Second; now.Sub(c.Cache.SyncedAt()) > settings.StartContact || now.Sub(c.boot) < settled {
 		return
 	}
 	for id, g := range l.placing {
 		select {
 		case <-g.change.Done():
-			c.Schedule.CountStarted(id, -g.tasks)
+			c.Scheduler.CountStarted(id, -g.tasks)
 			delete(l.placing, id)
 		default:
 		}
 	}
-	for _, g := range placement.PlaceGangs(c.Schedule.Snapshot(now)) {
+	for _, g := range placement.PlaceGangs(c.Scheduler.Snapshot(now)) {
 		j, parts := g.Entry.Job, g.Parts
 		id, n := j.ID, j.Pending()
 		made := func() { c.log.Info("start", "job", id, "tasks", n, "machines", len(parts)) }
@@ -45,15 +45,15 @@
 			}
 			return d.ClaimGang(j, parts)
 		}}
-		c.Schedule.CountStarted(id, n)
+		c.Scheduler.CountStarted(id, n)
 		l.placing[id] = gangStart{ch, n}
-		c.Writer.Enqueue(ch)
+		c.Committer.Enqueue(ch)
 	}
-	if now.Sub(l.madeRoom) > c.Schedule.SnapshotInterval(l.roomTook) {
+	if now.Sub(l.madeRoom) > c.Scheduler.SnapshotInterval(l.roomTook) {
 		began := time.Now()
 		l.madeRoom = now
-		c.Schedule.ReserveForOverdueGangs(now)
-		c.Schedule.MakeRoomForGangs(now)
+		c.Scheduler.ReserveForOverdueGangs(now)
+		c.Scheduler.PlanPreemptionForGangs(now)
 		l.roomTook = time.Since(began)
 	}
 }
@@ -61,9 +61,9 @@
 // forgetPlacing ends a term: gangs on their way to the ledger are anyone's again.
 // Should a start land after all, others for the same gang are refused.
 func (l *leader) forgetPlacing() {
-	l.c.Mirror.Lock()
-	defer l.c.Mirror.Unlock()
+	l.c.Cache.Lock()
+	defer l.c.Cache.Unlock()
 	for id, g := range l.placing {
-		l.c.Schedule.CountStarted(id, -g.tasks)
+		l.c.Scheduler.CountStarted(id, -g.tasks)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -32,7 +32,7 @@
 
 // Cloud is what the fleet's leader needs of the cloud.
 type Cloud interface {
-	Flavors(ctx context.Context) ([]wire.MachineType, error)
+	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 	ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error)
 	ScaleIn(ctx context.Context, names []wire.MachineID) error
 	List(ctx context.Context) ([]wire.ListedMachine, error)
@@ -47,15 +47,15 @@
 
 // Parts are what the leader works with.
 type Parts struct {
-	Mirror       *watchcache.Cache
-	Writer       *committer.Committer
-	Members      *membership.Membership
-	Roster       *reconcile.Registry
-	Book         *crashloop.Tracker
+	Cache        *watchcache.Cache
+	Committer    *committer.Committer
+	Membership   *membership.Membership
+	Registry     *reconcile.Registry
+	Failures     *crashloop.Tracker
 	SpotReclaims *estimate.SpotReclaims
-	Schedule     *scheduler.Scheduler
+	Scheduler    *scheduler.Scheduler
 	Policies     *policymanager.Manager
-	Completed    *completion.Log
+	Completions  *completion.Log
 }
 
 // Leader is that part of a controller.
@@ -79,15 +79,15 @@
 // are not yet up, and those of them that are overdue.
 func (c *Leader) BootingMachines() (awaited, overdue int) { return c.awaited, c.overdue }
 
-func (c *Leader) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *Leader) led() *ledger.Ledger { return c.Cache.Records() }
 
 // Run tries to become the fleet's leader and does its work while it is, until ctx ends.
 func (c *Leader) Run(ctx context.Context, cl Cloud) error {
 	for ctx.Err() == nil {
-		c.Mirror.Lock()
-		ready := c.Mirror.Loaded() && c.Mirror.Token() != 0
+		c.Cache.Lock()
+		ready := c.Cache.Loaded() && c.Cache.Token() != 0
 		record, version := c.led().Leader()
-		c.Mirror.Unlock()
+		c.Cache.Unlock()
 		switch {
 		case ready && version != 0 && record.Member == c.set.Member:
 			c.resign(ctx, version)
@@ -115,7 +115,7 @@
 // earlier life is: nobody would else lead until its lease has run out. What that term still sends is
 // conditioned on the record, and conflicts.
 func (c *Leader) resign(ctx context.Context, version wire.Revision) {
-	_, err := c.Writer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
+	_, err := c.Committer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
 		Then: []wire.Change{{Delete: ledger.LeaderKey}}})
 	c.log.Info("resigned the lead of an earlier term", "version", version, "err", err)
 	wait.For(ctx, standBack)
@@ -128,9 +128,9 @@
 	if err != nil {
 		return err
 	}
-	c.Mirror.Lock()
-	token := c.Mirror.Token()
-	c.Mirror.Unlock()
+	c.Cache.Lock()
+	token := c.Cache.Token()
+	c.Cache.Unlock()
 	value, err := json.Marshal(ledger.LeaderRecord{Member: c.set.Member, Token: token})
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.Mirror.WaitForRevision(ctx, version); err != nil {
+	if err := c.Cache.WaitForRevision(ctx, version); err != nil {
 		return err
 	}
 	c.log.Info("leading the fleet", "token", token)
@@ -154,15 +154,15 @@
 			wait.For(ctx, leaderRenew)
 			asked := time.Now()
 			err := c.store.RenewLease(ctx, lease)
-			if errors.Is(err, kvstore.ErrNoLease) {
+			if errors.Is(err, kvstore.ErrLeaseNotFound) {
 				cancel(err)
 			}
-			c.Mirror.Lock()
+			c.Cache.Lock()
 			if err == nil {
 				l.renewed = asked
 			}
 			_, now := c.led().Leader()
-			c.Mirror.Unlock()
+			c.Cache.Unlock()
 			if now != version {
 				cancel(errors.New("another leads"))
 			}
@@ -181,16 +181,16 @@
 	defer func() {
 		cancel(nil)
 		<-placing
-		c.Mirror.Lock()
+		c.Cache.Lock()
 		c.awaited, c.overdue = 0, 0
-		c.Mirror.Unlock()
+		c.Cache.Unlock()
 	}()
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	recent, _ := c.led().ScaleOutIntents()
 	l.recent = slices.Clone(recent)
 	l.forgetHires(time.Now())
 	l.relearn = slices.Clone(l.recent)
-	c.Mirror.Unlock()
+	c.Cache.Unlock()
 	for ctx.Err() == nil {
 		if err := l.step(ctx); err != nil && ctx.Err() == nil {
 			c.log.Debug("fleet step", "err", err)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -22,7 +22,7 @@
 
 func quiet(t testing.TB) *Leader {
 	p := controllertest.New(t, 0)
-	return New(p.Set, p.Store, Parts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, SpotReclaims: &estimate.SpotReclaims{}, Schedule: p.Schedule, Policies: p.Policies}, p.Stats, p.Log)
+	return New(p.Set, p.Store, Parts{Cache: p.Cache, Committer: p.Committer, Membership: p.Membership, Registry: p.Registry, Failures: p.Failures, SpotReclaims: &estimate.SpotReclaims{}, Scheduler: p.Scheduler, Policies: p.Policies}, p.Stats, p.Log)
 }
 
 // TestOwnSilenceIsNotTheirs: a leader that has stood still does not take machines for
@@ -42,12 +42,12 @@
 		{"stood still a minute ago", 0, time.Minute, true},
 	} {
 		c := quiet(t)
-		c.Mirror.SetForTest(0, now)
-		c.Members.SetRunningForTest(now.Add(-tc.ran))
+		c.Cache.SetForTest(0, now)
+		c.Membership.SetRunningForTest(now.Add(-tc.ran))
 		if tc.since > 0 {
-			c.Members.SetRunningForTest(now.Add(-tc.since - time.Minute))
+			c.Membership.SetRunningForTest(now.Add(-tc.since - time.Minute))
 			for at := now.Add(-tc.since); at.Before(now); at = at.Add(time.Second) {
-				c.Members.RunningSince(at)
+				c.Membership.RunningSince(at)
 			}
 		}
 		l := &leader{c: c, began: now.Add(-time.Hour), settled: now.Add(-time.Hour), marking: map[markKey]*committer.Change{},
@@ -81,7 +81,7 @@
 // follow applies everything that the store holds to a core's ledger.
 func follow(t *testing.T, c *Leader) {
 	t.Helper()
-	if _, err := c.Mirror.Load(t.Context()); err != nil {
+	if _, err := c.Cache.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -109,7 +109,7 @@
 	rent := func(l *leader) error {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _ = c.Mirror.Watch(ctx) }()
+		go func() { _ = c.Cache.Watch(ctx) }()
 		return l.rent(ctx, need)
 	}
 
@@ -157,10 +157,10 @@
 	}
 	follow(t, c)
 	now := time.Now()
-	c.Mirror.SetForTest(7, now)
+	c.Cache.SetForTest(7, now)
 	early := wire.MachineID("r-7-1-0")
 	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Session: 1, Sequence: 1}
-	c.Roster.Join(r, now).Reconcile(r, nil, 7, now)
+	c.Registry.Register(r, now).Reconcile(r, nil, 7, now)
 	l := &leader{c: c, cloud: &askedCloud{}, version: version, began: now, renewed: now, units: map[wire.MachineID]*unit{}, refused: map[autoscale.MachineOption]time.Time{}}
 	l.observe(now)
 	heard := l.units[early]
@@ -231,7 +231,7 @@
 		}
 		for dropped := false; !dropped; { // the queue fills up
 			ch := &committer.Change{Draft: func(*ledger.Transaction) error { return nil }}
-			c.Writer.Enqueue(ch)
+			c.Committer.Enqueue(ch)
 			dropped = !ch.Pending()
 		}
 		l.releaseAll("host-2", held)
--- a/internal/leader/marks.go
+++ b/internal/leader/marks.go
@@ -13,8 +13,8 @@
 // lost, failed, faulty, or never up.
 func (l *leader) markLost(now time.Time) {
 	c := l.c
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	l.listen(now)
 	for id, u := range l.units {
 		if k := c.led().MachinePhase(id); k == ledger.Terminating || k == ledger.Terminated {
@@ -71,7 +71,7 @@
 		l.judged[k] = list
 	}
 	maps.DeleteFunc(list, func(_ wire.MachineID, at time.Time) bool { return now.Sub(at) > judgedFor })
-	if _, known := list[u.ID]; !known && len(list) >= q.MostOf(all) {
+	if _, known := list[u.ID]; !known && len(list) >= q.MaxQuarantined(all) {
 		return false
 	}
 	list[u.ID] = now
@@ -88,6 +88,6 @@
 	if _, v := l.c.led().Leader(); v != l.version {
 		return // another leads
 	}
-	l.c.Writer.Enqueue(ch)
+	l.c.Committer.Enqueue(ch)
 	l.marking[key] = ch
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -13,7 +13,7 @@
 )
 
 func (l *leader) readFlavors(ctx context.Context) error {
-	list, err := l.cloud.Flavors(ctx)
+	list, err := l.cloud.MachineTypes(ctx)
 	if err != nil {
 		return err
 	}
@@ -21,9 +21,9 @@
 	l.flavors = map[wire.MachineTypeName]wire.MachineType{}
 	for _, f := range list {
 		l.flavors[f.Name] = f
-		l.c.Mirror.Lock()
-		known, ok := l.c.led().Flavor(f.Name)
-		l.c.Mirror.Unlock()
+		l.c.Cache.Lock()
+		known, ok := l.c.led().MachineType(f.Name)
+		l.c.Cache.Unlock()
 		// Prices move all the time; what machines are does not.
 		same := known
 		same.Price, same.SpotPrice = f.Price, f.SpotPrice
@@ -34,8 +34,8 @@
 		if err != nil {
 			return err
 		}
-		if _, err := l.c.Writer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: l.version}},
-			Then: []wire.Change{{Put: ledger.FlavorKey(f.Name), Value: b}}}); err != nil {
+		if _, err := l.c.Committer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: l.version}},
+			Then: []wire.Change{{Put: ledger.MachineTypeKey(f.Name), Value: b}}}); err != nil {
 			l.flavorsAt = time.Time{}
 			return err
 		}
@@ -64,8 +64,8 @@
 // observe brings together what this controller and its peers hear.
 func (l *leader) observe(now time.Time) {
 	c := l.c
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	l.listen(now)
 	note := func(m *peer.Machine, at time.Time, by wire.MemberID) {
 		u := l.units[m.ID]
@@ -82,23 +82,23 @@
 			u.deaf = time.Duration(m.UnreachableMS) * time.Millisecond
 		}
 	}
-	c.Roster.Each(func(w *reconcile.Worker) {
-		m := peer.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Faulty: c.Book.Faulty(c.led(), w.ID, now), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
+	c.Registry.Each(func(w *reconcile.Worker) {
+		m := peer.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Faulty: c.Failures.Faulty(c.led(), w.ID, now), UnreachableMS: w.UnreachableFor(now).Milliseconds()}
 		if m.Faulty {
-			m.QuarantineReason = c.Book.Why(w.ID)
+			m.QuarantineReason = c.Failures.QuarantineReason(w.ID)
 		}
 		if !w.ReclaimAt.IsZero() {
 			m.ReclaimMS = 1
 		}
 		note(&m, w.LastHeartbeat, c.set.Member)
 	})
-	for _, p := range c.Members.Peers() {
+	for _, p := range c.Membership.Peers() {
 		for i := range p.Status.Machines {
 			m := &p.Status.Machines[i]
-			note(m, p.Heard(m), p.Status.Member)
+			note(m, p.HeartbeatAt(m), p.Status.Member)
 		}
 	}
-	c.led().Holders(func(id wire.MachineID, h []ledger.HeldClaim) {
+	c.led().EachHolder(func(id wire.MachineID, h []ledger.HeldClaim) {
 		if l.units[id] == nil {
 			// Claims on a machine that nobody has heard in this term.
 			l.units[id] = &unit{ListedMachine: wire.ListedMachine{ID: id, Zone: h[0].Zone, State: wire.MachineRunning}, hired: now, heard: l.began}
@@ -112,7 +112,7 @@
 				l.takenBack(u)
 			}
 		}
-		if len(c.led().HeldBy(id)) > 0 {
+		if len(c.led().ClaimsOn(id)) > 0 {
 			u.idle = time.Time{}
 		} else if u.idle.IsZero() {
 			u.idle = now
@@ -131,7 +131,7 @@
 
 // listen keeps up since when silence of machines counts.
 func (l *leader) listen(now time.Time) {
-	l.settled = l.c.Members.Settled(l.settled, l.c.Mirror.SyncedAt(), now)
+	l.settled = l.c.Membership.SilenceCountsFrom(l.settled, l.c.Cache.SyncedAt(), now)
 }
 
 // lostAfter is how long a machine may be silent. One last heard by a controller
@@ -140,8 +140,8 @@
 func (l *leader) lostAfter(u *unit, now time.Time) time.Duration {
 	d := l.c.set.Operators.LostAfter
 	if u.holder != l.c.set.Member {
-		if p := l.c.Members.Peer(u.holder); p == nil || now.Sub(p.AsOf) > 4*time.Second {
-			d += l.c.set.ReportGrace()
+		if p := l.c.Membership.Peer(u.holder); p == nil || now.Sub(p.AsOf) > 4*time.Second {
+			d += l.c.set.HeartbeatGrace()
 		}
 	}
 	return d
@@ -153,8 +153,8 @@
 // waiting. A zone is tried again after two leases, or when one is heard there.
 func (l *leader) watchZones(now time.Time) {
 	c := l.c
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	l.listen(now)
 	silent := c.set.SilentAfter()
 	known, heard, total := map[wire.Zone]int{}, map[wire.Zone]int{}, 0
--- a/internal/leader/rent.go
+++ b/internal/leader/rent.go
@@ -17,9 +17,9 @@
 
 // hireName is a name for a rental that was never used before.
 func (l *leader) hireName() wire.ScaleOutID {
-	l.c.Mirror.Lock()
+	l.c.Cache.Lock()
 	f, _ := l.c.led().Format()
-	l.c.Mirror.Unlock()
+	l.c.Cache.Unlock()
 	if f.Era != "" {
 		return wire.ScaleOutID(fmt.Sprintf("r-%s-%d-%d", f.Era, l.version, l.hires))
 	}
@@ -38,10 +38,10 @@
 func (l *leader) planned(now time.Time) []autoscale.ScaleOut {
 	c := l.c
 	settle := 2 * c.set.Cluster.Cloud.ListLag.Duration()
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
-	v := c.Schedule.Snapshot(now)
-	in := &autoscale.Input{Now: now, Flavors: l.flavors, Queue: v.Queue, TeamRoom: c.led().TeamRoom,
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
+	v := c.Scheduler.Snapshot(now)
+	in := &autoscale.Input{Now: now, Flavors: l.flavors, Queue: v.Queue, TeamRoom: c.led().RemainingTeamQuota,
 		Spot: c.set.Operators.Spot, MaxMachines: c.set.Operators.MostMachines, IdleBoots: c.set.Operators.IdleBoots,
 		Headroom: c.set.Operators.Headroom, Close: v.Tree != nil,
 		OutOfCapacity: func(o autoscale.MachineOption) bool { return now.Before(l.refused[o]) || now.Before(l.dark[o.Zone]) }}
@@ -58,7 +58,7 @@
 			Usable: booting && !now.Before(l.dark[u.Zone]) && !l.boots.Overdue(u.kind(), u.hired, f.Boot.Duration(), now) || !booting && !u.recall && !u.faulty && now.Sub(u.heard) < c.set.Operators.LostAfter && u.deaf < c.set.Operators.LostAfter}
 		if m := v.Machine(id); m != nil {
 			n.Caches = m.Images.Has
-			if under := m.Images.Under(); len(under) > 0 {
+			if under := m.Images.ListFetching(); len(under) > 0 {
 				n.Fetching = under[0]
 			}
 		}
@@ -69,7 +69,7 @@
 			}
 		}
 		n.Total = ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB)
-		n.Busy = c.Schedule.Busy(id, now)
+		n.Busy = c.Scheduler.ExpectedReleases(id, now)
 		if f.Name != "" {
 			in.Units = append(in.Units, n)
 		}
@@ -149,11 +149,11 @@
 	if err != nil {
 		return err
 	}
-	l.c.Mirror.Lock()
+	l.c.Cache.Lock()
 	_, version := l.c.led().ScaleOutIntents()
-	l.c.Mirror.Unlock()
-	if _, err := l.c.Writer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: l.version}, {Key: ledger.HiresKey, Version: version}},
-		Then: []wire.Change{{Put: ledger.HiresKey, Value: value}}}); err != nil {
+	l.c.Cache.Unlock()
+	if _, err := l.c.Committer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: l.version}, {Key: ledger.ScaleOutKey, Version: version}},
+		Then: []wire.Change{{Put: ledger.ScaleOutKey, Value: value}}}); err != nil {
 		l.recent = before // nothing of it is asked for; should the record land after all, a successor may
 		return err
 	}
@@ -168,8 +168,8 @@
 // entitled reports whether this is certainly still the leader. It is asked at the
 // moment of sending: between a plan and its last request the process may stand still.
 func (l *leader) entitled(now time.Time) bool {
-	l.c.Mirror.Lock()
-	defer l.c.Mirror.Unlock()
+	l.c.Cache.Lock()
+	defer l.c.Cache.Unlock()
 	_, version := l.c.led().Leader()
 	return version == l.version && now.Sub(l.renewed) < leaderTTL
 }
--- a/internal/leader/returns.go
+++ b/internal/leader/returns.go
@@ -18,8 +18,8 @@
 func (l *leader) finishReturns(ctx context.Context) error {
 	c := l.c
 	var leaving []wire.MachineID
-	spare := c.Writer.HasSpareCapacity()
-	c.Mirror.Lock()
+	spare := c.Committer.HasSpareCapacity()
+	c.Cache.Lock()
 	c.led().TerminatingMachines(func(id wire.MachineID) {
 		switch {
 		case !l.returned[id]:
@@ -28,7 +28,7 @@
 			l.setMark(id, ledger.Terminated, "returned")
 		}
 	})
-	c.Mirror.Unlock()
+	c.Cache.Unlock()
 	slices.Sort(leaving)
 	for batch := range slices.Chunk(leaving, cloud.MaxReturn) {
 		if err := l.cloud.ScaleIn(ctx, batch); err != nil {
@@ -38,13 +38,13 @@
 			l.returned[id] = true
 		}
 	}
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	maps.DeleteFunc(l.releasing, func(_ wire.MachineID, changes []*committer.Change) bool {
 		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
 	gone := func(id wire.MachineID) bool { return l.returned[id] || c.led().MachinePhase(id) == ledger.Terminated }
-	c.led().Holders(func(id wire.MachineID, held []ledger.HeldClaim) {
+	c.led().EachHolder(func(id wire.MachineID, held []ledger.HeldClaim) {
 		if gone(id) {
 			l.releaseAll(id, held)
 		}
@@ -70,11 +70,11 @@
 	for _, h := range held {
 		for i := range h.Count {
 			task := h.First + wire.TaskIndex(i)
-			exits = append(exits, reconcile.ExitOfLostClaim(l.c.Completed, h, task))
+			exits = append(exits, reconcile.ExitOfLostClaim(l.c.Completions, h, task))
 		}
 	}
-	l.releasing[id] = reconcile.ExitChanges(l.c.Mirror, exits)
+	l.releasing[id] = reconcile.ExitChanges(l.c.Cache, exits)
 	for _, ch := range l.releasing[id] {
-		l.c.Writer.Enqueue(ch)
+		l.c.Committer.Enqueue(ch)
 	}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -26,7 +26,7 @@
 		{"heard again", 3, time.Minute, time.Second, false},
 	} {
 		c := quiet(t)
-		c.Mirror.SetForTest(0, now)
+		c.Cache.SetForTest(0, now)
 		l := &leader{c: c, began: now.Add(-time.Hour), settled: now.Add(-tc.settled), units: map[wire.MachineID]*unit{}, dark: map[wire.Zone]time.Time{}}
 		add := func(id wire.MachineID, z wire.Zone, heard time.Time) {
 			l.units[id] = &unit{ListedMachine: wire.ListedMachine{ID: id, Zone: z}, heard: heard}
--- a/internal/membership/completion/exchange.go
+++ b/internal/membership/completion/exchange.go
@@ -67,7 +67,7 @@
 	x.told[s.Member] = cursor{s.CompletedBoot, s.CompletedTo, len(s.Completed) < mostTold}
 	for _, c := range s.Completed {
 		if lacking(c) {
-			x.log.Note(c, apart, now)
+			x.log.Add(c, apart, now)
 		}
 	}
 }
--- a/internal/membership/completion/log.go
+++ b/internal/membership/completion/log.go
@@ -53,9 +53,9 @@
 // Lost counts the completions that were dropped since there was no room for them.
 func (l *Log) Lost() int { return l.lost }
 
-// Note keeps a completion; apart: while this controller is out of touch with the state service.
+// Add keeps a completion; apart: while this controller is out of touch with the state service.
 // Where the log is full the oldest one goes.
-func (l *Log) Note(c peer.Completion, apart bool, now time.Time) {
+func (l *Log) Add(c peer.Completion, apart bool, now time.Time) {
 	if _, ok := l.known[c]; ok {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // ClaimOf is the claim that a completion is of, if the records hold it.
 func ClaimOf(records *ledger.Ledger, c peer.Completion) (ledger.HeldClaim, bool) {
-	for _, h := range records.HeldBy(c.Machine) {
+	for _, h := range records.ClaimsOn(c.Machine) {
 		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Session == c.Session && h.Covers(c.Task) {
 			return h, true
 		}
--- a/internal/membership/completion/log_test.go
+++ b/internal/membership/completion/log_test.go
@@ -20,7 +20,7 @@
 // attempt, task, machine or session.
 func TestCompletionOfAnotherAttempt(t *testing.T) {
 	l := New(4)
-	l.Note(done("wk-000001", 2, 5), false, at(0))
+	l.Add(done("wk-000001", 2, 5), false, at(0))
 	claim := ledger.Claim{First: 0, Count: 4, Attempt: 5, Machine: "host-1", Session: 3, Token: 9}
 	for _, tc := range []struct {
 		change func(h *ledger.HeldClaim)
@@ -50,8 +50,8 @@
 func TestLogIsBounded(t *testing.T) {
 	l := New(3)
 	for i := range 5 {
-		l.Note(done("wk-000001", i, 1), false, at(float64(i)))
-		l.Note(done("wk-000001", i, 1), false, at(float64(i))) // once more
+		l.Add(done("wk-000001", i, 1), false, at(float64(i)))
+		l.Add(done("wk-000001", i, 1), false, at(float64(i))) // once more
 	}
 	told, number := l.Since(0, 10, at(60))
 	if l.Len() != 3 || l.Lost() != 2 || number != 5 || len(told) != 3 || told[0].Task != 2 {
@@ -70,7 +70,7 @@
 	a, askedA := side(0, "b")
 	b, askedB := side(0, "a")
 	for i := range mostTold + 20 {
-		a.Note(done("wk-000001", i, 1), false, at(10))
+		a.Add(done("wk-000001", i, 1), false, at(10))
 	}
 	round := func(s float64) int {
 		ask := peer.Status{Member: "b"}
@@ -111,8 +111,8 @@
 	records.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: fmt.Appendf(nil,
 		`{"spec":{"id":"wk-000001","pieces":8,"shape":"array","owner":"free","cores":1},"at":1,"a":5,"c":[[5,"host-1","a",3,9,0,2]]}`)})
 	l := New(8)
-	l.Note(done("wk-000001", 0, 5), false, at(1)) // claimed
-	l.Note(done("wk-000001", 3, 5), false, at(1)) // not, or not yet
+	l.Add(done("wk-000001", 0, 5), false, at(1)) // claimed
+	l.Add(done("wk-000001", 3, 5), false, at(1)) // not, or not yet
 	l.Prune(records, at(0.5))
 	if l.Len() != 2 {
 		t.Errorf("%d kept by records from before", l.Len())
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -29,8 +29,8 @@
 	AsOf   time.Time // the latest time that the status can be relied on to describe
 }
 
-// Heard is when the peer last heard a machine that it tells of.
-func (p *Peer) Heard(m *peer.Machine) time.Time {
+// HeartbeatAt is when the peer last heard a machine that it tells of.
+func (p *Peer) HeartbeatAt(m *peer.Machine) time.Time {
 	return p.AsOf.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 }
 
@@ -142,8 +142,8 @@
 	return at
 }
 
-// AllRead reports whether every controller says that it reads a format of records.
-func (m *Membership) AllRead(format int) bool {
+// AllSupportFormat reports whether every controller says that it reads a format of records.
+func (m *Membership) AllSupportFormat(format int) bool {
 	for _, o := range m.Others(time.Now()) {
 		if o.Peer == nil || o.Peer.Status.MaxFormat < format {
 			return false
@@ -223,10 +223,10 @@
 // of others to be theirs.
 const longOut = 3 * time.Second
 
-// Settled is since when silence of machines counts, if it did since a time: not while this
+// SilenceCountsFrom is since when silence of machines counts, if it did since a time: not while this
 // controller was out of touch with the state service, as by its last contact, or stood still.
 // Every judgement of silence asks anew, since a standstill may lie between two.
-func (m *Membership) Settled(since, contact, now time.Time) time.Time {
+func (m *Membership) SilenceCountsFrom(since, contact, now time.Time) time.Time {
 	if now.Sub(contact) > longOut {
 		since = now
 	}
--- a/internal/membership/peer/peer.go
+++ b/internal/membership/peer/peer.go
@@ -49,29 +49,29 @@
 
 // Status is a controller's picture.
 type Status struct {
-	Version    int             `cbor:"1,keyasint" json:"v"`
-	Member     wire.MemberID   `cbor:"2,keyasint" json:"by"`
-	Boot       int64           `cbor:"3,keyasint" json:"b"`           // tells one run of a member from the next
-	Revision   wire.Revision   `cbor:"4,keyasint" json:"rev"`         // of its ledger
-	Cancelled  wire.Revision   `cbor:"5,keyasint" json:"cx"`          // no cancellation it told is newer
-	ContactMS  int64           `cbor:"6,keyasint" json:"ct"`          // since it last reached the state service
-	Loaded     bool            `cbor:"7,keyasint" json:"ld"`          // its ledger has been read whole
-	Machines   []Machine       `cbor:"8,keyasint" json:"m,omitempty"` // that it holds
-	Classes    []ClassSum      `cbor:"9,keyasint" json:"cl,omitempty"`
-	Suspects   []Suspect       `cbor:"10,keyasint,omitempty" json:"-"` // a stored value is small
-	Emptying   []Reservation   `cbor:"11,keyasint,omitempty" json:"-"`
-	Partings   []GangPartition `cbor:"12,keyasint,omitempty" json:"-"`
-	MaxVersion int             `cbor:"13,keyasint,omitempty" json:"-"` // version that the one who asks speaks
-	MaxFormat  int             `cbor:"14,keyasint,omitempty" json:"-"` // newest format of records; 0: the first
-	Modules    []Module        `cbor:"15,keyasint,omitempty" json:"-"`
-	Failures   []Failure       `cbor:"16,keyasint,omitempty" json:"-"`
+	Version                int             `cbor:"1,keyasint" json:"v"`
+	Member                 wire.MemberID   `cbor:"2,keyasint" json:"by"`
+	Boot                   int64           `cbor:"3,keyasint" json:"b"`           // tells one run of a member from the next
+	Revision               wire.Revision   `cbor:"4,keyasint" json:"rev"`         // of its ledger
+	Cancelled              wire.Revision   `cbor:"5,keyasint" json:"cx"`          // no cancellation it told is newer
+	ContactMS              int64           `cbor:"6,keyasint" json:"ct"`          // since it last reached the state service
+	Loaded                 bool            `cbor:"7,keyasint" json:"ld"`          // its ledger has been read whole
+	Machines               []Machine       `cbor:"8,keyasint" json:"m,omitempty"` // that it holds
+	Classes                []ClassRunTimes `cbor:"9,keyasint" json:"cl,omitempty"`
+	Suspects               []Suspect       `cbor:"10,keyasint,omitempty" json:"-"` // a stored value is small
+	PreemptionReservations []Reservation   `cbor:"11,keyasint,omitempty" json:"-"`
+	GangPartitions         []GangPartition `cbor:"12,keyasint,omitempty" json:"-"`
+	MaxVersion             int             `cbor:"13,keyasint,omitempty" json:"-"` // version that the one who asks speaks
+	MaxFormat              int             `cbor:"14,keyasint,omitempty" json:"-"` // newest format of records; 0: the first
+	Modules                []Module        `cbor:"15,keyasint,omitempty" json:"-"`
+	Failures               []Failure       `cbor:"16,keyasint,omitempty" json:"-"`
 	// What the one who asks lacks: the jobs and the workflows cancelled after the revision that it
 	// said, if Whole all of them that this controller may have told of.
 	Since                 wire.Revision     `cbor:"19,keyasint,omitempty" json:"-"`
-	Ended                 []wire.JobID      `cbor:"20,keyasint,omitempty" json:"-"`
-	Flows                 []wire.WorkflowID `cbor:"22,keyasint,omitempty" json:"-"`
+	CancelledJobs         []wire.JobID      `cbor:"20,keyasint,omitempty" json:"-"`
+	CancelledWorkflows    []wire.WorkflowID `cbor:"22,keyasint,omitempty" json:"-"`
 	CancellationsComplete bool              `cbor:"21,keyasint,omitempty" json:"-"`
-	Register              int               `cbor:"18,keyasint,omitempty" json:"-"` // edition of the register of galleries; 0: none
+	RegisterEdition       int               `cbor:"18,keyasint,omitempty" json:"-"` // edition of the register of galleries; 0: none
 	GangReservations      []Reservation     `cbor:"17,keyasint,omitempty" json:"-"` // for late gangs: nothing is stopped for it
 	// Completions that workers reported and that the records may lack: of the run Boot those up to
 	// number CompletedTo. Who asks says with CompletedBoot and CompletedTo which it was told.
@@ -92,14 +92,14 @@
 // Failure is a task's error on a machine that a controller held lately, where machines are judged
 // by evidence.
 type Failure struct {
-	Job     wire.JobID     `cbor:"1,keyasint"`
-	Task    wire.TaskIndex `cbor:"2,keyasint,omitempty"`
-	Array   bool           `cbor:"3,keyasint,omitempty"`
-	Machine wire.MachineID `cbor:"4,keyasint"`
-	Image   wire.Image     `cbor:"5,keyasint,omitempty"`
-	Block   string         `cbor:"6,keyasint,omitempty"`
-	Done    float64        `cbor:"7,keyasint,omitempty"` // tasks that the machine did before
-	At      int64          `cbor:"8,keyasint"`           // milliseconds since the epoch, by who tells
+	Job        wire.JobID     `cbor:"1,keyasint"`
+	Task       wire.TaskIndex `cbor:"2,keyasint,omitempty"`
+	Array      bool           `cbor:"3,keyasint,omitempty"`
+	Machine    wire.MachineID `cbor:"4,keyasint"`
+	Image      wire.Image     `cbor:"5,keyasint,omitempty"`
+	Block      string         `cbor:"6,keyasint,omitempty"`
+	DoneBefore float64        `cbor:"7,keyasint,omitempty"` // tasks that the machine did before
+	At         int64          `cbor:"8,keyasint"`           // milliseconds since the epoch, by who tells
 }
 
 // Module is a plug-in's module that a controller has at hand, or can't have and why.
@@ -119,23 +119,23 @@
 // Reservation is a machine that the fleet's leader asks its holder to empty for tasks of
 // a gang.
 type Reservation struct {
-	Machine wire.MachineID `cbor:"1,keyasint"`
-	Job     wire.JobID     `cbor:"2,keyasint"`
-	Tasks   int            `cbor:"3,keyasint"`
-	LeftMS  int64          `cbor:"4,keyasint"` // until the room is no longer kept
+	Machine     wire.MachineID `cbor:"1,keyasint"`
+	Job         wire.JobID     `cbor:"2,keyasint"`
+	Tasks       int            `cbor:"3,keyasint"`
+	RemainingMS int64          `cbor:"4,keyasint"` // until the room is no longer kept
 }
 
 // Suspect is a job whose tasks failed, since so many of them were done.
 type Suspect struct {
-	Job      wire.JobID       `cbor:"1,keyasint"`
-	Done     int              `cbor:"2,keyasint"`
-	Machines []wire.MachineID `cbor:"3,keyasint"`
-	Rounds   int              `cbor:"4,keyasint"`
-	RestMS   int64            `cbor:"5,keyasint"` // until it is tried again
+	Job       wire.JobID       `cbor:"1,keyasint"`
+	Done      int              `cbor:"2,keyasint"`
+	Machines  []wire.MachineID `cbor:"3,keyasint"`
+	Rounds    int              `cbor:"4,keyasint"`
+	BackoffMS int64            `cbor:"5,keyasint"` // until it is tried again
 }
 
-// ClassSum is what a controller has seen of a class's run times, in seconds.
-type ClassSum struct {
+// ClassRunTimes is what a controller has seen of a class's run times, in seconds.
+type ClassRunTimes struct {
 	Class     wire.Class `cbor:"1,keyasint" json:"n"`
 	Ran       float64    `cbor:"2,keyasint" json:"r"`
 	Estimated float64    `cbor:"3,keyasint" json:"e"`
@@ -146,7 +146,7 @@
 // the latest time it can be relied on to describe.
 type Answer struct {
 	Status Status
-	Asked  time.Time
+	AsOf   time.Time
 }
 
 // ConfirmsCancellations reports whether who told this has told no user of a cancellation that a ledger lacks:
--- a/internal/membership/peer/peer_test.go
+++ b/internal/membership/peer/peer_test.go
@@ -23,7 +23,7 @@
 
 var example = Status{Version: Version, Member: "m-1", Boot: 5, Revision: 7, Cancelled: 6, ContactMS: 12, Loaded: true,
 	Machines: []Machine{{ID: "host-1", Type: "g", Zone: "a", Session: 2, Token: 9, AgeMS: 100, Usable: true}},
-	Classes:  []ClassSum{{Class: "c", Ran: 10, Estimated: 20, Count: 2}}}
+	Classes:  []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}}}
 
 func TestFrames(t *testing.T) {
 	var got Status
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -40,8 +40,8 @@
 	s.mu.Unlock()
 }
 
-// Took notes a duration.
-func (s *Set) Took(name string, d time.Duration) {
+// Observe notes a duration.
+func (s *Set) Observe(name string, d time.Duration) {
 	s.mu.Lock()
 	h := s.times[name]
 	if h == nil {
--- a/internal/plugin/catalog.go
+++ b/internal/plugin/catalog.go
@@ -121,7 +121,7 @@
 
 // Use begins the change to a module, "" for the built-in policy, which is used at once.
 func (c *Catalog) Use(ctx context.Context, h wire.ModuleHash) error {
-	return c.change(ctx, func(r ledger.PolicyRecord) (ledger.PolicyRecord, error) { return r.Ask(h, c.now()) })
+	return c.change(ctx, func(r ledger.PolicyRecord) (ledger.PolicyRecord, error) { return r.RequestSwap(h, c.now()) })
 }
 
 // ErrChosen: a policy was chosen before.
@@ -140,13 +140,13 @@
 		if !Open(r, c.Now(), 0) {
 			return r, ErrChosen
 		}
-		return r.Ask(h, c.now())
+		return r.RequestSwap(h, c.now())
 	})
 }
 
 // Rollback begins the change to the policy before, or gives up the one under way.
 func (c *Catalog) Rollback(ctx context.Context) error {
-	return c.change(ctx, func(r ledger.PolicyRecord) (ledger.PolicyRecord, error) { return r.Back(c.now()) })
+	return c.change(ctx, func(r ledger.PolicyRecord) (ledger.PolicyRecord, error) { return r.Rollback(c.now()) })
 }
 
 func (c *Catalog) change(ctx context.Context, move func(ledger.PolicyRecord) (ledger.PolicyRecord, error)) error {
@@ -175,7 +175,7 @@
 			t.If = append(t.If, wire.Condition{Key: ledger.ModuleKey(r.Next), Version: it.Version})
 		}
 		_, err = c.Records.Commit(ctx, t)
-		var conflict *kvstore.Conflict
+		var conflict *kvstore.ConflictError
 		if !errors.As(err, &conflict) {
 			return err
 		}
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	without, err := r.Without(h)
+	without, err := r.RemoveModule(h)
 	if err != nil {
 		return fmt.Errorf("%s: %w", h.Short(), err)
 	}
--- a/internal/plugin/policymanager/policies.go
+++ b/internal/plugin/policymanager/policies.go
@@ -386,7 +386,7 @@
 	if !all && why == "" {
 		return
 	}
-	b, err := json.Marshal(r.End(why, wire.UnixMillis(now.UnixMilli())))
+	b, err := json.Marshal(r.EndSwap(why, wire.UnixMillis(now.UnixMilli())))
 	if err == nil {
 		// Conditioned on the leader's term, too: what is judged is what it heard.
 		_, err = k.host.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.PolicyKey, Version: version}, {Key: ledger.LeaderKey, Version: term}},
--- a/internal/scheduler/aims.go
+++ b/internal/scheduler/aims.go
@@ -15,14 +15,14 @@
 func (s *Scheduler) startBy(e *placement.Entry, now time.Time) (by time.Time, late, pressed bool) {
 	j := e.Job
 	by = s.aimBy(j, e.OverGuarantee, e.Expected, now)
-	if date, ok := s.promises.StartBy(j); ok && date.After(now) && (by.IsZero() || date.Before(by)) {
+	if date, ok := s.deadlines.LatestStart(j); ok && date.After(now) && (by.IsZero() || date.Before(by)) {
 		by = date // one that can't be kept any more presses no longer
 	}
 	bound := s.set.Operators.WaitBound
 	if bound <= 0 {
 		return by, false, false
 	}
-	f, _ := s.led().Flavor(s.firstType(j))
+	f, _ := s.led().MachineType(s.firstType(j))
 	latest := placement.LatestStart(j.Accepted.Time(), bound, j.Spec.ImageGB, f.FetchGBps)
 	if late = !e.CrashLooping && !now.Before(latest); late || by.IsZero() || latest.Before(by) {
 		by = latest
@@ -62,10 +62,10 @@
 	return best
 }
 
-// Busy is what the claims on a machine take, and until when.
-func (s *Scheduler) Busy(id wire.MachineID, now time.Time) []placement.ExpectedRelease {
+// ExpectedReleases is what the claims on a machine take, and until when.
+func (s *Scheduler) ExpectedReleases(id wire.MachineID, now time.Time) []placement.ExpectedRelease {
 	var out []placement.ExpectedRelease
-	for _, h := range s.led().HeldBy(id) {
+	for _, h := range s.led().ClaimsOn(id) {
 		out = append(out, placement.ExpectedRelease{Until: s.runTimes.Until(h, now), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
 	}
 	return out
--- a/internal/scheduler/believe_test.go
+++ b/internal/scheduler/believe_test.go
@@ -19,32 +19,32 @@
 	for _, faulty := range []int{1, 2, 3} {
 		p := controllertest.New(t, 0)
 		p.Set.Operators.Quarantine = settings.Quarantine{On: true, Most: 0.1}
-		p.Book.EnableQuarantine(quarantine.DefaultPriors)
+		p.Failures.EnableQuarantine(quarantine.DefaultPriors)
 		now := time.Now()
-		led := p.Mirror.Records()
-		p.Mirror.SetForTest(1, now)
-		led.Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a"]}`)})
+		led := p.Cache.Records()
+		p.Cache.SetForTest(1, now)
+		led.Apply(ledger.Event{Key: ledger.MachineTypeKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a"]}`)})
 		name := func(i int) wire.MachineID { return wire.MachineID(fmt.Sprint("host-", i)) }
 		for i := range 20 {
 			r := &wire.Heartbeat{Machine: name(i), Type: "g2", Zone: "a", Session: 1, Sequence: 1, Token: 1}
-			p.Roster.Join(r, now).Reconcile(r, nil, 1, now)
+			p.Registry.Register(r, now).Reconcile(r, nil, 1, now)
 		}
 		at := now.Add(-time.Hour)
 		for n := range 200 { // each job fails on the faulty machines and is done elsewhere
 			j := controllertest.AddJob(led, n, wire.Array, 1)
 			at = at.Add(10 * time.Second)
 			for i := range faulty {
-				p.Book.Failed(j, 0, name(i), "", at)
+				p.Failures.Failed(j, 0, name(i), "", at)
 			}
 			for i := range 4 {
-				p.Book.Completed(j, 0, name(faulty+(4*n+i)%(20-faulty)), "", 0, at)
+				p.Failures.Completed(j, 0, name(faulty+(4*n+i)%(20-faulty)), "", 0, at)
 			}
-			p.Book.Faulty(led, name(0), at)
+			p.Failures.Faulty(led, name(0), at)
 		}
-		p.Schedule.Snapshot(now)
-		p.Schedule.InvalidateSnapshot()
+		p.Scheduler.Snapshot(now)
+		p.Scheduler.InvalidateSnapshot()
 		usable := 0
-		for _, m := range p.Schedule.Snapshot(now).Machines {
+		for _, m := range p.Scheduler.Snapshot(now).Machines {
 			if m.Usable {
 				usable++
 			}
--- a/internal/scheduler/crashloop/judgements.go
+++ b/internal/scheduler/crashloop/judgements.go
@@ -7,9 +7,9 @@
 	"maddermill/wire"
 )
 
-// Why is why a machine is judged faulty in a few words; "" where machines are not judged by
+// QuarantineReason is why a machine is judged faulty in a few words; "" where machines are not judged by
 // evidence.
-func (t *Tracker) Why(m wire.MachineID) string {
+func (t *Tracker) QuarantineReason(m wire.MachineID) string {
 	if t.judge == nil {
 		return ""
 	}
@@ -33,5 +33,5 @@
 	return out
 }
 
-// Judged reports whether machines are judged by evidence.
-func (t *Tracker) Judged() bool { return t.judge != nil }
+// QuarantineEnabled reports whether machines are judged by evidence.
+func (t *Tracker) QuarantineEnabled() bool { return t.judge != nil }
--- a/internal/scheduler/crashloop/tracker.go
+++ b/internal/scheduler/crashloop/tracker.go
@@ -115,7 +115,7 @@
 		}
 	}
 	f.rounds = max(f.rounds, s.Rounds)
-	if until := at.Add(time.Duration(s.RestMS) * time.Millisecond); s.RestMS > 0 && until.After(f.until) {
+	if until := at.Add(time.Duration(s.BackoffMS) * time.Millisecond); s.BackoffMS > 0 && until.After(f.until) {
 		f.until = until
 	}
 }
@@ -190,10 +190,10 @@
 
 // RetryState is what speaks against starting tasks of a job now.
 type RetryState struct {
-	Suspect bool                      // it is believed to fail wherever it runs
-	Retry   time.Time                 // no start before
-	Resting int                       // tasks that failed everywhere and rest
-	Avoid   func(wire.MachineID) bool // machines to keep off; nil: none
+	CrashLooping bool                      // it is believed to fail wherever it runs
+	Retry        time.Time                 // no start before
+	BackedOff    int                       // tasks that failed everywhere and rest
+	Avoid        func(wire.MachineID) bool // machines to keep off; nil: none
 }
 
 // RetryState tells what speaks against a job. One a task of which has completed since the last
@@ -207,7 +207,7 @@
 			delete(n.avoid, m)
 		}
 	}
-	s := RetryState{Retry: n.retry, Resting: n.atRest(now)}
+	s := RetryState{Retry: n.retry, BackedOff: n.atRest(now)}
 	if len(n.avoid) > 0 {
 		s.Avoid = func(m wire.MachineID) bool {
 			_, bad := n.avoid[m]
@@ -215,7 +215,7 @@
 		}
 	}
 	if n.failures.blamed() {
-		s.Suspect = true
+		s.CrashLooping = true
 		if n.failures.until.After(s.Retry) {
 			s.Retry = n.failures.until
 		}
@@ -258,9 +258,9 @@
 	return k
 }
 
-// Suspect reports whether a job is believed to fail wherever it runs, and after how many rounds
+// CrashLooping reports whether a job is believed to fail wherever it runs, and after how many rounds
 // of failures.
-func (t *Tracker) Suspect(id wire.JobID) (rounds int, yes bool) {
+func (t *Tracker) CrashLooping(id wire.JobID) (rounds int, yes bool) {
 	n := t.jobs[id]
 	if n == nil || !n.failures.blamed() {
 		return 0, false
@@ -268,10 +268,10 @@
 	return n.failures.rounds, true
 }
 
-// CountSuspects counts the jobs that are believed to fail wherever they run.
-func (t *Tracker) CountSuspects() (k int) {
+// CountCrashLooping counts the jobs that are believed to fail wherever they run.
+func (t *Tracker) CountCrashLooping() (k int) {
 	for id := range t.jobs {
-		if _, yes := t.Suspect(id); yes {
+		if _, yes := t.CrashLooping(id); yes {
 			k++
 		}
 	}
@@ -284,15 +284,15 @@
 	return n != nil && len(n.failures.on) > 0
 }
 
-// Suspects are told to peers: also jobs that have failed on one machine only, since
+// SuspectsToShare are told to peers: also jobs that have failed on one machine only, since
 // the other one may be theirs.
-func (t *Tracker) Suspects(now time.Time) []peer.Suspect {
+func (t *Tracker) SuspectsToShare(now time.Time) []peer.Suspect {
 	var out []peer.Suspect
 	for id, n := range t.jobs {
 		if len(n.failures.on) == 0 || len(out) == mostTold {
 			continue
 		}
-		s := peer.Suspect{Job: id, Done: n.done, Rounds: n.failures.rounds, RestMS: max(0, n.failures.until.Sub(now).Milliseconds())}
+		s := peer.Suspect{Job: id, Done: n.done, Rounds: n.failures.rounds, BackoffMS: max(0, n.failures.until.Sub(now).Milliseconds())}
 		s.Machines = slices.Sorted(maps.Keys(n.failures.on))
 		s.Machines = s.Machines[:min(len(s.Machines), enoughToBlame)]
 		out = append(out, s)
@@ -327,7 +327,7 @@
 	n := 0
 	for id, at := range t.errors[machine] {
 		j := l.Job(id)
-		_, suspect := t.Suspect(id)
+		_, suspect := t.CrashLooping(id)
 		switch {
 		case now.Sub(at) > blameFor || j == nil || j.State == ledger.Cancelled:
 			delete(t.errors[machine], id)
@@ -347,8 +347,8 @@
 	return slow
 }
 
-// Failures are told to peers.
-func (t *Tracker) Failures(now time.Time) []peer.Failure {
+// FailuresToShare are told to peers.
+func (t *Tracker) FailuresToShare(now time.Time) []peer.Failure {
 	if t.judge == nil {
 		return nil
 	}
@@ -383,6 +383,6 @@
 	if t.judge == nil {
 		return
 	}
-	l.Active(func(j *ledger.Job) { t.judge.Progress(j.ID, j.Done, j.TaskDone) })
+	l.EachActive(func(j *ledger.Job) { t.judge.Progress(j.ID, j.Done, j.TaskDone) })
 	t.judge.Prune(now, func(id wire.JobID) bool { j := l.Job(id); return j != nil && j.State == ledger.Active })
 }
--- a/internal/scheduler/deadline/judge.go
+++ b/internal/scheduler/deadline/judge.go
@@ -30,11 +30,11 @@
 // Slack is how much later what remains could begin.
 func (f *Facts) Slack(now time.Time) time.Duration { return f.Date.Sub(now) - f.Need }
 
-// Judge tells which state a gallery goes to, and why; the state that it is in, if it stays there.
+// Evaluate tells which state a gallery goes to, and why; the state that it is in, if it stays there.
 // Times of day are off by up to skew. A promise is broken or kept by what is on record, never by
 // when somebody looked: one that stood still over the promised moment comes to the same end. A
 // job counts as done when that was recorded; where the clocks leave it in doubt, in time.
-func Judge(f *Facts, margin, skew time.Duration, now time.Time) (ledger.GalleryState, string) {
+func Evaluate(f *Facts, margin, skew time.Duration, now time.Time) (ledger.GalleryState, string) {
 	left := f.remaining()
 	ended := f.Count.Ended.Time()
 	inTime := f.Count.Ended == 0 || !ended.Add(-2*skew).After(f.Date)
--- a/internal/scheduler/deadline/promise_test.go
+++ b/internal/scheduler/deadline/promise_test.go
@@ -43,7 +43,7 @@
 		{wire.JobSpec{ID: "wk-000001", Team: "other", Class: "rush"}, "", []wire.GalleryName{"couple-3"}},
 		{wire.JobSpec{ID: "wk-000002", Team: "other", Class: "calm"}, "", nil},
 	} {
-		if got := r.Of(&tc.spec, tc.flow); !slices.Equal(got, tc.want) {
+		if got := r.GalleriesOf(&tc.spec, tc.flow); !slices.Equal(got, tc.want) {
 			t.Errorf("%+v of %q: %v, want %v", tc.spec, tc.flow, got, tc.want)
 		}
 	}
@@ -115,7 +115,7 @@
 				}
 			}
 			off := time.Duration(rng.IntN(201)-100) * time.Millisecond
-			to, why := Judge(&f, 30*time.Second, skew, date.Add(at+off))
+			to, why := Evaluate(&f, 30*time.Second, skew, date.Add(at+off))
 			if to != state && why == "" {
 				t.Fatalf("seed %d: %q without a reason", seed, to)
 			}
@@ -147,7 +147,7 @@
 		{0, 5 * time.Second, ledger.GalleryAtRisk, ledger.GalleryOpen},
 	} {
 		f := Facts{Date: now.Add(time.Minute + tc.slack), State: tc.was, Count: ledger.GalleryCount{Jobs: 5, Done: 5 - tc.left}, Need: time.Minute, Machines: 10 * time.Second}
-		if got, _ := Judge(&f, 30*time.Second, 0, now); got != tc.want {
+		if got, _ := Evaluate(&f, 30*time.Second, 0, now); got != tc.want {
 			t.Errorf("%+v: %q", tc, got)
 		}
 	}
--- a/internal/scheduler/deadline/register.go
+++ b/internal/scheduler/deadline/register.go
@@ -68,7 +68,7 @@
 		byFlow: map[wire.WorkflowID]*Entry{}, byClass: map[classOf][]*Entry{}}
 	var errs []error
 	fail := func(n *ast.Node, field, format string, args ...any) {
-		errs = append(errs, configfile.Wrong(n, field, format, args...))
+		errs = append(errs, configfile.FieldError(n, field, format, args...))
 	}
 	if m.Revision == nil || m.GetRevision() == 0 {
 		fail(nil, "revision", "must be given, above 0")
@@ -146,9 +146,9 @@
 	return r.byName[n]
 }
 
-// Of names the galleries that a job may be tied to, the best first: by its id, by its workflow,
+// GalleriesOf names the galleries that a job may be tied to, the best first: by its id, by its workflow,
 // by its class if that is clear. One of another team is none.
-func (r *Register) Of(s *wire.JobSpec, flow wire.WorkflowID) []wire.GalleryName {
+func (r *Register) GalleriesOf(s *wire.JobSpec, flow wire.WorkflowID) []wire.GalleryName {
 	if r == nil {
 		return nil
 	}
--- a/internal/scheduler/deadlinetracker/promises.go
+++ b/internal/scheduler/deadlinetracker/promises.go
@@ -33,11 +33,11 @@
 
 // Parts are what galleries are kept with.
 type Parts struct {
-	Mirror   *watchcache.Cache
-	Writer   *committer.Committer
-	RunTimes *estimate.RunTimes
-	Members  *membership.Membership
-	Roster   *reconcile.Registry
+	Cache      *watchcache.Cache
+	Committer  *committer.Committer
+	RunTimes   *estimate.RunTimes
+	Membership *membership.Membership
+	Registry   *reconcile.Registry
 }
 
 // Tracker is that part of a controller.
@@ -68,12 +68,12 @@
 		asked: map[wire.GalleryName]*committer.Change{}}
 }
 
-func (p *Tracker) led() *ledger.Ledger { return p.Mirror.Records() }
+func (p *Tracker) led() *ledger.Ledger { return p.Cache.Records() }
 
 // Set takes over a register.
 func (p *Tracker) Set(r *deadline.Register) {
-	p.Mirror.Lock()
-	defer p.Mirror.Unlock()
+	p.Cache.Lock()
+	defer p.Cache.Unlock()
 	p.register, p.tiedAt = r, time.Time{}
 	clear(p.refused)
 }
@@ -108,8 +108,8 @@
 // that names it and is on record and not over. The record decides: a register that differs from
 // others' can't tie to what nobody opened.
 func (p *Tracker) GalleryOf(s *wire.JobSpec, flow wire.WorkflowID) *ledger.Gallery {
-	for _, n := range p.register.Of(s, flow) {
-		if g := p.led().Gallery(n); g != nil && !g.Over() && g.Team == s.Team {
+	for _, n := range p.register.GalleriesOf(s, flow) {
+		if g := p.led().Gallery(n); g != nil && !g.Ended() && g.Team == s.Team {
 			return g
 		}
 	}
@@ -119,7 +119,7 @@
 // Reconcile works out what is left of every gallery, from the jobs that are not over.
 func (p *Tracker) Reconcile(now time.Time) {
 	clear(p.needs)
-	p.led().Active(func(j *ledger.Job) {
+	p.led().EachActive(func(j *ledger.Job) {
 		if j.Gallery == "" {
 			return
 		}
@@ -139,7 +139,7 @@
 
 // flavorOf is a machine type that a job may run on.
 func (p *Tracker) flavorOf(j *ledger.Job) (f wire.MachineType) {
-	for name, o := range p.led().Flavors() {
+	for name, o := range p.led().MachineTypes() {
 		if j.Spec.Types == nil || slices.Contains(j.Spec.Types, name) {
 			if f.Name == "" || name < f.Name {
 				f = o
@@ -149,20 +149,20 @@
 	return f
 }
 
-// StartBy is when a job must start for its gallery to be done by the promised date: all jobs of a
+// LatestStart is when a job must start for its gallery to be done by the promised date: all jobs of a
 // gallery share the time that its longest one leaves. False if it is tied to none that is open.
-func (p *Tracker) StartBy(j *ledger.Job) (time.Time, bool) {
+func (p *Tracker) LatestStart(j *ledger.Job) (time.Time, bool) {
 	g := p.led().Gallery(j.Gallery)
-	if j.Gallery == "" || g == nil || g.Over() {
+	if j.Gallery == "" || g == nil || g.Ended() {
 		return time.Time{}, false
 	}
 	return g.Date().Time().Add(-p.needs[j.Gallery].longest), true
 }
 
-// Count counts the galleries that are not over, and those of them at risk.
-func Count(l *ledger.Ledger) (open, risky int) {
-	l.Galleries(func(g *ledger.Gallery) {
-		if !g.Over() {
+// CountGalleries counts the galleries that are not over, and those of them at risk.
+func CountGalleries(l *ledger.Ledger) (open, risky int) {
+	l.EachGallery(func(g *ledger.Gallery) {
+		if !g.Ended() {
 			open++
 			if g.State == ledger.GalleryAtRisk {
 				risky++
@@ -179,8 +179,8 @@
 	mostAtOnce = 8
 )
 
-// Edition is that of the register that was given; 0: none.
-func (p *Tracker) Edition() int {
+// RegisterEdition is that of the register that was given; 0: none.
+func (p *Tracker) RegisterEdition() int {
 	if p.register == nil {
 		return 0
 	}
@@ -196,16 +196,16 @@
 // since the only controller with the edition in force did not lead.
 func (p *Tracker) keeps(now time.Time) bool {
 	leads, _ := p.led().Leader()
-	newest, keeper, leader := p.Edition(), p.set.Member, p.Edition()
-	for _, o := range p.Members.Peers() {
+	newest, keeper, leader := p.RegisterEdition(), p.set.Member, p.RegisterEdition()
+	for _, o := range p.Membership.Peers() {
 		if now.Sub(o.AsOf) > heardLately {
 			continue
 		}
-		if e := o.Status.Register; e > newest || e == newest && o.Status.Member < keeper {
+		if e := o.Status.RegisterEdition; e > newest || e == newest && o.Status.Member < keeper {
 			newest, keeper = e, o.Status.Member
 		}
 		if o.Status.Member == leads.Member {
-			leader = o.Status.Register
+			leader = o.Status.RegisterEdition
 		}
 	}
 	if leader == newest {
@@ -218,11 +218,11 @@
 func (p *Tracker) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, passEvery)
-		p.Mirror.Lock()
-		if now := time.Now(); p.Mirror.SyncedWithin(now, settings.StartContact) && p.keeps(now) {
+		p.Cache.Lock()
+		if now := time.Now(); p.Cache.SyncedWithin(now, settings.StartContact) && p.keeps(now) {
 			p.pass(now)
 		}
-		p.Mirror.Unlock()
+		p.Cache.Unlock()
 	}
 	return ctx.Err()
 }
@@ -237,7 +237,7 @@
 		left--
 		ch := &committer.Change{Expires: true, ExpiresAt: now.Add(5 * time.Second), OnCommit: made, Draft: draft}
 		p.asked[n] = ch
-		p.Writer.Enqueue(ch)
+		p.Committer.Enqueue(ch)
 	}
 	for n, ch := range p.asked {
 		if len(ch.Done()) > 0 {
@@ -252,18 +252,18 @@
 	inForce := p.register != nil && p.register.Revision == p.led().Register()
 	if p.register != nil && p.register.Revision > p.led().Register() {
 		revision := p.register.Revision
-		ask("", func() { p.log.Info("register in force", "revision", revision) }, func(d *ledger.Transaction) error { return d.RaiseRegister(revision) })
+		ask("", func() { p.log.Info("register in force", "revision", revision) }, func(d *ledger.Transaction) error { return d.UpgradeRegister(revision) })
 	}
 	if inForce {
 		p.reconcile(now, &left, ask)
 		p.tie(now, &left)
 	}
 	var loads []deadline.Load
-	p.led().Galleries(func(g *ledger.Gallery) {
+	p.led().EachGallery(func(g *ledger.Gallery) {
 		if left <= 0 {
 			return
 		}
-		if g.Over() {
+		if g.Ended() {
 			p.archive(g, ask)
 			return
 		}
@@ -293,7 +293,7 @@
 			ask(e.Name, func() { p.log.Info("gallery opened", "gallery", e.Name, "team", e.Team, "promised", e.Promised) }, func(d *ledger.Transaction) error {
 				return d.OpenGallery(e.Name, e.Team, ledger.Promise{At: at, Date: date, Why: e.Why}, revision)
 			})
-		case !g.Over() && g.Date() != date:
+		case !g.Ended() && g.Date() != date:
 			ask(e.Name, func() { p.log.Info("date changed", "gallery", e.Name, "promised", e.Promised, "why", e.Why) }, func(d *ledger.Transaction) error {
 				g := p.led().Gallery(e.Name)
 				if g == nil {
@@ -316,7 +316,7 @@
 		return
 	}
 	p.tiedAt = now
-	p.led().Active(func(j *ledger.Job) {
+	p.led().EachActive(func(j *ledger.Job) {
 		if j.Gallery != "" || *left <= 0 {
 			return
 		}
@@ -326,7 +326,7 @@
 		}
 		*left--
 		id, name := j.ID, g.Name
-		p.Writer.Enqueue(&committer.Change{Expires: true, ExpiresAt: now.Add(tieEvery), Draft: func(d *ledger.Transaction) error {
+		p.Committer.Enqueue(&committer.Change{Expires: true, ExpiresAt: now.Add(tieEvery), Draft: func(d *ledger.Transaction) error {
 			j, g := p.led().Job(id), p.led().Gallery(name)
 			if j == nil || g == nil {
 				return ledger.ErrPreconditionFailed
@@ -342,7 +342,7 @@
 // judge moves a gallery to the state that it is in by what is on record.
 func (p *Tracker) judge(g *ledger.Gallery, inForce bool, now time.Time, ask func(wire.GalleryName, func(), func(*ledger.Transaction) error)) {
 	e := p.register.Entry(g.Name)
-	to, why := deadline.Judge(p.facts(g, inForce, e), p.margin(), p.skew(), now)
+	to, why := deadline.Evaluate(p.facts(g, inForce, e), p.margin(), p.skew(), now)
 	if to == g.State {
 		return
 	}
@@ -364,11 +364,11 @@
 			return ledger.ErrPreconditionFailed
 		}
 		// What was decided may no longer hold by what is on record now.
-		if now, _ := deadline.Judge(p.facts(g, inForce, e), p.margin(), p.skew(), now); now != to {
+		if now, _ := deadline.Evaluate(p.facts(g, inForce, e), p.margin(), p.skew(), now); now != to {
 			return ledger.ErrPreconditionFailed
 		}
 		if to == ledger.GalleryWithdrawn {
-			return d.Withdraw(g, why, at, revision)
+			return d.WithdrawGallery(g, why, at, revision)
 		}
 		return d.MoveGallery(g, to, why, at)
 	})
@@ -379,7 +379,7 @@
 	f := &deadline.Facts{Date: g.Date().Time(), State: g.State, Count: g.Count, Need: n.longest,
 		Complete: e != nil && e.Complete, Withdrawn: inForce && e == nil}
 	if n.waiting {
-		for _, o := range p.led().Flavors() {
+		for _, o := range p.led().MachineTypes() {
 			f.Machines = max(f.Machines, o.Boot.Duration())
 		}
 	}
@@ -413,8 +413,8 @@
 
 // tellOvercommitment warns once of galleries that the fleet, as it is now, can't all keep.
 func (p *Tracker) tellOvercommitment(loads []deadline.Load, now time.Time) {
-	machines := p.Roster.Len()
-	for _, o := range p.Members.Peers() {
+	machines := p.Registry.Len()
+	for _, o := range p.Membership.Peers() {
 		machines += len(o.Status.Machines)
 	}
 	if machines == 0 || len(loads) == 0 {
--- a/internal/scheduler/deadlinetracker/promises_test.go
+++ b/internal/scheduler/deadlinetracker/promises_test.go
@@ -17,9 +17,9 @@
 	for _, galleries := range []int{0, 5000} {
 		b.Run(fmt.Sprint(galleries), func(b *testing.B) {
 			p := controllertest.New(b, 0)
-			led := p.Mirror.Records()
+			led := p.Cache.Records()
 			now := time.Now()
-			p.Mirror.SetForTest(1, now)
+			p.Cache.SetForTest(1, now)
 			version := wire.Revision(0)
 			apply := func(key string, value []byte) {
 				version++
@@ -37,7 +37,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Promises.Reconcile(now)
+				p.Deadlines.Reconcile(now)
 			}
 		})
 	}
--- a/internal/scheduler/estimate/run_times.go
+++ b/internal/scheduler/estimate/run_times.go
@@ -17,8 +17,8 @@
 // and remembers since when claims run. It has no lock: it is used under the watch cache's.
 type RunTimes struct {
 	peers   Peers
-	classes map[wire.Class]*peer.ClassSum // as observed here
-	claimed map[claimKey]time.Time        // when a claim was first seen
+	classes map[wire.Class]*peer.ClassRunTimes // as observed here
+	claimed map[claimKey]time.Time             // when a claim was first seen
 }
 
 // Peers is what run times need of the membership: what other controllers observed.
@@ -28,7 +28,7 @@
 
 // NewRunTimes returns run times that have observed nothing yet.
 func NewRunTimes(peers Peers) *RunTimes {
-	return &RunTimes{peers: peers, classes: map[wire.Class]*peer.ClassSum{}, claimed: map[claimKey]time.Time{}}
+	return &RunTimes{peers: peers, classes: map[wire.Class]*peer.ClassRunTimes{}, claimed: map[claimKey]time.Time{}}
 }
 
 // priorWeight is how many tasks' worth the estimates themselves count.
@@ -38,7 +38,7 @@
 func (r *RunTimes) Observe(class wire.Class, ran, estimate time.Duration) {
 	o := r.classes[class]
 	if o == nil {
-		o = &peer.ClassSum{Class: class}
+		o = &peer.ClassRunTimes{Class: class}
 		r.classes[class] = o
 	}
 	// Older tasks fade, so that a change of mood is followed.
@@ -48,8 +48,8 @@
 }
 
 // Classes lists the run times of classes as observed here, for peers.
-func (r *RunTimes) Classes() []peer.ClassSum {
-	out := make([]peer.ClassSum, 0, len(r.classes))
+func (r *RunTimes) Classes() []peer.ClassRunTimes {
+	out := make([]peer.ClassRunTimes, 0, len(r.classes))
 	for _, o := range r.classes {
 		out = append(out, *o)
 	}
@@ -60,7 +60,7 @@
 // all controllers have seen.
 func (r *RunTimes) correction(class wire.Class) float64 {
 	var ran, estimated, count float64
-	add := func(o *peer.ClassSum) {
+	add := func(o *peer.ClassRunTimes) {
 		ran, estimated, count = ran+o.Ran, estimated+o.Estimated, count+o.Count
 	}
 	if o := r.classes[class]; o != nil {
@@ -119,7 +119,7 @@
 // Prune drops claims that are over.
 func (r *RunTimes) Prune(l *ledger.Ledger) {
 	for key := range r.claimed {
-		if !slices.ContainsFunc(l.HeldBy(key.machine), func(h ledger.HeldClaim) bool {
+		if !slices.ContainsFunc(l.ClaimsOn(key.machine), func(h ledger.HeldClaim) bool {
 			return h.Job.ID == key.job && h.Attempt == key.attempt && h.First == key.first
 		}) {
 			delete(r.claimed, key)
--- a/internal/scheduler/pace_test.go
+++ b/internal/scheduler/pace_test.go
@@ -21,7 +21,7 @@
 	} {
 		p := controllertest.New(t, 0)
 		p.Set.Cluster.Quota.CPUShare = tc.share
-		if got := p.Schedule.SnapshotInterval(tc.took).Truncate(time.Millisecond); got != tc.want {
+		if got := p.Scheduler.SnapshotInterval(tc.took).Truncate(time.Millisecond); got != tc.want {
 			t.Errorf("share %v, a pass of %v: the next after %v, want %v", tc.share, tc.took, got, tc.want)
 		}
 	}
--- a/internal/scheduler/picture.go
+++ b/internal/scheduler/picture.go
@@ -48,7 +48,7 @@
 // look makes a new picture.
 func (s *Scheduler) look(now time.Time) *placement.Snapshot {
 	s.led().DrainChangedMachines(func(wire.MachineID) {}) // all are read anew
-	v := &placement.Snapshot{Now: now, Queue: s.order(now), TeamRoom: s.led().TeamRoom, Machines: s.machines(now), Tree: s.places.Tree(),
+	v := &placement.Snapshot{Now: now, Queue: s.order(now), TeamRoom: s.led().RemainingTeamQuota, Machines: s.machines(now), Tree: s.topology.Tree(),
 		Limits: placement.Limits{Starts: s.set.Cluster.State.TxnOps, ColdStarts: s.set.Operators.ColdStarts, FetchAssumed: s.set.Operators.FetchMark,
 			ReserveAfter: s.set.Operators.WithholdAfter, DeferCold: 3 * s.set.Cluster.Workers.Report.Duration()}}
 	if s.set.Operators.Preempt {
@@ -93,7 +93,7 @@
 		}
 	}
 	for k, n := range faulty {
-		doubted := n > q.MostOf(all[k])
+		doubted := n > q.MaxQuarantined(all[k])
 		if doubted && !s.doubted[k] {
 			s.log.Warn("judgement not believed: too many machines are said to be faulty", "type", k.Type, "zone", k.Zone, "faulty", n, "machines", all[k])
 			s.stats.Add("judgements_doubted_total", 1)
@@ -107,7 +107,7 @@
 	}
 	for _, m := range machines {
 		k := estimate.Kind{Type: m.Type, Zone: m.Zone}
-		m.Slow = m.Slow && slow[k] <= q.MostOf(all[k])
+		m.Slow = m.Slow && slow[k] <= q.MaxQuarantined(all[k])
 	}
 }
 
@@ -124,37 +124,37 @@
 	})
 }
 
-// MachineOf is a machine held here, as placement sees it.
-func (s *Scheduler) MachineOf(w *reconcile.Worker, now time.Time) *placement.Machine {
-	block, up := s.places.Locate(w.ID, w.Addr, w.Zone)
+// MachineSnapshot is a machine held here, as placement sees it.
+func (s *Scheduler) MachineSnapshot(w *reconcile.Worker, now time.Time) *placement.Machine {
+	block, up := s.topology.Locate(w.ID, w.Addr, w.Zone)
 	m := &placement.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken, Block: block,
-		Images: s.roster.Images(s.led(), w), Usable: up && s.Usable(w, now), Owned: true,
-		Slow: s.book.Slow(w.ID), Faulty: s.book.Faulty(s.led(), w.ID, now)}
+		Images: s.registry.Images(s.led(), w), Usable: up && s.Usable(w, now), Owned: true,
+		Slow: s.failures.Slow(w.ID), Faulty: s.failures.Faulty(s.led(), w.ID, now)}
 	s.setRoom(m, now)
 	return m
 }
 
 // machineOfPeer is a machine that a peer holds, as it was at a time.
 func (s *Scheduler) machineOfPeer(o *peer.Machine, at, now time.Time) *placement.Machine {
-	f, _ := s.led().Flavor(o.Type)
-	block, up := s.places.Locate(o.ID, o.Endpoint, o.Zone)
+	f, _ := s.led().MachineType(o.Type)
+	block, up := s.topology.Locate(o.ID, o.Endpoint, o.Zone)
 	m := &placement.Machine{ID: o.ID, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Session: o.Session, Token: o.Token, Block: block,
 		Images: placement.NewImages(f.CacheGB), Usable: up && o.Usable, Slow: o.Slow, Faulty: o.Faulty}
 	for _, name := range o.Images {
-		m.Images.Used(name, 0)
+		m.Images.Use(name, 0)
 	}
 	for _, name := range o.Fetching {
-		m.Images.Fetching(name, at)
+		m.Images.StartFetch(name, at)
 	}
 	s.setRoom(m, now)
 	return m
 }
 
 func (s *Scheduler) setRoom(m *placement.Machine, now time.Time) {
-	f, _ := s.led().Flavor(m.Type)
-	m.FetchGB, m.Busy = f.FetchGBps, s.Busy(m.ID, now)
+	f, _ := s.led().MachineType(m.Type)
+	m.FetchGB, m.Busy = f.FetchGBps, s.ExpectedReleases(m.ID, now)
 	m.Total = s.led().Total(m.Type)
-	m.Free = s.led().Free(m.Site())
+	m.Free = s.led().Free(m.ClaimTarget())
 }
 
 // tellsOfSilence is how long ago a peer may have been asked for its machines' silence to be theirs.
@@ -171,17 +171,17 @@
 	silent, overdue := s.set.SilentAfter(), s.overdueAfter()
 	byID := map[wire.MachineID]*placement.Machine{}
 	heard := map[wire.MachineID]time.Time{}
-	s.roster.Each(func(w *reconcile.Worker) {
+	s.registry.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) < silent {
-			m := s.MachineOf(w, now)
+			m := s.MachineSnapshot(w, now)
 			m.Overdue = now.Sub(w.LastHeartbeat) > overdue
 			byID[w.ID], heard[w.ID] = m, w.LastHeartbeat
 		}
 	})
-	for _, p := range s.members.Peers() {
+	for _, p := range s.membership.Peers() {
 		for i := range p.Status.Machines {
 			o := &p.Status.Machines[i]
-			at := p.Heard(o)
+			at := p.HeartbeatAt(o)
 			if now.Sub(at) < silent && at.After(heard[o.ID]) && s.led().MachinePhase(o.ID) == "" {
 				m := s.machineOfPeer(o, at, now)
 				// Of one that is not heard itself, or only by what it published, nothing is told.
@@ -200,9 +200,9 @@
 // order puts the jobs that have something to place into policy order.
 func (s *Scheduler) order(now time.Time) []placement.Entry {
 	var entries []placement.Entry
-	s.led().Active(func(j *ledger.Job) {
+	s.led().EachActive(func(j *ledger.Job) {
 		n := s.notes(j.ID)
-		standing := s.book.RetryState(j, now)
+		standing := s.failures.RetryState(j, now)
 		if j.Pending() == 0 {
 			n.since = time.Time{}
 			return
@@ -210,8 +210,8 @@
 		if n.since.IsZero() {
 			n.since = now
 		}
-		e := placement.Entry{Job: j, Retry: standing.Retry, Waiting: now.Sub(n.since), StartsPlanned: &n.taken, BackedOff: standing.Resting,
-			Avoid: standing.Avoid, CrashLooping: standing.Suspect}
+		e := placement.Entry{Job: j, Retry: standing.Retry, Waiting: now.Sub(n.since), StartsPlanned: &n.taken, BackedOff: standing.BackedOff,
+			Avoid: standing.Avoid, CrashLooping: standing.CrashLooping}
 		entries = append(entries, e)
 	})
 	for id := range s.jobs {
@@ -219,18 +219,18 @@
 			delete(s.jobs, id)
 		}
 	}
-	s.book.Prune(s.led(), now)
+	s.failures.Prune(s.led(), now)
 	s.runTimes.Prune(s.led())
-	for _, id := range s.roster.Forget(s.led(), now) {
-		s.book.ForgetMachine(id)
+	for _, id := range s.registry.Forget(s.led(), now) {
+		s.failures.ForgetMachine(id)
 	}
-	s.promises.Reconcile(now)
+	s.deadlines.Reconcile(now)
 	s.markBeyond(entries)
 	for i := range entries {
 		e := &entries[i]
 		e.Expected = s.runTimes.Expected(e.Job)
 		e.LatestStart, e.Overdue, e.AlmostOverdue = s.startBy(e, now)
-		e.Plain = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.led().Flavors())
+		e.Plain = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.led().MachineTypes())
 	}
 	placement.OrderBy(entries, now, s.policies.Decide(s.led(), now))
 	return entries
@@ -240,13 +240,13 @@
 // together with the team's earlier unfinished jobs.
 func (s *Scheduler) markBeyond(entries []placement.Entry) {
 	sum := map[wire.Team]ledger.Resources{}
-	s.led().Active(func(j *ledger.Job) {
+	s.led().EachActive(func(j *ledger.Job) {
 		sum[j.Spec.Team] = sum[j.Spec.Team].Add(j.Need, j.Claimed)
 	})
 	placement.Order(entries)
 	for i := range entries {
 		e := &entries[i]
-		t := s.set.Team(e.Job.Spec.Team)
+		t := s.set.FindTeam(e.Job.Spec.Team)
 		if t == nil {
 			continue
 		}
--- a/internal/scheduler/placement/close.go
+++ b/internal/scheduler/placement/close.go
@@ -58,11 +58,11 @@
 	})
 	tried := 0 // room
 	for worst := first; worst <= rankBusy; worst++ {
-		var in []topology.Option
+		var in []topology.MachineOption
 		room := 0
 		for i := range options {
 			if o := &options[i]; o.rank <= worst {
-				in = append(in, topology.Option{Machine: o.m.ID, Block: o.m.Block, Room: o.room, Order: o.order()})
+				in = append(in, topology.MachineOption{Machine: o.m.ID, Block: o.m.Block, Room: o.room, Order: o.order()})
 				room += o.room
 			}
 		}
@@ -86,7 +86,7 @@
 		for i, n := range counts {
 			if n > 0 {
 				rank = max(rank, options[i].rank)
-				out = append(out, ledger.GangPart{Site: options[i].m.Site(), Count: n})
+				out = append(out, ledger.GangPart{Site: options[i].m.ClaimTarget(), Count: n})
 			}
 		}
 		return out, rank
@@ -105,11 +105,11 @@
 	if cost, known := v.ideal[key]; known {
 		return cost
 	}
-	var in []topology.Option
+	var in []topology.MachineOption
 	for _, m := range v.Machines {
 		v.Examined++
 		if n := m.Total.Times(j.Need, g.Tasks); n > 0 && m.Usable && ledger.Allowed(j.Spec, m.Type, m.Zone, m.Spot) {
-			in = append(in, topology.Option{Machine: m.ID, Block: m.Block, Room: n})
+			in = append(in, topology.MachineOption{Machine: m.ID, Block: m.Block, Room: n})
 		}
 	}
 	_, cost, _ := v.Tree.Pack(g, in)
@@ -164,11 +164,11 @@
 // the ones that are closest together. rank and loss are the furthest rank and the greatest
 // loss of the choice.
 func (v *Snapshot) closer(j *ledger.Job, options []roomOption, rank int, loss time.Duration) []PreemptionReservation {
-	var in []topology.Option
+	var in []topology.MachineOption
 	var of []*roomOption
 	for i := range options {
 		if o := &options[i]; o.rank <= rank && o.loss <= loss {
-			in = append(in, topology.Option{Machine: o.m.ID, Block: o.m.Block, Room: o.room, Order: min(int64(o.loss.Seconds()), topology.MostOrder)})
+			in = append(in, topology.MachineOption{Machine: o.m.ID, Block: o.m.Block, Room: o.room, Order: min(int64(o.loss.Seconds()), topology.MostOrder)})
 			of = append(of, o)
 		}
 	}
--- a/internal/scheduler/placement/close_test.go
+++ b/internal/scheduler/placement/close_test.go
@@ -46,7 +46,7 @@
 	if err := d.Submit(s, 1); err != nil {
 		t.Fatal(err)
 	}
-	txn, _ := d.Txn()
+	txn, _ := d.Request()
 	known, _ := l.Counts()
 	l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(known + 1)})
 	return l.Job(s.ID)
@@ -58,7 +58,7 @@
 
 // hall is a view of machines, eight a rack, of two tasks each.
 func hall(tree *topology.Tree, l *ledger.Ledger, blocks []topology.Block, rng *rand.Rand, full float64) *placement.Snapshot {
-	v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Tree: tree, Limits: placement.Limits{FetchAssumed: time.Minute, ColdStarts: 99, DeferCold: 9 * time.Second}}
+	v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Tree: tree, Limits: placement.Limits{FetchAssumed: time.Minute, ColdStarts: 99, DeferCold: 9 * time.Second}}
 	for i, b := range blocks {
 		for k := range 8 {
 			m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%d-%d", i, k)), Type: "g", Zone: wire.Zone(tree.Path(b)[:1]), Usable: true, Spot: true, Block: b,
@@ -128,7 +128,7 @@
 		v := hall(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 		for i, m := range v.Machines {
 			if i%8 == 0 {
-				m.Images.Used("i", 1) // one a rack
+				m.Images.Use("i", 1) // one a rack
 			}
 		}
 		v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
@@ -256,7 +256,7 @@
 			v := hall(tree, l, blocks[:1], rand.New(rand.NewPCG(1, 1)), 0)
 			v.Tree, v.Prefer = with, prefer
 			for _, i := range []int{2, 3, 5, 6} {
-				v.Machines[i].Images.Used("i", 1)
+				v.Machines[i].Images.Use("i", 1)
 			}
 			v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
 			var out []string
--- a/internal/scheduler/placement/gangs.go
+++ b/internal/scheduler/placement/gangs.go
@@ -181,7 +181,7 @@
 			taken[o.m.Zone] += n
 			left -= n
 			rank = max(rank, o.rank)
-			out = append(out, ledger.GangPart{Site: o.m.Site(), Count: n})
+			out = append(out, ledger.GangPart{Site: o.m.ClaimTarget(), Count: n})
 		}
 		if left == 0 && (best == nil || rank < bestRank) {
 			best, bestRank = out, rank
--- a/internal/scheduler/placement/images.go
+++ b/internal/scheduler/placement/images.go
@@ -31,8 +31,8 @@
 	return slices.ContainsFunc(c.cached, func(i cachedImage) bool { return i.name == name })
 }
 
-// Used notes that a task with the image is past its fetch.
-func (c *Images) Used(name wire.Image, gb float64) {
+// Use notes that a task with the image is past its fetch.
+func (c *Images) Use(name wire.Image, gb float64) {
 	delete(c.fetching, name)
 	c.cached = slices.DeleteFunc(c.cached, func(i cachedImage) bool { return i.name == name })
 	c.cached = append(c.cached, cachedImage{name, gb})
@@ -46,14 +46,14 @@
 	}
 }
 
-// Fetching notes that the image is being fetched.
-func (c *Images) Fetching(name wire.Image, now time.Time) { c.fetching[name] = now }
+// StartFetch notes that the image is being fetched.
+func (c *Images) StartFetch(name wire.Image, now time.Time) { c.fetching[name] = now }
 
-// Underway reports whether the image is being fetched, as far as known.
-func (c *Images) Underway(name wire.Image) bool { _, ok := c.fetching[name]; return ok }
+// IsFetching reports whether the image is being fetched, as far as known.
+func (c *Images) IsFetching(name wire.Image) bool { _, ok := c.fetching[name]; return ok }
 
-// Under lists the images being fetched.
-func (c *Images) Under() []wire.Image { return slices.Sorted(maps.Keys(c.fetching)) }
+// ListFetching lists the images being fetched.
+func (c *Images) ListFetching() []wire.Image { return slices.Sorted(maps.Keys(c.fetching)) }
 
 // Ranks of images on a machine.
 const (
@@ -66,7 +66,7 @@
 	switch {
 	case c.Has(name):
 		return rankCached
-	case c.Underway(name):
+	case c.IsFetching(name):
 		return rankUnderway
 	}
 	return rankAbsent
--- a/internal/scheduler/placement/late_test.go
+++ b/internal/scheduler/placement/late_test.go
@@ -34,11 +34,11 @@
 func newMill(t *testing.T, machines int, bound time.Duration) *mill {
 	s := &mill{t: t, bound: bound, now: start, at: map[string]time.Time{}, begun: map[wire.Class][]time.Duration{},
 		l: ledger.New(ledger.Limits{ValueBytes: 1 << 20, TxnOps: 4096, TxnBytes: 1 << 24, TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 20, 0)}})}
-	s.apply(ledger.Event{Key: ledger.FlavorKey("g"), Value: []byte(`{"sku":"g","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
+	s.apply(ledger.Event{Key: ledger.MachineTypeKey("g"), Value: []byte(`{"sku":"g","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`)})
 	for i := range machines {
 		m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%03d", i)), Type: "g", Zone: []wire.Zone{"a", "b"}[i%2], Session: 1, Token: 1, Usable: true, Owned: true,
 			Total: ledger.NewResources(8, 2, 32), Images: placement.NewImages(100), FetchGB: 0.25}
-		m.Images.Used("i", 5)
+		m.Images.Use("i", 5)
 		s.machines = append(s.machines, m)
 	}
 	return s
@@ -55,7 +55,7 @@
 	if draft(d) != nil {
 		return false
 	}
-	txn, err := d.Txn()
+	txn, err := d.Request()
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	s.now = s.now.Add(time.Second)
 	var over []ledger.HeldClaim
 	for _, m := range s.machines {
-		for _, h := range s.l.HeldBy(m.ID) {
+		for _, h := range s.l.ClaimsOn(m.ID) {
 			run := s.runOf(h.Job.ID)
 			if at := s.since(h); !s.now.Before(at.Add(run)) {
 				over = append(over, h)
@@ -96,7 +96,7 @@
 		}
 		s.commit(func(d *ledger.Transaction) error { _, err := d.ReleaseTasks(h.Job, h.Claim, tasks, true); return err })
 	}
-	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.TeamRoom, Machines: s.machines,
+	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.RemainingTeamQuota, Machines: s.machines,
 		Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
 	left := s.queue[:0]
 	for _, q := range s.queue {
@@ -123,8 +123,8 @@
 	s.queue = left
 	placement.Order(v.Queue)
 	for _, m := range s.machines {
-		m.Free, m.Busy = s.l.Free(m.Site()), nil
-		for _, h := range s.l.HeldBy(m.ID) {
+		m.Free, m.Busy = s.l.Free(m.ClaimTarget()), nil
+		for _, h := range s.l.ClaimsOn(m.ID) {
 			m.Busy = append(m.Busy, placement.ExpectedRelease{Until: s.since(h).Add(s.runOf(h.Job.ID)), Room: ledger.Resources{}.Add(h.Job.Need, h.Count)})
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 	for _, m := range s.machines { // reports come before the leader's pass
 		for _, st := range placement.PlaceOnMachine(v, m) {
-			p := ledger.GangPart{Site: m.Site(), Count: st.Count}
+			p := ledger.GangPart{Site: m.ClaimTarget(), Count: st.Count}
 			if s.commit(func(d *ledger.Transaction) error {
 				if st.Job.Spec.Shape == wire.Gang {
 					return d.ClaimGang(st.Job, []ledger.GangPart{p})
@@ -146,7 +146,7 @@
 			}) {
 				s.mark(st.Job)
 			}
-			m.Free = s.l.Free(m.Site())
+			m.Free = s.l.Free(m.ClaimTarget())
 		}
 	}
 	for _, g := range placement.PlaceGangs(v) {
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -44,7 +44,7 @@
 	Room  ledger.Resources
 }
 
-// Site is the machine as claims name it.
-func (m *Machine) Site() ledger.ClaimTarget {
+// ClaimTarget is the machine as claims name it.
+func (m *Machine) ClaimTarget() ledger.ClaimTarget {
 	return ledger.ClaimTarget{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: m.Session, Token: m.Token}
 }
--- a/internal/scheduler/placement/place.go
+++ b/internal/scheduler/placement/place.go
@@ -203,7 +203,7 @@
 			case n <= 0:
 			case m.Images.Has(j.Spec.Image):
 				give(e, n, Cached)
-			case m.Images.Underway(j.Spec.Image):
+			case m.Images.IsFetching(j.Spec.Image):
 				give(e, n, Fetching)
 			default:
 				absent = append(absent, e)
@@ -244,8 +244,8 @@
 	return out
 }
 
-// WantedWhole reports whether a gang of several tasks waits that may use a machine.
-func (v *Snapshot) WantedWhole(m *Machine) bool {
+// ReservedWhole reports whether a gang of several tasks waits that may use a machine.
+func (v *Snapshot) ReservedWhole(m *Machine) bool {
 	return slices.ContainsFunc(v.Queue, func(e Entry) bool {
 		return e.Job.GangSize() > 1 && e.pending() > 0 && m.Total.Fits(e.Job.Need) && ledger.Allowed(e.Job.Spec, m.Type, m.Zone, m.Spot)
 	})
--- a/internal/scheduler/placement/place_test.go
+++ b/internal/scheduler/placement/place_test.go
@@ -30,7 +30,7 @@
 		if err := d.Submit(s, wire.UnixMillis(rng.IntN(100))); err != nil {
 			t.Fatal(err)
 		}
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
 		taken := rng.IntN(2) * rng.IntN(2)
 		out = append(out, placement.Entry{Job: l.Job(s.ID), OverGuarantee: rng.IntN(2) == 0, StartsPlanned: &taken, Waiting: time.Duration(rng.IntN(20)) * time.Second,
@@ -51,10 +51,10 @@
 	for i := range 4 {
 		switch rng.IntN(4) {
 		case 0:
-			m.Images.Used(wire.Image(fmt.Sprint("i", i)), 5)
+			m.Images.Use(wire.Image(fmt.Sprint("i", i)), 5)
 		case 1:
 			if rng.IntN(3) == 0 {
-				m.Images.Fetching(wire.Image(fmt.Sprint("i", i)), start.Add(-time.Duration(rng.IntN(90))*time.Second))
+				m.Images.StartFetch(wire.Image(fmt.Sprint("i", i)), start.Add(-time.Duration(rng.IntN(90))*time.Second))
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000,
 			TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(5, 3, 0)}})
-		v := &placement.Snapshot{Now: start, Queue: jobs(t, rng, l, 1+rng.IntN(8)), TeamRoom: l.TeamRoom, FetchesInFlight: rng.IntN(3),
+		v := &placement.Snapshot{Now: start, Queue: jobs(t, rng, l, 1+rng.IntN(8)), TeamRoom: l.RemainingTeamQuota, FetchesInFlight: rng.IntN(3),
 			Limits:           placement.Limits{ColdStarts: 2, FetchAssumed: time.Minute, DeferCold: 9 * time.Second},
 			HeadReservations: map[wire.MachineID]wire.JobID{}}
 		for i := range 3 {
@@ -114,9 +114,9 @@
 			CPUs: 2, GPUs: 1, MemoryGB: 1, Image: "i1", Spot: rng.IntN(2) == 0, OneZone: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0}
 		d := l.NewTransaction()
 		_ = d.Submit(s, 1)
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
-		v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Queue: []placement.Entry{{Job: l.Job(s.ID)}}}
+		v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Queue: []placement.Entry{{Job: l.Job(s.ID)}}}
 		for i := range 5 {
 			v.Machines = append(v.Machines, machine(rng, i))
 		}
@@ -146,14 +146,14 @@
 
 func TestImagesForgetTheLeastRecentlyUsed(t *testing.T) {
 	c := placement.NewImages(10)
-	c.Used("a", 4)
-	c.Used("b", 4)
-	c.Used("a", 4)
-	c.Used("c", 4)
+	c.Use("a", 4)
+	c.Use("b", 4)
+	c.Use("a", 4)
+	c.Use("c", 4)
 	if c.Has("b") || !c.Has("a") || !c.Has("c") {
 		t.Errorf("cached: %v", c.Names())
 	}
-	c.Fetching("d", start)
+	c.StartFetch("d", start)
 	if c.Fetches(start.Add(time.Minute), time.Minute) != 1 || c.Fetches(start.Add(61*time.Second), time.Minute) != 0 {
 		t.Error("a mark must last for its age and no longer")
 	}
@@ -219,14 +219,14 @@
 		if err := d.Submit(s, 1); err != nil {
 			t.Fatal(err)
 		}
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
-		v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Queue: []placement.Entry{{Job: l.Job(s.ID)}}}
+		v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Queue: []placement.Entry{{Job: l.Job(s.ID)}}}
 		for i := range 2 + others {
 			m := &placement.Machine{ID: wire.MachineID(fmt.Sprint("host-", i)), Type: "g", Zone: "a", Total: ledger.NewResources(8, 4, 16),
 				Free: ledger.NewResources(8, 4, 16), Images: placement.NewImages(100), Usable: true, FetchGB: 1, Overdue: i < 2}
 			if m.Overdue {
-				m.Images.Used("i1", 5)
+				m.Images.Use("i1", 5)
 			}
 			v.Machines = append(v.Machines, m)
 		}
--- a/internal/scheduler/placement/plain_test.go
+++ b/internal/scheduler/placement/plain_test.go
@@ -33,7 +33,7 @@
 		machine := func(i int, typ wire.MachineTypeName, busy bool) {
 			f := flavors[typ]
 			m := &Machine{ID: wire.MachineID(fmt.Sprint(typ, i)), Type: typ, Zone: "a", Usable: true, Images: NewImages(100), Total: ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB)}
-			m.Images.Used("img", 1)
+			m.Images.Use("img", 1)
 			if m.Free = m.Total; busy {
 				m.Free = ledger.Resources{}
 			}
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -19,7 +19,7 @@
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 		d := l.NewTransaction()
 		_ = d.Submit(&wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.Array, Priority: p, Tasks: 1, GPUs: gpus, Image: "i", Save: 2}, 1)
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 		return l.Job(id)
 	}
@@ -27,7 +27,7 @@
 		m := &placement.Machine{ID: id, Type: "g", Zone: "a", Usable: true, Total: ledger.NewResources(0, 4, 0),
 			Free: ledger.NewResources(0, free, 0), Images: placement.NewImages(10)}
 		if cached {
-			m.Images.Used("i", 1)
+			m.Images.Use("i", 1)
 		}
 		return m
 	}
@@ -87,7 +87,7 @@
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 		d := l.NewTransaction()
 		_ = d.Submit(&wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: shape, Priority: p, Tasks: tasks, GPUs: 2, Image: "i", Save: 2, OneZone: oneZone}, 1)
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 		return l.Job(id)
 	}
@@ -144,7 +144,7 @@
 				s.Types = []wire.MachineTypeName{"g1"}
 			}
 			_ = d.Submit(s, 1)
-			txn, _ := d.Txn()
+			txn, _ := d.Request()
 			l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 			return l.Job(s.ID)
 		}
@@ -155,7 +155,7 @@
 			m := &placement.Machine{ID: wire.MachineID(fmt.Sprint("m", i)), Type: wire.MachineTypeName(fmt.Sprint("g", rng.IntN(2))), Zone: wire.Zone(fmt.Sprint("z", rng.IntN(2))), Spot: rng.IntN(2) == 0,
 				Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, float64(rng.IntN(5)/4), 0), Images: placement.NewImages(10)}
 			if rng.IntN(3) == 0 {
-				m.Images.Used(wire.Image(fmt.Sprint("i", rng.IntN(2))), 1)
+				m.Images.Use(wire.Image(fmt.Sprint("i", rng.IntN(2))), 1)
 			}
 			machines = append(machines, m)
 			for range rng.IntN(3) {
--- a/internal/scheduler/placement/scale_test.go
+++ b/internal/scheduler/placement/scale_test.go
@@ -15,7 +15,7 @@
 func crowd(t *testing.T, machines, waiting int) (*placement.Snapshot, *ledger.Ledger) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
-	v := &placement.Snapshot{Now: start, TeamRoom: l.TeamRoom, Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
+	v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
 		Victims: func(*placement.Machine) []placement.Victim { return nil }}
 	for i := range waiting {
 		s := &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal,
@@ -27,7 +27,7 @@
 		if err := d.Submit(s, wire.UnixMillis(i)); err != nil {
 			t.Fatal(err)
 		}
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
 		v.Queue = append(v.Queue, placement.Entry{Job: l.Job(s.ID), LatestStart: start.Add(1e9)})
 	}
@@ -36,7 +36,7 @@
 		m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%06d", i)), Type: "g", Zone: []wire.Zone{"a", "b", "c"}[i%3], Usable: true,
 			Total: ledger.NewResources(8, 2, 16), Images: placement.NewImages(100), FetchGB: 1, Spot: i%2 == 0}
 		for range 6 {
-			m.Images.Used(wire.Image(fmt.Sprint("i", rng.IntN(40))), 5)
+			m.Images.Use(wire.Image(fmt.Sprint("i", rng.IntN(40))), 5)
 		}
 		if i%100 == 0 {
 			m.Free = m.Total
@@ -79,7 +79,7 @@
 	if n := looked(func() { placement.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
 		t.Errorf("placing gangs looked at %d", n)
 	}
-	in := &autoscale.Input{Now: start, TeamRoom: l.TeamRoom, Queue: v.Queue, OutOfCapacity: func(autoscale.MachineOption) bool { return true },
+	in := &autoscale.Input{Now: start, TeamRoom: l.RemainingTeamQuota, Queue: v.Queue, OutOfCapacity: func(autoscale.MachineOption) bool { return true },
 		Flavors: map[wire.MachineTypeName]wire.MachineType{"g": {Name: "g", CPUs: 8, GPUs: 2, MemoryGB: 16, Price: 1, Boot: 60, Zones: []wire.Zone{"a"}}}}
 	for i, m := range v.Machines {
 		u := autoscale.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Usable: true, Total: m.Total}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -29,11 +29,11 @@
 func (s *Scheduler) Preempt(ctx context.Context) error {
 	for s.set.Operators.Preempt && ctx.Err() == nil {
 		wait.For(ctx, time.Second)
-		s.mirror.Lock()
-		if now := time.Now(); s.mirror.SyncedWithin(now, settings.StartContact) {
+		s.cache.Lock()
+		if now := time.Now(); s.cache.SyncedWithin(now, settings.StartContact) {
 			s.makeRoom(now)
 		}
-		s.mirror.Unlock()
+		s.cache.Unlock()
 	}
 	return ctx.Err()
 }
@@ -41,7 +41,7 @@
 func (s *Scheduler) makeRoom(now time.Time) {
 	v := s.Snapshot(now)
 	for _, x := range placement.Evict(v) {
-		if w := s.roster.Worker(x.Machine.ID); x.Machine.Owned && w != nil {
+		if w := s.registry.Worker(x.Machine.ID); x.Machine.Owned && w != nil {
 			s.making[w.ID] = room{x.Entry.Job.ID, 1, now.Add(makeRoomFor)}
 			s.stopAll(w, x.Victims, x.Entry.Job.ID)
 		}
@@ -63,8 +63,8 @@
 // holders with its status; each stops what is in the way on its own machines and keeps
 // the room for the gang. Where that message does not arrive, nothing is stopped.
 
-// MakeRoomForGangs chooses machines to be emptied for gangs that no room is found for.
-func (s *Scheduler) MakeRoomForGangs(now time.Time) {
+// PlanPreemptionForGangs chooses machines to be emptied for gangs that no room is found for.
+func (s *Scheduler) PlanPreemptionForGangs(now time.Time) {
 	if !s.set.Operators.Preempt {
 		return
 	}
@@ -73,7 +73,7 @@
 		r := room{x.Job, x.Tasks, now.Add(makeRoomFor)}
 		s.making[x.Machine.ID], s.asking[x.Machine.ID] = r, r
 		v.HeadReservations[x.Machine.ID] = x.Job
-		if w := s.roster.Worker(x.Machine.ID); w != nil && x.Machine.Owned {
+		if w := s.registry.Worker(x.Machine.ID); w != nil && x.Machine.Owned {
 			s.clearFor(w, x.Job, x.Tasks, now)
 		}
 	}
@@ -87,7 +87,7 @@
 			delete(s.asking, id)
 			continue
 		}
-		out = append(out, peer.Reservation{Machine: id, Job: r.job, Tasks: r.tasks, LeftMS: r.until.Sub(now).Milliseconds()})
+		out = append(out, peer.Reservation{Machine: id, Job: r.job, Tasks: r.tasks, RemainingMS: r.until.Sub(now).Milliseconds()})
 	}
 	return out
 }
@@ -96,12 +96,12 @@
 // when it was asked for, so that a late answer asks for nothing.
 func (s *Scheduler) ObservePreemptionReservations(from wire.MemberID, list []peer.Reservation, asked, now time.Time) {
 	leads, _ := s.led().Leader()
-	if leads.Member != from || !s.set.Operators.Preempt || now.Sub(s.mirror.SyncedAt()) > settings.StartContact {
+	if leads.Member != from || !s.set.Operators.Preempt || now.Sub(s.cache.SyncedAt()) > settings.StartContact {
 		return
 	}
 	for _, x := range list {
-		until := asked.Add(time.Duration(x.LeftMS) * time.Millisecond)
-		w := s.roster.Worker(x.Machine)
+		until := asked.Add(time.Duration(x.RemainingMS) * time.Millisecond)
+		w := s.registry.Worker(x.Machine)
 		if r, known := s.making[x.Machine]; w == nil || now.After(until) || known && r.job == x.Job {
 			continue
 		}
@@ -132,12 +132,12 @@
 // every controller sees the same.
 func (s *Scheduler) victims(m *placement.Machine, now time.Time) []placement.Victim {
 	var out []placement.Victim
-	for _, h := range s.led().HeldBy(m.ID) {
+	for _, h := range s.led().ClaimsOn(m.ID) {
 		spec := h.Job.Spec
 		if spec.Shape == wire.Gang && spec.Tasks > 1 || h.Job.State != ledger.Active {
 			continue
 		}
-		t := s.set.Team(spec.Team)
+		t := s.set.FindTeam(spec.Team)
 		used := s.led().Used(spec.Team)
 		out = append(out, placement.Victim{Held: h, Promised: !s.canWait(h.Job, now), Saves: spec.Checkpoint > 0, Ran: now.Sub(s.runTimes.ClaimedSince(h, now)),
 			Beyond: t == nil || OverGuarantee(t, used)})
@@ -155,14 +155,14 @@
 // machine rented for it is up. Stopping work that has its own promise to keep
 // only moves the damage.
 func (s *Scheduler) canWait(j *ledger.Job, now time.Time) bool {
-	guaranteed := s.set.Team(j.Spec.Team)
+	guaranteed := s.set.FindTeam(j.Spec.Team)
 	for _, o := range s.set.Cluster.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class ||
 			o.Kind == "guarantee" && guaranteed != nil && (guaranteed.CPUs > 0 || guaranteed.GPUs > 0) {
 			return false // its start is what its users wait for
 		}
 	}
-	f, ok := s.led().Flavor(s.firstType(j))
+	f, ok := s.led().MachineType(s.firstType(j))
 	again := now
 	if ok {
 		again = now.Add(f.Boot.Duration())
@@ -181,7 +181,7 @@
 	if len(j.Spec.Types) > 0 {
 		return j.Spec.Types[0]
 	}
-	for name := range s.led().Flavors() {
+	for name := range s.led().MachineTypes() {
 		return name
 	}
 	return ""
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -26,15 +26,15 @@
 		{"long ago", "m-1", now.Add(-time.Minute), false},
 	} {
 		p := controllertest.New(t, 0)
-		p.Mirror.SetForTest(0, now)
-		p.Mirror.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
-		p.Roster.Join(&wire.Heartbeat{Machine: "host-1"}, now)
-		j := controllertest.AddJob(p.Mirror.Records(), 2, wire.Gang, 4)
-		ask := peer.Answer{Asked: tc.asked, Status: peer.Status{Member: tc.from, Emptying: []peer.Reservation{{Machine: "host-1", Job: j.ID, Tasks: 2, LeftMS: 5000}, {Machine: "host-elsewhere", Job: j.ID, Tasks: 2, LeftMS: 5000}}}}
+		p.Cache.SetForTest(0, now)
+		p.Cache.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
+		p.Registry.Register(&wire.Heartbeat{Machine: "host-1"}, now)
+		j := controllertest.AddJob(p.Cache.Records(), 2, wire.Gang, 4)
+		ask := peer.Answer{AsOf: tc.asked, Status: peer.Status{Member: tc.from, PreemptionReservations: []peer.Reservation{{Machine: "host-1", Job: j.ID, Tasks: 2, RemainingMS: 5000}, {Machine: "host-elsewhere", Job: j.ID, Tasks: 2, RemainingMS: 5000}}}}
 		for range 2 {
-			p.Schedule.ObservePreemptionReservations(ask.Status.Member, ask.Status.Emptying, ask.Asked, time.Now())
+			p.Scheduler.ObservePreemptionReservations(ask.Status.Member, ask.Status.PreemptionReservations, ask.AsOf, time.Now())
 		}
-		kept := p.Schedule.Snapshot(time.Now()).HeadReservations
+		kept := p.Scheduler.Snapshot(time.Now()).HeadReservations
 		if job, ok := kept["host-1"]; ok != tc.kept || ok && job != j.ID || len(kept) > 1 {
 			t.Errorf("%s: kept %v for %q", tc.name, ok, job)
 		}
--- a/internal/scheduler/promises_test.go
+++ b/internal/scheduler/promises_test.go
@@ -20,15 +20,15 @@
 	now := time.Now()
 	decide := func(register, tied bool) (starts map[wire.JobID]time.Time, out []string) {
 		p := controllertest.New(t, 0)
-		led := p.Mirror.Records()
-		p.Mirror.SetForTest(1, now)
-		led.Apply(ledger.Event{Key: ledger.FlavorKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"fetch_gb_per_s":1,"yards":["a"]}`)})
+		led := p.Cache.Records()
+		p.Cache.SetForTest(1, now)
+		led.Apply(ledger.Event{Key: ledger.MachineTypeKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"fetch_gb_per_s":1,"yards":["a"]}`)})
 		if register {
 			r, err := deadline.Parse([]byte(`revision: 1 gallery { name: "g" team: "none" promised: "2030-01-01T00:00:00Z" class: "none" }`), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.Promises.Set(r)
+			p.Deadlines.Set(r)
 		}
 		date := now.Add(100 * time.Second).UnixMilli()
 		led.Apply(ledger.Event{Key: ledger.GalleryPrefix + "g", Version: 2, Value: fmt.Appendf(nil, `{"team":"free","dates":[{"at":1,"date":%d}],"since":1,"reg":1}`, date)})
@@ -47,9 +47,9 @@
 		}
 		for i := range 4 {
 			r := &wire.Heartbeat{Machine: wire.MachineID(fmt.Sprint("host-", i)), Type: "g2", Zone: "a", Session: 1, Sequence: 1, Token: 1}
-			p.Roster.Join(r, now).Reconcile(r, nil, 1, now)
+			p.Registry.Register(r, now).Reconcile(r, nil, 1, now)
 		}
-		v := p.Schedule.Snapshot(now)
+		v := p.Scheduler.Snapshot(now)
 		starts = map[wire.JobID]time.Time{}
 		for i := range v.Queue {
 			e := &v.Queue[i]
--- a/internal/scheduler/quarantine/judge.go
+++ b/internal/scheduler/quarantine/judge.go
@@ -298,7 +298,7 @@
 		}
 		if !f.Far {
 			out = append(out, peer.Failure{Job: f.Job, Task: f.Task, Array: f.Array, Machine: f.Machine, Image: f.Image, Block: f.Block,
-				Done: f.before[0], At: f.At.UnixMilli()})
+				DoneBefore: f.before[0], At: f.At.UnixMilli()})
 		}
 	}
 	return out
@@ -317,7 +317,7 @@
 			continue
 		}
 		p := SuspectedCause{Kind: OfMachine, Name: string(x.Machine)}
-		j.done[p] = max(j.done[p], x.Done)
+		j.done[p] = max(j.done[p], x.DoneBefore)
 		j.Observe(o)
 	}
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -27,29 +27,29 @@
 
 // Parts are what a scheduler looks at.
 type Parts struct {
-	Mirror       *watchcache.Cache
-	Members      *membership.Membership
-	Roster       *reconcile.Registry
-	Book         *crashloop.Tracker
+	Cache        *watchcache.Cache
+	Membership   *membership.Membership
+	Registry     *reconcile.Registry
+	Failures     *crashloop.Tracker
 	RunTimes     *estimate.RunTimes
 	SpotReclaims *estimate.SpotReclaims
-	Places       *topologytracker.Tracker
+	Topology     *topologytracker.Tracker
 	Policies     *policymanager.Manager
-	Promises     *deadlinetracker.Tracker
+	Deadlines    *deadlinetracker.Tracker
 }
 
 // Scheduler is that part of a controller.
 type Scheduler struct {
 	set          *settings.Settings
-	mirror       *watchcache.Cache
-	members      *membership.Membership
-	roster       *reconcile.Registry
-	book         *crashloop.Tracker
+	cache        *watchcache.Cache
+	membership   *membership.Membership
+	registry     *reconcile.Registry
+	failures     *crashloop.Tracker
 	runTimes     *estimate.RunTimes
 	spotReclaims *estimate.SpotReclaims
-	places       *topologytracker.Tracker
+	topology     *topologytracker.Tracker
 	policies     *policymanager.Manager
-	promises     *deadlinetracker.Tracker
+	deadlines    *deadlinetracker.Tracker
 	stats        *metrics.Set
 	log          *slog.Logger
 
@@ -73,12 +73,12 @@
 
 // New returns a scheduler that has looked at nothing.
 func New(set *settings.Settings, p Parts, stats *metrics.Set, log *slog.Logger) *Scheduler {
-	return &Scheduler{set: set, mirror: p.Mirror, members: p.Members, roster: p.Roster, book: p.Book, runTimes: p.RunTimes, spotReclaims: p.SpotReclaims, places: p.Places, policies: p.Policies, promises: p.Promises,
+	return &Scheduler{set: set, cache: p.Cache, membership: p.Membership, registry: p.Registry, failures: p.Failures, runTimes: p.RunTimes, spotReclaims: p.SpotReclaims, topology: p.Topology, policies: p.Policies, deadlines: p.Deadlines,
 		stats: stats, log: log, doubted: map[estimate.Kind]bool{}, jobs: map[wire.JobID]*notes{}, withheld: map[wire.MachineID]wire.JobID{},
 		making: map[wire.MachineID]room{}, asking: map[wire.MachineID]room{}}
 }
 
-func (s *Scheduler) led() *ledger.Ledger { return s.mirror.Records() }
+func (s *Scheduler) led() *ledger.Ledger { return s.cache.Records() }
 
 func (s *Scheduler) notes(id wire.JobID) *notes {
 	n := s.jobs[id]
@@ -93,8 +93,8 @@
 // longer is: others must not be given the same tasks meanwhile.
 func (s *Scheduler) CountStarted(id wire.JobID, tasks int) { s.notes(id).taken += tasks }
 
-// Forget drops what is known of a job that is no longer among the records.
-func (s *Scheduler) Forget(id wire.JobID) { delete(s.jobs, id) }
+// ForgetJob drops what is known of a job that is no longer among the records.
+func (s *Scheduler) ForgetJob(id wire.JobID) { delete(s.jobs, id) }
 
 // InvalidateSnapshot has the next decision made from a new picture.
 func (s *Scheduler) InvalidateSnapshot() { s.seen = nil }
@@ -105,7 +105,7 @@
 // Usable reports whether a machine held here may be given tasks. A worker just taken over
 // must first report under our token, and one that does not hear answers begins nothing.
 func (s *Scheduler) Usable(w *reconcile.Worker, now time.Time) bool {
-	_, known := s.led().Flavor(w.Type)
+	_, known := s.led().MachineType(w.Type)
 	return known && w.Fresh && !w.Unreachable() && w.ReclaimAt.IsZero() && s.led().MachinePhase(w.ID) == "" && !now.Before(w.CordonedUntil) &&
-		(s.doubted[estimate.Kind{Type: w.Type, Zone: w.Zone}] || !s.book.Faulty(s.led(), w.ID, now))
+		(s.doubted[estimate.Kind{Type: w.Type, Zone: w.Zone}] || !s.failures.Faulty(s.led(), w.ID, now))
 }
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -19,14 +19,14 @@
 // controller knew only of its own machines, and a cancelled job counted as a witness.
 func TestMistakenJobBesideBadMachine(t *testing.T) {
 	c := controllertest.New(t, 0)
-	led := c.Mirror.Records()
+	led := c.Cache.Records()
 	now := time.Now()
-	c.Mirror.SetForTest(0, now)
+	c.Cache.SetForTest(0, now)
 	const bad, good, other = wire.MachineID("host-bad"), wire.MachineID("host-good"), wire.MachineID("host-other")
 	fail := func(j *ledger.Job, m wire.MachineID, task wire.TaskIndex, at time.Time) {
-		c.Book.Failed(j, task, m, "", at)
+		c.Failures.Failed(j, task, m, "", at)
 	}
-	faulty := func(m wire.MachineID) bool { return c.Book.Faulty(led, m, now) }
+	faulty := func(m wire.MachineID) bool { return c.Failures.Faulty(led, m, now) }
 	mistaken, cancelled := controllertest.AddJob(led, 1, wire.Array, 20), controllertest.AddJob(led, 2, wire.Array, 1)
 	one, two := controllertest.AddJob(led, 3, wire.Array, 1), controllertest.AddJob(led, 4, wire.Array, 1)
 	fail(mistaken, good, 0, now)
@@ -35,8 +35,8 @@
 		t.Error("two jobs failed there, neither known to fail elsewhere: not held against the machine")
 	}
 	// A peer saw one of them fail elsewhere; the other's user gives up.
-	c.Book.MergeSuspects(led, []peer.Suspect{{Job: mistaken.ID, Machines: []wire.MachineID{"host-far"}}}, now)
-	if _, suspect := c.Book.Suspect(mistaken.ID); !suspect || faulty(good) {
+	c.Failures.MergeSuspects(led, []peer.Suspect{{Job: mistaken.ID, Machines: []wire.MachineID{"host-far"}}}, now)
+	if _, suspect := c.Failures.CrashLooping(mistaken.ID); !suspect || faulty(good) {
 		t.Errorf("suspect %v, machine faulty %v after a peer told of a second machine", suspect, faulty(good))
 	}
 	led.Apply(ledger.Event{Key: "mm1/j/wk-000002", Version: 9, Value: []byte(`{"spec":{"id":"wk-000002","pieces":1,"shape":"array"},"at":1,"state":"cancelled"}`)})
@@ -51,8 +51,8 @@
 	}
 
 	order := func(at time.Time) []placement.Entry {
-		c.Schedule.InvalidateSnapshot()
-		return c.Schedule.Snapshot(at).Queue
+		c.Scheduler.InvalidateSnapshot()
+		return c.Scheduler.Snapshot(at).Queue
 	}
 	entry := func(id wire.JobID, at time.Time) *placement.Entry {
 		queue := order(at)
@@ -102,23 +102,23 @@
 // tasks go on.
 func TestBadTaskOfAGoodArray(t *testing.T) {
 	c := controllertest.New(t, 0)
-	led := c.Mirror.Records()
+	led := c.Cache.Records()
 	now := time.Now()
 	j := controllertest.AddJob(led, 1, wire.Array, 8)
 	for i := range 3 {
-		c.Book.Failed(j, 5, wire.MachineID(fmt.Sprint("host-", i)), "", now)
+		c.Failures.Failed(j, 5, wire.MachineID(fmt.Sprint("host-", i)), "", now)
 	}
 	led.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 9, Value: []byte(`{"spec":{"id":"wk-000001","pieces":8,"shape":"array","owner":"free","cores":1},"at":1,"a":1,"d":"AQ=="}`)})
-	queue := c.Schedule.Snapshot(now).Queue
+	queue := c.Scheduler.Snapshot(now).Queue
 	if len(queue) != 1 || queue[0].CrashLooping || queue[0].BackedOff != 1 {
 		t.Fatalf("%+v, want no suspect and one task at rest", queue)
 	}
 	d := led.NewTransaction()
-	got, err := d.Claim(j, ledger.ClaimTarget{Machine: "host-9", Zone: "a", Session: 1, Token: 1}, 8, c.Book.BackedOff(j.ID))
+	got, err := d.Claim(j, ledger.ClaimTarget{Machine: "host-9", Zone: "a", Session: 1, Token: 1}, 8, c.Failures.BackedOff(j.ID))
 	if got != 6 || err != nil {
 		t.Errorf("%d tasks claimed (%v), want all but the one done and the one at rest", got, err)
 	}
-	resting := func(after time.Duration) int { return c.Book.RetryState(j, now.Add(after)).Resting }
+	resting := func(after time.Duration) int { return c.Failures.RetryState(j, now.Add(after)).BackedOff }
 	if resting(time.Second) != 1 || resting(10*time.Second) != 0 {
 		t.Error("the task does not rest for a while and then come back")
 	}
--- a/internal/scheduler/topology/health.go
+++ b/internal/scheduler/topology/health.go
@@ -20,8 +20,8 @@
 	steadyFor  = 10 * time.Minute // without a fault until earlier ones are forgotten
 )
 
-// Heard is a machine as its silence is judged by.
-type Heard struct {
+// MachineHeartbeat is a machine as its silence is judged by.
+type MachineHeartbeat struct {
 	Block Block
 	At    time.Time // its last report
 }
@@ -82,8 +82,8 @@
 	return out
 }
 
-// Parted notes that a gang in a block lost mates although all its machines answer.
-func (h *Health) Parted(b Block, gang wire.JobID, at time.Time) {
+// ObservePartition notes that a gang in a block lost mates although all its machines answer.
+func (h *Health) ObservePartition(b Block, gang wire.JobID, at time.Time) {
 	if b == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 	first, last   time.Time // of the silent ones' last reports
 }
 
-// Judge looks at all machines and tells which blocks' standing changes. settled is since
+// DetectFailedBlocks looks at all machines and tells which blocks' standing changes. settled is since
 // when the observer itself has been in touch without a break: a silence that began
 // before is its own.
 //
@@ -108,7 +108,7 @@
 // each other while most other machines are heard, and that has been so for a report; of
 // nested blocks the outermost that this is true of. It is up again once at least half of its machines have been heard for
 // a while, which doubles with each fault. Machines that have left say nothing any more.
-func (h *Health) Judge(now, settled time.Time, machines []Heard) []Verdict {
+func (h *Health) DetectFailedBlocks(now, settled time.Time, machines []MachineHeartbeat) []Verdict {
 	tallies := map[Block]*tally{}
 	var all tally
 	for _, m := range machines {
--- a/internal/scheduler/topology/health_test.go
+++ b/internal/scheduler/topology/health_test.go
@@ -16,18 +16,18 @@
 	h     *Health
 	now   time.Time
 	began time.Time // in touch since
-	at    map[string][]Heard
+	at    map[string][]MachineHeartbeat
 	mute  map[string]int // machines of a block that are not heard
 	log   []string
 }
 
 func newHall(t *testing.T) *hall {
 	tree := testTree(t, 2, 2)
-	x := &hall{t: t, tree: tree, h: NewHealth(tree, 8*time.Second), now: time.Unix(1000, 0), began: time.Unix(0, 0), at: map[string][]Heard{}, mute: map[string]int{}}
+	x := &hall{t: t, tree: tree, h: NewHealth(tree, 8*time.Second), now: time.Unix(1000, 0), began: time.Unix(0, 0), at: map[string][]MachineHeartbeat{}, mute: map[string]int{}}
 	for _, b := range tree.Blocks() {
 		if tree.blocks[b].level == 2 {
 			for range 4 {
-				x.at[tree.Name(b)] = append(x.at[tree.Name(b)], Heard{b, x.now})
+				x.at[tree.Name(b)] = append(x.at[tree.Name(b)], MachineHeartbeat{b, x.now})
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 func (x *hall) pass(seconds int) {
 	for range seconds {
 		x.now = x.now.Add(time.Second)
-		var all []Heard
+		var all []MachineHeartbeat
 		for name, list := range x.at {
 			for i := range list {
 				if i >= x.mute[name] && (x.now.Unix()+int64(i))%3 == 0 {
@@ -47,7 +47,7 @@
 			}
 			all = append(all, list...)
 		}
-		for _, v := range x.h.Judge(x.now, x.began, all) {
+		for _, v := range x.h.DetectFailedBlocks(x.now, x.began, all) {
 			what := "up"
 			if v.Down {
 				what = "down"
@@ -151,12 +151,12 @@
 	x := newHall(t)
 	s, _ := x.tree.ByPath("a/s0-0")
 	for i := range 10 {
-		x.h.Parted(s, "wk-000001", x.now.Add(time.Duration(i)*time.Second))
+		x.h.ObservePartition(s, "wk-000001", x.now.Add(time.Duration(i)*time.Second))
 	}
 	x.pass(20)
 	x.want("one gang")
 	for i := range 3 {
-		x.h.Parted(s, wire.JobID(fmt.Sprintf("wk-%06d", i)), x.now)
+		x.h.ObservePartition(s, wire.JobID(fmt.Sprintf("wk-%06d", i)), x.now)
 	}
 	x.pass(2)
 	x.want("three gangs", "a/s0-0 down")
--- a/internal/scheduler/topology/pack.go
+++ b/internal/scheduler/topology/pack.go
@@ -8,8 +8,8 @@
 	"maddermill/wire"
 )
 
-// Option is a machine that may take some of a gang's tasks.
-type Option struct {
+// MachineOption is a machine that may take some of a gang's tasks.
+type MachineOption struct {
 	Machine wire.MachineID
 	Block   Block
 	Room    int   // tasks that it may take, above 0
@@ -84,7 +84,7 @@
 // inner blocks do, less what is saved by those that share one, so that the best way to
 // put k tasks into a block follows from the best ways to put fewer into its parts: a
 // knapsack a block, from the inside out, over the blocks with room only.
-func (t *Tree) Pack(g Gang, options []Option) (counts []int, cost Cost, ok bool) {
+func (t *Tree) Pack(g Gang, options []MachineOption) (counts []int, cost Cost, ok bool) {
 	p := packing{t: t, g: g, at: map[Block]int{}, alike: map[machineKind][]value{}, parts: make([]part, 0, len(options)+len(options)/8)}
 	for i := range options {
 		p.addMachine(i, &options[i])
@@ -140,7 +140,7 @@
 	return out
 }
 
-func (p *packing) addMachine(i int, o *Option) {
+func (p *packing) addMachine(i int, o *MachineOption) {
 	room := min(o.Room, p.g.Tasks)
 	if room <= 0 {
 		return
--- a/internal/scheduler/topology/pack_test.go
+++ b/internal/scheduler/topology/pack_test.go
@@ -34,7 +34,7 @@
 }
 
 // cheapest tries every way to place a gang; -1 if there is none.
-func cheapest(t *Tree, g Gang, options []Option) Cost {
+func cheapest(t *Tree, g Gang, options []MachineOption) Cost {
 	best := Cost(-1)
 	counts := make([]int, len(options))
 	on := make([]Block, len(options))
@@ -63,7 +63,7 @@
 }
 
 // fits checks a placement against the rules by itself.
-func fits(t *Tree, g Gang, options []Option, counts []int) bool {
+func fits(t *Tree, g Gang, options []MachineOption, counts []int) bool {
 	sum, zones := 0, map[wire.Zone]int{}
 	for i, k := range counts {
 		if k < 0 || k > options[i].Room {
@@ -91,10 +91,10 @@
 	blocks := tree.Blocks()
 	placed, spread := 0, 0
 	for range 3000 {
-		var options []Option
+		var options []MachineOption
 		used := blocks[rng.IntN(len(blocks)-4):]
 		for i := range 1 + rng.IntN(10) {
-			options = append(options, Option{Machine: wire.MachineID(fmt.Sprint("m", i)), Block: used[rng.IntN(min(6, len(used)))], Room: 1 + rng.IntN(3), Order: int64(rng.IntN(5))})
+			options = append(options, MachineOption{Machine: wire.MachineID(fmt.Sprint("m", i)), Block: used[rng.IntN(min(6, len(used)))], Room: 1 + rng.IntN(3), Order: int64(rng.IntN(5))})
 		}
 		g := Gang{Tasks: 2 + rng.IntN(5)}
 		switch rng.IntN(4) {
@@ -135,18 +135,18 @@
 // taken, at each level.
 func TestSmallGangLeavesLargeBlockWhole(t *testing.T) {
 	tree := testTree(t, 2, 2)
-	in := func(path string, machines, room int) (out []Option) {
+	in := func(path string, machines, room int) (out []MachineOption) {
 		b, ok := tree.ByPath(path)
 		if !ok {
 			t.Fatal(path)
 		}
 		for i := range machines {
-			out = append(out, Option{Machine: wire.MachineID(fmt.Sprint(path, i)), Block: b, Room: room})
+			out = append(out, MachineOption{Machine: wire.MachineID(fmt.Sprint(path, i)), Block: b, Room: room})
 		}
 		return out
 	}
 	for _, tc := range []struct {
-		whole, full []Option
+		whole, full []MachineOption
 	}{
 		// The only rack for eight, beside one that fits two and leaves one.
 		{in("a/s0-0/r0-0-0", 8, 1), in("a/s0-1/r0-1-0", 3, 1)},
@@ -175,9 +175,9 @@
 				}
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
-			var options []Option
+			var options []MachineOption
 			for i := range n {
-				options = append(options, Option{Block: leaves[i%len(leaves)], Room: 1 + rng.IntN(2)})
+				options = append(options, MachineOption{Block: leaves[i%len(leaves)], Room: 1 + rng.IntN(2)})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/scheduler/topology/tree.go
+++ b/internal/scheduler/topology/tree.go
@@ -108,7 +108,7 @@
 }
 
 func (p *parsing) fail(n *ast.Node, field, format string, args ...any) {
-	p.errs = append(p.errs, configfile.Wrong(n, field, format, args...))
+	p.errs = append(p.errs, configfile.FieldError(n, field, format, args...))
 }
 
 // at is the i-th of nodes, nil if the text is laid out in a way that it isn't found.
--- a/internal/scheduler/topologytracker/places.go
+++ b/internal/scheduler/topologytracker/places.go
@@ -62,16 +62,16 @@
 // Tree is the declared topology; nil: there is none.
 func (p *Tracker) Tree() *topology.Tree { return p.tree }
 
-// Down counts the blocks that are avoided, and Unknown the machines of unknown place.
-func (p *Tracker) Down() int {
+// CountDown counts the blocks that are avoided, and Unknown the machines of unknown place.
+func (p *Tracker) CountDown() int {
 	if p.tree == nil {
 		return 0
 	}
 	return len(p.health.DownBlocks())
 }
 
-// Unknown counts the machines whose place the topology doesn't tell.
-func (p *Tracker) Unknown() int { return p.unknown }
+// CountUnknown counts the machines whose place the topology doesn't tell.
+func (p *Tracker) CountUnknown() int { return p.unknown }
 
 // parting is a gang that lost mates.
 type parting struct {
@@ -152,10 +152,10 @@
 	})
 	for _, o := range p.members.Peers() {
 		quiet := now.Sub(o.AsOf)
-		looking := quiet > 4*time.Second && quiet < p.set.SilentAfter()+p.set.ReportGrace()
+		looking := quiet > 4*time.Second && quiet < p.set.SilentAfter()+p.set.HeartbeatGrace()
 		for i := range o.Status.Machines {
 			m := &o.Status.Machines[i]
-			at := o.Heard(m)
+			at := o.HeartbeatAt(m)
 			if known, ok := out[m.ID]; looking && (!ok || !known.at.After(at)) {
 				delete(out, m.ID)
 				continue
@@ -170,19 +170,19 @@
 // so once a second.
 func (p *Tracker) DetectFailedBlocks(now time.Time) {
 	l := p.mirror.Records()
-	p.settled = p.members.Settled(p.settled, p.mirror.SyncedAt(), now)
+	p.settled = p.members.SilenceCountsFrom(p.settled, p.mirror.SyncedAt(), now)
 	all := p.heardAll(l, now)
 	p.unknown = 0
-	list := make([]topology.Heard, 0, len(all))
+	list := make([]topology.MachineHeartbeat, 0, len(all))
 	for id, h := range all {
 		b, known := p.tree.Locate(id, h.endpoint, h.zone)
 		if !known {
 			p.unknown++
 		}
-		list = append(list, topology.Heard{Block: b, At: h.at})
+		list = append(list, topology.MachineHeartbeat{Block: b, At: h.at})
 	}
 	p.judgePartings(now, all)
-	for _, v := range p.health.Judge(now, p.settled, list) {
+	for _, v := range p.health.DetectFailedBlocks(now, p.settled, list) {
 		args := []any{"block", p.tree.Path(v.Block), "level", p.tree.Level(v.Block), "machines", v.Machines, "silent", v.Silent}
 		switch {
 		case v.Down && v.Gangs > 0:
@@ -234,7 +234,7 @@
 			g.block = p.tree.Common(g.block, b)
 		}
 		if !first && g.block != 0 && !p.book.Failing(g.job) {
-			p.health.Parted(g.block, g.job, g.at)
+			p.health.ObservePartition(g.block, g.job, g.at)
 			p.parted = append(p.parted, g)
 		}
 		return true
@@ -257,7 +257,7 @@
 	}
 	for _, x := range list {
 		if b, ok := p.tree.ByPath(x.Block); ok {
-			p.health.Parted(b, x.Job, asked.Add(-time.Duration(x.AgeMS)*time.Millisecond))
+			p.health.ObservePartition(b, x.Job, asked.Add(-time.Duration(x.AgeMS)*time.Millisecond))
 		}
 	}
 }
@@ -311,7 +311,7 @@
 		if seen := view(now).Machine(id); seen != nil {
 			m.Usable, m.CPUs, m.GPUs, m.RAM = seen.Usable, float64(seen.Free.CPU)/1e6, float64(seen.Free.GPU)/1e6, float64(seen.Free.Memory)/1e6
 		}
-		held := l.HeldBy(id)
+		held := l.ClaimsOn(id)
 		for _, h := range held {
 			if !slices.Contains(m.Jobs, h.Job.ID) {
 				m.Jobs = append(m.Jobs, h.Job.ID)
@@ -325,7 +325,7 @@
 		}
 		v.Machines = append(v.Machines, m)
 	}
-	l.Active(func(j *ledger.Job) {
+	l.EachActive(func(j *ledger.Job) {
 		if j.Spec.Shape != wire.Gang || j.Spec.Tasks < 2 || j.Claimed == 0 {
 			return
 		}
--- a/internal/server/api/api.go
+++ b/internal/server/api/api.go
@@ -22,20 +22,20 @@
 	"maddermill/wire"
 )
 
-// Users is the service as users' requests see it.
-type Users interface {
+// Jobs is the service as users' requests see it.
+type Jobs interface {
 	Submit(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, bool, error)
 	Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error)
 	Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error)
 }
 
-// Workers is the service as workers' reports see it.
-type Workers interface {
+// Heartbeats is the service as workers' reports see it.
+type Heartbeats interface {
 	Heartbeat(ctx context.Context, r *wire.Heartbeat) server.HeartbeatAnswer
 }
 
-// View is what is told of the controller itself.
-type View interface {
+// Inspector is what is told of the controller itself.
+type Inspector interface {
 	Topology(now time.Time) (wire.TopologyView, bool)
 	Judgements() ([]wire.Judgement, bool)
 	Healthy() bool
@@ -43,10 +43,10 @@
 
 // Server answers connections.
 type Server struct {
-	Users      Users
-	Workers    Workers
+	Users      Jobs
+	Workers    Heartbeats
 	Workflows  Workflows
-	View       View
+	View       Inspector
 	Metrics    func() []byte
 	Duties     func(time.Time) []supervise.Status
 	RetryAfter time.Duration
@@ -309,7 +309,7 @@
 		return problem(404, "no such job")
 	case errors.Is(err, server.ErrUnschedulable):
 		return problem(422, strings.ReplaceAll(err.Error(), "\n", ": "))
-	case errors.Is(err, kvstore.ErrNoReach):
+	case errors.Is(err, kvstore.ErrUnreachable):
 	default:
 		s.Log.Error("request failed", "job", id, "err", err)
 	}
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -42,7 +42,7 @@
 		<-held
 		return wire.JobStatus{ID: id, Status: wire.Running}, nil
 	case "wk-000002":
-		return wire.JobStatus{}, kvstore.ErrNoReach
+		return wire.JobStatus{}, kvstore.ErrUnreachable
 	}
 	return wire.JobStatus{}, server.ErrNoSuchJob
 }
--- a/internal/server/reconcile/hearing.go
+++ b/internal/server/reconcile/hearing.go
@@ -28,8 +28,8 @@
 	shown  wire.FencingToken // the highest token that it had seen when it was found to be deaf
 }
 
-// Answered notes that the report taken last was answered, and when it came.
-func (w *Worker) Answered(at time.Time) {
+// ObserveReachable notes that the report taken last was answered, and when it came.
+func (w *Worker) ObserveReachable(at time.Time) {
 	w.hears.tally, w.hears.at, w.hears.token = w.Sequence, at, w.CommandToken
 }
 
--- a/internal/server/reconcile/roster.go
+++ b/internal/server/reconcile/roster.go
@@ -25,17 +25,17 @@
 	images  *placement.Images
 }
 
-// NewRoster returns a roster without machines. Members tell of the images of a machine that
+// NewRegistry returns a roster without machines. Members tell of the images of a machine that
 // another controller held before.
-func NewRoster(m *membership.Membership, completed *completion.Log) *Registry {
+func NewRegistry(m *membership.Membership, completed *completion.Log) *Registry {
 	return &Registry{members: m, completed: completed, workers: map[wire.MachineID]*Worker{}, images: map[wire.MachineID]*cached{}}
 }
 
 // Worker is a machine that reports here; nil: it doesn't.
 func (r *Registry) Worker(id wire.MachineID) *Worker { return r.workers[id] }
 
-// Join adds a machine that reports here for the first time.
-func (r *Registry) Join(report *wire.Heartbeat, now time.Time) *Worker {
+// Register adds a machine that reports here for the first time.
+func (r *Registry) Register(report *wire.Heartbeat, now time.Time) *Worker {
 	w := NewWorker(report, r.completed, now)
 	r.workers[w.ID] = w
 	return w
@@ -57,7 +57,7 @@
 	if c != nil && c.session == w.Session {
 		return c.images
 	}
-	f, _ := l.Flavor(w.Type)
+	f, _ := l.MachineType(w.Type)
 	fresh := &cached{w.Session, placement.NewImages(f.CacheGB)}
 	if c == nil {
 		// Another controller may have held it in this session.
@@ -65,7 +65,7 @@
 			for i := range p.Status.Machines {
 				if m := &p.Status.Machines[i]; m.ID == w.ID && m.Session == w.Session {
 					for _, name := range m.Images {
-						fresh.images.Used(name, 0)
+						fresh.images.Use(name, 0)
 					}
 				}
 			}
@@ -75,8 +75,8 @@
 	return fresh.images
 }
 
-// Known is what a machine is believed to hold, if anything is known of it yet; else nil.
-func (r *Registry) Known(w *Worker) *placement.Images {
+// KnownImages is what a machine is believed to hold, if anything is known of it yet; else nil.
+func (r *Registry) KnownImages(w *Worker) *placement.Images {
 	if c := r.images[w.ID]; c != nil {
 		return c.images
 	}
--- a/internal/server/reconcile/workers_test.go
+++ b/internal/server/reconcile/workers_test.go
@@ -233,7 +233,7 @@
 	answered := func(i int, r *wire.Heartbeat, token wire.FencingToken) (Reconciliation, []wire.Command) {
 		f := w.Reconcile(r, j, token, at(i))
 		cmds := w.Commands(r, j, ledger.Resources{}, true)
-		w.Answered(at(i))
+		w.ObserveReachable(at(i))
 		return f, cmds
 	}
 	if _, cmds := answered(1, report(1, 1, hold), hold); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
@@ -274,7 +274,7 @@
 	}
 	quiet := NewWorker(report(1, 1, hold), nil, at(0))
 	quiet.Reconcile(report(1, 1, hold), nil, hold, at(0))
-	quiet.Answered(at(0))
+	quiet.ObserveReachable(at(0))
 	if quiet.LeaseExpired(report(2, 1, hold), at(20), 25*time.Second); quiet.Unreachable() {
 		t.Error("deaf though its session ended long after it was last answered")
 	}
