--- a/internal/server/spread.go
+++ b/internal/server/spread.go
@@ -23,16 +23,16 @@
 func (c *HeartbeatServer) measureSurplus(now time.Time) surplus {
 	lately := 2*c.set.Cluster.Workers.Report.Duration() + time.Second
 	mine := 0
-	c.Roster.Each(func(w *reconcile.Worker) {
+	c.Registry.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) < lately {
 			mine++
 		}
 	})
 	sum, members, fewest := mine, 1, mine
 	var to wire.MemberID
-	for _, id := range c.Members.ReachablePeers(now) {
+	for _, id := range c.Membership.ReachablePeers(now) {
 		n := 0
-		p := c.Members.Peer(id)
+		p := c.Membership.Peer(id)
 		for i := range p.Status.Machines {
 			if p.Status.Machines[i].AgeMS < lately.Milliseconds() {
 				n++
@@ -54,11 +54,11 @@
 // passOn tells whether a worker is to be sent to another controller: one with
 // nothing under way, so that no start or exit is delayed by it.
 func (c *HeartbeatServer) passOn(w *reconcile.Worker, f *reconcile.Reconciliation, now time.Time) (HeartbeatAnswer, bool) {
-	if made := c.Schedule.SnapshotsTaken(); made != c.measured {
+	if made := c.Scheduler.SnapshotsTaken(); made != c.measured {
 		c.surplus, c.measured = c.measureSurplus(now), made
 	}
 	tasks := 0
-	for _, h := range c.led().HeldBy(w.ID) {
+	for _, h := range c.led().ClaimsOn(w.ID) {
 		tasks += h.Count
 	}
 	if c.surplus.count <= 0 || now.Sub(w.RedirectedAt) < redirectEvery || len(f.Exits)+len(f.TakeOver) > 0 || len(f.Seen) != tasks || !w.ReclaimAt.IsZero() {
--- a/internal/server/spread_test.go
+++ b/internal/server/spread_test.go
@@ -30,14 +30,14 @@
 		{"peers out of touch", [2]int{0, 0}, time.Minute, 0, ""},
 	} {
 		p := controllertest.New(t, 0)
-		p.Mirror.SetForTest(1, time.Now())
-		c := NewWorkers(p.Set, WorkersParts{Mirror: p.Mirror, Writer: p.Writer, Members: p.Members, Roster: p.Roster, Book: p.Book, Places: p.Places, Schedule: p.Schedule, Completed: p.Completed, Exchange: p.Exchange}, p.Stats, p.Log)
+		p.Cache.SetForTest(1, time.Now())
+		c := NewHeartbeatServer(p.Set, HeartbeatServerParts{Cache: p.Cache, Committer: p.Committer, Membership: p.Membership, Registry: p.Registry, Failures: p.Failures, Topology: p.Topology, Scheduler: p.Scheduler, Completions: p.Completions, Exchange: p.Exchange}, p.Stats, p.Log)
 		for i, n := range tc.theirs {
 			a := controllertest.Answer(wire.MemberID(fmt.Sprintf("m-%d", i+1)), time.Now(), 0, true, tc.contact)
 			for range n {
 				a.Status.Machines = append(a.Status.Machines, peer.Machine{Session: 1})
 			}
-			c.Members.ObserveStatus(a.Status, a.Asked)
+			c.Membership.ObserveStatus(a.Status, a.AsOf)
 		}
 		report := func(tally wire.HeartbeatSequence) (sent int, to wire.MemberID) {
 			for i := range workers {
@@ -49,8 +49,8 @@
 			return sent, to
 		}
 		report(1)
-		c.Schedule.InvalidateSnapshot()
-		c.Schedule.Snapshot(time.Now())
+		c.Scheduler.InvalidateSnapshot()
+		c.Scheduler.Snapshot(time.Now())
 		if sent, to := report(2); sent != tc.sent || to != tc.to {
 			t.Errorf("%s: %d sent to %q, want %d to %q", tc.name, sent, to, tc.sent, tc.to)
 		}
--- a/internal/server/users.go
+++ b/internal/server/users.go
@@ -27,35 +27,35 @@
 	ErrUnschedulable = errors.New("can never run")
 )
 
-// UsersParts are what the server of users works with.
-type UsersParts struct {
-	Mirror   *watchcache.Cache
-	Writer   *committer.Committer
-	Policies *policymanager.Manager
-	Archiver *archiver.Archiver
-	Promises *deadlinetracker.Tracker
+// JobServerParts are what the server of users works with.
+type JobServerParts struct {
+	Cache     *watchcache.Cache
+	Committer *committer.Committer
+	Policies  *policymanager.Manager
+	Archiver  *archiver.Archiver
+	Deadlines *deadlinetracker.Tracker
 }
 
 // JobServer serves users' requests.
 type JobServer struct {
 	set *settings.Settings
-	UsersParts
+	JobServerParts
 	stats *metrics.Set
 	log   *slog.Logger
 }
 
-// NewUsers returns a server of users' requests.
-func NewUsers(set *settings.Settings, p UsersParts, stats *metrics.Set, log *slog.Logger) *JobServer {
-	return &JobServer{set: set, UsersParts: p, stats: stats, log: log}
+// NewJobServer returns a server of users' requests.
+func NewJobServer(set *settings.Settings, p JobServerParts, stats *metrics.Set, log *slog.Logger) *JobServer {
+	return &JobServer{set: set, JobServerParts: p, stats: stats, log: log}
 }
 
-func (c *JobServer) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *JobServer) led() *ledger.Ledger { return c.Cache.Records() }
 
 // Loaded reports whether the records have been read.
 func (c *JobServer) Loaded() bool {
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
-	return c.Mirror.Loaded()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
+	return c.Cache.Loaded()
 }
 
 // loadWait is how long a submission waits for the records of a controller that just started.
@@ -65,7 +65,7 @@
 func (c *JobServer) loading(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadWait)
 	defer cancel()
-	return c.Mirror.WaitForRevision(ctx, 0)
+	return c.Cache.WaitForRevision(ctx, 0)
 }
 
 // Submit accepts a job, or tells of one that is known. created is true when
@@ -74,14 +74,14 @@
 	if err := c.loading(ctx); err != nil {
 		return st, false, err
 	}
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	_, over := c.led().ArchivedState(spec.ID)
 	known := over || c.led().Job(spec.ID) != nil
 	var verdict error
 	if !known {
 		verdict = c.Admit(spec, time.Now())
 	}
-	c.Mirror.Unlock()
+	c.Cache.Unlock()
 	if verdict != nil {
 		if !errors.Is(verdict, ErrUnschedulable) {
 			return st, false, verdict
@@ -95,8 +95,8 @@
 	}
 	if !known {
 		at := wire.UnixMillis(time.Now().UnixMilli())
-		err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
-			return d.SubmitToGallery(spec, at, c.Promises.GalleryOf(spec, ""))
+		err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
+			return d.SubmitToGallery(spec, at, c.Deadlines.GalleryOf(spec, ""))
 		})
 		switch {
 		case err == nil:
@@ -116,8 +116,8 @@
 // accepted tells of a job that this controller has just made durable, as the records are now: where
 // the answer of the state service was slow, its user may have been told more elsewhere.
 func (c *JobServer) accepted(id wire.JobID) wire.JobStatus {
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	if over, ok := c.led().ArchivedState(id); ok {
 		return over.Status(id)
 	}
@@ -148,7 +148,7 @@
 		Job: placement.JobOf(s, need, wire.UnixMillis(now.UnixMilli()))}
 	a.Job.Class, a.Job.Image = 1, 2
 	sum := ledger.Resources{}.Add(need, s.Tasks)
-	c.led().Active(func(j *ledger.Job) {
+	c.led().EachActive(func(j *ledger.Job) {
 		pending := uint32(j.Pending())
 		a.AllJobs, a.AllTasks = a.AllJobs+1, a.AllTasks+pending
 		if j.Spec.Team == s.Team {
@@ -156,12 +156,12 @@
 			sum = sum.Add(j.Need, j.Claimed+int(pending))
 		}
 	})
-	if t := c.set.Team(s.Team); t != nil {
+	if t := c.set.FindTeam(s.Team); t != nil {
 		a.Guaranteed = !scheduler.OverGuarantee(t, sum)
 	}
 	switch c.Policies.Admit(c.led(), &a, now) {
 	case policy.PutOff:
-		return kvstore.ErrNoReach
+		return kvstore.ErrUnreachable
 	case policy.Refuse:
 		return errors.Join(ErrUnschedulable, errNotAdmitted)
 	}
@@ -170,12 +170,12 @@
 
 // feasible tells whether a job can ever run.
 func (c *JobServer) feasible(s *wire.JobSpec) error {
-	t := c.set.Team(s.Team)
+	t := c.set.FindTeam(s.Team)
 	if t == nil {
 		return errors.Join(ErrUnschedulable, errors.New("unknown team"))
 	}
-	if len(c.led().Flavors()) == 0 {
-		return kvstore.ErrNoReach // machine types aren't known yet
+	if len(c.led().MachineTypes()) == 0 {
+		return kvstore.ErrUnreachable // machine types aren't known yet
 	}
 	need := ledger.NewResources(s.CPUs, s.GPUs, s.MemoryGB)
 	tasks := s.Tasks
@@ -187,7 +187,7 @@
 	if t.CPUsMax > 0 && whole.CPU > limit.CPU || t.GPUsMax > 0 && whole.GPU > limit.GPU {
 		return errors.Join(ErrUnschedulable, errors.New("over the team's limit"))
 	}
-	for _, f := range c.led().Flavors() {
+	for _, f := range c.led().MachineTypes() {
 		if !ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB).Fits(need) {
 			continue
 		}
@@ -202,32 +202,32 @@
 
 // Status tells a job's state, at least as new as the call.
 func (c *JobServer) Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	over, ok := c.led().ArchivedState(id)
-	ok = ok && c.Mirror.Loaded()
-	c.Mirror.Unlock()
+	ok = ok && c.Cache.Loaded()
+	c.Cache.Unlock()
 	if ok {
 		return over.Status(id), nil // it stays so for ever
 	}
 	if r, ok := c.Archiver.CachedFinal(id); ok {
 		return r.Status(id), nil // so does this
 	}
-	if err := c.Mirror.ReadIndex(ctx); err != nil {
+	if err := c.Cache.ReadIndex(ctx); err != nil {
 		return wire.JobStatus{}, err
 	}
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	if over, ok := c.led().ArchivedState(id); ok {
-		c.Mirror.Unlock()
+		c.Cache.Unlock()
 		return over.Status(id), nil
 	}
 	j := c.led().Job(id)
 	if j == nil {
 		// At a revision after the call came, the job was either archived and the filter says
 		// so, or unknown.
-		c.Mirror.Unlock()
+		c.Cache.Unlock()
 		return c.Archived(ctx, id)
 	}
-	defer c.Mirror.Unlock()
+	defer c.Cache.Unlock()
 	return statusOf(j), nil
 }
 
@@ -242,7 +242,7 @@
 	if err != nil || st.Status == wire.Done || st.Status == wire.Cancelled {
 		return wire.JobStatus{ID: id, Status: st.Status}, err
 	}
-	err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
+	err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
 		j := c.led().Job(id)
 		if j == nil {
 			return ledger.ErrPreconditionFailed // over since, and archived
@@ -254,7 +254,7 @@
 		return wire.JobStatus{}, err
 	}
 	if st, err = c.Status(ctx, id); err != nil || st.Status != wire.Done && st.Status != wire.Cancelled {
-		return wire.JobStatus{}, kvstore.ErrNoReach
+		return wire.JobStatus{}, kvstore.ErrUnreachable
 	}
 	c.log.Info("job cancelled", "job", id, "status", st.Status)
 	return wire.JobStatus{ID: id, Status: st.Status}, nil
@@ -267,7 +267,7 @@
 	case errors.Is(err, archiver.ErrUnknown):
 		err = ErrNoSuchJob
 	case err != nil:
-		err = errors.Join(kvstore.ErrNoReach, err)
+		err = errors.Join(kvstore.ErrUnreachable, err)
 	}
 	return st, err
 }
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -48,23 +48,23 @@
 
 var goElsewhere = HeartbeatAnswer{Status: 503}
 
-// WorkersParts are what the server of workers works with.
-type WorkersParts struct {
-	Mirror    *watchcache.Cache
-	Writer    *committer.Committer
-	Members   *membership.Membership
-	Roster    *reconcile.Registry
-	Book      *crashloop.Tracker
-	Places    *topologytracker.Tracker
-	Schedule  *scheduler.Scheduler
-	Completed *completion.Log
-	Exchange  *completion.Exchange
+// HeartbeatServerParts are what the server of workers works with.
+type HeartbeatServerParts struct {
+	Cache       *watchcache.Cache
+	Committer   *committer.Committer
+	Membership  *membership.Membership
+	Registry    *reconcile.Registry
+	Failures    *crashloop.Tracker
+	Topology    *topologytracker.Tracker
+	Scheduler   *scheduler.Scheduler
+	Completions *completion.Log
+	Exchange    *completion.Exchange
 }
 
 // HeartbeatServer serves workers' reports.
 type HeartbeatServer struct {
 	set *settings.Settings
-	WorkersParts
+	HeartbeatServerParts
 	stats *metrics.Set
 	log   *slog.Logger
 
@@ -72,22 +72,22 @@
 	measured int     // with which picture
 }
 
-// NewWorkers returns a server of workers' reports.
-func NewWorkers(set *settings.Settings, p WorkersParts, stats *metrics.Set, log *slog.Logger) *HeartbeatServer {
-	return &HeartbeatServer{set: set, WorkersParts: p, stats: stats, log: log}
+// NewHeartbeatServer returns a server of workers' reports.
+func NewHeartbeatServer(set *settings.Settings, p HeartbeatServerParts, stats *metrics.Set, log *slog.Logger) *HeartbeatServer {
+	return &HeartbeatServer{set: set, HeartbeatServerParts: p, stats: stats, log: log}
 }
 
-func (c *HeartbeatServer) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *HeartbeatServer) led() *ledger.Ledger { return c.Cache.Records() }
 
 // reliedOn is the time up to which no cancellation can have been missed: the
 // last contact with the state service or, while it is out, the time up to which
 // every peer has said that it told none that this ledger lacks.
 func (c *HeartbeatServer) reliedOn(now time.Time) time.Time {
-	contact := c.Mirror.SyncedAt()
+	contact := c.Cache.SyncedAt()
 	if contact.IsZero() {
 		return contact
 	}
-	if peers, ok := c.Members.CancellationsConfirmedUntil(c.led().Revision(), now); ok && peers.After(contact) {
+	if peers, ok := c.Membership.CancellationsConfirmedUntil(c.led().Revision(), now); ok && peers.After(contact) {
 		return peers
 	}
 	return contact
@@ -99,15 +99,15 @@
 	ctx, cancel := context.WithTimeout(ctx, c.reportWait())
 	defer cancel()
 	c.stats.Add("reports_total", 1)
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	c.noteCompletions(r, began)
 	if a, ok := c.entitled(r, began); !ok {
 		return a
 	}
-	w := c.Roster.Worker(r.Machine)
+	w := c.Registry.Worker(r.Machine)
 	if w == nil {
-		w = c.Roster.Join(r, began)
+		w = c.Registry.Register(r, began)
 		c.log.Info("machine heard", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
 	}
 	if a, ok := c.sendToPeerInTouch(w, began); ok {
@@ -129,15 +129,15 @@
 
 // entitled reports whether this controller may act on a report at all, and else what it answers.
 func (c *HeartbeatServer) entitled(r *wire.Heartbeat, began time.Time) (HeartbeatAnswer, bool) {
-	if !c.Mirror.Loaded() || c.Mirror.Token() == 0 {
+	if !c.Cache.Loaded() || c.Cache.Token() == 0 {
 		return goElsewhere, false
 	}
-	if c.Members.RecentlyPaused(began) {
+	if c.Membership.RecentlyPaused(began) {
 		// The worker has given this report up long ago and reports elsewhere. To
 		// place there and to wait for it would only take tasks from others.
 		return goElsewhere, false
 	}
-	if began.Sub(c.reliedOn(time.Now())) > c.set.ReportGrace() {
+	if began.Sub(c.reliedOn(time.Now())) > c.set.HeartbeatGrace() {
 		// A cancellation may have been told meanwhile, and every answer renews
 		// the lease of tasks that must then be gone.
 		return c.redirect(r.Machine, began), false
@@ -152,7 +152,7 @@
 // service: nothing can start or end here. A peer in touch does better, if the worker reaches it; if
 // not, it comes back and is answered for as long as that is safe.
 func (c *HeartbeatServer) sendToPeerInTouch(w *reconcile.Worker, began time.Time) (HeartbeatAnswer, bool) {
-	if began.Sub(c.Mirror.SyncedAt()) <= settings.StartContact || began.Sub(w.RedirectedAt) <= redirectEvery {
+	if began.Sub(c.Cache.SyncedAt()) <= settings.StartContact || began.Sub(w.RedirectedAt) <= redirectEvery {
 		return HeartbeatAnswer{}, false
 	}
 	a := c.redirect(w.ID, began)
@@ -170,7 +170,7 @@
 	}
 	deaf := w.Unreachable()
 	w.LeaseExpired(r, began, c.set.Cluster.Workers.Lease.Duration()-lateReport)
-	f := w.Reconcile(r, c.led().HeldBy(r.Machine), hold, began)
+	f := w.Reconcile(r, c.led().ClaimsOn(r.Machine), hold, began)
 	f.ResolveUnsent(func(j *ledger.Job) bool { return c.machinesReport(j, began) })
 	if w.Unreachable() != deaf {
 		c.log.Warn("machine hears", "machine", r.Machine, "hears", deaf)
@@ -189,7 +189,7 @@
 // machinesReport reports whether all machines that a job claims were heard lately by some controller. A
 // gang that waits for one that has stopped would wait until that is found to be lost.
 func (c *HeartbeatServer) machinesReport(j *ledger.Job, now time.Time) (all bool) {
-	v := c.Schedule.Snapshot(now)
+	v := c.Scheduler.Snapshot(now)
 	all = true
 	j.Claims(func(claim ledger.Claim) bool {
 		m := v.Machine(claim.Machine)
@@ -208,7 +208,7 @@
 	for tries := 0; tries < mostTries && current(); tries++ {
 		starts, anew := c.startsFor(w, now)
 		for _, ch := range c.startChanges(w, starts, began.Add(c.reportWait())) {
-			c.Writer.Enqueue(ch)
+			c.Committer.Enqueue(ch)
 			waits = append(waits, ch)
 		}
 		ended := anew && tries == 0 && len(f.Exits) > 0
@@ -230,7 +230,7 @@
 
 // enqueueFindings asks for the changes that follow from what a report proves.
 func (c *HeartbeatServer) enqueueFindings(w *reconcile.Worker, f *reconcile.Reconciliation, began time.Time) []*committer.Change {
-	changes := reconcile.ExitChanges(c.Mirror, f.Exits)
+	changes := reconcile.ExitChanges(c.Cache, f.Exits)
 	for _, h := range f.TakeOver {
 		changes = append(changes, c.takeOver(w, h, began.Add(c.reportWait())))
 	}
@@ -238,7 +238,7 @@
 		changes = append(changes, c.gangStops(w.ID)...)
 	}
 	for _, ch := range changes {
-		c.Writer.Enqueue(ch)
+		c.Committer.Enqueue(ch)
 	}
 	return changes
 }
@@ -246,20 +246,20 @@
 // startsFor is what a machine is given now, and whether room that becomes free may be given away
 // at once: not where gangs of several tasks want the machine.
 func (c *HeartbeatServer) startsFor(w *reconcile.Worker, now time.Time) (starts []placement.Start, anew bool) {
-	if !c.Schedule.Usable(w, now) || now.Sub(c.Mirror.SyncedAt()) >= settings.StartContact {
+	if !c.Scheduler.Usable(w, now) || now.Sub(c.Cache.SyncedAt()) >= settings.StartContact {
 		return nil, true
 	}
-	v := c.Schedule.Snapshot(now)
-	m := v.UpdateMachine(c.Schedule.MachineOf(w, now))
+	v := c.Scheduler.Snapshot(now)
+	m := v.UpdateMachine(c.Scheduler.MachineSnapshot(w, now))
 	starts = placement.PlaceOnMachine(v, m)
-	return starts, !v.WantedWhole(m)
+	return starts, !v.ReservedWhole(m)
 }
 
 // answer is what a worker is told to do, by the records as they are now.
 func (c *HeartbeatServer) answer(w *reconcile.Worker, r *wire.Heartbeat, began time.Time) HeartbeatAnswer {
 	now := time.Now()
-	mayStart := now.Sub(c.Mirror.SyncedAt()) < settings.StartContact && c.led().MachinePhase(r.Machine) != ledger.Terminating
-	commands := w.Commands(r, c.led().HeldBy(r.Machine), c.led().Total(w.Type), mayStart)
+	mayStart := now.Sub(c.Cache.SyncedAt()) < settings.StartContact && c.led().MachinePhase(r.Machine) != ledger.Terminating
+	commands := w.Commands(r, c.led().ClaimsOn(r.Machine), c.led().Total(w.Type), mayStart)
 	for _, command := range commands {
 		if command.Op != wire.OpForget {
 			c.log.Info("command", "op", command.Op, "job", command.Task.Job, "task", command.Task.Index, "attempt", command.Attempt, "machine", r.Machine, "token", w.CommandToken)
@@ -268,16 +268,16 @@
 			c.noteFetch(w, command.Task.Job, now)
 		}
 	}
-	w.Answered(began)
-	c.stats.Took("report_seconds", now.Sub(began))
+	w.ObserveReachable(began)
+	c.stats.Observe("report_seconds", now.Sub(began))
 	return HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{Token: w.CommandToken, Commands: commands}}
 }
 
 // noteFetch notes that a machine fetches a job's image, unless it is believed to have it.
 func (c *HeartbeatServer) noteFetch(w *reconcile.Worker, id wire.JobID, now time.Time) {
-	images := c.Roster.Images(c.led(), w)
+	images := c.Registry.Images(c.led(), w)
 	if j := c.led().Job(id); j != nil && !images.Has(j.Spec.Image) {
-		images.Fetching(j.Spec.Image, now)
+		images.StartFetch(j.Spec.Image, now)
 	}
 }
 
@@ -291,7 +291,7 @@
 		}
 		done := peer.Completion{Job: t.Task.Job, Task: t.Task.Index, Attempt: t.Attempt, Machine: r.Machine, Session: r.Session}
 		if c.CompletionUnrecorded(done) {
-			c.Completed.Note(done, !c.Mirror.SyncedWithin(now, settings.StartContact), now)
+			c.Completions.Add(done, !c.Cache.SyncedWithin(now, settings.StartContact), now)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 // CompletionUnrecorded reports, under the mirror's lock, whether the records may lack a completion: they hold the
 // claim that it is of, or they are not read yet, or may be too old to show that claim.
 func (c *HeartbeatServer) CompletionUnrecorded(done peer.Completion) bool {
-	return !c.Mirror.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(c.led(), done)
+	return !c.Cache.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(c.led(), done)
 }
 
 // lateReport is how old a report may be when it comes, for its worker to take the answer.
@@ -311,7 +311,7 @@
 
 // redirect names a peer that is in touch with the state service, if there is one.
 func (c *HeartbeatServer) redirect(m wire.MachineID, now time.Time) HeartbeatAnswer {
-	fit := c.Members.ReachablePeers(now)
+	fit := c.Membership.ReachablePeers(now)
 	if len(fit) == 0 {
 		return goElsewhere
 	}
@@ -326,36 +326,36 @@
 // token that it has not seen before, which is not waited for.
 func (c *HeartbeatServer) holdToken(ctx context.Context, w *reconcile.Worker, r *wire.Heartbeat) (wire.FencingToken, bool) {
 	if w.CommandToken != 0 && r.Token <= w.CommandToken {
-		switch t := c.Mirror.Token(); {
+		switch t := c.Cache.Token(); {
 		case w.ProvesAbsence(w.CommandToken):
 		case w.ProvesAbsence(t):
 			return t, true
 		default:
-			c.Mirror.RequestToken(t)
+			c.Cache.RequestToken(t)
 		}
 		return w.CommandToken, true
 	}
-	for r.Token > c.Mirror.Token() {
-		c.Mirror.RequestToken(r.Token)
-		c.Mirror.Unlock()
+	for r.Token > c.Cache.Token() {
+		c.Cache.RequestToken(r.Token)
+		c.Cache.Unlock()
 		wait.For(ctx, 20*time.Millisecond)
-		c.Mirror.Lock()
+		c.Cache.Lock()
 		if ctx.Err() != nil {
 			return 0, false
 		}
 	}
-	return c.Mirror.Token(), true
+	return c.Cache.Token(), true
 }
 
 // learn notes what a report tells of images and faults.
 func (c *HeartbeatServer) learn(w *reconcile.Worker, f *reconcile.Reconciliation, now time.Time) {
-	im := c.Roster.Images(c.led(), w)
+	im := c.Registry.Images(c.led(), w)
 	for _, s := range f.Seen {
 		spec := s.Held.Job.Spec
 		if s.State == wire.TaskFetching {
-			im.Fetching(spec.Image, now)
+			im.StartFetch(spec.Image, now)
 		} else {
-			im.Used(spec.Image, spec.ImageGB)
+			im.Use(spec.Image, spec.ImageGB)
 		}
 	}
 	for _, e := range f.Exits {
@@ -365,24 +365,24 @@
 		c.stats.Add("exits_total", 1)
 		switch e.Cause {
 		case wire.CauseDone:
-			c.Book.Completed(j, e.Task, w.ID, c.Places.BlockOf(w), e.Ran, now)
+			c.Failures.Completed(j, e.Task, w.ID, c.Topology.BlockOf(w), e.Ran, now)
 			if e.Held.Session == w.Session {
-				im.Used(j.Spec.Image, j.Spec.ImageGB)
+				im.Use(j.Spec.Image, j.Spec.ImageGB)
 			} else {
 				c.stats.Add("completions_recalled_total", 1)
 			}
 		case wire.CauseError:
-			c.Book.Failed(j, e.Task, w.ID, c.Places.BlockOf(w), now)
+			c.Failures.Failed(j, e.Task, w.ID, c.Topology.BlockOf(w), now)
 		case wire.CauseInsufficientRoom:
 			w.CordonedUntil = now.Add(2 * c.set.Cluster.Workers.Report.Duration())
 		case wire.CauseBusy:
-			c.Book.Avoid(j.ID, w.ID, now)
+			c.Failures.Avoid(j.ID, w.ID, now)
 		case wire.CauseNotFound:
-			c.Book.Retry(j.ID, now.Add(5*time.Second))
+			c.Failures.Retry(j.ID, now.Add(5*time.Second))
 		case wire.CauseGangPeerLost:
-			c.Places.ObservePartition(j, e.Held.Attempt, now)
+			c.Topology.ObservePartition(j, e.Held.Attempt, now)
 		case wire.CauseGangIncomplete:
-			c.Book.Retry(j.ID, now.Add(2*time.Second))
+			c.Failures.Retry(j.ID, now.Add(2*time.Second))
 		}
 	}
 }
@@ -391,7 +391,7 @@
 // to stop them. A gang saves only if all its tasks are told nearly at once.
 func (c *HeartbeatServer) gangStops(m wire.MachineID) []*committer.Change {
 	var out []*committer.Change
-	for _, h := range c.led().HeldBy(m) {
+	for _, h := range c.led().ClaimsOn(m) {
 		if h.Job.Spec.Shape != wire.Gang || h.Job.Spec.Tasks < 2 || h.Job.Stop >= h.Attempt || h.Job.State != ledger.Active {
 			continue
 		}
@@ -422,12 +422,12 @@
 // siteOf is a machine as claims name it, under the token that it is held under now.
 func (c *HeartbeatServer) siteOf(w *reconcile.Worker) ledger.ClaimTarget {
 	m := placement.Machine{ID: w.ID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.Session, Token: w.CommandToken}
-	return m.Site()
+	return m.ClaimTarget()
 }
 
 // holds reports whether a machine is still heard and held as when something was decided for it.
 func (c *HeartbeatServer) holds(w *reconcile.Worker, site ledger.ClaimTarget) bool {
-	return c.Roster.Worker(w.ID) == w && w.Session == site.Session && w.CommandToken == site.Token
+	return c.Registry.Worker(w.ID) == w && w.Session == site.Session && w.CommandToken == site.Token
 }
 
 // await waits, with the lock released, until changes are durable or dropped and
@@ -436,8 +436,8 @@
 	if len(waits) == 0 {
 		return false
 	}
-	c.Mirror.Unlock()
-	defer c.Mirror.Lock()
+	c.Cache.Unlock()
+	defer c.Cache.Lock()
 	for _, ch := range waits {
 		select {
 		case err := <-ch.Done():
@@ -451,7 +451,7 @@
 
 func (c *HeartbeatServer) untake(starts []placement.Start) {
 	for _, s := range starts {
-		c.Schedule.CountStarted(s.Job.ID, -s.Count)
+		c.Scheduler.CountStarted(s.Job.ID, -s.Count)
 	}
 }
 
@@ -461,7 +461,7 @@
 	var first, spare []placement.Start
 	for _, s := range starts {
 		// Other reports that come meanwhile must not be given the same tasks.
-		c.Schedule.CountStarted(s.Job.ID, s.Count)
+		c.Scheduler.CountStarted(s.Job.ID, s.Count)
 		if s.Job.BestEffort() {
 			spare = append(spare, s)
 		} else {
@@ -513,7 +513,7 @@
 			if j.Spec.Shape == wire.Gang {
 				er = d.ClaimGang(j, []ledger.GangPart{{Site: site, Count: s.Count}})
 			} else {
-				_, er = d.Claim(j, site, s.Count, c.Book.BackedOff(j.ID))
+				_, er = d.Claim(j, site, s.Count, c.Failures.BackedOff(j.ID))
 			}
 			if er == nil {
 				claimed = append(claimed, s)
@@ -533,11 +533,11 @@
 func (c *HeartbeatServer) RemoveSilentWorkers(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, sweepEvery)
-		c.Mirror.Read(func(l *ledger.Ledger) {
-			l.Active(func(j *ledger.Job) {
+		c.Cache.Read(func(l *ledger.Ledger) {
+			l.EachActive(func(j *ledger.Job) {
 				if j.Spec.Shape != wire.Service && j.Done == j.Spec.Tasks {
 					id := j.ID
-					c.Writer.Enqueue(&committer.Change{Expires: true, ExpiresAt: time.Now().Add(time.Second), Draft: func(d *ledger.Transaction) error {
+					c.Committer.Enqueue(&committer.Change{Expires: true, ExpiresAt: time.Now().Add(time.Second), Draft: func(d *ledger.Transaction) error {
 						if j := c.led().Job(id); j != nil {
 							return d.CompleteJob(j)
 						}
--- a/internal/settings/configfile/configfile.go
+++ b/internal/settings/configfile/configfile.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-// Wrong is what is wrong with a field, with its line if its node is known.
-func Wrong(n *ast.Node, field, format string, args ...any) error {
+// FieldError is what is wrong with a field, with its line if its node is known.
+func FieldError(n *ast.Node, field, format string, args ...any) error {
 	line := ""
 	if n != nil {
 		line = fmt.Sprintf("line %d: ", Line(n))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -130,8 +130,8 @@
 	Signature []byte // of that module
 }
 
-// MostOf is how many of so many machines of a kind may be judged by evidence.
-func (q Quarantine) MostOf(all int) int { return max(1, int(q.Most*float64(all))) }
+// MaxQuarantined is how many of so many machines of a kind may be judged by evidence.
+func (q Quarantine) MaxQuarantined(all int) int { return max(1, int(q.Most*float64(all))) }
 
 // Load reads the platform's file and, unless its path is empty, the operators'.
 func Load(path, operators string) (*Settings, error) {
@@ -376,8 +376,8 @@
 	return otherwise
 }
 
-// Team returns a team by its name.
-func (s *Settings) Team(name wire.Team) *Team {
+// FindTeam returns a team by its name.
+func (s *Settings) FindTeam(name wire.Team) *Team {
 	for i := range s.Cluster.Teams {
 		if s.Cluster.Teams[i].Name == name {
 			return &s.Cluster.Teams[i]
@@ -409,10 +409,10 @@
 	return 2*s.Cluster.Workers.Report.Duration() + 2*time.Second
 }
 
-// ReportGrace bounds how long a controller out of touch with the state service
+// HeartbeatGrace bounds how long a controller out of touch with the state service
 // goes on answering reports: a cancellation it can't know of must still end
 // every task in time, and that takes a whole lease after the last answer.
-func (s *Settings) ReportGrace() time.Duration {
+func (s *Settings) HeartbeatGrace() time.Duration {
 	w := s.Cluster.Workers
 	margin := wire.Seconds(4 + 0.002*float64(w.Cancel))
 	return max(0, (w.Cancel - w.Lease - margin).Duration())
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -112,7 +112,7 @@
 			t.Fatal(err)
 		}
 		w := s.Cluster.Workers
-		g := s.ReportGrace()
+		g := s.HeartbeatGrace()
 		if g < 0 || g > 0 && g.Seconds()+float64(w.Lease)*1.0005+4 > float64(w.Cancel)*0.9995 {
 			t.Errorf("lease %s, cancel %s: grace %v", tc.lease, tc.cancel, g)
 		}
--- a/internal/state/archive/archive_test.go
+++ b/internal/state/archive/archive_test.go
@@ -172,7 +172,7 @@
 // which a part is gone as a whole.
 func TestGone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 9))
-	g, plain := NewGone(), map[string]bool{}
+	g, plain := NewTerminatedMachines(), map[string]bool{}
 	name := func() string {
 		switch rng.IntN(3) {
 		case 0:
@@ -183,7 +183,7 @@
 		return fmt.Sprintf("spot/a-%03d", rng.IntN(900))
 	}
 	add := func(names ...string) {
-		part, ok := PartOf(names[0])
+		part, ok := PartOfMachine(names[0])
 		if !ok {
 			t.Fatalf("%s is of no part", names[0])
 		}
@@ -205,7 +205,7 @@
 		whole = append(whole, fmt.Sprintf("host-%06d", Span+i))
 	}
 	add(whole...)
-	if part, _ := PartOf(whole[0]); len(g.parts) == 0 || g.parts[part].Count() != 0 {
+	if part, _ := PartOfMachine(whole[0]); len(g.parts) == 0 || g.parts[part].Len() != 0 {
 		t.Error("a part that is gone as a whole is still kept")
 	}
 	for range 20_000 {
@@ -217,7 +217,7 @@
 		t.Errorf("%d machines, want %d", g.Count(), len(plain))
 	}
 	for _, odd := range []string{"", "host", "host-", "host-1234567890"} {
-		if _, ok := PartOf(odd); ok || g.Has(odd) {
+		if _, ok := PartOfMachine(odd); ok || g.Has(odd) {
 			t.Errorf("%q has a part", odd)
 		}
 	}
@@ -227,7 +227,7 @@
 func FuzzRecords(f *testing.F) {
 	pages, _ := FirstPage().With(names(0, 3), 4096)
 	p, _ := json.Marshal(pages[0])
-	_, s := NewGone().With(PartID{Series{"host-", 6}, 0}, []string{"host-000007"})
+	_, s := NewTerminatedMachines().With(PartID{Series{"host-", 6}, 0}, []string{"host-000007"})
 	set, _ := json.Marshal(s)
 	f.Add(p)
 	f.Add(set)
@@ -240,11 +240,11 @@
 		}
 		var h Head
 		if json.Unmarshal(in, &h) == nil {
-			h.Whole.Count()
+			h.Whole.Len()
 		}
-		var set Set
+		var set MachineNumbers
 		if json.Unmarshal(in, &set) == nil {
-			set.Count()
+			set.Len()
 		}
 	})
 }
--- a/internal/state/archive/gone.go
+++ b/internal/state/archive/gone.go
@@ -76,18 +76,18 @@
 	return p, err
 }
 
-// PartOf returns the part that a name belongs to.
-func PartOf(name string) (PartID, bool) {
+// PartOfMachine returns the part that a name belongs to.
+func PartOfMachine(name string) (PartID, bool) {
 	s, n, ok := SplitName(name)
 	return PartID{s, n / Span}, ok
 }
 
-// Set is a set of numbers as it is stored: a serialized bitmap. It is never changed, only
+// MachineNumbers is a set of numbers as it is stored: a serialized bitmap. It is never changed, only
 // replaced.
-type Set struct{ numbers *roaring.Bitmap }
+type MachineNumbers struct{ numbers *roaring.Bitmap }
 
 // MarshalJSON writes the set.
-func (s Set) MarshalJSON() ([]byte, error) {
+func (s MachineNumbers) MarshalJSON() ([]byte, error) {
 	b, err := s.bitmap().ToBytes()
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 // UnmarshalJSON reads what MarshalJSON wrote.
-func (s *Set) UnmarshalJSON(b []byte) error {
+func (s *MachineNumbers) UnmarshalJSON(b []byte) error {
 	var raw []byte
 	if err := json.Unmarshal(b, &raw); err != nil {
 		return err
@@ -106,45 +106,47 @@
 	return err
 }
 
-func (s Set) bitmap() *roaring.Bitmap {
+func (s MachineNumbers) bitmap() *roaring.Bitmap {
 	if s.numbers == nil {
 		return roaring.New()
 	}
 	return s.numbers
 }
 
-// Count is how many numbers are in the set.
-func (s Set) Count() int { return int(s.bitmap().GetCardinality()) }
+// Len is how many numbers are in the set.
+func (s MachineNumbers) Len() int { return int(s.bitmap().GetCardinality()) }
 
-func (s Set) with(numbers ...uint32) Set {
+func (s MachineNumbers) with(numbers ...uint32) MachineNumbers {
 	m := s.bitmap().Clone()
 	m.AddMany(numbers)
 	m.RunOptimize()
-	return Set{m}
+	return MachineNumbers{m}
 }
 
 // Head is what is kept of a series besides its parts. It is written anew whenever machines
 // of the series are added, so its version moves with them.
 type Head struct {
-	Gone  int `json:"n"` // machines, in whole parts and others
-	Whole Set `json:"w"` // the numbers of the parts that are gone as a whole
+	Gone  int            `json:"n"` // machines, in whole parts and others
+	Whole MachineNumbers `json:"w"` // the numbers of the parts that are gone as a whole
 }
 
-// Gone is the set of machines that are gone. It isn't safe for concurrent use.
-type Gone struct {
+// TerminatedMachines is the set of machines that are gone. It isn't safe for concurrent use.
+type TerminatedMachines struct {
 	heads map[Series]Head
-	parts map[PartID]Set
+	parts map[PartID]MachineNumbers
 }
 
-// NewGone returns an empty set.
-func NewGone() *Gone { return &Gone{map[Series]Head{}, map[PartID]Set{}} }
+// NewTerminatedMachines returns an empty set.
+func NewTerminatedMachines() *TerminatedMachines {
+	return &TerminatedMachines{map[Series]Head{}, map[PartID]MachineNumbers{}}
+}
 
 // SetHead replaces what is known of a series.
-func (g *Gone) SetHead(s Series, h Head) { g.heads[s] = h }
+func (g *TerminatedMachines) SetHead(s Series, h Head) { g.heads[s] = h }
 
 // SetPart replaces a part; an empty one is taken out.
-func (g *Gone) SetPart(id PartID, s Set) {
-	if s.Count() == 0 {
+func (g *TerminatedMachines) SetPart(id PartID, s MachineNumbers) {
+	if s.Len() == 0 {
 		delete(g.parts, id)
 		return
 	}
@@ -152,7 +154,7 @@
 }
 
 // Has reports whether a machine is in the set.
-func (g *Gone) Has(name string) bool {
+func (g *TerminatedMachines) Has(name string) bool {
 	if len(g.heads) == 0 {
 		return false
 	}
@@ -168,7 +170,7 @@
 }
 
 // Count is how many machines are in the set.
-func (g *Gone) Count() int {
+func (g *TerminatedMachines) Count() int {
 	n := 0
 	for _, h := range g.heads {
 		n += h.Gone
@@ -178,9 +180,9 @@
 
 // With returns what replaces a part and its series' head when machines of that part are
 // added. A part that is then gone as a whole is empty and goes into the head.
-func (g *Gone) With(id PartID, names []string) (Head, Set) {
+func (g *TerminatedMachines) With(id PartID, names []string) (Head, MachineNumbers) {
 	h, p := g.heads[id.Series], g.parts[id]
-	before := p.Count()
+	before := p.Len()
 	var numbers []uint32
 	for _, name := range names {
 		if s, n, ok := SplitName(name); ok && s == id.Series && n/Span == id.Number {
@@ -188,19 +190,19 @@
 		}
 	}
 	p = p.with(numbers...)
-	h.Gone += p.Count() - before
+	h.Gone += p.Len() - before
 	h.Whole = h.Whole.with()
-	if p.Count() == Span {
-		h.Whole, p = h.Whole.with(id.Number), Set{}
+	if p.Len() == Span {
+		h.Whole, p = h.Whole.with(id.Number), MachineNumbers{}
 	}
 	return h, p
 }
 
 // Head returns what is kept of a series besides its parts.
-func (g *Gone) Head(s Series) Head { return g.heads[s] }
+func (g *TerminatedMachines) Head(s Series) Head { return g.heads[s] }
 
 // Part returns how many machines of a part are kept in it, and whether its series counts it
 // as gone as a whole.
-func (g *Gone) Part(id PartID) (n int, whole bool) {
-	return g.parts[id].Count(), g.heads[id.Series].Whole.bitmap().Contains(id.Number)
+func (g *TerminatedMachines) Part(id PartID) (n int, whole bool) {
+	return g.parts[id].Len(), g.heads[id.Series].Whole.bitmap().Contains(id.Number)
 }
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -141,7 +141,7 @@
 		var since uint64
 		var ok bool
 		k.host.Read(func(l *ledger.Ledger) {
-			led, since = l, l.Added()
+			led, since = l, l.FilterAdditions()
 			ok = known(l)
 		})
 		if ok {
@@ -180,7 +180,7 @@
 	}
 	k.host.Read(func(l *ledger.Ledger) {
 		if l == led { // else it was read anew, and may have missed something since
-			l.PutPage(page, version, since)
+			l.PutFilterPage(page, version, since)
 		}
 	})
 	return nil
@@ -312,7 +312,7 @@
 	k.host.Read(func(l *ledger.Ledger) {
 		d := l.NewTransaction()
 		if err = d.UpgradeFormat(to, wire.UnixMillis(now.UnixMilli())); err == nil {
-			txn, err = d.Txn()
+			txn, err = d.Request()
 		}
 	})
 	if err == nil {
@@ -335,7 +335,7 @@
 	name := ""
 	k.host.Read(func(l *ledger.Ledger) { name = k.next(l, now) })
 	if name != "" {
-		if _, err := k.knowPage(ctx, name, func(l *ledger.Ledger) bool { return l.PageKnown(name) }); err != nil {
+		if _, err := k.knowPage(ctx, name, func(l *ledger.Ledger) bool { return l.FilterPageKnown(name) }); err != nil {
 			return 0, err
 		}
 	}
@@ -347,7 +347,7 @@
 	k.host.Read(func(l *ledger.Ledger) {
 		led, d = l, l.NewTransactionOf(changes)
 		took = k.draft(l, d)
-		txn, err = d.Txn()
+		txn, err = d.Request()
 	})
 	if err != nil || len(txn.Then) == 0 {
 		return 0, err
@@ -357,7 +357,7 @@
 		switch {
 		case l != led:
 		case err != nil:
-			l.DropPage(name) // it is no longer known which version it has
+			l.DropFilterPage(name) // it is no longer known which version it has
 		default:
 			d.Committed(at)
 		}
@@ -395,7 +395,7 @@
 	case len(k.jobs) > 0:
 		return string(k.jobs[0])
 	case len(k.machines) == 0 && len(k.flows) > 0:
-		return ledger.FlowName(k.flows[0])
+		return ledger.WorkflowFilterName(k.flows[0])
 	}
 	return ""
 }
@@ -404,11 +404,11 @@
 // over; what does not fit stays for the next.
 func (k *Archiver) draft(l *ledger.Ledger, d *ledger.Transaction) (took moved) {
 	if len(k.jobs) > 0 {
-		page := l.Page(k.jobs[0])
+		page := l.FilterPage(k.jobs[0])
 		var ids []wire.JobID
 		end := 0
 		for _, id := range k.jobs {
-			if page == nil || !page.Covers(string(id)) || len(ids) > d.Room() {
+			if page == nil || !page.Covers(string(id)) || len(ids) > d.RemainingChanges() {
 				break
 			}
 			if end++; l.Archivable(id) {
@@ -435,8 +435,8 @@
 	}
 	for len(k.machines) > 0 {
 		group := k.machines[0]
-		part, _ := archive.PartOf(string(group[0]))
-		for n := min(len(group), max(1, d.Room()-2)); n > 0; n-- {
+		part, _ := archive.PartOfMachine(string(group[0]))
+		for n := min(len(group), max(1, d.RemainingChanges()-2)); n > 0; n-- {
 			if d.CompactTerminated(part, group[:n]) == nil {
 				if k.machines[0] = group[n:]; n == len(group) {
 					k.machines = k.machines[1:]
@@ -469,7 +469,7 @@
 		at wire.Revision
 	}
 	var all []finished
-	l.Finished(func(id wire.JobID, at wire.Revision) { all = append(all, finished{id, at}) })
+	l.EachFinished(func(id wire.JobID, at wire.Revision) { all = append(all, finished{id, at}) })
 	if len(all) <= keep {
 		return
 	}
@@ -486,7 +486,7 @@
 func (k *Archiver) findGone(l *ledger.Ledger) {
 	parts := map[archive.PartID][]wire.MachineID{}
 	l.MachinePhases(func(m wire.MachineID, k ledger.MachinePhase) {
-		if part, ok := archive.PartOf(string(m)); ok && k == ledger.Terminated && len(l.HeldBy(m)) == 0 {
+		if part, ok := archive.PartOfMachine(string(m)); ok && k == ledger.Terminated && len(l.ClaimsOn(m)) == 0 {
 			parts[part] = append(parts[part], m)
 		}
 	})
@@ -506,8 +506,8 @@
 		at wire.Revision
 	}
 	var all []over
-	l.Workflows(func(w *ledger.Workflow) {
-		if w.Over() {
+	l.EachWorkflow(func(w *ledger.Workflow) {
+		if w.Ended() {
 			all = append(all, over{w.ID, w.Version})
 		}
 	})
@@ -522,7 +522,7 @@
 // Workflow returns the record of a workflow that a fresh ledger doesn't hold, or nil if
 // it is not archived either.
 func (k *Archiver) Workflow(ctx context.Context, id wire.WorkflowID) (*ledger.Workflow, error) {
-	may, err := k.mayBeArchived(ctx, ledger.FlowName(id), func(l *ledger.Ledger) (bool, bool) { return l.WorkflowMayBeArchived(id) })
+	may, err := k.mayBeArchived(ctx, ledger.WorkflowFilterName(id), func(l *ledger.Ledger) (bool, bool) { return l.WorkflowMayBeArchived(id) })
 	if err != nil || !may {
 		return nil, err
 	}
--- a/internal/state/backup/earlier_test.go
+++ b/internal/state/backup/earlier_test.go
@@ -48,7 +48,7 @@
 			if err := json.Unmarshal(item.Value, page); err != nil {
 				t.Fatal(err)
 			}
-			continued.l.PutPage(page, item.Version, continued.l.Added())
+			continued.l.PutFilterPage(page, item.Version, continued.l.FilterAdditions())
 		}
 	}
 	for range 20 {
--- a/internal/state/backup/put.go
+++ b/internal/state/backup/put.go
@@ -16,9 +16,9 @@
 	"maddermill/wire"
 )
 
-// Check reads a whole export and returns its end, or a *Damaged that tells where it is not
+// CheckExport reads a whole export and returns its end, or a *Damaged that tells where it is not
 // whole.
-func Check(r io.Reader) (End, error) { return read(r, func(frame) error { return nil }) }
+func CheckExport(r io.Reader) (End, error) { return read(r, func(frame) error { return nil }) }
 
 // Errors of imports.
 var (
@@ -157,7 +157,7 @@
 // there are as they are to be: an answer was lost, or an import is taken up again.
 func put(ctx context.Context, s Target, t wire.Txn) error {
 	_, err := again(ctx, func() (wire.Revision, error) { return s.Commit(ctx, t) })
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
 	}
--- a/internal/state/backup/snapshot_test.go
+++ b/internal/state/backup/snapshot_test.go
@@ -72,7 +72,7 @@
 	if err := change(d); err != nil {
 		f.t.Fatal(err)
 	}
-	f.do(d.Txn())
+	f.do(d.Request())
 }
 
 // grow adds a job; every other one is cancelled, every third archived, every tenth machine
@@ -88,8 +88,8 @@
 	case f.next%2 == 0:
 		f.draft(func(d *ledger.Transaction) error { _, err := d.Cancel(f.l.Job(id)); return err })
 		if f.next%3 == 0 {
-			if !f.l.PageKnown(string(id)) {
-				f.l.PutPage(archive.FirstPage(), 0, f.l.Added())
+			if !f.l.FilterPageKnown(string(id)) {
+				f.l.PutFilterPage(archive.FirstPage(), 0, f.l.FilterAdditions())
 			}
 			var moved *ledger.Transaction
 			f.draft(func(d *ledger.Transaction) error { moved = d; _, err := d.Archive([]wire.JobID{id}); return err })
@@ -179,7 +179,7 @@
 		refuse := func(what string, b []byte, at int) {
 			store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 			_, err := Import(context.Background(), bytes.NewReader(b), emulator.NewLink(store, 1), limits, time.Now())
-			var damaged *Damaged
+			var damaged *DamagedError
 			if !errors.As(err, &damaged) || damaged.Offset > int64(at) || len(store.Items()) > 0 {
 				t.Errorf("%s at %d: %v, %d keys written", what, at, err, len(store.Items()))
 			}
@@ -305,8 +305,8 @@
 	}
 	f.Add(file.Bytes())
 	f.Fuzz(func(t *testing.T, in []byte) {
-		var damaged *Damaged
-		if _, err := Check(bytes.NewReader(in)); err != nil && !errors.As(err, &damaged) {
+		var damaged *DamagedError
+		if _, err := CheckExport(bytes.NewReader(in)); err != nil && !errors.As(err, &damaged) {
 			t.Errorf("%v", err)
 		}
 	})
--- a/internal/state/backup/stream.go
+++ b/internal/state/backup/stream.go
@@ -46,13 +46,13 @@
 	Sum      uint64          `cbor:"5,keyasint"` // over the sums of all frames before
 }
 
-// Damaged is a stream that is not whole: nothing of it may be used.
-type Damaged struct {
+// DamagedError is a stream that is not whole: nothing of it may be used.
+type DamagedError struct {
 	Offset int64 // of the frame, in bytes
 	Reason string
 }
 
-func (d *Damaged) Error() string {
+func (d *DamagedError) Error() string {
 	return fmt.Sprintf("snapshot: damaged at byte %d: %s", d.Offset, d.Reason)
 }
 
@@ -110,7 +110,7 @@
 	}
 	defer unpack.Close()
 	var at int64
-	damaged := func(format string, a ...any) error { return &Damaged{at, fmt.Sprintf(format, a...)} }
+	damaged := func(format string, a ...any) error { return &DamagedError{at, fmt.Sprintf(format, a...)} }
 	var head [12]byte
 	if _, err := io.ReadFull(in, head[:8]); err != nil || [8]byte(head[:8]) != magic {
 		return End{}, damaged("this is no export, or one of another version")
--- a/internal/state/backup/take.go
+++ b/internal/state/backup/take.go
@@ -189,7 +189,7 @@
 		return i < len(ordered) && ordered[i].Covers(string(id)) && ordered[i].MayHold(string(id))
 	}
 	see := func(key string, value []byte, version wire.Revision) {
-		switch id, archived := ledger.Archived(key); {
+		switch id, archived := ledger.ArchivedJobID(key); {
 		case archived && value == nil:
 			add(ledger.Problem{Key: key, What: "a final state was deleted"})
 		case archived:
@@ -244,7 +244,7 @@
 		low = p.High + 1
 	}
 	for _, key := range doubtful {
-		if id, _ := ledger.Archived(key); !passed(id) {
+		if id, _ := ledger.ArchivedJobID(key); !passed(id) {
 			add(ledger.Problem{Key: key, What: "the filter doesn't let it pass: it would be unknown to users"})
 		}
 	}
@@ -259,7 +259,7 @@
 			add(ledger.Problem{Key: key, What: "is both archived and on record"})
 		}
 	})
-	l.Workflows(func(w *ledger.Workflow) {
+	l.EachWorkflow(func(w *ledger.Workflow) {
 		for n := range w.Pieces {
 			if !documents[ledger.DocumentKey(w.Hash, n)] {
 				add(ledger.Problem{Key: ledger.DocumentKey(w.Hash, n), What: fmt.Sprintf("a document of %s is missing", w.ID)})
--- a/internal/state/committer/writer.go
+++ b/internal/state/committer/writer.go
@@ -229,7 +229,7 @@
 // plenty reports whether the budget has room for a batch beside what spare changes are
 // to leave, or for all that it may ever have: where transactions are small that is less.
 func (w *Committer) plenty() bool {
-	return w.store.Changes() >= min(w.reserve()+w.leastPlenty()+changesForUsers, w.opt.TxnOps)
+	return w.store.AvailableChanges() >= min(w.reserve()+w.leastPlenty()+changesForUsers, w.opt.TxnOps)
 }
 
 // waits reports whether a queue holds spare changes only, and the budget little more
@@ -247,10 +247,10 @@
 	// No more than a transaction's changes may be waited for: the budget may never
 	// hold more.
 	least := min(w.leastBatch()+changesForUsers, w.opt.TxnOps)
-	for w.store.Changes() < least && ctx.Err() == nil {
+	for w.store.AvailableChanges() < least && ctx.Err() == nil {
 		wait.For(ctx, w.batchEvery()/2)
 	}
-	changes := max(2, w.store.Changes()-changesForUsers)
+	changes := max(2, w.store.AvailableChanges()-changesForUsers)
 	in, left, txn, err := w.draft(queue, changes)
 	if len(txn.Then) == 0 {
 		for _, ch := range in {
@@ -271,7 +271,7 @@
 		return left
 	}
 	w.stats.Add("transactions_failed_total", 1)
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
 		// Refused or unknown: if unknown it may still land, which then shows in
 		// the ledger; what is tried again is conditioned on the same versions.
@@ -286,7 +286,7 @@
 
 // dated tells a draft the time of day.
 func dated(d *ledger.Transaction) *ledger.Transaction {
-	d.At(wire.UnixMillis(time.Now().UnixMilli()))
+	d.SetTime(wire.UnixMillis(time.Now().UnixMilli()))
 	return d
 }
 
@@ -341,7 +341,7 @@
 			d = dated(l.NewTransaction())
 			add(d, first)
 		}
-		txn, err = d.Txn()
+		txn, err = d.Request()
 	})
 	return in, left, txn, err
 }
@@ -352,7 +352,7 @@
 	defer cancel()
 	w.stats.Add("transactions_total", 1)
 	rev, err := w.store.Commit(ctx, txn)
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		w.stats.Add("conflicts_total", 1)
 		w.log.Debug("conflict", "keys", conflict.Failed)
@@ -373,7 +373,7 @@
 	case w.users <- struct{}{}:
 		defer func() { <-w.users }()
 	case <-ctx.Done():
-		return kvstore.ErrNoReach
+		return kvstore.ErrUnreachable
 	}
 	for ctx.Err() == nil {
 		var txn wire.Txn
@@ -382,7 +382,7 @@
 			d := dated(l.NewTransaction())
 			err = draft(d)
 			var e error
-			txn, e = d.Txn()
+			txn, e = d.Request()
 			err = errors.Join(err, e)
 		})
 		if err != nil {
@@ -392,7 +392,7 @@
 			return nil
 		}
 		_, err = w.Commit(ctx, txn)
-		var conflict *kvstore.Conflict
+		var conflict *kvstore.ConflictError
 		if errors.As(err, &conflict) {
 			if slices.ContainsFunc(conflict.Failed, ledger.IsFinalKey) {
 				return ledger.ErrPreconditionFailed // the job is archived, which the ledger can't tell
@@ -404,11 +404,11 @@
 			continue
 		}
 		if err != nil {
-			return errors.Join(kvstore.ErrNoReach, err)
+			return errors.Join(kvstore.ErrUnreachable, err)
 		}
 		return nil
 	}
-	return kvstore.ErrNoReach
+	return kvstore.ErrUnreachable
 }
 
 // SpareCapacity is how many changes a transaction may have now that is in nobody's way: none while
@@ -418,11 +418,11 @@
 	if len(w.submitted) > 0 || !w.plenty() {
 		return 0
 	}
-	return max(5, w.store.Changes()-w.reserve())
+	return max(5, w.store.AvailableChanges()-w.reserve())
 }
 
 // HasSpareCapacity reports whether the budget has more than what spare changes leave.
-func (w *Committer) HasSpareCapacity() bool { return w.store.Changes() > w.reserve() }
+func (w *Committer) HasSpareCapacity() bool { return w.store.AvailableChanges() > w.reserve() }
 
 // longQueue is how much of the queue may wait without that being worth telling of.
 const longQueue = mostQueued / 2
--- a/internal/state/committer/writer_test.go
+++ b/internal/state/committer/writer_test.go
@@ -39,7 +39,7 @@
 		Value: fmt.Appendf(nil, `{"spec":{"id":"wk-%06d","pieces":1,"shape":"array","owner":"free","cores":1},"at":1,"a":1}`, i)})
 }
 
-func (s *scarce) Changes() int { return s.budget }
+func (s *scarce) AvailableChanges() int { return s.budget }
 
 func (s *scarce) Commit(_ context.Context, t wire.Txn) (wire.Revision, error) {
 	s.sizes = append(s.sizes, len(t.Then))
--- a/internal/state/kvstore/client.go
+++ b/internal/state/kvstore/client.go
@@ -20,24 +20,24 @@
 // Errors of the state service. After ErrUnknown the request may have been
 // executed, or may yet be.
 var (
-	ErrRefused  = errors.New("state: refused, not executed")
-	ErrUnknown  = errors.New("state: no answer, outcome unknown")
-	ErrNotFound = errors.New("state: no such key")
-	ErrNoReach  = errors.New("state: service out of reach")
-	ErrTooOld   = errors.New("state: revision too old to watch from")
-	ErrNoLease  = errors.New("state: no such lease")
-	ErrInvalid  = errors.New("state: request not accepted")
+	ErrRefused           = errors.New("state: refused, not executed")
+	ErrUnknown           = errors.New("state: no answer, outcome unknown")
+	ErrNotFound          = errors.New("state: no such key")
+	ErrUnreachable       = errors.New("state: service out of reach")
+	ErrRevisionCompacted = errors.New("state: revision too old to watch from")
+	ErrLeaseNotFound     = errors.New("state: no such lease")
+	ErrInvalid           = errors.New("state: request not accepted")
 
 	errBusy = errors.New("state: over its limits")
 )
 
-// Conflict is a transaction whose conditions did not hold.
-type Conflict struct {
+// ConflictError is a transaction whose conditions did not hold.
+type ConflictError struct {
 	Failed   []string
 	Revision wire.Revision
 }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("state: conflict on %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("state: conflict on %v", c.Failed) }
 
 // Store is what the rest of the service needs of the state service.
 type Store interface {
@@ -45,7 +45,7 @@
 	Get(ctx context.Context, key string) (wire.Item, error)
 	List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error)
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
-	Changes() int // how many a transaction may have without waiting for the budget
+	AvailableChanges() int // how many a transaction may have without waiting for the budget
 	Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (wire.LeaseID, error)
 	RenewLease(ctx context.Context, id wire.LeaseID) error
@@ -205,19 +205,19 @@
 	case 200, 409:
 		r, err := decode[wire.TxnResult](p)
 		if err == nil && p.Status == 409 {
-			err = &Conflict{r.Failed, r.Revision}
+			err = &ConflictError{r.Failed, r.Revision}
 		}
 		return r.Revision, err
 	}
 	var problem wire.ErrorBody
 	if json.Unmarshal(p.Body, &problem); problem.Error == "no such lease" {
-		return 0, ErrNoLease
+		return 0, ErrLeaseNotFound
 	}
 	return 0, unexpected(p)
 }
 
-// Changes is how many changes the budget has room for now.
-func (c *Client) Changes() int { return int(c.changes.Tokens()) }
+// AvailableChanges is how many changes the budget has room for now.
+func (c *Client) AvailableChanges() int { return int(c.changes.Tokens()) }
 
 // Watch waits for changes after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error) {
@@ -237,7 +237,7 @@
 	case 200:
 		return decode[wire.Events](p)
 	case 410:
-		return wire.Events{}, ErrTooOld
+		return wire.Events{}, ErrRevisionCompacted
 	}
 	return wire.Events{}, unexpected(p)
 }
@@ -262,7 +262,7 @@
 	case err != nil:
 		return err
 	case p.Status == 404:
-		return ErrNoLease
+		return ErrLeaseNotFound
 	case p.Status/100 != 2:
 		return unexpected(p)
 	}
--- a/internal/state/ledger/apply.go
+++ b/internal/state/ledger/apply.go
@@ -123,7 +123,7 @@
 			l.registerVer = e.Version
 			return json.Unmarshal(e.Value, &l.register)
 		}
-	case HiresKey:
+	case ScaleOutKey:
 		if e.Value != nil && e.Version > l.hiresVer {
 			l.hires, l.hiresVer = ScaleOutRecord{}, e.Version
 			return json.Unmarshal(e.Value, &l.hires)
--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -53,8 +53,8 @@
 
 // Errors of records that nobody of this version may serve from.
 var (
-	ErrFormat    = errors.New("ledger: records of a newer version")
-	ErrImporting = errors.New("ledger: records are being imported")
+	ErrNewerFormat = errors.New("ledger: records of a newer version")
+	ErrImporting   = errors.New("ledger: records are being imported")
 )
 
 // ErrNoPage: a page of the filter must be read first.
@@ -104,7 +104,7 @@
 	formatVer wire.Revision
 	importing bool
 	filter    *archive.Filter
-	gone      *archive.Gone
+	gone      *archive.TerminatedMachines
 	headVer   map[archive.Series]wire.Revision
 	partVer   map[archive.PartID]wire.Revision
 	moved     map[wire.JobID]FinalRecord // archived since last asked
@@ -128,7 +128,7 @@
 }
 
 func newPast() past {
-	return past{filter: new(archive.Filter), gone: archive.NewGone(), headVer: map[archive.Series]wire.Revision{}, partVer: map[archive.PartID]wire.Revision{},
+	return past{filter: new(archive.Filter), gone: archive.NewTerminatedMachines(), headVer: map[archive.Series]wire.Revision{}, partVer: map[archive.PartID]wire.Revision{},
 		moved: map[wire.JobID]FinalRecord{}, over: map[wire.JobID]overJob{}}
 }
 
@@ -152,41 +152,41 @@
 	return p != nil && p.MayHold(name), p != nil
 }
 
-// Added tells how much was archived as far as the ledger knows. It is to be asked before a
+// FilterAdditions tells how much was archived as far as the ledger knows. It is to be asked before a
 // page is read, and given to PutPage with it.
-func (l *Ledger) Added() uint64 { return l.past.filter.Added() }
+func (l *Ledger) FilterAdditions() uint64 { return l.past.filter.Added() }
 
-// PutPage takes over a page of the filter as the state service has it. From then on the ledger
+// PutFilterPage takes over a page of the filter as the state service has it. From then on the ledger
 // keeps it up: it holds what the service's did and all that it sees leave the records. It must
 // be the ledger that was asked for Added, as another may have missed some of that.
-func (l *Ledger) PutPage(p *archive.Page, version wire.Revision, since uint64) bool {
+func (l *Ledger) PutFilterPage(p *archive.Page, version wire.Revision, since uint64) bool {
 	return l.past.filter.Put(p, uint64(version), since)
 }
 
-// DropPage forgets the page of the filter that a name is on.
-func (l *Ledger) DropPage(name string) {
+// DropFilterPage forgets the page of the filter that a name is on.
+func (l *Ledger) DropFilterPage(name string) {
 	if p, _ := l.past.filter.Page(name); p != nil {
 		l.past.filter.Drop(p)
 	}
 }
 
-// PageKnown reports whether the page of the filter that a name is on is known here.
-func (l *Ledger) PageKnown(name string) bool {
+// FilterPageKnown reports whether the page of the filter that a name is on is known here.
+func (l *Ledger) FilterPageKnown(name string) bool {
 	p, _ := l.past.filter.Page(name)
 	return p != nil
 }
 
-// Page returns the page of the filter that a job is on, nil if it is not known here.
-func (l *Ledger) Page(id wire.JobID) *archive.Page {
+// FilterPage returns the page of the filter that a job is on, nil if it is not known here.
+func (l *Ledger) FilterPage(id wire.JobID) *archive.Page {
 	p, _ := l.past.filter.Page(string(id))
 	return p
 }
 
-// GoneMachines is how many machines are gone and have no mark of their own any more.
-func (l *Ledger) GoneMachines() int { return l.past.gone.Count() }
+// CountTerminated is how many machines are gone and have no mark of their own any more.
+func (l *Ledger) CountTerminated() int { return l.past.gone.Count() }
 
-// FilterPages is how many pages of the filter are known here.
-func (l *Ledger) FilterPages() int { return l.past.filter.Pages() }
+// CountFilterPages is how many pages of the filter are known here.
+func (l *Ledger) CountFilterPages() int { return l.past.filter.Pages() }
 
 // ArchivedJobs calls f for every job that went into the archive since the last call.
 func (l *Ledger) ArchivedJobs(f func(wire.JobID, FinalRecord)) {
@@ -230,12 +230,12 @@
 		return false
 	}
 	w := l.workflows[j.Workflow]
-	return w == nil || w.Over()
+	return w == nil || w.Ended()
 }
 
-// Finished calls f for every job that may be moved into the archive, with the revision of its
+// EachFinished calls f for every job that may be moved into the archive, with the revision of its
 // last change.
-func (l *Ledger) Finished(f func(wire.JobID, wire.Revision)) {
+func (l *Ledger) EachFinished(f func(wire.JobID, wire.Revision)) {
 	for id, o := range l.past.over {
 		if l.galleryOpen(o.gallery) {
 			continue
@@ -280,7 +280,7 @@
 		if err != nil || e.Version < p.partVer[id] {
 			return true, err
 		}
-		var s archive.Set
+		var s archive.MachineNumbers
 		if e.Value != nil {
 			if err := json.Unmarshal(e.Value, &s); err != nil {
 				return true, err
@@ -370,7 +370,7 @@
 }
 
 func (d *Transaction) archive(ids []wire.JobID) error {
-	page := d.l.Page(ids[0])
+	page := d.l.FilterPage(ids[0])
 	if page == nil {
 		return ErrNoPage
 	}
@@ -460,7 +460,7 @@
 		p := &d.l.past
 		var texts []string
 		for _, m := range names {
-			if of, ok := archive.PartOf(string(m)); !ok || of != id || d.l.marks[m] != Terminated {
+			if of, ok := archive.PartOfMachine(string(m)); !ok || of != id || d.l.marks[m] != Terminated {
 				return ErrPreconditionFailed
 			}
 			d.conds[machineKey(m)] = d.l.markVer[m]
@@ -473,7 +473,7 @@
 		d.conds[partKey] = p.partVer[id]
 		d.put(headKey, head)
 		switch {
-		case part.Count() > 0:
+		case part.Len() > 0:
 			d.put(partKey, part)
 		case p.partVer[id] != 0:
 			d.del(partKey)
@@ -521,7 +521,7 @@
 		return ErrImporting
 	}
 	if f, _ := l.Format(); f.Format > NewestFormat {
-		return fmt.Errorf("%w: format %d, this one reads up to %d", ErrFormat, f.Format, NewestFormat)
+		return fmt.Errorf("%w: format %d, this one reads up to %d", ErrNewerFormat, f.Format, NewestFormat)
 	}
 	return nil
 }
--- a/internal/state/ledger/cancels.go
+++ b/internal/state/ledger/cancels.go
@@ -43,12 +43,12 @@
 
 // Cancellations is what was cancelled after a revision: jobs, and workflows with all of their steps' jobs.
 type Cancellations struct {
-	Jobs  []wire.JobID
-	Flows []wire.WorkflowID
+	Jobs      []wire.JobID
+	Workflows []wire.WorkflowID
 }
 
 // Len is how many entries it has.
-func (c *Cancellations) Len() int { return len(c.Jobs) + len(c.Flows) }
+func (c *Cancellations) Len() int { return len(c.Jobs) + len(c.Workflows) }
 
 // CancelledSince lists what is on record and was cancelled after a revision, false if not all of
 // it can be told. Jobs that have left the records since run nowhere.
@@ -57,7 +57,7 @@
 		switch {
 		case x.at <= r:
 		case x.flow != "":
-			c.Flows = append(c.Flows, x.flow)
+			c.Workflows = append(c.Workflows, x.flow)
 		default:
 			c.Jobs = append(c.Jobs, x.job)
 		}
@@ -74,10 +74,10 @@
 			j.Cancelling = true
 		}
 	}
-	if len(c.Flows) == 0 {
+	if len(c.Workflows) == 0 {
 		return
 	}
 	for _, j := range l.active {
-		j.Cancelling = j.Cancelling || j.Workflow != "" && slices.Contains(c.Flows, j.Workflow)
+		j.Cancelling = j.Cancelling || j.Workflow != "" && slices.Contains(c.Workflows, j.Workflow)
 	}
 }
--- a/internal/state/ledger/cancels_test.go
+++ b/internal/state/ledger/cancels_test.go
@@ -51,8 +51,8 @@
 			}
 			slices.Sort(got.Jobs)
 			slices.Sort(want)
-			if !slices.Equal(got.Jobs, want) || slices.Contains(got.Flows, flow) != (workflow > since) {
-				t.Fatalf("since %d (a workflow at %d): told %d and %v, and %d were cancelled", since, workflow, len(got.Jobs), got.Flows, len(want))
+			if !slices.Equal(got.Jobs, want) || slices.Contains(got.Workflows, flow) != (workflow > since) {
+				t.Fatalf("since %d (a workflow at %d): told %d and %v, and %d were cancelled", since, workflow, len(got.Jobs), got.Workflows, len(want))
 			}
 		}
 	}
--- a/internal/state/ledger/draft.go
+++ b/internal/state/ledger/draft.go
@@ -59,15 +59,15 @@
 
 // NewTransactionOf starts an empty transaction of at most so many changes.
 func (l *Ledger) NewTransactionOf(changes int) *Transaction {
-	return &Transaction{l: l, added: l.Added(), most: min(changes, l.limits.TxnOps), jobs: map[wire.JobID]*draftJob{}, marks: map[wire.MachineID]MachinePhase{},
+	return &Transaction{l: l, added: l.FilterAdditions(), most: min(changes, l.limits.TxnOps), jobs: map[wire.JobID]*draftJob{}, marks: map[wire.MachineID]MachinePhase{},
 		usage: map[wire.Team]Resources{}, conds: map[string]wire.Revision{}, puts: map[string]any{}, sizes: map[string]int{}}
 }
 
 // Limit leaves room for no more than so many changes, or as many as there are.
 func (d *Transaction) Limit(changes int) { d.most = max(len(d.puts), min(d.most, changes)) }
 
-// Room is how many changes the transaction may have.
-func (d *Transaction) Room() int { return d.most }
+// RemainingChanges is how many changes the transaction may have.
+func (d *Transaction) RemainingChanges() int { return d.most }
 
 func (d *Transaction) job(j *Job) *draftJob {
 	w := d.jobs[j.ID]
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// Txn returns the transaction.
-func (d *Transaction) Txn() (wire.Txn, error) {
+// Request returns the transaction.
+func (d *Transaction) Request() (wire.Txn, error) {
 	var t wire.Txn
 	for k, v := range d.conds {
 		t.If = append(t.If, wire.Condition{Key: k, Version: v})
--- a/internal/state/ledger/galleries.go
+++ b/internal/state/ledger/galleries.go
@@ -53,8 +53,8 @@
 // Register is the newest edition of the register that was acted on; 0: none.
 func (l *Ledger) Register() int { return l.register.Revision }
 
-// RaiseRegister puts a newer edition of the register in force.
-func (d *Transaction) RaiseRegister(revision int) error {
+// UpgradeRegister puts a newer edition of the register in force.
+func (d *Transaction) UpgradeRegister(revision int) error {
 	if revision <= d.l.register.Revision || d.l.past.format.Format < GalleryFormat {
 		return ErrPreconditionFailed
 	}
@@ -127,8 +127,8 @@
 // Date is the promised date in force.
 func (g *Gallery) Date() wire.UnixMillis { return g.Promises[len(g.Promises)-1].Date }
 
-// Over reports whether nothing will ever change of the gallery any more.
-func (g *Gallery) Over() bool { return len(galleryMoves[g.State]) == 0 }
+// Ended reports whether nothing will ever change of the gallery any more.
+func (g *Gallery) Ended() bool { return len(galleryMoves[g.State]) == 0 }
 
 // HasJobs reports whether any of the gallery's jobs is on record.
 func (g *Gallery) HasJobs() bool { return len(g.jobs) > 0 }
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// Galleries calls f for every gallery on record.
-func (l *Ledger) Galleries(f func(*Gallery)) {
+// EachGallery calls f for every gallery on record.
+func (l *Ledger) EachGallery(f func(*Gallery)) {
 	for _, g := range l.galleries {
 		if g.Version != 0 {
 			f(g)
@@ -177,7 +177,7 @@
 		return false
 	}
 	g := l.Gallery(n)
-	return g != nil && !g.Over()
+	return g != nil && !g.Ended()
 }
 
 // gallery returns a gallery to be written on, known or not.
@@ -252,8 +252,8 @@
 	}
 }
 
-// At tells a draft the time of day, for what notes when it came to be.
-func (d *Transaction) At(now wire.UnixMillis) { d.now = now }
+// SetTime tells a draft the time of day, for what notes when it came to be.
+func (d *Transaction) SetTime(now wire.UnixMillis) { d.now = now }
 
 // done makes a job done, and notes when if it is tied to a gallery.
 func (d *Transaction) done(w *draftJob) {
@@ -265,7 +265,7 @@
 
 // tie ties a job that is tied to none to a gallery that is not over.
 func (d *Transaction) tie(w *draftJob, g *Gallery) bool {
-	if w.gallery != "" || g.Version == 0 || g.Over() || d.l.past.format.Format < GalleryFormat {
+	if w.gallery != "" || g.Version == 0 || g.Ended() || d.l.past.format.Format < GalleryFormat {
 		return false
 	}
 	w.gallery = g.Name
@@ -328,7 +328,7 @@
 // ChangeDate adds a promise, as an edition of the register has it.
 func (d *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
 	switch {
-	case g.Over() || p.Date == g.Date():
+	case g.Ended() || p.Date == g.Date():
 		return ErrPreconditionFailed
 	case len(g.Promises) >= mostPromises:
 		return ErrManyDates
@@ -342,8 +342,8 @@
 	return d.writeGallery(g, r)
 }
 
-// Withdraw ends a gallery that an edition of the register no longer has.
-func (d *Transaction) Withdraw(g *Gallery, why string, at wire.UnixMillis, register int) error {
+// WithdrawGallery ends a gallery that an edition of the register no longer has.
+func (d *Transaction) WithdrawGallery(g *Gallery, why string, at wire.UnixMillis, register int) error {
 	if err := d.under(register); err != nil {
 		return err
 	}
@@ -375,7 +375,7 @@
 // ArchiveGallery moves a gallery that is over, and none of whose jobs is on record, into the
 // archive.
 func (d *Transaction) ArchiveGallery(g *Gallery) error {
-	if !g.Over() || g.HasJobs() || !d.mayArchive() {
+	if !g.Ended() || g.HasJobs() || !d.mayArchive() {
 		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
--- a/internal/state/ledger/galleries_test.go
+++ b/internal/state/ledger/galleries_test.go
@@ -24,9 +24,9 @@
 		truth := ledger.New(limits)
 		apply := func(txn wire.Txn) {
 			before := map[wire.GalleryName]ledger.GalleryRecord{}
-			truth.Galleries(func(g *ledger.Gallery) { before[g.Name] = g.GalleryRecord })
+			truth.EachGallery(func(g *ledger.Gallery) { before[g.Name] = g.GalleryRecord })
 			ties := map[wire.JobID]wire.GalleryName{}
-			truth.Active(func(j *ledger.Job) { ties[j.ID] = j.Gallery })
+			truth.EachActive(func(j *ledger.Job) { ties[j.ID] = j.Gallery })
 			edition := truth.Register()
 			rev, err := store.Apply(txn)
 			if err != nil {
@@ -38,7 +38,7 @@
 				events = append(events, e)
 				truth.Apply(e)
 			}
-			truth.Active(func(j *ledger.Job) {
+			truth.EachActive(func(j *ledger.Job) {
 				old, known := ties[j.ID]
 				if old != "" && old != j.Gallery {
 					t.Fatalf("seed %d: %s goes from %q to %q", seed, j.ID, old, j.Gallery)
@@ -49,7 +49,7 @@
 					}
 				}
 			})
-			truth.Galleries(func(g *ledger.Gallery) {
+			truth.EachGallery(func(g *ledger.Gallery) {
 				old, had := before[g.Name]
 				if !had {
 					if kinds["open"]++; g.Register != edition {
@@ -77,7 +77,7 @@
 		if err := d.UpgradeFormat(ledger.GalleryFormat, 0); err != nil {
 			t.Fatal(err)
 		}
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		apply(txn)
 		ledgers := []*ledger.Ledger{ledger.New(limits), ledger.New(limits), ledger.New(limits)}
 		var late []wire.Txn
@@ -87,14 +87,14 @@
 			mirror(l, &events, len(events)-rng.IntN(min(len(events), 5)+1))
 			d := l.NewTransaction()
 			now := wire.UnixMillis(1000 + step)
-			d.At(now)
+			d.SetTime(now)
 			name := wire.GalleryName(fmt.Sprint("g-", rng.IntN(5)))
 			id := wire.JobID(fmt.Sprintf("wk-%06d", rng.IntN(12)))
 			g, j := l.Gallery(name), l.Job(id)
 			edition := step/80 + who%2 // they have different editions
 			switch rng.IntN(8) {
 			case 0:
-				_ = d.RaiseRegister(edition)
+				_ = d.UpgradeRegister(edition)
 			case 1:
 				_ = d.OpenGallery(name, "free", ledger.Promise{At: now, Date: now + 500}, edition)
 			case 2:
@@ -114,7 +114,7 @@
 					_ = d.MoveGallery(g, []ledger.GalleryState{ledger.GalleryAtRisk, ledger.GalleryOpen, ledger.GalleryKept, ledger.GalleryBroken}[rng.IntN(4)], "why", now)
 				}
 				if g != nil && rng.IntN(12) == 0 {
-					_ = d.Withdraw(g, "gone", now, edition)
+					_ = d.WithdrawGallery(g, "gone", now, edition)
 				}
 			case 7:
 				if j != nil {
@@ -123,7 +123,7 @@
 					}
 				}
 			}
-			txn, err := d.Txn()
+			txn, err := d.Request()
 			if err != nil || len(txn.Then) == 0 {
 				continue
 			}
@@ -148,7 +148,7 @@
 		if len(problems) > 0 {
 			t.Fatalf("seed %d: %v", seed, problems)
 		}
-		truth.Galleries(func(g *ledger.Gallery) {
+		truth.EachGallery(func(g *ledger.Gallery) {
 			if o := again.Gallery(g.Name); o == nil || o.Count != g.Count {
 				t.Fatalf("seed %d: %s counts %+v, read anew %+v", seed, g.Name, g.Count, o)
 			}
@@ -169,7 +169,7 @@
 	f.Fuzz(func(t *testing.T, value string) {
 		l, problems := ledger.Verify(map[string]ledger.Event{ledger.GalleryPrefix + "g": {Key: ledger.GalleryPrefix + "g", Value: []byte(value), Version: 5}}, limits)
 		if g := l.Gallery("g"); g != nil {
-			_, _ = g.Date(), g.Over()
+			_, _ = g.Date(), g.Ended()
 		} else if len(problems) == 0 {
 			t.Errorf("%q is neither taken nor a problem", value)
 		}
@@ -188,7 +188,7 @@
 		if err := f(d); err != nil {
 			return err
 		}
-		txn, err := d.Txn()
+		txn, err := d.Request()
 		version++
 		for _, c := range txn.Then {
 			l.Apply(ledger.Event{Key: c.Put, Value: c.Value, Version: version})
@@ -197,7 +197,7 @@
 	}
 	long := string(make([]byte, 300))
 	_ = do(func(d *ledger.Transaction) error { return d.UpgradeFormat(ledger.GalleryFormat, 0) })
-	_ = do(func(d *ledger.Transaction) error { return d.RaiseRegister(1) })
+	_ = do(func(d *ledger.Transaction) error { return d.UpgradeRegister(1) })
 	name := wire.GalleryName("a-name-of-64-bytes-a-name-of-64-bytes-a-name-of-64-bytes-aaaaaaa")
 	if err := do(func(d *ledger.Transaction) error {
 		return d.OpenGallery(name, "free", ledger.Promise{At: 1e12, Date: 2e12, Why: long}, 1)
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -243,8 +243,8 @@
 // Job returns a job, or nil. Of a job that is over, Over may be all that there is.
 func (l *Ledger) Job(id wire.JobID) *Job { return l.jobs[id] }
 
-// Active calls f for every job that is neither done nor cancelled.
-func (l *Ledger) Active(f func(*Job)) {
+// EachActive calls f for every job that is neither done nor cancelled.
+func (l *Ledger) EachActive(f func(*Job)) {
 	for _, j := range l.active {
 		f(j)
 	}
@@ -253,11 +253,11 @@
 // Counts returns the number of jobs known and of those active.
 func (l *Ledger) Counts() (known, active int) { return len(l.jobs) + len(l.past.over), len(l.active) }
 
-// HeldBy returns the claims on a machine. The slice must not be kept.
-func (l *Ledger) HeldBy(m wire.MachineID) []HeldClaim { return l.held[m] }
+// ClaimsOn returns the claims on a machine. The slice must not be kept.
+func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.held[m] }
 
-// Holders calls f for every machine with claims.
-func (l *Ledger) Holders(f func(wire.MachineID, []HeldClaim)) {
+// EachHolder calls f for every machine with claims.
+func (l *Ledger) EachHolder(f func(wire.MachineID, []HeldClaim)) {
 	for m, h := range l.held {
 		f(m, h)
 	}
@@ -281,9 +281,9 @@
 	}
 }
 
-// DecodeMark reads a machine's mark from its record as the state service has it, with the reason
+// DecodeMachinePhase reads a machine's mark from its record as the state service has it, with the reason
 // that was given; false for records of something else.
-func DecodeMark(it wire.Item) (m wire.MachineID, mark MachinePhase, why string, ok bool) {
+func DecodeMachinePhase(it wire.Item) (m wire.MachineID, mark MachinePhase, why string, ok bool) {
 	rest, ok := strings.CutPrefix(it.Key, machinePrefix)
 	var r machineRecord
 	if !ok || json.Unmarshal(it.Value, &r) != nil {
@@ -327,7 +327,7 @@
 // Free is what claims leave of a machine in its session.
 func (l *Ledger) Free(s ClaimTarget) Resources {
 	free := l.Total(s.Type)
-	for _, h := range l.HeldBy(s.Machine) {
+	for _, h := range l.ClaimsOn(s.Machine) {
 		if h.Session >= s.Session {
 			free = free.Add(h.Job.Need, -h.Count)
 		}
@@ -335,14 +335,14 @@
 	return free
 }
 
-// Flavor returns a machine type as the leader has published it.
-func (l *Ledger) Flavor(t wire.MachineTypeName) (wire.MachineType, bool) {
+// MachineType returns a machine type as the leader has published it.
+func (l *Ledger) MachineType(t wire.MachineTypeName) (wire.MachineType, bool) {
 	f, ok := l.flavors[t]
 	return f, ok
 }
 
-// Flavors returns all machine types. The map must not be changed.
-func (l *Ledger) Flavors() map[wire.MachineTypeName]wire.MachineType { return l.flavors }
+// MachineTypes returns all machine types. The map must not be changed.
+func (l *Ledger) MachineTypes() map[wire.MachineTypeName]wire.MachineType { return l.flavors }
 
 // LastCancel is at or above the revision of every cancellation that the ledger
 // holds. A controller tells a user of one only when its ledger holds it.
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -87,9 +87,9 @@
 	// read has a ledger know the pages of the filter that it needs.
 	read := func(l *ledger.Ledger, ids ...wire.JobID) {
 		for _, id := range ids {
-			if !l.PageKnown(string(id)) {
+			if !l.FilterPageKnown(string(id)) {
 				page, version := pageOf(store, id)
-				l.PutPage(page, version, l.Added())
+				l.PutFilterPage(page, version, l.FilterAdditions())
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 		}
 		commits++
 		for _, id := range ids {
-			truth.DropPage(string(id)) // what is stored counts, not what is kept up from what is seen
+			truth.DropFilterPage(string(id)) // what is stored counts, not what is kept up from what is seen
 		}
 		read(truth, ids...)
 		after := model.Read(truth, ids, finals, before)
@@ -138,7 +138,7 @@
 	if err := raise.UpgradeFormat(ledger.ArchiveFormat, 0); err != nil {
 		return []string{err.Error()}, 0, 0
 	}
-	raised, _ := raise.Txn()
+	raised, _ := raise.Request()
 	_ = commit(raised)
 	specs := map[wire.JobID]*wire.JobSpec{}
 	for step := range steps {
@@ -177,11 +177,11 @@
 				}
 			case 12:
 				var over []wire.JobID
-				l.Finished(func(id wire.JobID, _ wire.Revision) { over = append(over, id) })
+				l.EachFinished(func(id wire.JobID, _ wire.Revision) { over = append(over, id) })
 				slices.Sort(over)
 				if rng.IntN(3) == 0 { // a controller that finds a conflict reads the page anew
 					for _, id := range over {
-						l.DropPage(string(id))
+						l.DropFilterPage(string(id))
 					}
 				}
 				read(l, over...)
@@ -189,14 +189,14 @@
 					one := l.NewTransaction() // what is moved shares no transaction with starts and exits
 					if rng.IntN(2) == 0 && one.DeleteTaskRanges(over[0]) == nil {
 						d = one
-					} else if page := l.Page(over[0]); page == l.Page(over[len(over)-1]) {
+					} else if page := l.FilterPage(over[0]); page == l.FilterPage(over[len(over)-1]) {
 						if _, err := one.Archive(over[:1+rng.IntN(len(over))]); err == nil {
 							d = one
 						}
 					}
 				}
 			case 13:
-				part, _ := archive.PartOf(string(site(machine, 0).Machine))
+				part, _ := archive.PartOfMachine(string(site(machine, 0).Machine))
 				if one := l.NewTransaction(); one.CompactTerminated(part, []wire.MachineID{site(machine, 0).Machine}) == nil {
 					d = one
 				}
@@ -248,7 +248,7 @@
 				})
 			}
 		}
-		t, err := d.Txn()
+		t, err := d.Request()
 		if err != nil {
 			return append(bad, err.Error()), commits, conflicts
 		}
@@ -315,7 +315,7 @@
 		if err := f(d); err != nil {
 			t.Fatal(err)
 		}
-		txn, err := d.Txn()
+		txn, err := d.Request()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -344,8 +344,8 @@
 			return err
 		})
 	}
-	if j.State != ledger.Done || j.Done != 50 || l.HeldBy("host-1") != nil {
-		t.Errorf("state %q, %d done, %d held", j.State, j.Done, len(l.HeldBy("host-1")))
+	if j.State != ledger.Done || j.Done != 50 || l.ClaimsOn("host-1") != nil {
+		t.Errorf("state %q, %d done, %d held", j.State, j.Done, len(l.ClaimsOn("host-1")))
 	}
 	if _, err := l.NewTransaction().Cancel(j); err != nil || j.Status() != wire.Done {
 		t.Errorf("a done job can be cancelled: %v", err)
@@ -369,7 +369,7 @@
 				if err := submit.Submit(s, 1); err != nil {
 					t.Fatal(err)
 				}
-				accepted, _ := submit.Txn()
+				accepted, _ := submit.Request()
 				l.Apply(ledger.Event{Key: accepted.Then[0].Put, Value: accepted.Then[0].Value, Version: 1})
 				d := l.NewTransaction()
 				for m := range 4 {
@@ -377,7 +377,7 @@
 						t.Fatalf("%d of 2 claimed: %v", got, err)
 					}
 				}
-				txn, err := d.Txn()
+				txn, err := d.Request()
 				if err != nil || len(txn.Then) != 1 {
 					t.Fatalf("eight starts of %s by controller %d of %d take %d changes: %v", s.ID, n, controllers, len(txn.Then), err)
 				}
@@ -396,7 +396,7 @@
 	l := ledger.New(limits)
 	store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 	apply := func(d *ledger.Transaction) {
-		txn, _ := d.Txn()
+		txn, _ := d.Request()
 		rev, err := store.Apply(txn)
 		if err != nil {
 			t.Fatal(err)
@@ -465,7 +465,7 @@
 	changes := 0
 	apply := func(d *ledger.Transaction) {
 		t.Helper()
-		txn, err := d.Txn()
+		txn, err := d.Request()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -478,7 +478,7 @@
 			l.Apply(ledger.Event{Key: c.Put, Value: c.Value, Version: rev})
 		}
 	}
-	l.Apply(ledger.Event{Key: ledger.FlavorKey("g4"), Version: 1,
+	l.Apply(ledger.Event{Key: ledger.MachineTypeKey("g4"), Version: 1,
 		Value: []byte(`{"sku":"g4","cores":48,"accelerators":4,"ram_gb":288,"yards":["a","b"]}`)})
 	const tasks = 5000
 	s := &wire.JobSpec{ID: "wk-000001", Class: "c", Team: "free", Shape: wire.Array, Priority: wire.BestEffort, Tasks: tasks, CPUs: 0.25, Image: "i"}
@@ -495,7 +495,7 @@
 			t.Fatalf("%d of %d done after %d rounds", j.Done, tasks, round)
 		}
 		m := site(rng.IntN(40), 1)
-		if len(l.HeldBy(m.Machine)) == 0 {
+		if len(l.ClaimsOn(m.Machine)) == 0 {
 			d := l.NewTransaction()
 			if _, err := d.Claim(j, m, 192, nil); err == nil {
 				apply(d)
@@ -505,7 +505,7 @@
 		}
 		// One report: every other task that is there is over.
 		over := map[int]map[ledger.Claim][]wire.TaskIndex{}
-		for _, h := range l.HeldBy(m.Machine) {
+		for _, h := range l.ClaimsOn(m.Machine) {
 			one := h.Claim
 			one.First, one.Count = 0, 0
 			if over[h.Range()] == nil {
@@ -577,7 +577,7 @@
 			if err := f(d); err != nil {
 				t.Fatal(err)
 			}
-			if err := land(d.Txn()); err != nil {
+			if err := land(d.Request()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -588,7 +588,7 @@
 		do(func(d *ledger.Transaction) error { return d.Submit(job, 1) })
 		gone := func(machine int) {
 			m := site(machine, 1).Machine
-			part, _ := archive.PartOf(string(m))
+			part, _ := archive.PartOfMachine(string(m))
 			do(func(d *ledger.Transaction) error { return d.SetMachinePhase(m, ledger.Terminating, "test", leader) })
 			do(func(d *ledger.Transaction) error { return d.SetMachinePhase(m, ledger.Terminated, "test", leader) })
 			do(func(d *ledger.Transaction) error { return d.CompactTerminated(part, []wire.MachineID{m}) })
@@ -599,12 +599,12 @@
 			t.Fatal(err)
 		}
 		gone(4)
-		if n := l.GoneMachines(); n != 2 || l.MachinePhase("host-4") != ledger.Terminated || l.MachinePhase("host-5") != "" {
+		if n := l.CountTerminated(); n != 2 || l.MachinePhase("host-4") != ledger.Terminated || l.MachinePhase("host-5") != "" {
 			t.Errorf("%d machines are gone", n)
 		}
 		before := model.Read(l, []wire.JobID{job.ID}, nil, model.State{})
 		before.Marks["host-4"] = ledger.Terminated
-		err := land(late.Txn())
+		err := land(late.Request())
 		after := model.Read(l, []wire.JobID{job.ID}, nil, before)
 		bad := model.Check(before, after, nil, nil)
 		if broken := blind != ""; (err == nil) != broken || (len(bad) > 0) != broken {
@@ -665,7 +665,7 @@
 			rev, err := land(m.txn)
 			mirror(m.l, &events, len(events))
 			if err != nil {
-				m.l.DropPage(string(m.id))
+				m.l.DropFilterPage(string(m.id))
 			} else {
 				m.d.Committed(rev)
 			}
@@ -680,11 +680,11 @@
 			var group []wire.JobID
 			for _, id := range append(slices.Clone(ids[at:]), ids[:at]...) {
 				if l.Archivable(id) {
-					if !l.PageKnown(string(id)) {
+					if !l.FilterPageKnown(string(id)) {
 						p, version := pageOf(store, id)
-						l.PutPage(p, version, l.Added())
+						l.PutFilterPage(p, version, l.FilterAdditions())
 					}
-					if len(group) > 0 && !l.Page(group[0]).Covers(string(id)) || len(group) == 12 {
+					if len(group) > 0 && !l.FilterPage(group[0]).Covers(string(id)) || len(group) == 12 {
 						break
 					}
 					group = append(group, id)
@@ -700,7 +700,7 @@
 			if _, err := d.Archive(group); err != nil {
 				t.Fatal(err)
 			}
-			txn, err := d.Txn()
+			txn, err := d.Request()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -49,8 +49,8 @@
 	ErrSwapping         = errors.New("another change is under way")
 )
 
-// Ask begins a change to a module, or makes the built-in policy ("") the one at once.
-func (r PolicyRecord) Ask(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
+// RequestSwap begins a change to a module, or makes the built-in policy ("") the one at once.
+func (r PolicyRecord) RequestSwap(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
 	switch {
 	case h == "":
 		if r.Use != "" {
@@ -64,28 +64,28 @@
 	return r, nil
 }
 
-// Back begins a change to the policy before.
-func (r PolicyRecord) Back(now wire.UnixMillis) (PolicyRecord, error) {
+// Rollback begins a change to the policy before.
+func (r PolicyRecord) Rollback(now wire.UnixMillis) (PolicyRecord, error) {
 	if r.Next != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: "given up by an operator"}, nil
 	}
 	if r.Use == "" && r.Last == "" {
 		return r, ErrNoPreviousPolicy
 	}
-	return r.Ask(r.Last, now)
+	return r.RequestSwap(r.Last, now)
 }
 
-// End completes the change under way, or gives it up with a reason.
-func (r PolicyRecord) End(why string, now wire.UnixMillis) PolicyRecord {
+// EndSwap completes the change under way, or gives it up with a reason.
+func (r PolicyRecord) EndSwap(why string, now wire.UnixMillis) PolicyRecord {
 	if why != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: why}
 	}
 	return PolicyRecord{Use: r.Next, Last: r.Use, At: now}
 }
 
-// Without returns the record when a module is removed that is not in use nor about to be; there
+// RemoveModule returns the record when a module is removed that is not in use nor about to be; there
 // is no going back to it then.
-func (r PolicyRecord) Without(h wire.ModuleHash) (PolicyRecord, error) {
+func (r PolicyRecord) RemoveModule(h wire.ModuleHash) (PolicyRecord, error) {
 	if h == r.Use || h == r.Next {
 		return r, ErrInUse
 	}
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -22,9 +22,9 @@
 
 // Keys of the durable records.
 const (
-	LeaderKey = Prefix + "leader"
-	TokenKey  = Prefix + "token"
-	HiresKey  = Prefix + "hires"
+	LeaderKey   = Prefix + "leader"
+	TokenKey    = Prefix + "token"
+	ScaleOutKey = Prefix + "hires"
 
 	jobPrefix     = Prefix + "j/"
 	chunkPrefix   = Prefix + "t/"
@@ -47,8 +47,8 @@
 // MemberKey is where a controller publishes its picture.
 func MemberKey(m wire.MemberID) string { return memberPrefix + string(m) }
 
-// FlavorKey is where the leader publishes a machine type.
-func FlavorKey(t wire.MachineTypeName) string { return flavorPrefix + strconv.Quote(string(t)) }
+// MachineTypeKey is where the leader publishes a machine type.
+func MachineTypeKey(t wire.MachineTypeName) string { return flavorPrefix + strconv.Quote(string(t)) }
 
 // Resources are amounts in millionths, so that sums are exact.
 type Resources struct{ CPU, GPU, Memory int64 }
--- a/internal/state/ledger/team_limit.go
+++ b/internal/state/ledger/team_limit.go
@@ -27,9 +27,9 @@
 	return max(0, left.Times(need, most))
 }
 
-// TeamRoom returns how many of the job's tasks its team's limit leaves room
+// RemainingTeamQuota returns how many of the job's tasks its team's limit leaves room
 // for, beside its claims and extra.
-func (l *Ledger) TeamRoom(j *Job, extra Resources, most int) int {
+func (l *Ledger) RemainingTeamQuota(j *Job, extra Resources, most int) int {
 	limit, capped := l.limits.TeamMax[j.Spec.Team]
 	if !capped {
 		return most
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -23,11 +23,11 @@
 	{jobPrefix, "jobs"}, {chunkPrefix, "ranges of jobs"}, {machinePrefix, "marks of machines"}, {teamPrefix, "teams"},
 	{memberPrefix, "members"}, {flavorPrefix, "machine types"}, {workflowPrefix, "workflows"}, {GalleryPrefix, "galleries"}, {finalBookPrefix, "archived galleries"}, {filterPrefix, "filter pages"},
 	{headPrefix, "series of gone machines"}, {partPrefix, "parts of gone machines"}, {finalPrefix, "archived jobs"}, {finalFlowPrefix, "archived workflows"},
-	{DocumentPrefix, "documents"}, {LeaderKey, "leader"}, {TokenKey, "token"}, {HiresKey, "rentals"}, {FormatKey, "format"}, {RegisterKey, "register of galleries"}, {modulePrefix, "modules"}, {codePrefix, "code of modules"}, {PolicyKey, "policy"}, {ImportKey, "import under way"},
+	{DocumentPrefix, "documents"}, {LeaderKey, "leader"}, {TokenKey, "token"}, {ScaleOutKey, "rentals"}, {FormatKey, "format"}, {RegisterKey, "register of galleries"}, {modulePrefix, "modules"}, {codePrefix, "code of modules"}, {PolicyKey, "policy"}, {ImportKey, "import under way"},
 }
 
-// Kind tells in words what a key is of; "" if it is of nothing that is known.
-func Kind(key string) string {
+// RecordKind tells in words what a key is of; "" if it is of nothing that is known.
+func RecordKind(key string) string {
 	for _, k := range kinds {
 		if strings.HasPrefix(key, k.prefix) {
 			return k.kind
@@ -42,8 +42,8 @@
 	return key == LeaderKey || key == ImportKey || strings.HasPrefix(key, memberPrefix)
 }
 
-// Archived returns the job whose final state a key holds.
-func Archived(key string) (wire.JobID, bool) {
+// ArchivedJobID returns the job whose final state a key holds.
+func ArchivedJobID(key string) (wire.JobID, bool) {
 	id, ok := strings.CutPrefix(key, finalPrefix)
 	return wire.JobID(id), ok
 }
@@ -80,7 +80,7 @@
 	}
 	keys := slices.Sorted(maps.Keys(records))
 	for _, key := range keys {
-		if Kind(key) == "" {
+		if RecordKind(key) == "" {
 			complain(key, "is no key of this version")
 		} else if err := l.apply(records[key]); err != nil {
 			complain(key, "%v", err)
@@ -119,7 +119,7 @@
 	}
 	for s := range l.past.headVer {
 		h := l.past.gone.Head(s)
-		if n := gone[s] + h.Whole.Count()*archive.Span; n != h.Gone {
+		if n := gone[s] + h.Whole.Len()*archive.Span; n != h.Gone {
 			complain(headPrefix+s.String(), "%d machines, and its parts have %d", h.Gone, n)
 		}
 	}
--- a/internal/state/ledger/workflows.go
+++ b/internal/state/ledger/workflows.go
@@ -52,8 +52,8 @@
 // Workflow returns a workflow, or nil.
 func (l *Ledger) Workflow(id wire.WorkflowID) *Workflow { return l.workflows[id] }
 
-// Workflows calls f for every workflow.
-func (l *Ledger) Workflows(f func(*Workflow)) {
+// EachWorkflow calls f for every workflow.
+func (l *Ledger) EachWorkflow(f func(*Workflow)) {
 	for _, w := range l.workflows {
 		f(w)
 	}
@@ -63,7 +63,7 @@
 	old := l.workflows[id]
 	if e.Value == nil && old != nil && e.Version >= old.Version {
 		delete(l.workflows, id)
-		l.past.filter.Add(FlowName(id))
+		l.past.filter.Add(WorkflowFilterName(id))
 		return nil
 	}
 	if e.Value == nil || old != nil && e.Version <= old.Version {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Over reports whether nothing will ever come of the workflow any more.
-func (w *Workflow) Over() bool {
+// Ended reports whether nothing will ever come of the workflow any more.
+func (w *Workflow) Ended() bool {
 	return w.State == WorkflowDone || w.State == WorkflowCancelled && w.Swept
 }
 
@@ -130,8 +130,8 @@
 	return to, d.writeWorkflow(w.ID, w.Version, r)
 }
 
-// SweepWorkflow notes that no job of a cancelled workflow is active any more.
-func (d *Transaction) SweepWorkflow(w *Workflow) error {
+// DeleteWorkflow notes that no job of a cancelled workflow is active any more.
+func (d *Transaction) DeleteWorkflow(w *Workflow) error {
 	if w.State != WorkflowCancelled || w.Swept {
 		return ErrPreconditionFailed
 	}
@@ -143,19 +143,19 @@
 // FinalWorkflowKey is where an archived workflow's record is kept.
 func FinalWorkflowKey(id wire.WorkflowID) string { return finalFlowPrefix + string(id) }
 
-// FlowName is a workflow's name in the filter, which no job has.
-func FlowName(id wire.WorkflowID) string { return "workflow " + string(id) }
+// WorkflowFilterName is a workflow's name in the filter, which no job has.
+func WorkflowFilterName(id wire.WorkflowID) string { return "workflow " + string(id) }
 
 // WorkflowMayBeArchived is MayBeArchived for a workflow.
 func (l *Ledger) WorkflowMayBeArchived(id wire.WorkflowID) (may, known bool) {
-	return l.mayHold(FlowName(id))
+	return l.mayHold(WorkflowFilterName(id))
 }
 
 // ArchiveWorkflow moves a workflow that is over into the archive. Its record stays what it
 // is, and whoever looks at its steps finds their jobs in the archive, too.
 func (d *Transaction) ArchiveWorkflow(id wire.WorkflowID) error {
 	w := d.l.workflows[id]
-	if !d.mayArchive() || w == nil || !w.Over() {
+	if !d.mayArchive() || w == nil || !w.Ended() {
 		return ErrPreconditionFailed
 	}
 	return d.try(func() error {
@@ -163,7 +163,7 @@
 		d.del(workflowKey(id))
 		d.conds[FinalWorkflowKey(id)] = 0
 		d.put(FinalWorkflowKey(id), w.WorkflowRecord)
-		return d.let(FlowName(id))
+		return d.let(WorkflowFilterName(id))
 	})
 }
 
--- a/internal/state/watchcache/mirror.go
+++ b/internal/state/watchcache/mirror.go
@@ -30,7 +30,7 @@
 	// Advanced: the records moved on.
 	Advanced(now time.Time)
 	// Moved: a job was archived and is no longer among the records.
-	Moved(id wire.JobID, r ledger.FinalRecord)
+	JobArchived(id wire.JobID, r ledger.FinalRecord)
 }
 
 // Options are the settings of a mirror.
@@ -75,7 +75,7 @@
 	}
 	began := time.Now()
 	m.mu.Lock()
-	m.stats.Took("lock_wait_seconds", time.Since(began))
+	m.stats.Observe("lock_wait_seconds", time.Since(began))
 }
 
 // Unlock gives the lock back.
@@ -122,7 +122,7 @@
 func (m *Cache) Watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		at, err := m.Load(ctx)
-		if errors.Is(err, ledger.ErrFormat) {
+		if errors.Is(err, ledger.ErrNewerFormat) {
 			return err
 		}
 		if errors.Is(err, ledger.ErrImporting) {
@@ -137,7 +137,7 @@
 		}
 		for ctx.Err() == nil {
 			ev, err := m.store.Watch(ctx, ledger.Prefix, at, watchWait)
-			if errors.Is(err, kvstore.ErrTooOld) {
+			if errors.Is(err, kvstore.ErrRevisionCompacted) {
 				m.log.Info("watch fell behind; reading everything again")
 				break
 			}
@@ -169,7 +169,7 @@
 			m.led.Apply(ledger.Event{Key: e.Put, Value: e.Value, Version: e.Version})
 		}
 	}
-	m.led.ArchivedJobs(m.follower.Moved)
+	m.led.ArchivedJobs(m.follower.JobArchived)
 	err := m.led.CheckFormat()
 	m.advance(ev.Revision)
 	return err
@@ -230,7 +230,7 @@
 		select {
 		case <-ch:
 		case <-ctx.Done():
-			return kvstore.ErrNoReach
+			return kvstore.ErrUnreachable
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	case <-b.done:
 		return b.err
 	case <-ctx.Done():
-		return kvstore.ErrNoReach
+		return kvstore.ErrUnreachable
 	}
 }
 
@@ -298,7 +298,7 @@
 		}
 		if b != nil {
 			if err != nil {
-				b.err = kvstore.ErrNoReach
+				b.err = kvstore.ErrUnreachable
 			}
 			close(b.done)
 		}
@@ -334,7 +334,7 @@
 			}
 			m.log.Debug("no token yet", "err", err)
 			pause := 200 * time.Millisecond
-			if conflict := new(kvstore.Conflict); errors.As(err, &conflict) {
+			if conflict := new(kvstore.ConflictError); errors.As(err, &conflict) {
 				// Another took one at the same moment, as when all start together: the records
 				// show it by now.
 				pause = 10 * time.Millisecond
@@ -375,7 +375,7 @@
 	rev, err := m.store.Commit(waiting, wire.Txn{
 		If:   []wire.Condition{{Key: ledger.TokenKey, Version: version}},
 		Then: []wire.Change{{Put: ledger.TokenKey, Value: value}}})
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		return errors.Join(err, m.WaitForRevision(waiting, conflict.Revision))
 	}
--- a/internal/testing/controllertest/parttest.go
+++ b/internal/testing/controllertest/parttest.go
@@ -85,18 +85,18 @@
 	Store        kvstore.Store
 	Stats        *metrics.Set
 	Log          *slog.Logger
-	Mirror       *watchcache.Cache
-	Writer       *committer.Committer
-	Members      *membership.Membership
-	Book         *crashloop.Tracker
+	Cache        *watchcache.Cache
+	Committer    *committer.Committer
+	Membership   *membership.Membership
+	Failures     *crashloop.Tracker
 	RunTimes     *estimate.RunTimes
 	SpotReclaims *estimate.SpotReclaims
-	Roster       *reconcile.Registry
+	Registry     *reconcile.Registry
 	Policies     *policymanager.Manager
-	Places       *topologytracker.Tracker
-	Promises     *deadlinetracker.Tracker
-	Schedule     *scheduler.Scheduler
-	Completed    *completion.Log
+	Topology     *topologytracker.Tracker
+	Deadlines    *deadlinetracker.Tracker
+	Scheduler    *scheduler.Scheduler
+	Completions  *completion.Log
 	Exchange     *completion.Exchange
 }
 
@@ -106,37 +106,37 @@
 	p := &Parts{Set: set, Store: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1)),
 		Stats: metrics.New(), Log: slog.New(slog.DiscardHandler)}
 	limits := ledger.Limits{ValueBytes: set.ValueBytes(), TxnOps: set.Cluster.State.TxnOps, TxnBytes: kvstore.TxnBytes}
-	p.Mirror = watchcache.New(watchcache.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}, p.Store, follower{p}, p.Stats, p.Log)
-	p.Writer = committer.New(committer.Options{Changes: 13, TxnOps: limits.TxnOps}, p.Mirror, p.Store, p.Stats, p.Log)
+	p.Cache = watchcache.New(watchcache.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}, p.Store, follower{p}, p.Stats, p.Log)
+	p.Committer = committer.New(committer.Options{Changes: 13, TxnOps: limits.TxnOps}, p.Cache, p.Store, p.Stats, p.Log)
 	others := []wire.MemberID{}
 	for _, o := range set.Peers {
 		others = append(others, o.Member)
 	}
-	p.Members = membership.New(membership.Options{Self: set.Member, Others: others, Count: 3, Contact: settings.StartContact, ValueBytes: limits.ValueBytes}, p.Stats, p.Log)
-	p.RunTimes, p.SpotReclaims = estimate.NewRunTimes(p.Members), &estimate.SpotReclaims{}
-	p.Book = crashloop.New(p.RunTimes, p.Stats, p.Log)
-	p.Completed = completion.New(64)
-	p.Exchange = completion.NewExchange(p.Completed, time.Now(), others)
-	p.Roster = reconcile.NewRoster(p.Members, p.Completed)
+	p.Membership = membership.New(membership.Options{Self: set.Member, Others: others, Count: 3, Contact: settings.StartContact, ValueBytes: limits.ValueBytes}, p.Stats, p.Log)
+	p.RunTimes, p.SpotReclaims = estimate.NewRunTimes(p.Membership), &estimate.SpotReclaims{}
+	p.Failures = crashloop.New(p.RunTimes, p.Stats, p.Log)
+	p.Completions = completion.New(64)
+	p.Exchange = completion.NewExchange(p.Completions, time.Now(), others)
+	p.Registry = reconcile.NewRegistry(p.Membership, p.Completions)
 	p.Policies = policymanager.New(follower{p}, p.Store, set.Member, p.Stats, p.Log)
-	p.Places = topologytracker.New(set, p.Mirror, p.Members, p.Roster, p.Book, func() {}, p.Stats, p.Log)
-	p.Promises = deadlinetracker.New(set, deadlinetracker.Parts{Mirror: p.Mirror, Writer: p.Writer, RunTimes: p.RunTimes, Members: p.Members, Roster: p.Roster}, p.Stats, p.Log)
-	p.Schedule = scheduler.New(set, scheduler.Parts{Mirror: p.Mirror, Members: p.Members, Roster: p.Roster, Book: p.Book, RunTimes: p.RunTimes, SpotReclaims: p.SpotReclaims, Places: p.Places, Policies: p.Policies, Promises: p.Promises}, p.Stats, p.Log)
+	p.Topology = topologytracker.New(set, p.Cache, p.Membership, p.Registry, p.Failures, func() {}, p.Stats, p.Log)
+	p.Deadlines = deadlinetracker.New(set, deadlinetracker.Parts{Cache: p.Cache, Committer: p.Committer, RunTimes: p.RunTimes, Membership: p.Membership, Registry: p.Registry}, p.Stats, p.Log)
+	p.Scheduler = scheduler.New(set, scheduler.Parts{Cache: p.Cache, Membership: p.Membership, Registry: p.Registry, Failures: p.Failures, RunTimes: p.RunTimes, SpotReclaims: p.SpotReclaims, Topology: p.Topology, Policies: p.Policies, Deadlines: p.Deadlines}, p.Stats, p.Log)
 	return p
 }
 
 // follower is the parts as the mirror and the policies see them.
 type follower struct{ p *Parts }
 
-func (f follower) Loaded()                            { f.p.Schedule.InvalidateSnapshot() }
-func (f follower) Advanced(now time.Time)             { f.p.Schedule.RefreshChangedMachines(now) }
-func (follower) Moved(wire.JobID, ledger.FinalRecord) {}
-func (f follower) Read(read func(l *ledger.Ledger))   { f.p.Mirror.Read(read) }
-func (follower) Term() (wire.Revision, bool)          { return 0, false }
-func (follower) Others() []policymanager.Other        { return nil }
-func (f follower) Spare() int                         { return f.p.Writer.SpareCapacity() }
+func (f follower) Loaded()                                  { f.p.Scheduler.InvalidateSnapshot() }
+func (f follower) Advanced(now time.Time)                   { f.p.Scheduler.RefreshChangedMachines(now) }
+func (follower) JobArchived(wire.JobID, ledger.FinalRecord) {}
+func (f follower) Read(read func(l *ledger.Ledger))         { f.p.Cache.Read(read) }
+func (follower) Term() (wire.Revision, bool)                { return 0, false }
+func (follower) Others() []policymanager.Other              { return nil }
+func (f follower) Spare() int                               { return f.p.Committer.SpareCapacity() }
 func (f follower) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
-	return f.p.Writer.Commit(ctx, t)
+	return f.p.Committer.Commit(ctx, t)
 }
 
 // AddJob adds the record of a job that waits.
@@ -149,7 +149,7 @@
 
 // Answer is what a peer tells that was asked at a time.
 func Answer(member wire.MemberID, asked time.Time, cancelled wire.Revision, loaded bool, contact time.Duration) peer.Answer {
-	return peer.Answer{Asked: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
+	return peer.Answer{AsOf: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
 		Cancelled: cancelled, ContactMS: contact.Milliseconds()}}
 }
 
@@ -170,7 +170,7 @@
 	add := func(key, value string) {
 		g.Records = append(g.Records, ledger.Event{Key: key, Value: []byte(value), Version: wire.Revision(len(g.Records) + 1)})
 	}
-	add(ledger.FlavorKey("g2"), `{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"disk_gb":50,"fetch_gb_per_s":1,"hourly_price":4,"startup_s":20,"yards":["a","b","c"]}`)
+	add(ledger.MachineTypeKey("g2"), `{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"disk_gb":50,"fetch_gb_per_s":1,"hourly_price":4,"startup_s":20,"yards":["a","b","c"]}`)
 	name := func(i int) wire.MachineID { return wire.MachineID(fmt.Sprintf("host-%06d", i)) }
 	job := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 	spec := `{"spec":{"id":"%s","workclass":"c","owner":"free","shape":"%s","urgency":"%s","pieces":%d,"cores":4,"accelerators":1,"ram_gb":8,"bundle":"img-%d","pull_gb":4,"loaners":true,"expect_s":60},"at":%d%s}`
@@ -216,7 +216,7 @@
 		m.SetForTest(1, now)
 		l.AdvanceRevision(wire.Revision(len(g.Records)))
 		for _, report := range g.Reports {
-			r.Join(report, now).Reconcile(report, l.HeldBy(report.Machine), 1, now)
+			r.Register(report, now).Reconcile(report, l.ClaimsOn(report.Machine), 1, now)
 		}
 	})
 	for _, s := range g.Peers {
--- a/internal/testing/emulator/cloud.go
+++ b/internal/testing/emulator/cloud.go
@@ -56,8 +56,8 @@
 	c.mu.Unlock()
 }
 
-// Flavors implements the controllers' view of the cloud.
-func (c *Cloud) Flavors(context.Context) ([]wire.MachineType, error) {
+// MachineTypes implements the controllers' view of the cloud.
+func (c *Cloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
 	return c.Types, c.travel()
 }
 
--- a/internal/testing/emulator/http.go
+++ b/internal/testing/emulator/http.go
@@ -52,7 +52,7 @@
 	mux.HandleFunc("POST /leases/{id}/renew", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 		err := l.RenewLease(r.Context(), wire.LeaseID(id))
-		if errors.Is(err, kvstore.ErrNoLease) {
+		if errors.Is(err, kvstore.ErrLeaseNotFound) {
 			err = kvstore.ErrNotFound
 		}
 		answer(w, struct{}{}, err)
@@ -64,7 +64,7 @@
 func CloudHandler(c *Cloud) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, r *http.Request) {
-		f, err := c.Flavors(r.Context())
+		f, err := c.MachineTypes(r.Context())
 		answer(w, wire.MachineTypeList{Types: f}, err)
 	})
 	mux.HandleFunc("POST /machines", func(w http.ResponseWriter, r *http.Request) {
@@ -111,16 +111,16 @@
 
 func answer(w http.ResponseWriter, v any, err error) {
 	status := 200
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
 		status, v = 409, wire.TxnResult{Failed: conflict.Failed, Revision: conflict.Revision}
 	case errors.Is(err, kvstore.ErrNotFound):
 		status, v = 404, wire.TxnResult{}
-	case errors.Is(err, kvstore.ErrTooOld):
+	case errors.Is(err, kvstore.ErrRevisionCompacted):
 		status, v = 410, wire.ErrorBody{Error: "too old"}
-	case errors.Is(err, kvstore.ErrNoLease):
+	case errors.Is(err, kvstore.ErrLeaseNotFound):
 		status, v = 400, wire.ErrorBody{Error: "no such lease"}
 	case errors.Is(err, cloud.ErrNoCapacity):
 		status, v = 503, wire.ErrorBody{Error: "no capacity"}
--- a/internal/testing/emulator/store.go
+++ b/internal/testing/emulator/store.go
@@ -62,7 +62,7 @@
 		}
 	}
 	if failed != nil {
-		return 0, &kvstore.Conflict{Failed: failed, Revision: s.rev}
+		return 0, &kvstore.ConflictError{Failed: failed, Revision: s.rev}
 	}
 	for _, c := range t.Then {
 		if len(c.Value) > s.Value {
@@ -70,7 +70,7 @@
 			return 0, kvstore.ErrInvalid
 		}
 		if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
-			return 0, kvstore.ErrNoLease
+			return 0, kvstore.ErrLeaseNotFound
 		}
 	}
 	if len(t.Then) > 0 {
@@ -186,7 +186,7 @@
 	s.expire()
 	ev := wire.Events{Revision: s.rev}
 	if after < s.rev && (len(s.log) == 0 || s.log[0].Version > after+1) {
-		return ev, nil, kvstore.ErrTooOld
+		return ev, nil, kvstore.ErrRevisionCompacted
 	}
 	for _, e := range s.log {
 		if e.Version > after && (strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "") {
@@ -391,8 +391,8 @@
 	})
 }
 
-// Changes is without bound: the stand-in has no budget.
-func (l *Link) Changes() int { return math.MaxInt }
+// AvailableChanges is without bound: the stand-in has no budget.
+func (l *Link) AvailableChanges() int { return math.MaxInt }
 
 // Watch implements kvstore.Store.
 func (l *Link) Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error) {
@@ -440,7 +440,7 @@
 	defer s.mu.Unlock()
 	s.expire()
 	if _, ok := s.leases[id]; !ok {
-		return kvstore.ErrNoLease
+		return kvstore.ErrLeaseNotFound
 	}
 	s.leases[id] = time.Now().Add(s.ttl[id])
 	return nil
--- a/internal/testing/model/model.go
+++ b/internal/testing/model/model.go
@@ -236,14 +236,14 @@
 					continue
 				}
 				image := e.Job.Spec.Image
-				for (m.Images.Has(image) || m.Images.Underway(image)) && takes(e) {
+				for (m.Images.Has(image) || m.Images.IsFetching(image)) && takes(e) {
 					give(e)
 				}
 			}
 			for i := range like {
 				e := &like[i]
 				image := e.Job.Spec.Image
-				if !single(e) || m.Images.Has(image) || m.Images.Underway(image) || !takes(e) {
+				if !single(e) || m.Images.Has(image) || m.Images.IsFetching(image) || !takes(e) {
 					continue
 				}
 				if underWay > 0 || cold >= v.Limits.ColdStarts || soon(v, m, e) > before[image] || e.Waiting <= v.Limits.DeferCold && elsewhere(v, m, e) {
--- a/internal/workflow/runner/requests.go
+++ b/internal/workflow/runner/requests.go
@@ -23,13 +23,13 @@
 	if c.store == nil {
 		return st, false, ErrNoWorkflows
 	}
-	if !c.Users.Loaded() {
-		return st, false, kvstore.ErrNoReach
+	if !c.Jobs.Loaded() {
+		return st, false, kvstore.ErrUnreachable
 	}
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	known := c.led().Workflow(spec.ID) != nil
-	c.Mirror.Unlock()
-	if !known && c.set.Team(spec.Team) == nil {
+	c.Cache.Unlock()
+	if !known && c.set.FindTeam(spec.Team) == nil {
 		if st, err = c.Status(ctx, spec.ID); errors.Is(err, server.ErrNoSuchJob) {
 			err = errors.Join(server.ErrUnschedulable, errors.New("unknown team"))
 		}
@@ -41,12 +41,12 @@
 			return st, false, err
 		}
 		if err := c.writePieces(ctx, hash, pieces); err != nil {
-			return st, false, errors.Join(kvstore.ErrNoReach, err)
+			return st, false, errors.Join(kvstore.ErrUnreachable, err)
 		}
 		short := *spec
 		short.Bundle, short.Inputs = nil, nil
 		at := wire.UnixMillis(time.Now().UnixMilli())
-		err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
+		err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
 			return d.SubmitWorkflow(spec.ID, ledger.WorkflowRecord{Spec: &short, Hash: hash, Pieces: len(pieces), Accepted: at})
 		})
 		switch {
@@ -89,10 +89,10 @@
 	if c.store == nil {
 		return wire.WorkflowStatus{}, ErrNoWorkflows
 	}
-	if err := c.Mirror.ReadIndex(ctx); err != nil {
+	if err := c.Cache.ReadIndex(ctx); err != nil {
 		return wire.WorkflowStatus{}, err
 	}
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	w := c.led().Workflow(id)
 	st := wire.WorkflowStatus{ID: id}
 	// What was driven here tells nothing of the end that another gave the workflow.
@@ -102,11 +102,11 @@
 	} else {
 		d = nil
 	}
-	c.Mirror.Unlock()
+	c.Cache.Unlock()
 	if w == nil {
 		var err error
-		if w, err = c.Past.Workflow(ctx, id); err != nil {
-			return st, errors.Join(kvstore.ErrNoReach, err)
+		if w, err = c.Archiver.Workflow(ctx, id); err != nil {
+			return st, errors.Join(kvstore.ErrUnreachable, err)
 		}
 	}
 	if w == nil {
@@ -144,7 +144,7 @@
 // and jobs as any driver would; nil if that can't be had, or too many are looked at.
 func (c *Runner) lookAt(ctx context.Context, w *ledger.Workflow) []wire.StepStatus {
 	now := time.Now()
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	for id, l := range c.looked {
 		if now.Sub(l.ask) > lookedFor {
 			delete(c.looked, id)
@@ -158,7 +158,7 @@
 	if l != nil {
 		l.ask = now
 	}
-	c.Mirror.Unlock()
+	c.Cache.Unlock()
 	if l == nil {
 		return nil
 	}
@@ -178,7 +178,7 @@
 			c.log.Debug("workflow not looked at", "workflow", w.ID, "err", err)
 		}
 		// Of one that is over all is known, if not in one pass. The rest may change any time.
-		if !w.Over() || !l.run.Cut() && !l.miss.Load() || ctx.Err() != nil {
+		if !w.Ended() || !l.run.Cut() && !l.miss.Load() || ctx.Err() != nil {
 			break
 		}
 		wait.For(ctx, 50*time.Millisecond)
@@ -188,8 +188,8 @@
 
 // whyWaits tells in a few words what a step's job waits for, "" if it runs.
 func (c *Runner) whyWaits(id wire.JobID) string {
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	j := c.led().Job(id)
 	switch {
 	case j == nil:
@@ -200,7 +200,7 @@
 		return "is being cancelled"
 	}
 	now := time.Now()
-	v := c.Schedule.Snapshot(now)
+	v := c.Scheduler.Snapshot(now)
 	at := slices.IndexFunc(v.Queue, func(e placement.Entry) bool { return e.Job.ID == id })
 	switch {
 	case at < 0:
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -44,14 +44,14 @@
 
 // Parts are what workflows are driven with.
 type Parts struct {
-	Mirror   *watchcache.Cache
-	Writer   *committer.Committer
-	Members  *membership.Membership
-	Book     *crashloop.Tracker
-	Schedule *scheduler.Scheduler
-	Users    *server.JobServer
-	Past     *archiver.Archiver
-	Promises *deadlinetracker.Tracker
+	Cache      *watchcache.Cache
+	Committer  *committer.Committer
+	Membership *membership.Membership
+	Failures   *crashloop.Tracker
+	Scheduler  *scheduler.Scheduler
+	Jobs       *server.JobServer
+	Archiver   *archiver.Archiver
+	Deadlines  *deadlinetracker.Tracker
 }
 
 // Runner is that part of a controller. It is off until Set.
@@ -73,7 +73,7 @@
 	return &Runner{set: set, records: records, Parts: p, stats: stats, log: log}
 }
 
-func (c *Runner) led() *ledger.Ledger { return c.Mirror.Records() }
+func (c *Runner) led() *ledger.Ledger { return c.Cache.Records() }
 
 // looked is a workflow that another controller drives, as far as it is looked at here.
 type looked struct {
@@ -121,12 +121,12 @@
 func (c *Runner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, driveEvery)
-		c.Mirror.Lock()
+		c.Cache.Lock()
 		var mine []*ledger.Workflow
-		if c.store != nil && c.Mirror.SyncedWithin(time.Now(), settings.StartContact) {
+		if c.store != nil && c.Cache.SyncedWithin(time.Now(), settings.StartContact) {
 			mine = c.myWorkflows(time.Now())
 		}
-		c.Mirror.Unlock()
+		c.Cache.Unlock()
 		budget := max(1, int(c.set.Cluster.State.WriteRPS/float64(c.set.Cluster.Count)*stepShare))
 		for i, w := range mine {
 			// What is left of the budget is shared among those that are left.
@@ -147,14 +147,14 @@
 // myWorkflows are those that are not over and that fall to this controller, by weights
 // that each member has for each workflow, so that few change hands when a member goes.
 func (c *Runner) myWorkflows(now time.Time) []*ledger.Workflow {
-	members := append(c.Members.ReachablePeers(now), c.set.Member)
+	members := append(c.Membership.ReachablePeers(now), c.set.Member)
 	var out []*ledger.Workflow
 	for id := range c.driven {
 		if c.led().Workflow(id) == nil {
 			delete(c.driven, id) // archived
 		}
 	}
-	c.led().Workflows(func(w *ledger.Workflow) {
+	c.led().EachWorkflow(func(w *ledger.Workflow) {
 		if w.State != ledger.WorkflowActive && (w.State != ledger.WorkflowCancelled || w.Swept) {
 			delete(c.driven, w.ID)
 			return
@@ -184,12 +184,12 @@
 
 // drive moves one workflow on.
 func (c *Runner) drive(ctx context.Context, w *ledger.Workflow, most int) (submitted int, err error) {
-	c.Mirror.Lock()
+	c.Cache.Lock()
 	d := c.driven[w.ID]
 	if d != nil && d.at != w.Version {
 		d = nil // resumed, or cancelled
 	}
-	c.Mirror.Unlock()
+	c.Cache.Unlock()
 	now := time.Now()
 	if d != nil && now.Before(d.next) {
 		return 0, nil
@@ -213,9 +213,9 @@
 	if w.State == ledger.WorkflowCancelled && ctx.Err() == nil {
 		gone, e := d.run.Cancel(ctx)
 		if err = e; gone && e == nil {
-			err = c.Writer.CommitNow(ctx, func(dr *ledger.Transaction) error {
+			err = c.Committer.CommitNow(ctx, func(dr *ledger.Transaction) error {
 				if now := c.led().Workflow(w.ID); now != nil {
-					return dr.SweepWorkflow(now)
+					return dr.DeleteWorkflow(now)
 				}
 				return ledger.ErrPreconditionFailed
 			})
@@ -228,8 +228,8 @@
 		d.next = now.Add(driveAgain)
 	}
 	steps := d.run.Steps(c.whyWaits)
-	c.Mirror.Lock()
-	defer c.Mirror.Unlock()
+	c.Cache.Lock()
+	defer c.Cache.Unlock()
 	d.steps = steps
 	if c.driven[w.ID] = d; over {
 		delete(c.driven, w.ID)
@@ -307,5 +307,5 @@
 	if err != nil {
 		return nil, errors.Join(errNoDocuments, err)
 	}
-	return workflow.Resume(ctx, w, docs, stepJobs{c, w.Over(), miss}, c.store)
+	return workflow.Resume(ctx, w, docs, stepJobs{c, w.Ended(), miss}, c.store)
 }
--- a/internal/workflow/runner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -21,17 +21,17 @@
 }
 
 func (s stepJobs) StepState(id wire.JobID) workflow.JobState {
-	s.c.Mirror.Lock()
+	s.c.Cache.Lock()
 	j := s.c.led().Job(id)
 	if j == nil {
-		s.c.Mirror.Unlock()
+		s.c.Cache.Unlock()
 		if !s.over {
 			return workflow.Unknown
 		}
 		// Only the steps of a workflow that is over are archived.
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		switch st, err := s.c.Users.Archived(ctx, id); {
+		switch st, err := s.c.Jobs.Archived(ctx, id); {
 		case st.Status == wire.Done:
 			return workflow.Done
 		case st.Status == wire.Cancelled:
@@ -41,14 +41,14 @@
 		}
 		return workflow.Unknown
 	}
-	defer s.c.Mirror.Unlock()
+	defer s.c.Cache.Unlock()
 	switch {
 	case j.State == ledger.Done:
 		return workflow.Done
 	case j.State == ledger.Cancelled:
 		return workflow.Cancelled
 	}
-	if rounds, suspect := s.c.Book.Suspect(id); suspect && rounds >= doubtfulAfter {
+	if rounds, suspect := s.c.Failures.CrashLooping(id); suspect && rounds >= doubtfulAfter {
 		return workflow.Doubtful
 	}
 	return workflow.Active
@@ -58,9 +58,9 @@
 // workflow is active.
 func (s stepJobs) SubmitStep(ctx context.Context, of wire.WorkflowID, spec *wire.JobSpec) error {
 	c := s.c
-	c.Mirror.Lock()
-	verdict := c.Users.Admit(spec, time.Now())
-	c.Mirror.Unlock()
+	c.Cache.Lock()
+	verdict := c.Jobs.Admit(spec, time.Now())
+	c.Cache.Unlock()
 	if errors.Is(verdict, server.ErrUnschedulable) {
 		return errors.Join(workflow.ErrNever, verdict)
 	}
@@ -70,12 +70,12 @@
 	at := wire.UnixMillis(time.Now().UnixMilli())
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	err := c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
+	err := c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
 		w := c.led().Workflow(of)
 		if w == nil {
 			return ledger.ErrPreconditionFailed
 		}
-		return d.SubmitStep(w, spec, at, c.Promises.GalleryOf(spec, of))
+		return d.SubmitStep(w, spec, at, c.Deadlines.GalleryOf(spec, of))
 	})
 	switch {
 	case err == nil:
@@ -93,7 +93,7 @@
 func (s stepJobs) CancelStep(ctx context.Context, id wire.JobID) error {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	_, err := s.c.Users.Cancel(ctx, id)
+	_, err := s.c.Jobs.Cancel(ctx, id)
 	return err
 }
 
@@ -105,7 +105,7 @@
 func (c *Runner) endWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) (got ledger.WorkflowState, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	err = c.Writer.CommitNow(ctx, func(d *ledger.Transaction) error {
+	err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
 		w := c.led().Workflow(id)
 		if w == nil {
 			return ledger.ErrPreconditionFailed
