--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -18,7 +18,20 @@
 	job := func(id wire.JobID, p wire.Priority, gpus float64) *ledger.Job {
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 		d := l.NewTransaction()
-		_ = d.Submit(&wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.Array, Priority: p, Tasks: 1, GPUs: gpus, Image: "i", Save: 2}, 1)
+		_ = d.Submit(
+			&wire.JobSpec{
+				ID:       id,
+				Class:    "c",
+				Team:     "t",
+				Shape:    wire.Array,
+				Priority: p,
+				Tasks:    1,
+				GPUs:     gpus,
+				Image:    "i",
+				Save:     2,
+			},
+			1,
+		)
 		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 		return l.Job(id)
@@ -33,7 +46,11 @@
 	}
 	high := job("wk-000001", wire.High, 4)
 	victim := func(p wire.Priority, saves bool) placement.Victim {
-		return placement.Victim{Held: ledger.HeldClaim{Job: job("wk-000002", p, 2), Claim: ledger.Claim{Count: 1}}, Saves: saves, Ran: 30e9}
+		return placement.Victim{
+			Held:  ledger.HeldClaim{Job: job("wk-000002", p, 2), Claim: ledger.Claim{Count: 1}},
+			Saves: saves,
+			Ran:   30e9,
+		}
 	}
 	for _, tc := range []struct {
 		name     string
@@ -62,9 +79,14 @@
 		{"one is being emptied already", []*placement.Machine{machine("m1", 2, true), machine("m2", 2, true)},
 			map[wire.MachineID][]placement.Victim{"m1": {victim(wire.Normal, true)}}, map[wire.MachineID]wire.JobID{"m2": "wk-000001"}, "", 0},
 	} {
-		v := &placement.Snapshot{Now: start, Queue: []placement.Entry{{Job: high}}, Machines: tc.machines, HeadReservations: tc.withheld,
-			TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-			Victims:  func(m *placement.Machine) []placement.Victim { return tc.victims[m.ID] }}
+		v := &placement.Snapshot{
+			Now:              start,
+			Queue:            []placement.Entry{{Job: high}},
+			Machines:         tc.machines,
+			HeadReservations: tc.withheld,
+			TeamRoom:         func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+			Victims:          func(m *placement.Machine) []placement.Victim { return tc.victims[m.ID] },
+		}
 		var x *placement.Eviction
 		if list := placement.Evict(v); len(list) > 0 {
 			x = list[0]
@@ -86,16 +108,47 @@
 	job := func(id wire.JobID, shape wire.Shape, p wire.Priority, tasks int, oneZone bool) *ledger.Job {
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 		d := l.NewTransaction()
-		_ = d.Submit(&wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: shape, Priority: p, Tasks: tasks, GPUs: 2, Image: "i", Save: 2, OneZone: oneZone}, 1)
+		_ = d.Submit(
+			&wire.JobSpec{
+				ID:       id,
+				Class:    "c",
+				Team:     "t",
+				Shape:    shape,
+				Priority: p,
+				Tasks:    tasks,
+				GPUs:     2,
+				Image:    "i",
+				Save:     2,
+				OneZone:  oneZone,
+			},
+			1,
+		)
 		txn, _ := d.Request()
 		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: 1})
 		return l.Job(id)
 	}
 	machine := func(id wire.MachineID, zone wire.Zone, free float64) *placement.Machine {
-		return &placement.Machine{ID: id, Type: "g", Zone: zone, Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, free, 0), Images: placement.NewImages(10)}
+		return &placement.Machine{
+			ID:     id,
+			Type:   "g",
+			Zone:   zone,
+			Usable: true,
+			Total:  ledger.NewResources(0, 4, 0),
+			Free:   ledger.NewResources(0, free, 0),
+			Images: placement.NewImages(10),
+		}
+	}
+	lower := placement.Victim{
+		Held: ledger.HeldClaim{
+			Job:   job("wk-000009", wire.Array, wire.BestEffort, 1, false),
+			Claim: ledger.Claim{Count: 1},
+		},
+		Saves: true,
+	}
+	same := placement.Victim{
+		Held:  ledger.HeldClaim{Job: job("wk-000008", wire.Array, wire.High, 1, false), Claim: ledger.Claim{Count: 1}},
+		Saves: true,
 	}
-	lower := placement.Victim{Held: ledger.HeldClaim{Job: job("wk-000009", wire.Array, wire.BestEffort, 1, false), Claim: ledger.Claim{Count: 1}}, Saves: true}
-	same := placement.Victim{Held: ledger.HeldClaim{Job: job("wk-000008", wire.Array, wire.High, 1, false), Claim: ledger.Claim{Count: 1}}, Saves: true}
 	full := []*placement.Machine{machine("m1", "a", 0), machine("m2", "b", 0), machine("m3", "b", 2)}
 	on := map[wire.MachineID][]placement.Victim{"m1": {lower, lower}, "m2": {lower}, "m3": {same, lower}}
 	for _, tc := range []struct {
@@ -111,9 +164,14 @@
 		{"more than one zone has", 4, true, nil, nil},
 		{"room is being made", 3, false, map[wire.MachineID]wire.JobID{"m1": "wk-000001"}, nil},
 	} {
-		v := &placement.Snapshot{Now: start, Queue: []placement.Entry{{Job: job("wk-000001", wire.Gang, wire.High, tc.tasks, tc.oneZone)}}, Machines: full, HeadReservations: tc.withheld,
-			TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-			Victims:  func(m *placement.Machine) []placement.Victim { return on[m.ID] }}
+		v := &placement.Snapshot{
+			Now:              start,
+			Queue:            []placement.Entry{{Job: job("wk-000001", wire.Gang, wire.High, tc.tasks, tc.oneZone)}},
+			Machines:         full,
+			HeadReservations: tc.withheld,
+			TeamRoom:         func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+			Victims:          func(m *placement.Machine) []placement.Victim { return on[m.ID] },
+		}
 		got := map[wire.MachineID]int{}
 		for _, x := range placement.PlanPreemption(v) {
 			got[x.Machine.ID] = x.Tasks
@@ -138,8 +196,19 @@
 		one := func(id string, p wire.Priority) *ledger.Job {
 			l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 			d := l.NewTransaction()
-			s := &wire.JobSpec{ID: wire.JobID(id), Class: "c", Team: wire.Team(fmt.Sprint("t", rng.IntN(2))), Shape: wire.Array, Priority: p, Tasks: 1 + rng.IntN(3), GPUs: float64(1 + rng.IntN(3)),
-				Image: wire.Image(fmt.Sprint("i", rng.IntN(2))), Save: 2, Spot: rng.IntN(2) == 0, Spread: rng.IntN(8) == 0}
+			s := &wire.JobSpec{
+				ID:       wire.JobID(id),
+				Class:    "c",
+				Team:     wire.Team(fmt.Sprint("t", rng.IntN(2))),
+				Shape:    wire.Array,
+				Priority: p,
+				Tasks:    1 + rng.IntN(3),
+				GPUs:     float64(1 + rng.IntN(3)),
+				Image:    wire.Image(fmt.Sprint("i", rng.IntN(2))),
+				Save:     2,
+				Spot:     rng.IntN(2) == 0,
+				Spread:   rng.IntN(8) == 0,
+			}
 			if rng.IntN(4) == 0 {
 				s.Types = []wire.MachineTypeName{"g1"}
 			}
@@ -152,25 +221,48 @@
 		var machines []*placement.Machine
 		victims := map[wire.MachineID][]placement.Victim{}
 		for i := range 12 {
-			m := &placement.Machine{ID: wire.MachineID(fmt.Sprint("m", i)), Type: wire.MachineTypeName(fmt.Sprint("g", rng.IntN(2))), Zone: wire.Zone(fmt.Sprint("z", rng.IntN(2))), Spot: rng.IntN(2) == 0,
-				Usable: true, Total: ledger.NewResources(0, 4, 0), Free: ledger.NewResources(0, float64(rng.IntN(5)/4), 0), Images: placement.NewImages(10)}
+			m := &placement.Machine{
+				ID:     wire.MachineID(fmt.Sprint("m", i)),
+				Type:   wire.MachineTypeName(fmt.Sprint("g", rng.IntN(2))),
+				Zone:   wire.Zone(fmt.Sprint("z", rng.IntN(2))),
+				Spot:   rng.IntN(2) == 0,
+				Usable: true,
+				Total:  ledger.NewResources(0, 4, 0),
+				Free:   ledger.NewResources(0, float64(rng.IntN(5)/4), 0),
+				Images: placement.NewImages(10),
+			}
 			if rng.IntN(3) == 0 {
 				m.Images.Use(wire.Image(fmt.Sprint("i", rng.IntN(2))), 1)
 			}
 			machines = append(machines, m)
 			for range rng.IntN(3) {
-				victims[m.ID] = append(victims[m.ID], placement.Victim{Held: ledger.HeldClaim{Job: one("wk-000099", priorities[rng.IntN(3)]), Claim: ledger.Claim{Count: 1}},
-					Saves: rng.IntN(3) > 0, Beyond: rng.IntN(3) == 0, Ran: time.Duration(rng.IntN(20)) * time.Second})
+				victims[m.ID] = append(
+					victims[m.ID],
+					placement.Victim{
+						Held:   ledger.HeldClaim{Job: one("wk-000099", priorities[rng.IntN(3)]), Claim: ledger.Claim{Count: 1}},
+						Saves:  rng.IntN(3) > 0,
+						Beyond: rng.IntN(3) == 0,
+						Ran:    time.Duration(rng.IntN(20)) * time.Second,
+					},
+				)
 			}
 		}
 		var queue []placement.Entry
 		for i := range 20 {
-			queue = append(queue, placement.Entry{Job: one(fmt.Sprintf("wk-%06d", i), priorities[rng.IntN(2)]), OverGuarantee: rng.IntN(4) == 0})
+			queue = append(
+				queue,
+				placement.Entry{Job: one(fmt.Sprintf("wk-%06d", i), priorities[rng.IntN(2)]), OverGuarantee: rng.IntN(4) == 0},
+			)
 		}
 		evict := func(shared bool) (out []string) {
-			v := &placement.Snapshot{Now: start, Queue: slices.Clone(queue), Machines: machines, HeadReservations: map[wire.MachineID]wire.JobID{"m3": "wk-000002"},
-				TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-				Victims:  func(m *placement.Machine) []placement.Victim { return victims[m.ID] }}
+			v := &placement.Snapshot{
+				Now:              start,
+				Queue:            slices.Clone(queue),
+				Machines:         machines,
+				HeadReservations: map[wire.MachineID]wire.JobID{"m3": "wk-000002"},
+				TeamRoom:         func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+				Victims:          func(m *placement.Machine) []placement.Victim { return victims[m.ID] },
+			}
 			for i := range v.Queue {
 				if !shared {
 					v.Queue[i].Avoid = func(wire.MachineID) bool { return false }
--- a/internal/scheduler/placement/prefer.go
+++ b/internal/scheduler/placement/prefer.go
@@ -35,9 +35,21 @@
 	var names policy.Namer
 	in := &policy.Machines{Now: v.Now.UnixMilli()}
 	for _, m := range machines {
-		x := policy.Machine{Name: names.Number(string(m.ID)), Type: names.Number(string(m.Type)), Zone: names.Number(string(m.Zone)), Block: uint32(m.Block),
-			Images: uint32(len(m.Images.cached)), Fetching: uint32(len(m.Images.fetching)), Claims: uint32(len(m.Busy)),
-			FreeCPU: m.Free.CPU, FreeGPU: m.Free.GPU, FreeRAM: m.Free.Memory, WholeCPU: m.Total.CPU, WholeGPU: m.Total.GPU, WholeRAM: m.Total.Memory}
+		x := policy.Machine{
+			Name:     names.Number(string(m.ID)),
+			Type:     names.Number(string(m.Type)),
+			Zone:     names.Number(string(m.Zone)),
+			Block:    uint32(m.Block),
+			Images:   uint32(len(m.Images.cached)),
+			Fetching: uint32(len(m.Images.fetching)),
+			Claims:   uint32(len(m.Busy)),
+			FreeCPU:  m.Free.CPU,
+			FreeGPU:  m.Free.GPU,
+			FreeRAM:  m.Free.Memory,
+			WholeCPU: m.Total.CPU,
+			WholeGPU: m.Total.GPU,
+			WholeRAM: m.Total.Memory,
+		}
 		if m.Spot {
 			x.Spot = 1
 		}
--- a/internal/scheduler/placement/scale_test.go
+++ b/internal/scheduler/placement/scale_test.go
@@ -15,11 +15,26 @@
 func crowd(t *testing.T, machines, waiting int) (*placement.Snapshot, *ledger.Ledger) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
-	v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
-		Victims: func(*placement.Machine) []placement.Victim { return nil }}
+	v := &placement.Snapshot{
+		Now:      start,
+		TeamRoom: l.RemainingTeamQuota,
+		Limits:   placement.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
+		Victims:  func(*placement.Machine) []placement.Victim { return nil },
+	}
 	for i := range waiting {
-		s := &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal,
-			Tasks: 1 + rng.IntN(30), CPUs: 1, GPUs: 1, Image: wire.Image(fmt.Sprint("i", i%40)), ImageGB: 5, Spot: true}
+		s := &wire.JobSpec{
+			ID:       wire.JobID(fmt.Sprintf("wk-%06d", i)),
+			Class:    "c",
+			Team:     "t",
+			Shape:    wire.Array,
+			Priority: wire.Normal,
+			Tasks:    1 + rng.IntN(30),
+			CPUs:     1,
+			GPUs:     1,
+			Image:    wire.Image(fmt.Sprint("i", i%40)),
+			ImageGB:  5,
+			Spot:     true,
+		}
 		if i%2 == 0 {
 			s.Shape, s.Priority, s.Tasks, s.GPUs = wire.Gang, wire.High, 2<<rng.IntN(3), 2
 		}
@@ -33,8 +48,16 @@
 	}
 	placement.Order(v.Queue)
 	for i := range machines {
-		m := &placement.Machine{ID: wire.MachineID(fmt.Sprintf("host-%06d", i)), Type: "g", Zone: []wire.Zone{"a", "b", "c"}[i%3], Usable: true,
-			Total: ledger.NewResources(8, 2, 16), Images: placement.NewImages(100), FetchGB: 1, Spot: i%2 == 0}
+		m := &placement.Machine{
+			ID:      wire.MachineID(fmt.Sprintf("host-%06d", i)),
+			Type:    "g",
+			Zone:    []wire.Zone{"a", "b", "c"}[i%3],
+			Usable:  true,
+			Total:   ledger.NewResources(8, 2, 16),
+			Images:  placement.NewImages(100),
+			FetchGB: 1,
+			Spot:    i%2 == 0,
+		}
 		for range 6 {
 			m.Images.Use(wire.Image(fmt.Sprint("i", rng.IntN(40))), 5)
 		}
@@ -79,8 +102,15 @@
 	if n := looked(func() { placement.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
 		t.Errorf("placing gangs looked at %d", n)
 	}
-	in := &autoscale.Input{Now: start, TeamRoom: l.RemainingTeamQuota, Queue: v.Queue, OutOfCapacity: func(autoscale.MachineOption) bool { return true },
-		Flavors: map[wire.MachineTypeName]wire.MachineType{"g": {Name: "g", CPUs: 8, GPUs: 2, MemoryGB: 16, Price: 1, Boot: 60, Zones: []wire.Zone{"a"}}}}
+	in := &autoscale.Input{
+		Now:           start,
+		TeamRoom:      l.RemainingTeamQuota,
+		Queue:         v.Queue,
+		OutOfCapacity: func(autoscale.MachineOption) bool { return true },
+		Flavors: map[wire.MachineTypeName]wire.MachineType{
+			"g": {Name: "g", CPUs: 8, GPUs: 2, MemoryGB: 16, Price: 1, Boot: 60, Zones: []wire.Zone{"a"}},
+		},
+	}
 	for i, m := range v.Machines {
 		u := autoscale.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Usable: true, Total: m.Total}
 		if i%100 != 0 {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -53,7 +53,8 @@
 	for _, victim := range victims {
 		h := victim.Held
 		w.Stop(h)
-		s.log.Info("preempt", "job", h.Job.ID, "task", h.First, "tasks", h.Count, "attempt", h.Attempt, "machine", w.ID, "for", job)
+		s.log.Info("preempt",
+			"job", h.Job.ID, "task", h.First, "tasks", h.Count, "attempt", h.Attempt, "machine", w.ID, "for", job)
 		s.stats.Add("preemptions_total", 1)
 	}
 }
@@ -87,7 +88,10 @@
 			delete(s.asking, id)
 			continue
 		}
-		out = append(out, peer.Reservation{Machine: id, Job: r.job, Tasks: r.tasks, RemainingMS: r.until.Sub(now).Milliseconds()})
+		out = append(
+			out,
+			peer.Reservation{Machine: id, Job: r.job, Tasks: r.tasks, RemainingMS: r.until.Sub(now).Milliseconds()},
+		)
 	}
 	return out
 }
@@ -139,8 +143,16 @@
 		}
 		t := s.set.FindTeam(spec.Team)
 		used := s.led().Used(spec.Team)
-		out = append(out, placement.Victim{Held: h, Promised: !s.canWait(h.Job, now), Saves: spec.Checkpoint > 0, Ran: now.Sub(s.runTimes.ClaimedSince(h, now)),
-			Beyond: t == nil || OverGuarantee(t, used)})
+		out = append(
+			out,
+			placement.Victim{
+				Held:     h,
+				Promised: !s.canWait(h.Job, now),
+				Saves:    spec.Checkpoint > 0,
+				Ran:      now.Sub(s.runTimes.ClaimedSince(h, now)),
+				Beyond:   t == nil || OverGuarantee(t, used),
+			},
+		)
 	}
 	return out
 }
@@ -173,7 +185,10 @@
 	if j.Spec.Deadline != nil {
 		return false
 	}
-	return !slices.ContainsFunc(s.set.Cluster.Objectives, func(o settings.Objective) bool { return o.Class == j.Spec.Class })
+	return !slices.ContainsFunc(
+		s.set.Cluster.Objectives,
+		func(o settings.Objective) bool { return o.Class == j.Spec.Class },
+	)
 }
 
 // firstType is a machine type that the job may run on.
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -30,9 +30,23 @@
 		p.Cache.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
 		p.Registry.Register(&wire.Heartbeat{Machine: "host-1"}, now)
 		j := controllertest.AddJob(p.Cache.Records(), 2, wire.Gang, 4)
-		ask := peer.Answer{AsOf: tc.asked, Status: peer.Status{Member: tc.from, PreemptionReservations: []peer.Reservation{{Machine: "host-1", Job: j.ID, Tasks: 2, RemainingMS: 5000}, {Machine: "host-elsewhere", Job: j.ID, Tasks: 2, RemainingMS: 5000}}}}
+		ask := peer.Answer{
+			AsOf: tc.asked,
+			Status: peer.Status{
+				Member: tc.from,
+				PreemptionReservations: []peer.Reservation{
+					{Machine: "host-1", Job: j.ID, Tasks: 2, RemainingMS: 5000},
+					{Machine: "host-elsewhere", Job: j.ID, Tasks: 2, RemainingMS: 5000},
+				},
+			},
+		}
 		for range 2 {
-			p.Scheduler.ObservePreemptionReservations(ask.Status.Member, ask.Status.PreemptionReservations, ask.AsOf, time.Now())
+			p.Scheduler.ObservePreemptionReservations(
+				ask.Status.Member,
+				ask.Status.PreemptionReservations,
+				ask.AsOf,
+				time.Now(),
+			)
 		}
 		kept := p.Scheduler.Snapshot(time.Now()).HeadReservations
 		if job, ok := kept["host-1"]; ok != tc.kept || ok && job != j.ID || len(kept) > 1 {
--- a/internal/scheduler/promises_test.go
+++ b/internal/scheduler/promises_test.go
@@ -22,16 +22,31 @@
 		p := controllertest.New(t, 0)
 		led := p.Cache.Records()
 		p.Cache.SetForTest(1, now)
-		led.Apply(ledger.Event{Key: ledger.MachineTypeKey("g2"), Version: 1, Value: []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"fetch_gb_per_s":1,"yards":["a"]}`)})
+		led.Apply(
+			ledger.Event{
+				Key:     ledger.MachineTypeKey("g2"),
+				Version: 1,
+				Value:   []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"fetch_gb_per_s":1,"yards":["a"]}`),
+			},
+		)
 		if register {
-			r, err := deadline.Parse([]byte(`revision: 1 gallery { name: "g" team: "none" promised: "2030-01-01T00:00:00Z" class: "none" }`), nil)
+			r, err := deadline.Parse(
+				[]byte(`revision: 1 gallery { name: "g" team: "none" promised: "2030-01-01T00:00:00Z" class: "none" }`),
+				nil,
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
 			p.Deadlines.Set(r)
 		}
 		date := now.Add(100 * time.Second).UnixMilli()
-		led.Apply(ledger.Event{Key: ledger.GalleryPrefix + "g", Version: 2, Value: fmt.Appendf(nil, `{"team":"free","dates":[{"at":1,"date":%d}],"since":1,"reg":1}`, date)})
+		led.Apply(
+			ledger.Event{
+				Key:     ledger.GalleryPrefix + "g",
+				Version: 2,
+				Value:   fmt.Appendf(nil, `{"team":"free","dates":[{"at":1,"date":%d}],"since":1,"reg":1}`, date),
+			},
+		)
 		for n := range 12 {
 			shape, tasks, tie := "array", 1+n%3, ""
 			if n%4 == 0 {
@@ -41,12 +56,27 @@
 				tie = `,"g":"g"`
 			}
 			id := fmt.Sprintf("wk-%06d", n)
-			led.Apply(ledger.Event{Key: ledger.Prefix + "j/" + id, Version: wire.Revision(n + 3), Value: fmt.Appendf(nil,
+			led.Apply(ledger.Event{Key: ledger.Prefix + "j/" + id, Version: wire.Revision(n + 3), Value: fmt.Appendf(
+				nil,
 				`{"spec":{"id":%q,"workclass":"c","pieces":%d,"shape":%q,"urgency":"normal","owner":"free","cores":2,"bundle":"i%d","pull_gb":2,"expect_s":%d},"at":%d%s}`,
-				id, tasks, shape, n%2, 20+20*n, now.UnixMilli()-int64(n), tie)})
+				id,
+				tasks,
+				shape,
+				n%2,
+				20+20*n,
+				now.UnixMilli()-int64(n),
+				tie,
+			)})
 		}
 		for i := range 4 {
-			r := &wire.Heartbeat{Machine: wire.MachineID(fmt.Sprint("host-", i)), Type: "g2", Zone: "a", Session: 1, Sequence: 1, Token: 1}
+			r := &wire.Heartbeat{
+				Machine:  wire.MachineID(fmt.Sprint("host-", i)),
+				Type:     "g2",
+				Zone:     "a",
+				Session:  1,
+				Sequence: 1,
+				Token:    1,
+			}
 			p.Registry.Register(r, now).Reconcile(r, nil, 1, now)
 		}
 		v := p.Scheduler.Snapshot(now)
--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -24,7 +24,14 @@
 func (j *Judge) Explain(m wire.MachineID) (wire.Judgement, bool) {
 	j.settle()
 	p := SuspectedCause{Kind: OfMachine, Name: string(m)}
-	out := wire.Judgement{Machine: m, Before: j.odds.Faulty, Sure: j.odds.Faulty, Times: 1, Done: int(j.done[p]), Accident: j.accident}
+	out := wire.Judgement{
+		Machine:  m,
+		Before:   j.odds.Faulty,
+		Sure:     j.odds.Faulty,
+		Times:    1,
+		Done:     int(j.done[p]),
+		Accident: j.accident,
+	}
 	out.Slow, out.Times = j.Slow(m)
 	b := j.belief[p]
 	if b == nil {
@@ -34,8 +41,11 @@
 	for _, f := range b.fail {
 		x := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
 		for _, o := range f.of[:f.n] {
-			x.Parties = append(x.Parties, wire.JudgedParty{Kind: o.Kind.String(), Name: o.name(), Before: j.prior(o.Kind), Sure: o.sure,
-				Done: int(j.done[o.SuspectedCause]), Failed: len(o.fail)})
+			x.Parties = append(
+				x.Parties,
+				wire.JudgedParty{Kind: o.Kind.String(), Name: o.name(), Before: j.prior(o.Kind), Sure: o.sure,
+					Done: int(j.done[o.SuspectedCause]), Failed: len(o.fail)},
+			)
 		}
 		out.Failures = append(out.Failures, x)
 	}
@@ -51,7 +61,13 @@
 	if !ok {
 		return ""
 	}
-	text := fmt.Sprintf("fails %.0f%% of its tasks, probability %.4g; %d failed and %d done:", 100*x.Rate, x.Sure, len(x.Failures), x.Done)
+	text := fmt.Sprintf(
+		"fails %.0f%% of its tasks, probability %.4g; %d failed and %d done:",
+		100*x.Rate,
+		x.Sure,
+		len(x.Failures),
+		x.Done,
+	)
 	var seen []wire.JobID
 	for _, f := range x.Failures {
 		if slices.Contains(seen, f.Job) {
@@ -80,13 +96,29 @@
 		fmt.Fprintf(w, "%s is not held to be faulty.\n", j.Machine)
 	}
 	if j.Slow {
-		fmt.Fprintf(w, "%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n", j.Machine, j.Times)
+		fmt.Fprintf(
+			w,
+			"%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n",
+			j.Machine,
+			j.Times,
+		)
 	}
 	if len(j.Failures) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n", j.Before, j.Sure)
-	fmt.Fprintf(w, "%d tasks were done there and %d failed that are remembered; %.2g%% of all tasks fail by accident.\n", j.Done, len(j.Failures), 100*j.Accident)
+	fmt.Fprintf(
+		w,
+		"The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
+		j.Before,
+		j.Sure,
+	)
+	fmt.Fprintf(
+		w,
+		"%d tasks were done there and %d failed that are remembered; %.2g%% of all tasks fail by accident.\n",
+		j.Done,
+		len(j.Failures),
+		100*j.Accident,
+	)
 	type blamed struct {
 		wire.JudgedParty
 		failures int
--- a/internal/scheduler/quarantine/faults_test.go
+++ b/internal/scheduler/quarantine/faults_test.go
@@ -117,10 +117,20 @@
 			for try := range 4 {
 				m := w.rng.IntN(w.machines)
 				block := m * w.blocks / w.machines
-				fails := bad || t == badTask || w.rng.Float64() < w.images[image] || w.rng.Float64() < w.accident || w.rng.Float64() < w.badBlock[block]
+				fails := bad || t == badTask || w.rng.Float64() < w.images[image] || w.rng.Float64() < w.accident ||
+					w.rng.Float64() < w.badBlock[block]
 				own := w.rng.Float64() < w.rate[m]
-				o := &Outcome{Machine: wire.MachineID(name[m]), Job: job, Task: wire.TaskIndex(t), Array: tasks > 1, Image: wire.Image(fmt.Sprint("img-", image)),
-					Class: "c", Block: fmt.Sprint("b", block), Failed: fails || own, At: w.now}
+				o := &Outcome{
+					Machine: wire.MachineID(name[m]),
+					Job:     job,
+					Task:    wire.TaskIndex(t),
+					Array:   tasks > 1,
+					Image:   wire.Image(fmt.Sprint("img-", image)),
+					Class:   "c",
+					Block:   fmt.Sprint("b", block),
+					Failed:  fails || own,
+					At:      w.now,
+				}
 				given[m]++
 				out.machineTasks++
 				if own && !fails {
@@ -152,8 +162,16 @@
 }
 
 func newWorld(seed uint64, machines int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 18)), machines: machines, rate: make([]float64, machines), images: make([]float64, 12), accident: 0.0005,
-		blocks: 8, badBlock: make([]float64, 8), now: time.Unix(1_800_000_000, 0)}
+	w := &world{
+		rng:      rand.New(rand.NewPCG(seed, 18)),
+		machines: machines,
+		rate:     make([]float64, machines),
+		images:   make([]float64, 12),
+		accident: 0.0005,
+		blocks:   8,
+		badBlock: make([]float64, 8),
+		now:      time.Unix(1_800_000_000, 0),
+	}
 	return w
 }
 
@@ -228,10 +246,29 @@
 			if all := sum.found + sum.missed; all > 0 {
 				share = fmt.Sprintf("%.3f", float64(within)/float64(all))
 			}
-			fmt.Fprintf(&table, "| %s | %s | %d | %d | %s | %s | %s | %.2f | %d |\n", kind.name, which, sum.found, sum.missed, share, at(0.5), at(0.95),
-				1000*float64(sum.wrong)/float64(sum.machineTasks)*1440, sum.lost)
-			if which == "judge" && (sum.wrong > 1+seeds/4 || sum.missed > 0 || rounds == 2000 && kind.name == "one in ten, intermittent" && float64(within) < 0.75*float64(sum.found)) {
-				t.Errorf("%s: %d wrong, %d missed, %d of %d found within 60 tasks", kind.name, sum.wrong, sum.missed, within, sum.found)
+			fmt.Fprintf(
+				&table,
+				"| %s | %s | %d | %d | %s | %s | %s | %.2f | %d |\n",
+				kind.name,
+				which,
+				sum.found,
+				sum.missed,
+				share,
+				at(0.5),
+				at(0.95),
+				1000*float64(sum.wrong)/float64(sum.machineTasks)*1440,
+				sum.lost,
+			)
+			if which == "judge" &&
+				(sum.wrong > 1+seeds/4 || sum.missed > 0 || rounds == 2000 && kind.name == "one in ten, intermittent" && float64(within) < 0.75*float64(sum.found)) {
+				t.Errorf(
+					"%s: %d wrong, %d missed, %d of %d found within 60 tasks",
+					kind.name,
+					sum.wrong,
+					sum.missed,
+					within,
+					sum.found,
+				)
 			}
 		}
 	}
@@ -266,8 +303,18 @@
 						ran *= by
 					}
 					id := wire.MachineID(fmt.Sprint("host-", m))
-					j.Observe(&Outcome{Machine: id, Job: job, Task: wire.TaskIndex(k), Array: count > 1, Class: "c",
-						Ran: time.Duration(ran * float64(time.Second)), Expected: time.Minute, At: time.Unix(int64(1_800_000_000+20*n), 0)})
+					j.Observe(&Outcome{
+						Machine: id,
+						Job:     job,
+						Task:    wire.TaskIndex(k),
+						Array:   count > 1,
+						Class:   "c",
+						Ran: time.Duration(
+							ran * float64(time.Second),
+						),
+						Expected: time.Minute,
+						At:       time.Unix(int64(1_800_000_000+20*n), 0),
+					})
 					if slow, _ := j.Slow(id); slow && !found[m] {
 						if found[m] = true; m == 3 && by > 1 {
 							tasks = append(tasks, given[m])
@@ -279,7 +326,15 @@
 			}
 		}
 		slices.Sort(tasks)
-		t.Logf("%v times as long: %d of %d found, after %v tasks; %d sound ones said to be slow in %.0f machine-days", by, len(tasks), seeds, tasks[len(tasks)/2:][:min(1, len(tasks))], wrong, float64(all)/1440)
+		t.Logf(
+			"%v times as long: %d of %d found, after %v tasks; %d sound ones said to be slow in %.0f machine-days",
+			by,
+			len(tasks),
+			seeds,
+			tasks[len(tasks)/2:][:min(1, len(tasks))],
+			wrong,
+			float64(all)/1440,
+		)
 		if wrong > seeds/5 || by >= 2 && len(tasks) < seeds {
 			t.Errorf("%v times as long: %d of %d found, %d wrong", by, len(tasks), seeds, wrong)
 		}
@@ -325,7 +380,12 @@
 	}
 	alone, told, done := sure(false, false), sure(true, false), sure(false, true)
 	if alone > 0.5 || told > 0.05 || done < 0.99 {
-		t.Errorf("sure that the machine is faulty: %.3f alone, %.3f once others told that the jobs fail there too, %.3f once the jobs were done elsewhere", alone, told, done)
+		t.Errorf(
+			"sure that the machine is faulty: %.3f alone, %.3f once others told that the jobs fail there too, %.3f once the jobs were done elsewhere",
+			alone,
+			told,
+			done,
+		)
 	}
 }
 
@@ -337,8 +397,21 @@
 	now := time.Unix(1_800_000_000, 0)
 	see := func(failed bool) {
 		now = now.Add(time.Millisecond)
-		j.Observe(&Outcome{Machine: wire.MachineID(fmt.Sprint("host-", rng.IntN(16000))), Job: wire.JobID(fmt.Sprint("wk-", rng.IntN(4000))), Task: wire.TaskIndex(rng.IntN(9)), Array: true,
-			Image: wire.Image(fmt.Sprint("img-", rng.IntN(40))), Class: "c", Block: fmt.Sprint("b", rng.IntN(400)), Failed: failed, At: now})
+		j.Observe(
+			&Outcome{
+				Machine: wire.MachineID(fmt.Sprint("host-", rng.IntN(16000))),
+				Job:     wire.JobID(fmt.Sprint("wk-", rng.IntN(4000))),
+				Task:    wire.TaskIndex(rng.IntN(9)),
+				Array:   true,
+				Image: wire.Image(
+					fmt.Sprint("img-", rng.IntN(40)),
+				),
+				Class:  "c",
+				Block:  fmt.Sprint("b", rng.IntN(400)),
+				Failed: failed,
+				At:     now,
+			},
+		)
 	}
 	for range 100_000 {
 		see(rng.IntN(40) == 0)
--- a/internal/scheduler/quarantine/judge.go
+++ b/internal/scheduler/quarantine/judge.go
@@ -85,11 +85,20 @@
 }
 
 // Priors of other parties to be at fault.
-var priors = [partyKinds]float64{OfMachine: 0, OfJob: 1.0 / 50, OfTask: 1.0 / 200, OfImage: 1.0 / 200, OfBlock: 1.0 / 1000}
+var priors = [partyKinds]float64{
+	OfMachine: 0,
+	OfJob:     1.0 / 50,
+	OfTask:    1.0 / 200,
+	OfImage:   1.0 / 200,
+	OfBlock:   1.0 / 1000,
+}
 
 // orders are those in which parties are judged. What is judged first takes what others might
 // explain as well; of two explanations that agree with themselves the likelier counts.
-var orders = [...][partyKinds]PartyKind{{OfBlock, OfImage, OfJob, OfTask, OfMachine}, {OfBlock, OfJob, OfTask, OfMachine, OfImage}}
+var orders = [...][partyKinds]PartyKind{
+	{OfBlock, OfImage, OfJob, OfTask, OfMachine},
+	{OfBlock, OfJob, OfTask, OfMachine, OfImage},
+}
 
 // Bounds of a judge's memory.
 const (
@@ -153,12 +162,26 @@
 
 // NewJudge returns one that has seen nothing.
 func NewJudge(o Priors) *Judge {
-	return &Judge{odds: o, done: map[SuspectedCause]float64{}, ofJob: map[wire.JobID]int{}, belief: map[SuspectedCause]*belief{}, accident: 2e-3,
-		speed: map[wire.MachineID]*pace{}, classes: map[wire.Class]*spread{}, mates: map[wire.JobID]*spread{}}
+	return &Judge{
+		odds:     o,
+		done:     map[SuspectedCause]float64{},
+		ofJob:    map[wire.JobID]int{},
+		belief:   map[SuspectedCause]*belief{},
+		accident: 2e-3,
+		speed:    map[wire.MachineID]*pace{},
+		classes:  map[wire.Class]*spread{},
+		mates:    map[wire.JobID]*spread{},
+	}
 }
 
 func parties(o *Outcome) (of [partyKinds]SuspectedCause, n int) {
-	of[0], of[1], n = SuspectedCause{Kind: OfMachine, Name: string(o.Machine)}, SuspectedCause{Kind: OfJob, Name: string(o.Job)}, 2
+	of[0], of[1], n = SuspectedCause{
+		Kind: OfMachine,
+		Name: string(o.Machine),
+	}, SuspectedCause{
+		Kind: OfJob,
+		Name: string(o.Job),
+	}, 2
 	if o.Array {
 		of[n], n = SuspectedCause{Kind: OfTask, Name: string(o.Job), Task: o.Task}, n+1
 	}
@@ -297,8 +320,11 @@
 			break
 		}
 		if !f.Far {
-			out = append(out, peer.Failure{Job: f.Job, Task: f.Task, Array: f.Array, Machine: f.Machine, Image: f.Image, Block: f.Block,
-				DoneBefore: f.before[0], At: f.At.UnixMilli()})
+			out = append(
+				out,
+				peer.Failure{Job: f.Job, Task: f.Task, Array: f.Array, Machine: f.Machine, Image: f.Image, Block: f.Block,
+					DoneBefore: f.before[0], At: f.At.UnixMilli()},
+			)
 		}
 	}
 	return out
@@ -310,7 +336,17 @@
 func (j *Judge) MergeFailures(list []peer.Failure) {
 	for i := len(list) - 1; i >= 0; i-- {
 		x := &list[i]
-		o := &Outcome{Machine: x.Machine, Job: x.Job, Task: x.Task, Array: x.Array, Image: x.Image, Block: x.Block, Failed: true, Far: true, At: time.UnixMilli(x.At)}
+		o := &Outcome{
+			Machine: x.Machine,
+			Job:     x.Job,
+			Task:    x.Task,
+			Array:   x.Array,
+			Image:   x.Image,
+			Block:   x.Block,
+			Failed:  true,
+			Far:     true,
+			At:      time.UnixMilli(x.At),
+		}
 		if slices.ContainsFunc(j.failures, func(f *failure) bool {
 			return f.Machine == o.Machine && f.Job == o.Job && f.Task == o.Task && f.At.Equal(o.At)
 		}) {
@@ -334,7 +370,8 @@
 		j.ask(j.belief[p])
 	}
 	for _, f := range j.belief[p].fail {
-		if t := (SuspectedCause{Kind: OfTask, Name: string(job), Task: f.Task}); f.Array && j.done[t] == 0 && isDone(f.Task) {
+		if t := (SuspectedCause{Kind: OfTask, Name: string(job), Task: f.Task}); f.Array && j.done[t] == 0 &&
+			isDone(f.Task) {
 			j.done[t] = 1
 			j.ask(j.belief[t])
 		}
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -73,9 +73,25 @@
 
 // New returns a scheduler that has looked at nothing.
 func New(set *settings.Settings, p Parts, stats *metrics.Set, log *slog.Logger) *Scheduler {
-	return &Scheduler{set: set, cache: p.Cache, membership: p.Membership, registry: p.Registry, failures: p.Failures, runTimes: p.RunTimes, spotReclaims: p.SpotReclaims, topology: p.Topology, policies: p.Policies, deadlines: p.Deadlines,
-		stats: stats, log: log, doubted: map[estimate.Kind]bool{}, jobs: map[wire.JobID]*notes{}, withheld: map[wire.MachineID]wire.JobID{},
-		making: map[wire.MachineID]room{}, asking: map[wire.MachineID]room{}}
+	return &Scheduler{
+		set:          set,
+		cache:        p.Cache,
+		membership:   p.Membership,
+		registry:     p.Registry,
+		failures:     p.Failures,
+		runTimes:     p.RunTimes,
+		spotReclaims: p.SpotReclaims,
+		topology:     p.Topology,
+		policies:     p.Policies,
+		deadlines:    p.Deadlines,
+		stats:        stats,
+		log:          log,
+		doubted:      map[estimate.Kind]bool{},
+		jobs:         map[wire.JobID]*notes{},
+		withheld:     map[wire.MachineID]wire.JobID{},
+		making:       map[wire.MachineID]room{},
+		asking:       map[wire.MachineID]room{},
+	}
 }
 
 func (s *Scheduler) led() *ledger.Ledger { return s.cache.Records() }
@@ -106,6 +122,7 @@
 // must first report under our token, and one that does not hear answers begins nothing.
 func (s *Scheduler) Usable(w *reconcile.Worker, now time.Time) bool {
 	_, known := s.led().MachineType(w.Type)
-	return known && w.Fresh && !w.Unreachable() && w.ReclaimAt.IsZero() && s.led().MachinePhase(w.ID) == "" && !now.Before(w.CordonedUntil) &&
+	return known && w.Fresh && !w.Unreachable() && w.ReclaimAt.IsZero() && s.led().MachinePhase(w.ID) == "" &&
+		!now.Before(w.CordonedUntil) &&
 		(s.doubted[estimate.Kind{Type: w.Type, Zone: w.Zone}] || !s.failures.Faulty(s.led(), w.ID, now))
 }
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -39,7 +39,13 @@
 	if _, suspect := c.Failures.CrashLooping(mistaken.ID); !suspect || faulty(good) {
 		t.Errorf("suspect %v, machine faulty %v after a peer told of a second machine", suspect, faulty(good))
 	}
-	led.Apply(ledger.Event{Key: "mm1/j/wk-000002", Version: 9, Value: []byte(`{"spec":{"id":"wk-000002","pieces":1,"shape":"array"},"at":1,"state":"cancelled"}`)})
+	led.Apply(
+		ledger.Event{
+			Key:     "mm1/j/wk-000002",
+			Version: 9,
+			Value:   []byte(`{"spec":{"id":"wk-000002","pieces":1,"shape":"array"},"at":1,"state":"cancelled"}`),
+		},
+	)
 	fail(one, bad, 0, now)
 	fail(mistaken, bad, 1, now)
 	if faulty(bad) {
@@ -79,20 +85,48 @@
 	if got := queue[len(queue)-1].Job.ID; got != mistaken.ID {
 		t.Errorf("%s comes last, want the suspect", got)
 	}
-	plan := autoscale.ComputePlan(&autoscale.Input{Now: last.Add(time.Hour), Queue: []placement.Entry{*entry(mistaken.ID, last)},
-		Flavors:  map[wire.MachineTypeName]wire.MachineType{"g2": {Name: "g2", CPUs: 8, Price: 1, Boot: 20, Zones: []wire.Zone{"a"}}},
-		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most }, OutOfCapacity: func(autoscale.MachineOption) bool { return false }})
+	plan := autoscale.ComputePlan(
+		&autoscale.Input{
+			Now:   last.Add(time.Hour),
+			Queue: []placement.Entry{*entry(mistaken.ID, last)},
+			Flavors: map[wire.MachineTypeName]wire.MachineType{
+				"g2": {Name: "g2", CPUs: 8, Price: 1, Boot: 20, Zones: []wire.Zone{"a"}},
+			},
+			TeamRoom:      func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+			OutOfCapacity: func(autoscale.MachineOption) bool { return false },
+		},
+	)
 	if len(plan.ScaleOut) > 0 {
 		t.Errorf("rents %v for a suspect", plan.ScaleOut)
 	}
-	m := &placement.Machine{ID: "host-new", Type: "g2", Usable: true, Total: ledger.NewResources(8, 0, 0), Free: ledger.NewResources(8, 0, 0), Images: placement.NewImages(10)}
-	v := &placement.Snapshot{Now: last.Add(time.Hour), Queue: []placement.Entry{*entry(mistaken.ID, last)}, Limits: placement.Limits{ColdStarts: 9}, Machines: []*placement.Machine{m},
-		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most }}
+	m := &placement.Machine{
+		ID:     "host-new",
+		Type:   "g2",
+		Usable: true,
+		Total:  ledger.NewResources(8, 0, 0),
+		Free:   ledger.NewResources(8, 0, 0),
+		Images: placement.NewImages(10),
+	}
+	v := &placement.Snapshot{
+		Now:      last.Add(time.Hour),
+		Queue:    []placement.Entry{*entry(mistaken.ID, last)},
+		Limits:   placement.Limits{ColdStarts: 9},
+		Machines: []*placement.Machine{m},
+		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+	}
 	if s := placement.PlaceOnMachine(v, m); len(s) != 1 || s[0].Count != 1 {
 		t.Errorf("a suspect of 20 tasks is tried with %v", s)
 	}
 	// A task of it completes: it is as good as any other.
-	led.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 10, Value: []byte(`{"spec":{"id":"wk-000001","pieces":20,"shape":"array","owner":"free","cores":1},"at":1,"a":1,"d":"BAA="}`)})
+	led.Apply(
+		ledger.Event{
+			Key:     "mm1/j/wk-000001",
+			Version: 10,
+			Value: []byte(
+				`{"spec":{"id":"wk-000001","pieces":20,"shape":"array","owner":"free","cores":1},"at":1,"a":1,"d":"BAA="}`,
+			),
+		},
+	)
 	if e := entry(mistaken.ID, last); e.CrashLooping {
 		t.Error("still suspect after a task completed")
 	}
@@ -108,13 +142,26 @@
 	for i := range 3 {
 		c.Failures.Failed(j, 5, wire.MachineID(fmt.Sprint("host-", i)), "", now)
 	}
-	led.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 9, Value: []byte(`{"spec":{"id":"wk-000001","pieces":8,"shape":"array","owner":"free","cores":1},"at":1,"a":1,"d":"AQ=="}`)})
+	led.Apply(
+		ledger.Event{
+			Key:     "mm1/j/wk-000001",
+			Version: 9,
+			Value: []byte(
+				`{"spec":{"id":"wk-000001","pieces":8,"shape":"array","owner":"free","cores":1},"at":1,"a":1,"d":"AQ=="}`,
+			),
+		},
+	)
 	queue := c.Scheduler.Snapshot(now).Queue
 	if len(queue) != 1 || queue[0].CrashLooping || queue[0].BackedOff != 1 {
 		t.Fatalf("%+v, want no suspect and one task at rest", queue)
 	}
 	d := led.NewTransaction()
-	got, err := d.Claim(j, ledger.ClaimTarget{Machine: "host-9", Zone: "a", Session: 1, Token: 1}, 8, c.Failures.BackedOff(j.ID))
+	got, err := d.Claim(
+		j,
+		ledger.ClaimTarget{Machine: "host-9", Zone: "a", Session: 1, Token: 1},
+		8,
+		c.Failures.BackedOff(j.ID),
+	)
 	if got != 6 || err != nil {
 		t.Errorf("%d tasks claimed (%v), want all but the one done and the one at rest", got, err)
 	}
--- a/internal/scheduler/topology/health.go
+++ b/internal/scheduler/topology/health.go
@@ -57,7 +57,13 @@
 // NewHealth returns a judge to whom all blocks are up. silent is how long a machine that
 // works may leave between two reports, at the most.
 func NewHealth(t *Tree, silent time.Duration) *Health {
-	return &Health{t: t, silent: silent, state: map[Block]*standing{}, parted: map[Block]map[wire.JobID]time.Time{}, doubt: map[Block]time.Time{}}
+	return &Health{
+		t:      t,
+		silent: silent,
+		state:  map[Block]*standing{},
+		parted: map[Block]map[wire.JobID]time.Time{},
+		doubt:  map[Block]time.Time{},
+	}
 }
 
 // Down reports whether a block, or one that it is in, has failed as far as is known.
--- a/internal/scheduler/topology/health_test.go
+++ b/internal/scheduler/topology/health_test.go
@@ -23,7 +23,15 @@
 
 func newHall(t *testing.T) *hall {
 	tree := testTree(t, 2, 2)
-	x := &hall{t: t, tree: tree, h: NewHealth(tree, 8*time.Second), now: time.Unix(1000, 0), began: time.Unix(0, 0), at: map[string][]MachineHeartbeat{}, mute: map[string]int{}}
+	x := &hall{
+		t:     t,
+		tree:  tree,
+		h:     NewHealth(tree, 8*time.Second),
+		now:   time.Unix(1000, 0),
+		began: time.Unix(0, 0),
+		at:    map[string][]MachineHeartbeat{},
+		mute:  map[string]int{},
+	}
 	for _, b := range tree.Blocks() {
 		if tree.blocks[b].level == 2 {
 			for range 4 {
--- a/internal/scheduler/topology/pack.go
+++ b/internal/scheduler/topology/pack.go
@@ -85,7 +85,13 @@
 // put k tasks into a block follows from the best ways to put fewer into its parts: a
 // knapsack a block, from the inside out, over the blocks with room only.
 func (t *Tree) Pack(g Gang, options []MachineOption) (counts []int, cost Cost, ok bool) {
-	p := packing{t: t, g: g, at: map[Block]int{}, alike: map[machineKind][]value{}, parts: make([]part, 0, len(options)+len(options)/8)}
+	p := packing{
+		t:     t,
+		g:     g,
+		at:    map[Block]int{},
+		alike: map[machineKind][]value{},
+		parts: make([]part, 0, len(options)+len(options)/8),
+	}
 	for i := range options {
 		p.addMachine(i, &options[i])
 	}
--- a/internal/scheduler/topology/pack_test.go
+++ b/internal/scheduler/topology/pack_test.go
@@ -20,7 +20,15 @@
 		for s := range switches {
 			fmt.Fprintf(&b, "\n block { name: \"s%d-%d\"", z, s)
 			for r := range racks {
-				fmt.Fprintf(&b, "\n  block { name: \"r%d-%d-%d\" prefix: \"10.%d.%d.0/24\" }", z, s, r, z*100+(s*racks+r)/256, (s*racks+r)%256)
+				fmt.Fprintf(
+					&b,
+					"\n  block { name: \"r%d-%d-%d\" prefix: \"10.%d.%d.0/24\" }",
+					z,
+					s,
+					r,
+					z*100+(s*racks+r)/256,
+					(s*racks+r)%256,
+				)
 			}
 			b.WriteString(" }")
 		}
@@ -94,7 +102,15 @@
 		var options []MachineOption
 		used := blocks[rng.IntN(len(blocks)-4):]
 		for i := range 1 + rng.IntN(10) {
-			options = append(options, MachineOption{Machine: wire.MachineID(fmt.Sprint("m", i)), Block: used[rng.IntN(min(6, len(used)))], Room: 1 + rng.IntN(3), Order: int64(rng.IntN(5))})
+			options = append(
+				options,
+				MachineOption{
+					Machine: wire.MachineID(fmt.Sprint("m", i)),
+					Block:   used[rng.IntN(min(6, len(used)))],
+					Room:    1 + rng.IntN(3),
+					Order:   int64(rng.IntN(5)),
+				},
+			)
 		}
 		g := Gang{Tasks: 2 + rng.IntN(5)}
 		switch rng.IntN(4) {
--- a/internal/scheduler/topology/tree.go
+++ b/internal/scheduler/topology/tree.go
@@ -90,8 +90,16 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &parsing{t: &Tree{blocks: make([]block, 1), byName: map[wire.MachineID]Block{}, zones: map[wire.Zone]Block{}, CloserWait: defaultWait},
-		prefixes: map[netip.Prefix]string{}, names: map[string]string{}}
+	p := &parsing{
+		t: &Tree{
+			blocks:     make([]block, 1),
+			byName:     map[wire.MachineID]Block{},
+			zones:      map[wire.Zone]Block{},
+			CloserWait: defaultWait,
+		},
+		prefixes: map[netip.Prefix]string{},
+		names:    map[string]string{},
+	}
 	p.top(&m, nodes, zones)
 	if len(p.errs) > 0 {
 		return nil, errors.Join(p.errs...)
@@ -209,7 +217,16 @@
 		p.fail(n, "block", "%s is deeper than there are levels", path)
 		return id
 	}
-	prefixes, machines, inner := configfile.Fields(children(n), "prefix"), configfile.Fields(children(n), "machine"), configfile.Fields(children(n), "block")
+	prefixes, machines, inner := configfile.Fields(
+		children(n),
+		"prefix",
+	), configfile.Fields(
+		children(n),
+		"machine",
+	), configfile.Fields(
+		children(n),
+		"block",
+	)
 	for i, text := range b.Prefix {
 		node := at(prefixes, i)
 		pfx, err := netip.ParsePrefix(text)
--- a/internal/scheduler/topology/tree_test.go
+++ b/internal/scheduler/topology/tree_test.go
@@ -86,7 +86,11 @@
 		{"misspelt field", `closer_wait_s`, `closer_weight_s`, `unknown field`},
 	} {
 		text := strings.Replace(small, tc.old, tc.new, 1)
-		if _, err := Parse([]byte(text), []wire.Zone{"a", "b"}); err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "\u00a0", " "), tc.want) {
+		if _, err := Parse(
+			[]byte(text),
+			[]wire.Zone{"a", "b"},
+		); err == nil ||
+			!strings.Contains(strings.ReplaceAll(err.Error(), "\u00a0", " "), tc.want) {
 			t.Errorf("%s: %v, want %q", tc.name, err, tc.want)
 		}
 	}
--- a/internal/scheduler/topologytracker/places.go
+++ b/internal/scheduler/topologytracker/places.go
@@ -52,7 +52,16 @@
 
 // New returns places without a topology. changed is called, under the mirror's lock, whenever
 // other places may be used than before.
-func New(set *settings.Settings, mir *watchcache.Cache, m *membership.Membership, r *reconcile.Registry, b *crashloop.Tracker, changed func(), stats *metrics.Set, log *slog.Logger) *Tracker {
+func New(
+	set *settings.Settings,
+	mir *watchcache.Cache,
+	m *membership.Membership,
+	r *reconcile.Registry,
+	b *crashloop.Tracker,
+	changed func(),
+	stats *metrics.Set,
+	log *slog.Logger,
+) *Tracker {
 	return &Tracker{set: set, mirror: mir, members: m, roster: r, book: b, changed: changed, stats: stats, log: log}
 }
 
@@ -183,7 +192,16 @@
 	}
 	p.judgePartings(now, all)
 	for _, v := range p.health.DetectFailedBlocks(now, p.settled, list) {
-		args := []any{"block", p.tree.Path(v.Block), "level", p.tree.Level(v.Block), "machines", v.Machines, "silent", v.Silent}
+		args := []any{
+			"block",
+			p.tree.Path(v.Block),
+			"level",
+			p.tree.Level(v.Block),
+			"machines",
+			v.Machines,
+			"silent",
+			v.Silent,
+		}
 		switch {
 		case v.Down && v.Gangs > 0:
 			p.log.Warn("block avoided: gangs lose mates there", append(args, "gangs", v.Gangs)...)
@@ -309,7 +327,13 @@
 			m.Block = t.Path(b)
 		}
 		if seen := view(now).Machine(id); seen != nil {
-			m.Usable, m.CPUs, m.GPUs, m.RAM = seen.Usable, float64(seen.Free.CPU)/1e6, float64(seen.Free.GPU)/1e6, float64(seen.Free.Memory)/1e6
+			m.Usable, m.CPUs, m.GPUs, m.RAM = seen.Usable, float64(
+				seen.Free.CPU,
+			)/1e6, float64(
+				seen.Free.GPU,
+			)/1e6, float64(
+				seen.Free.Memory,
+			)/1e6
 		}
 		held := l.ClaimsOn(id)
 		for _, h := range held {
--- a/internal/server/api/api.go
+++ b/internal/server/api/api.go
@@ -277,7 +277,11 @@
 	if err != nil {
 		return problem(500, err.Error())
 	}
-	return &http1.Response{Status: 200, Body: body, Header: http1.Header{{Name: "content-type", Value: "application/x-ndjson"}}}
+	return &http1.Response{
+		Status: 200,
+		Body:   body,
+		Header: http1.Header{{Name: "content-type", Value: "application/x-ndjson"}},
+	}
 }
 
 func (s *Server) judgements() *http1.Response {
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -70,7 +70,10 @@
 	return wire.WorkflowStatus{}, runner.ErrNotFailed
 }
 func (service) Topology(time.Time) (wire.TopologyView, bool) {
-	return wire.TopologyView{Blocks: []wire.BlockView{{Path: "a", Level: "zone"}}, Gangs: []wire.GangView{{Job: "wk-000001"}}}, true
+	return wire.TopologyView{
+		Blocks: []wire.BlockView{{Path: "a", Level: "zone"}},
+		Gangs:  []wire.GangView{{Job: "wk-000001"}},
+	}, true
 }
 
 // TestOverTheWire serves on a loopback port through gnet, and asks both through
@@ -84,8 +87,19 @@
 	l.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	shed := make(chan string, 100)
-	server := &api.Server{Users: service{}, Workers: service{}, Workflows: workflows{}, View: service{}, Duties: new(supervise.Group).Status, Metrics: func() []byte { return []byte("x 1\n") }, RetryAfter: time.Second,
-		MaxUsers: 100, MaxBusy: 10, Shed: func(kind string) { shed <- kind }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	server := &api.Server{
+		Users:      service{},
+		Workers:    service{},
+		Workflows:  workflows{},
+		View:       service{},
+		Duties:     new(supervise.Group).Status,
+		Metrics:    func() []byte { return []byte("x 1\n") },
+		RetryAfter: time.Second,
+		MaxUsers:   100,
+		MaxBusy:    10,
+		Shed:       func(kind string) { shed <- kind },
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
 	served := make(chan error, 1)
 	go func() { served <- transport.Serve(ctx, addr, 50, server.Serve) }()
 	dialer, err := transport.NewDialer(1 << 20)
@@ -156,7 +170,10 @@
 	if _, err := io.WriteString(stream, "GET /api/workflows/wf-000001/events HTTP/1.1\r\nhost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := io.ReadAll(stream); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 200") || !strings.HasSuffix(string(b), `{"id":"wf-000001","status":"done"}`+"\n") {
+	if b, err := io.ReadAll(
+		stream,
+	); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 200") ||
+		!strings.HasSuffix(string(b), `{"id":"wf-000001","status":"done"}`+"\n") {
 		t.Errorf("the stream is %q, %v", b, err)
 	}
 	// However many polls are under way, further ones are put off at once and submissions
@@ -179,7 +196,11 @@
 			t.Errorf("a poll beyond the bound got %d", status)
 		}
 	}
-	if p, err := client.Do(ctx, &http1.Request{Method: "POST", Path: "/api/jobs", Body: []byte(strings.Replace(job, "OWNER", "t", 1))}); err != nil || p.Status != 201 {
+	if p, err := client.Do(
+		ctx,
+		&http1.Request{Method: "POST", Path: "/api/jobs", Body: []byte(strings.Replace(job, "OWNER", "t", 1))},
+	); err != nil ||
+		p.Status != 201 {
 		t.Errorf("a submission beside them got %v, %v", p, err)
 	}
 	close(held)
--- a/internal/server/api/workflows.go
+++ b/internal/server/api/workflows.go
@@ -121,7 +121,9 @@
 			}
 			if !began {
 				began = true
-				if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\nconnection: close\r\n\r\n")); err != nil {
+				if _, err := c.Write(
+					[]byte("HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\nconnection: close\r\n\r\n"),
+				); err != nil {
 					return true
 				}
 			}
--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -23,7 +23,15 @@
 	for _, j := range order {
 		list := byJob[j]
 		first := slices.ContainsFunc(list, func(e TaskExit) bool { return e.Recalled })
-		out = append(out, &committer.Change{Urgent: first, BestEffort: j.BestEffort() && !first, Priority: j.Spec.Priority, Draft: func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) }})
+		out = append(
+			out,
+			&committer.Change{
+				Urgent:     first,
+				BestEffort: j.BestEffort() && !first,
+				Priority:   j.Spec.Priority,
+				Draft:      func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) },
+			},
+		)
 	}
 	return out
 }
--- a/internal/server/reconcile/hearing.go
+++ b/internal/server/reconcile/hearing.go
@@ -45,7 +45,12 @@
 }
 
 // listens judges by a report whether the answers to earlier ones arrived.
-func (w *Worker) listens(r *wire.Heartbeat, held []ledger.HeldClaim, there map[claimID]*wire.TaskStatus, now time.Time) {
+func (w *Worker) listens(
+	r *wire.Heartbeat,
+	held []ledger.HeldClaim,
+	there map[claimID]*wire.TaskStatus,
+	now time.Time,
+) {
 	h := &w.hears
 	switch {
 	case h.deaf:
--- a/internal/server/reconcile/recorder.go
+++ b/internal/server/reconcile/recorder.go
@@ -44,8 +44,23 @@
 
 // NewRecorder returns a recorder that does nothing before Run. Limits tell which of how many
 // controllers this one is.
-func NewRecorder(completed *completion.Log, m *watchcache.Cache, w *committer.Committer, limits ledger.Limits, stats *metrics.Set, log *slog.Logger) *Recorder {
-	return &Recorder{completed: completed, mirror: m, writer: w, limits: limits, stats: stats, log: log, recording: map[wire.JobID][]*committer.Change{}}
+func NewRecorder(
+	completed *completion.Log,
+	m *watchcache.Cache,
+	w *committer.Committer,
+	limits ledger.Limits,
+	stats *metrics.Set,
+	log *slog.Logger,
+) *Recorder {
+	return &Recorder{
+		completed: completed,
+		mirror:    m,
+		writer:    w,
+		limits:    limits,
+		stats:     stats,
+		log:       log,
+		recording: map[wire.JobID][]*committer.Change{},
+	}
 }
 
 // Run records and drops completions until ctx ends.
--- a/internal/server/reconcile/roster.go
+++ b/internal/server/reconcile/roster.go
@@ -28,7 +28,12 @@
 // NewRegistry returns a roster without machines. Members tell of the images of a machine that
 // another controller held before.
 func NewRegistry(m *membership.Membership, completed *completion.Log) *Registry {
-	return &Registry{members: m, completed: completed, workers: map[wire.MachineID]*Worker{}, images: map[wire.MachineID]*cached{}}
+	return &Registry{
+		members:   m,
+		completed: completed,
+		workers:   map[wire.MachineID]*Worker{},
+		images:    map[wire.MachineID]*cached{},
+	}
 }
 
 // Worker is a machine that reports here; nil: it doesn't.
@@ -92,7 +97,10 @@
 // Forget drops the machines that are long silent, or gone, and tells which.
 func (r *Registry) Forget(l *ledger.Ledger, now time.Time) (gone []wire.MachineID) {
 	for id, w := range r.workers {
-		if silent := now.Sub(w.LastHeartbeat); silent > forgetSilent || silent > forgetGone && l.MachinePhase(id) == ledger.Terminated {
+		if silent := now.Sub(
+			w.LastHeartbeat,
+		); silent > forgetSilent ||
+			silent > forgetGone && l.MachinePhase(id) == ledger.Terminated {
 			delete(r.workers, id)
 			delete(r.images, id)
 			gone = append(gone, id)
--- a/internal/server/reconcile/workers.go
+++ b/internal/server/reconcile/workers.go
@@ -48,9 +48,20 @@
 
 // NewWorker returns a worker first heard now. Completions tell how tasks ended that it has forgotten.
 func NewWorker(r *wire.Heartbeat, completed *completion.Log, now time.Time) *Worker {
-	return &Worker{completed: completed, ID: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, FirstHeartbeat: now,
-		stop: map[claimID]bool{},
-		sent: map[claimID]wire.HeartbeatSequence{}, dropped: map[claimID]bool{}, running: map[claimID]wire.TaskState{}, since: map[claimID]time.Time{}}
+	return &Worker{
+		completed:      completed,
+		ID:             r.Machine,
+		Addr:           r.Addr,
+		Type:           r.Type,
+		Zone:           r.Zone,
+		Spot:           r.Spot,
+		FirstHeartbeat: now,
+		stop:           map[claimID]bool{},
+		sent:           map[claimID]wire.HeartbeatSequence{},
+		dropped:        map[claimID]bool{},
+		running:        map[claimID]wire.TaskState{},
+		since:          map[claimID]time.Time{},
+	}
 }
 
 // Stale reports whether a report is older than one already taken. A network
@@ -126,7 +137,12 @@
 // whose holder's answers the worker now drops, or we never sent it, or the
 // report was begun after the answer that carried it. Of a start that only we could
 // have sent, and will not send any more, the last two prove it under any token.
-func (w *Worker) Reconcile(r *wire.Heartbeat, held []ledger.HeldClaim, hold wire.FencingToken, now time.Time) Reconciliation {
+func (w *Worker) Reconcile(
+	r *wire.Heartbeat,
+	held []ledger.HeldClaim,
+	hold wire.FencingToken,
+	now time.Time,
+) Reconciliation {
 	if r.Session != w.Session {
 		clear(w.stop)
 		clear(w.sent)
@@ -226,7 +242,8 @@
 // gaveUp reports whether a task gave up waiting for a gang that is still wanted and has all its tasks,
 // by a report that nobody else can have overtaken. One that lacks a task would wait for ever.
 func (w *Worker) gaveUp(h ledger.HeldClaim, t *wire.TaskStatus) bool {
-	return t.State == wire.TaskExited && t.Cause == wire.CauseGangIncomplete && w.Fresh && w.wanted(h) && h.Job.RunsWholeMachines()
+	return t.State == wire.TaskExited && t.Cause == wire.CauseGangIncomplete && w.Fresh && w.wanted(h) &&
+		h.Job.RunsWholeMachines()
 }
 
 // mayBegin reports whether a task that is not on the machine is a gang's that may begin there all the
@@ -251,7 +268,12 @@
 // now. Starts go only for claims under the token that the answer carries;
 // mayStart is false while the ledger may have missed a cancellation. total is what
 // the machine has, zero if that isn't known.
-func (w *Worker) Commands(r *wire.Heartbeat, held []ledger.HeldClaim, total ledger.Resources, mayStart bool) []wire.Command {
+func (w *Worker) Commands(
+	r *wire.Heartbeat,
+	held []ledger.HeldClaim,
+	total ledger.Resources,
+	mayStart bool,
+) []wire.Command {
 	cmds := []wire.Command{}
 	claims := make(map[claimID]ledger.HeldClaim, len(held))
 	for _, h := range held {
@@ -313,7 +335,10 @@
 	}
 	// Two controllers may have claimed the same room at once. The worker would refuse
 	// the second; a single task gives way, since a gang would lose all its others.
-	slices.SortStableFunc(starts, func(a, b ledger.HeldClaim) int { return cmp.Compare(b.Job.GangSize(), a.Job.GangSize()) })
+	slices.SortStableFunc(
+		starts,
+		func(a, b ledger.HeldClaim) int { return cmp.Compare(b.Job.GangSize(), a.Job.GangSize()) },
+	)
 	for _, h := range starts {
 		for i := range h.Count {
 			id := claimID{wire.TaskID{Job: h.Job.ID, Index: h.First + wire.TaskIndex(i)}, h.Attempt}
--- a/internal/server/reconcile/workers_test.go
+++ b/internal/server/reconcile/workers_test.go
@@ -12,11 +12,23 @@
 const hold = wire.FencingToken(7)
 
 func held(session wire.AgentEpoch, token wire.FencingToken, state ledger.JobState) []ledger.HeldClaim {
-	j := &ledger.Job{ID: "wk-000001", Spec: &wire.JobSpec{Tasks: 1, Shape: wire.Array, Save: 2, Checkpoint: 5}, State: state, Claimed: 1}
-	return []ledger.HeldClaim{{Job: j, Claim: ledger.Claim{First: 0, Count: 1, Attempt: 3, Machine: "host-1", Session: session, Token: token}}}
+	j := &ledger.Job{
+		ID:      "wk-000001",
+		Spec:    &wire.JobSpec{Tasks: 1, Shape: wire.Array, Save: 2, Checkpoint: 5},
+		State:   state,
+		Claimed: 1,
+	}
+	return []ledger.HeldClaim{
+		{Job: j, Claim: ledger.Claim{First: 0, Count: 1, Attempt: 3, Machine: "host-1", Session: session, Token: token}},
+	}
 }
 
-func report(session wire.AgentEpoch, tally wire.HeartbeatSequence, token wire.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func report(
+	session wire.AgentEpoch,
+	tally wire.HeartbeatSequence,
+	token wire.FencingToken,
+	tasks ...wire.TaskStatus,
+) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "host-1", Session: session, Sequence: tally, Token: token, Tasks: tasks}
 }
 
@@ -106,7 +118,13 @@
 	r.ReclaimNotice = &recall
 	w := NewWorker(r, nil, time.Time{})
 	w.Reconcile(r, held(1, hold, ""), hold, time.Time{})
-	if cmds := w.Commands(r, held(1, hold, ""), ledger.Resources{}, true); len(cmds) != 1 || cmds[0].Op != wire.OpStop || *cmds[0].Grace < 2 {
+	if cmds := w.Commands(
+		r,
+		held(1, hold, ""),
+		ledger.Resources{},
+		true,
+	); len(cmds) != 1 || cmds[0].Op != wire.OpStop ||
+		*cmds[0].Grace < 2 {
 		t.Errorf("before a recall a task must save: %+v", cmds)
 	}
 }
@@ -148,7 +166,16 @@
 			ops = append(ops, cmd.Op)
 		}
 		if len(f.Exits) != tc.exits || len(f.TakeOver) != tc.takeOver || !slices.Equal(ops, tc.ops) {
-			t.Errorf("%s: %d exits, %d taken over and %v, want %d, %d and %v", tc.name, len(f.Exits), len(f.TakeOver), ops, tc.exits, tc.takeOver, tc.ops)
+			t.Errorf(
+				"%s: %d exits, %d taken over and %v, want %d, %d and %v",
+				tc.name,
+				len(f.Exits),
+				len(f.TakeOver),
+				ops,
+				tc.exits,
+				tc.takeOver,
+				tc.ops,
+			)
 		}
 	}
 }
--- a/internal/server/spread.go
+++ b/internal/server/spread.go
@@ -53,7 +53,11 @@
 
 // passOn tells whether a worker is to be sent to another controller: one with
 // nothing under way, so that no start or exit is delayed by it.
-func (c *HeartbeatServer) passOn(w *reconcile.Worker, f *reconcile.Reconciliation, now time.Time) (HeartbeatAnswer, bool) {
+func (c *HeartbeatServer) passOn(
+	w *reconcile.Worker,
+	f *reconcile.Reconciliation,
+	now time.Time,
+) (HeartbeatAnswer, bool) {
 	if made := c.Scheduler.SnapshotsTaken(); made != c.measured {
 		c.surplus, c.measured = c.measureSurplus(now), made
 	}
@@ -61,7 +65,9 @@
 	for _, h := range c.led().ClaimsOn(w.ID) {
 		tasks += h.Count
 	}
-	if c.surplus.count <= 0 || now.Sub(w.RedirectedAt) < redirectEvery || len(f.Exits)+len(f.TakeOver) > 0 || len(f.Seen) != tasks || !w.ReclaimAt.IsZero() {
+	if c.surplus.count <= 0 || now.Sub(w.RedirectedAt) < redirectEvery || len(f.Exits)+len(f.TakeOver) > 0 ||
+		len(f.Seen) != tasks ||
+		!w.ReclaimAt.IsZero() {
 		return HeartbeatAnswer{}, false
 	}
 	c.surplus.count--
--- a/internal/server/spread_test.go
+++ b/internal/server/spread_test.go
@@ -31,7 +31,22 @@
 	} {
 		p := controllertest.New(t, 0)
 		p.Cache.SetForTest(1, time.Now())
-		c := NewHeartbeatServer(p.Set, HeartbeatServerParts{Cache: p.Cache, Committer: p.Committer, Membership: p.Membership, Registry: p.Registry, Failures: p.Failures, Topology: p.Topology, Scheduler: p.Scheduler, Completions: p.Completions, Exchange: p.Exchange}, p.Stats, p.Log)
+		c := NewHeartbeatServer(
+			p.Set,
+			HeartbeatServerParts{
+				Cache:       p.Cache,
+				Committer:   p.Committer,
+				Membership:  p.Membership,
+				Registry:    p.Registry,
+				Failures:    p.Failures,
+				Topology:    p.Topology,
+				Scheduler:   p.Scheduler,
+				Completions: p.Completions,
+				Exchange:    p.Exchange,
+			},
+			p.Stats,
+			p.Log,
+		)
 		for i, n := range tc.theirs {
 			a := controllertest.Answer(wire.MemberID(fmt.Sprintf("m-%d", i+1)), time.Now(), 0, true, tc.contact)
 			for range n {
@@ -62,7 +77,15 @@
 		if a := c.Heartbeat(t.Context(), first); a.Status != 200 {
 			t.Errorf("%s: %d for a worker that has just been sent on and came back", tc.name, a.Status)
 		}
-		c.led().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 5, Value: []byte(`{"spec":{"id":"wk-000001","pieces":1,"shape":"array"},"at":1,"a":1,"c":[[0,1,1,"host-20","a",1,1]]}`)})
+		c.led().Apply(
+			ledger.Event{
+				Key:     "mm1/j/wk-000001",
+				Version: 5,
+				Value: []byte(
+					`{"spec":{"id":"wk-000001","pieces":1,"shape":"array"},"at":1,"a":1,"c":[[0,1,1,"host-20","a",1,1]]}`,
+				),
+			},
+		)
 		busy := &wire.Heartbeat{Machine: "host-20", Session: 1, Sequence: 3, Token: 1}
 		if a := c.Heartbeat(t.Context(), busy); a.Status != 200 || len(a.Response.Commands) != 1 {
 			t.Errorf("%s: %d for a worker whose start is under way", tc.name, a.Status)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -73,7 +73,12 @@
 }
 
 // NewHeartbeatServer returns a server of workers' reports.
-func NewHeartbeatServer(set *settings.Settings, p HeartbeatServerParts, stats *metrics.Set, log *slog.Logger) *HeartbeatServer {
+func NewHeartbeatServer(
+	set *settings.Settings,
+	p HeartbeatServerParts,
+	stats *metrics.Set,
+	log *slog.Logger,
+) *HeartbeatServer {
 	return &HeartbeatServer{set: set, HeartbeatServerParts: p, stats: stats, log: log}
 }
 
@@ -108,7 +113,8 @@
 	w := c.Registry.Worker(r.Machine)
 	if w == nil {
 		w = c.Registry.Register(r, began)
-		c.log.Info("machine heard", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
+		c.log.Info("machine heard",
+			"machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
 	}
 	if a, ok := c.sendToPeerInTouch(w, began); ok {
 		return a
@@ -164,7 +170,12 @@
 }
 
 // take compares a report with the records and notes what it tells.
-func (c *HeartbeatServer) take(w *reconcile.Worker, r *wire.Heartbeat, hold wire.FencingToken, began time.Time) reconcile.Reconciliation {
+func (c *HeartbeatServer) take(
+	w *reconcile.Worker,
+	r *wire.Heartbeat,
+	hold wire.FencingToken,
+	began time.Time,
+) reconcile.Reconciliation {
 	if w.Session != 0 && r.Session > w.Session {
 		c.log.Info("machine began a new session", "machine", r.Machine, "session", r.Session)
 	}
@@ -180,7 +191,10 @@
 	}
 	if !c.Exchange.Complete(began) {
 		// A peer may know that they are done; the next report shows them again.
-		f.Exits = slices.DeleteFunc(f.Exits, func(e reconcile.TaskExit) bool { return e.Held.Session < r.Session && e.Cause == "" })
+		f.Exits = slices.DeleteFunc(
+			f.Exits,
+			func(e reconcile.TaskExit) bool { return e.Held.Session < r.Session && e.Cause == "" },
+		)
 	}
 	c.learn(w, &f, began)
 	return f
@@ -201,7 +215,13 @@
 
 // record has what a report proves and what the machine is given made durable, and waits for it for
 // as long as the report may wait. It tells false if a newer report has been taken in meanwhile.
-func (c *HeartbeatServer) record(ctx context.Context, w *reconcile.Worker, r *wire.Heartbeat, f *reconcile.Reconciliation, began time.Time) bool {
+func (c *HeartbeatServer) record(
+	ctx context.Context,
+	w *reconcile.Worker,
+	r *wire.Heartbeat,
+	f *reconcile.Reconciliation,
+	began time.Time,
+) bool {
 	waits := c.enqueueFindings(w, f, began)
 	current := func() bool { return w.Session == r.Session && w.Sequence == r.Sequence }
 	now := began
@@ -229,7 +249,11 @@
 const mostTries = 3
 
 // enqueueFindings asks for the changes that follow from what a report proves.
-func (c *HeartbeatServer) enqueueFindings(w *reconcile.Worker, f *reconcile.Reconciliation, began time.Time) []*committer.Change {
+func (c *HeartbeatServer) enqueueFindings(
+	w *reconcile.Worker,
+	f *reconcile.Reconciliation,
+	began time.Time,
+) []*committer.Change {
 	changes := reconcile.ExitChanges(c.Cache, f.Exits)
 	for _, h := range f.TakeOver {
 		changes = append(changes, c.takeOver(w, h, began.Add(c.reportWait())))
@@ -258,11 +282,14 @@
 // answer is what a worker is told to do, by the records as they are now.
 func (c *HeartbeatServer) answer(w *reconcile.Worker, r *wire.Heartbeat, began time.Time) HeartbeatAnswer {
 	now := time.Now()
-	mayStart := now.Sub(c.Cache.SyncedAt()) < settings.StartContact && c.led().MachinePhase(r.Machine) != ledger.Terminating
+	mayStart := now.Sub(c.Cache.SyncedAt()) < settings.StartContact &&
+		c.led().MachinePhase(r.Machine) != ledger.Terminating
 	commands := w.Commands(r, c.led().ClaimsOn(r.Machine), c.led().Total(w.Type), mayStart)
 	for _, command := range commands {
 		if command.Op != wire.OpForget {
-			c.log.Info("command", "op", command.Op, "job", command.Task.Job, "task", command.Task.Index, "attempt", command.Attempt, "machine", r.Machine, "token", w.CommandToken)
+			c.log.Info("command",
+				"op", command.Op, "job", command.Task.Job, "task", command.Task.Index, "attempt", command.Attempt,
+				"machine", r.Machine, "token", w.CommandToken)
 		}
 		if command.Op == wire.OpStart {
 			c.noteFetch(w, command.Task.Job, now)
@@ -289,7 +316,13 @@
 		if t.State != wire.TaskExited || t.Cause != wire.CauseDone {
 			continue
 		}
-		done := peer.Completion{Job: t.Task.Job, Task: t.Task.Index, Attempt: t.Attempt, Machine: r.Machine, Session: r.Session}
+		done := peer.Completion{
+			Job:     t.Task.Job,
+			Task:    t.Task.Index,
+			Attempt: t.Attempt,
+			Machine: r.Machine,
+			Session: r.Session,
+		}
 		if c.CompletionUnrecorded(done) {
 			c.Completions.Add(done, !c.Cache.SyncedWithin(now, settings.StartContact), now)
 		}
@@ -324,7 +357,11 @@
 // under already while the worker has seen no higher one, else a newer one of
 // ours. It may wait for that with the lock released. One that seems deaf is to show a
 // token that it has not seen before, which is not waited for.
-func (c *HeartbeatServer) holdToken(ctx context.Context, w *reconcile.Worker, r *wire.Heartbeat) (wire.FencingToken, bool) {
+func (c *HeartbeatServer) holdToken(
+	ctx context.Context,
+	w *reconcile.Worker,
+	r *wire.Heartbeat,
+) (wire.FencingToken, bool) {
 	if w.CommandToken != 0 && r.Token <= w.CommandToken {
 		switch t := c.Cache.Token(); {
 		case w.ProvesAbsence(w.CommandToken):
@@ -392,16 +429,24 @@
 func (c *HeartbeatServer) gangStops(m wire.MachineID) []*committer.Change {
 	var out []*committer.Change
 	for _, h := range c.led().ClaimsOn(m) {
-		if h.Job.Spec.Shape != wire.Gang || h.Job.Spec.Tasks < 2 || h.Job.Stop >= h.Attempt || h.Job.State != ledger.Active {
+		if h.Job.Spec.Shape != wire.Gang || h.Job.Spec.Tasks < 2 || h.Job.Stop >= h.Attempt ||
+			h.Job.State != ledger.Active {
 			continue
 		}
 		id, attempt := h.Job.ID, h.Attempt
-		out = append(out, &committer.Change{Expires: true, ExpiresAt: time.Now().Add(c.reportWait()), Draft: func(d *ledger.Transaction) error {
-			if j := c.led().Job(id); j != nil {
-				return d.PreemptGang(j, attempt)
-			}
-			return ledger.ErrPreconditionFailed
-		}})
+		out = append(
+			out,
+			&committer.Change{
+				Expires:   true,
+				ExpiresAt: time.Now().Add(c.reportWait()),
+				Draft: func(d *ledger.Transaction) error {
+					if j := c.led().Job(id); j != nil {
+						return d.PreemptGang(j, attempt)
+					}
+					return ledger.ErrPreconditionFailed
+				},
+			},
+		)
 	}
 	return out
 }
@@ -457,7 +502,11 @@
 
 // startChanges returns the claims to commit for what a machine is given: those of
 // work that takes what others leave by themselves.
-func (c *HeartbeatServer) startChanges(w *reconcile.Worker, starts []placement.Start, until time.Time) []*committer.Change {
+func (c *HeartbeatServer) startChanges(
+	w *reconcile.Worker,
+	starts []placement.Start,
+	until time.Time,
+) []*committer.Change {
 	var first, spare []placement.Start
 	for _, s := range starts {
 		// Other reports that come meanwhile must not be given the same tasks.
@@ -481,7 +530,11 @@
 }
 
 // startChange returns the claim to commit for some of what a machine is given.
-func (c *HeartbeatServer) startChange(w *reconcile.Worker, starts []placement.Start, until time.Time) *committer.Change {
+func (c *HeartbeatServer) startChange(
+	w *reconcile.Worker,
+	starts []placement.Start,
+	until time.Time,
+) *committer.Change {
 	site := c.siteOf(w)
 	var claimed []placement.Start // by the draft made last
 	made := func() {
@@ -494,36 +547,43 @@
 	first := slices.MinFunc(starts, func(a, b placement.Start) int {
 		return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank())
 	})
-	return &committer.Change{Expires: true, ExpiresAt: until, Overdue: late, Priority: first.Job.Spec.Priority, OnCommit: made, Draft: func(d *ledger.Transaction) error {
-		claimed = nil
-		if !c.holds(w, site) {
-			return ledger.ErrPreconditionFailed
-		}
-		// A gang may have been placed there meanwhile; what does not fit any more
-		// would be refused by the worker.
-		free := c.led().Free(site)
-		err := ledger.ErrPreconditionFailed
-		for _, s := range starts {
-			j := c.led().Job(s.Job.ID)
-			if j == nil || free.Times(j.Need, s.Count) < s.Count {
-				continue
+	return &committer.Change{
+		Expires:   true,
+		ExpiresAt: until,
+		Overdue:   late,
+		Priority:  first.Job.Spec.Priority,
+		OnCommit:  made,
+		Draft: func(d *ledger.Transaction) error {
+			claimed = nil
+			if !c.holds(w, site) {
+				return ledger.ErrPreconditionFailed
 			}
-			free = free.Add(j.Need, -s.Count)
-			var er error
-			if j.Spec.Shape == wire.Gang {
-				er = d.ClaimGang(j, []ledger.GangPart{{Site: site, Count: s.Count}})
-			} else {
-				_, er = d.Claim(j, site, s.Count, c.Failures.BackedOff(j.ID))
-			}
-			if er == nil {
-				claimed = append(claimed, s)
-				err = nil
-			} else if er == ledger.ErrTransactionFull && err != nil {
-				return er
+			// A gang may have been placed there meanwhile; what does not fit any more
+			// would be refused by the worker.
+			free := c.led().Free(site)
+			err := ledger.ErrPreconditionFailed
+			for _, s := range starts {
+				j := c.led().Job(s.Job.ID)
+				if j == nil || free.Times(j.Need, s.Count) < s.Count {
+					continue
+				}
+				free = free.Add(j.Need, -s.Count)
+				var er error
+				if j.Spec.Shape == wire.Gang {
+					er = d.ClaimGang(j, []ledger.GangPart{{Site: site, Count: s.Count}})
+				} else {
+					_, er = d.Claim(j, site, s.Count, c.Failures.BackedOff(j.ID))
+				}
+				if er == nil {
+					claimed = append(claimed, s)
+					err = nil
+				} else if er == ledger.ErrTransactionFull && err != nil {
+					return er
+				}
 			}
-		}
-		return err
-	}}
+			return err
+		},
+	}
 }
 
 // sweepEvery is how often jobs are looked for that are to be ended.
@@ -537,12 +597,18 @@
 			l.EachActive(func(j *ledger.Job) {
 				if j.Spec.Shape != wire.Service && j.Done == j.Spec.Tasks {
 					id := j.ID
-					c.Committer.Enqueue(&committer.Change{Expires: true, ExpiresAt: time.Now().Add(time.Second), Draft: func(d *ledger.Transaction) error {
-						if j := c.led().Job(id); j != nil {
-							return d.CompleteJob(j)
-						}
-						return ledger.ErrPreconditionFailed
-					}})
+					c.Committer.Enqueue(
+						&committer.Change{
+							Expires:   true,
+							ExpiresAt: time.Now().Add(time.Second),
+							Draft: func(d *ledger.Transaction) error {
+								if j := c.led().Job(id); j != nil {
+									return d.CompleteJob(j)
+								}
+								return ledger.ErrPreconditionFailed
+							},
+						},
+					)
 				}
 			})
 		})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -313,15 +313,23 @@
 	if plug == nil {
 		plug = new(operatorspb.Plugins)
 	}
-	o.Plugins = Plugins{On: or(plug.On, false), MemoryMB: int(or(plug.MemoryMb, 64)), Call: time.Duration(or(plug.CallMs, 200)) * time.Millisecond,
-		Starve: wire.Seconds(or(plug.StarveS, 600)).Duration(), Initial: plug.GetInitialModule()}
+	o.Plugins = Plugins{
+		On:       or(plug.On, false),
+		MemoryMB: int(or(plug.MemoryMb, 64)),
+		Call:     time.Duration(or(plug.CallMs, 200)) * time.Millisecond,
+		Starve:   wire.Seconds(or(plug.StarveS, 600)).Duration(),
+		Initial:  plug.GetInitialModule(),
+	}
 	if o.Plugins.Initial != "" && !o.Plugins.On {
 		errs = append(errs, errors.New("plugins.initial_module: plug-ins are off"))
 	}
 	if text := plug.GetInitialSignature(); text != "" {
 		b, err := base64.StdEncoding.DecodeString(text)
 		if err != nil || len(b) != ed25519.SignatureSize || o.Plugins.Initial == "" {
-			errs = append(errs, errors.New("plugins.initial_signature: is not an Ed25519 signature in base64 of an initial module"))
+			errs = append(
+				errs,
+				errors.New("plugins.initial_signature: is not an Ed25519 signature in base64 of an initial module"),
+			)
 		}
 		o.Plugins.Signature = b
 	} else if o.Plugins.Initial != "" && len(plug.PublicKeys) > 0 {
@@ -348,7 +356,12 @@
 	if q == nil {
 		q = new(operatorspb.Quarantine)
 	}
-	o.Quarantine = Quarantine{On: or(q.On, false), Faulty: or(q.FaultyShare, 0.01), Wrong: or(q.WrongShare, 0.004), Most: or(q.MostShare, 0.1)}
+	o.Quarantine = Quarantine{
+		On:     or(q.On, false),
+		Faulty: or(q.FaultyShare, 0.01),
+		Wrong:  or(q.WrongShare, 0.004),
+		Most:   or(q.MostShare, 0.1),
+	}
 	for name, share := range map[string]float64{"faulty_share": o.Quarantine.Faulty, "wrong_share": o.Quarantine.Wrong} {
 		if !(share > 0 && share <= 0.5) {
 			errs = append(errs, fmt.Errorf("quarantine.%s: must be above 0 and at most 0.5", name))
--- a/internal/state/archive/filter.go
+++ b/internal/state/archive/filter.go
@@ -69,7 +69,8 @@
 	if err := json.Unmarshal(b, &r); err != nil {
 		return err
 	}
-	if n := r.High - r.Low + 1; r.Low > r.High || r.High > lastPosition || n&(n-1) != 0 || r.Low%n != 0 || r.Shift < 0 || r.Shift > positionBits {
+	if n := r.High - r.Low + 1; r.Low > r.High || r.High > lastPosition || n&(n-1) != 0 || r.Low%n != 0 || r.Shift < 0 ||
+		r.Shift > positionBits {
 		return fmt.Errorf("archive: page from %x to %x in steps of 2^%d", r.Low, r.High, r.Shift)
 	}
 	taken, err := readBitmap(r.Taken)
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -109,7 +109,15 @@
 	}
 	opt.SweepAfter = cmp.Or(opt.SweepAfter, sweepAfter)
 	share := opt.Requests * readShare
-	return &Archiver{host: host, store: store, opt: opt, stats: stats, log: log, finals: finals, pace: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
+	return &Archiver{
+		host:   host,
+		store:  store,
+		opt:    opt,
+		stats:  stats,
+		log:    log,
+		finals: finals,
+		pace:   rate.NewLimiter(rate.Limit(share), max(1, int(share))),
+	}
 }
 
 // CacheFinal keeps the final state of a job that has just left the records.
@@ -120,7 +128,11 @@
 
 // mayBeArchived reports whether a job that a fresh ledger doesn't hold, or by its name in the
 // filter a workflow, may be archived.
-func (k *Archiver) mayBeArchived(ctx context.Context, name string, ask func(*ledger.Ledger) (may, known bool)) (may bool, err error) {
+func (k *Archiver) mayBeArchived(
+	ctx context.Context,
+	name string,
+	ask func(*ledger.Ledger) (may, known bool),
+) (may bool, err error) {
 	known, err := k.knowPage(ctx, name, func(l *ledger.Ledger) (known bool) {
 		may, known = ask(l)
 		return known
@@ -522,7 +534,11 @@
 // Workflow returns the record of a workflow that a fresh ledger doesn't hold, or nil if
 // it is not archived either.
 func (k *Archiver) Workflow(ctx context.Context, id wire.WorkflowID) (*ledger.Workflow, error) {
-	may, err := k.mayBeArchived(ctx, ledger.WorkflowFilterName(id), func(l *ledger.Ledger) (bool, bool) { return l.WorkflowMayBeArchived(id) })
+	may, err := k.mayBeArchived(
+		ctx,
+		ledger.WorkflowFilterName(id),
+		func(l *ledger.Ledger) (bool, bool) { return l.WorkflowMayBeArchived(id) },
+	)
 	if err != nil || !may {
 		return nil, err
 	}
--- a/internal/state/backup/earlier_test.go
+++ b/internal/state/backup/earlier_test.go
@@ -40,7 +40,15 @@
 		t.Fatal(err)
 	}
 	verify(t, link)
-	continued := &filled{t: t, store: store, link: link, l: ledger.New(limits), next: records.next, now: map[string]string{}, was: records.was}
+	continued := &filled{
+		t:     t,
+		store: store,
+		link:  link,
+		l:     ledger.New(limits),
+		next:  records.next,
+		now:   map[string]string{},
+		was:   records.was,
+	}
 	for _, item := range store.Items() {
 		continued.l.Apply(ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version})
 		if strings.HasPrefix(item.Key, ledger.FilterPrefix) {
--- a/internal/state/backup/put.go
+++ b/internal/state/backup/put.go
@@ -137,7 +137,11 @@
 	if len(page.Items) > 0 {
 		return fmt.Errorf("%w: it has %s", ErrNotEmpty, page.Items[0].Key)
 	}
-	return put(ctx, s, wire.Txn{If: []wire.Condition{{Key: ledger.ImportKey}}, Then: []wire.Change{{Put: ledger.ImportKey, Value: mark}}})
+	return put(
+		ctx,
+		s,
+		wire.Txn{If: []wire.Condition{{Key: ledger.ImportKey}}, Then: []wire.Change{{Put: ledger.ImportKey, Value: mark}}},
+	)
 }
 
 // finish writes the records' format and takes the mark away, which lets controllers serve.
@@ -149,8 +153,12 @@
 	if err != nil {
 		return err
 	}
-	return put(ctx, s, wire.Txn{If: []wire.Condition{{Key: ledger.ImportKey, Version: it.Version}, {Key: ledger.FormatKey}},
-		Then: []wire.Change{{Put: ledger.FormatKey, Value: format}, {Delete: ledger.ImportKey}}})
+	return put(
+		ctx,
+		s,
+		wire.Txn{If: []wire.Condition{{Key: ledger.ImportKey, Version: it.Version}, {Key: ledger.FormatKey}},
+			Then: []wire.Change{{Put: ledger.FormatKey, Value: format}, {Delete: ledger.ImportKey}}},
+	)
 }
 
 // put commits a transaction that may only create keys. A conflict is not one if the keys
--- a/internal/state/backup/snapshot_test.go
+++ b/internal/state/backup/snapshot_test.go
@@ -36,9 +36,23 @@
 }
 
 func fill(t *testing.T, jobs int) *filled {
-	f := &filled{t: t, store: emulator.NewStore(limits.TxnOps, limits.ValueBytes), l: ledger.New(limits), now: map[string]string{}, was: map[wire.Revision]map[string]string{}}
+	f := &filled{
+		t:     t,
+		store: emulator.NewStore(limits.TxnOps, limits.ValueBytes),
+		l:     ledger.New(limits),
+		now:   map[string]string{},
+		was:   map[wire.Revision]map[string]string{},
+	}
 	f.link = emulator.NewLink(f.store, 1)
-	f.do(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)}, {Put: ledger.TokenKey, Value: []byte(`{"n":3,"by":"m-0","r":2}`)}}}, nil)
+	f.do(
+		wire.Txn{
+			Then: []wire.Change{
+				{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)},
+				{Put: ledger.TokenKey, Value: []byte(`{"n":3,"by":"m-0","r":2}`)},
+			},
+		},
+		nil,
+	)
 	f.draft(func(d *ledger.Transaction) error { return d.UpgradeFormat(ledger.ArchiveFormat, 0) })
 	for range jobs {
 		f.grow()
@@ -82,7 +96,19 @@
 	id := wire.JobID(fmt.Sprintf("wk-%06d", f.next))
 	team := wire.Team([]string{"free", "capped"}[f.next%2])
 	f.draft(func(d *ledger.Transaction) error {
-		return d.Submit(&wire.JobSpec{ID: id, Class: "c", Team: team, Shape: wire.Array, Priority: wire.Normal, Tasks: 3, CPUs: 1, Image: "i"}, 1)
+		return d.Submit(
+			&wire.JobSpec{
+				ID:       id,
+				Class:    "c",
+				Team:     team,
+				Shape:    wire.Array,
+				Priority: wire.Normal,
+				Tasks:    3,
+				CPUs:     1,
+				Image:    "i",
+			},
+			1,
+		)
 	})
 	switch {
 	case f.next%2 == 0:
@@ -102,7 +128,12 @@
 		f.draft(func(d *ledger.Transaction) error { return d.SetMachinePhase(m, ledger.Terminated, "test", by) })
 	default:
 		f.draft(func(d *ledger.Transaction) error {
-			_, err := d.Claim(f.l.Job(id), ledger.ClaimTarget{Machine: "host-000002", Type: "g", Zone: "a", Session: 1, Token: 2}, 2, nil)
+			_, err := d.Claim(
+				f.l.Job(id),
+				ledger.ClaimTarget{Machine: "host-000002", Type: "g", Zone: "a", Session: 1, Token: 2},
+				2,
+				nil,
+			)
 			return err
 		})
 	}
@@ -143,7 +174,13 @@
 			t.Fatalf("revision %d with %d changes is none of those in the middle", end.Revision, end.Changes)
 		}
 		other := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
-		if _, err := Import(t.Context(), bytes.NewReader(file.Bytes()), emulator.NewLink(other, 2), limits, time.Now()); err != nil {
+		if _, err := Import(
+			t.Context(),
+			bytes.NewReader(file.Bytes()),
+			emulator.NewLink(other, 2),
+			limits,
+			time.Now(),
+		); err != nil {
 			t.Fatal(err)
 		}
 		got := stateOf(other)
@@ -154,10 +191,24 @@
 		if !maps.Equal(got, want) {
 			t.Errorf("%d keys, want %d", len(got), len(want))
 		}
-		if r, err := Verify(t.Context(), emulator.NewLink(other, 3), limits); err != nil || len(r.Problems) > 0 || r.Archived == 0 {
+		if r, err := Verify(
+			t.Context(),
+			emulator.NewLink(other, 3),
+			limits,
+		); err != nil || len(r.Problems) > 0 ||
+			r.Archived == 0 {
 			t.Errorf("%+v, %v", r, err)
 		}
-		if _, err := Import(t.Context(), bytes.NewReader(file.Bytes()), emulator.NewLink(other, 2), limits, time.Now()); !errors.Is(err, ErrNotEmpty) {
+		if _, err := Import(
+			t.Context(),
+			bytes.NewReader(file.Bytes()),
+			emulator.NewLink(other, 2),
+			limits,
+			time.Now(),
+		); !errors.Is(
+			err,
+			ErrNotEmpty,
+		) {
 			t.Errorf("imported twice: %v", err)
 		}
 		if len(other.Problems) > 0 {
@@ -224,7 +275,13 @@
 		}
 		store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 		for n := 0; ; n++ {
-			_, err := Import(t.Context(), bytes.NewReader(file.Bytes()), &flaky{emulator.NewLink(store, uint64(n)), n, n%2 == 0}, limits, time.Now())
+			_, err := Import(
+				t.Context(),
+				bytes.NewReader(file.Bytes()),
+				&flaky{emulator.NewLink(store, uint64(n)), n, n%2 == 0},
+				limits,
+				time.Now(),
+			)
 			l := ledger.New(limits)
 			for _, it := range store.Items() {
 				l.Apply(ledger.Event{Key: it.Key, Value: it.Value, Version: it.Version})
--- a/internal/state/backup/take.go
+++ b/internal/state/backup/take.go
@@ -49,7 +49,13 @@
 // that was made meanwhile, in order. Together they are the records at the revision that is
 // returned: the last change of a key is what it then is, and without one what base told.
 // Keys that only say who serves now are left out.
-func Pages(ctx context.Context, s Source, prefix string, base func([]wire.Item) error, changed func([]wire.Event) error) (wire.Revision, error) {
+func Pages(
+	ctx context.Context,
+	s Source,
+	prefix string,
+	base func([]wire.Item) error,
+	changed func([]wire.Event) error,
+) (wire.Revision, error) {
 	var at wire.Revision
 	after := ""
 	for first := true; ; first = false {
@@ -185,7 +191,11 @@
 	var ordered []*archive.Page
 	passed := func(id wire.JobID) bool {
 		at := archive.Position(string(id))
-		i, _ := slices.BinarySearchFunc(ordered, at, func(p *archive.Page, at uint32) int { return cmp.Compare(p.High, at) })
+		i, _ := slices.BinarySearchFunc(
+			ordered,
+			at,
+			func(p *archive.Page, at uint32) int { return cmp.Compare(p.High, at) },
+		)
 		return i < len(ordered) && ordered[i].Covers(string(id)) && ordered[i].MayHold(string(id))
 	}
 	see := func(key string, value []byte, version wire.Revision) {
@@ -207,7 +217,10 @@
 				return
 			}
 			pages[key] = p
-			ordered = slices.SortedFunc(maps.Values(pages), func(a, b *archive.Page) int { return cmp.Compare(a.High, b.High) })
+			ordered = slices.SortedFunc(
+				maps.Values(pages),
+				func(a, b *archive.Page) int { return cmp.Compare(a.High, b.High) },
+			)
 		case strings.HasPrefix(key, ledger.DocumentPrefix):
 			documents[key] = true
 		case ledger.IsFinalKey(key): // a workflow's
@@ -239,7 +252,12 @@
 	low := uint32(0)
 	for _, p := range ordered {
 		if p.Low != low {
-			add(ledger.Problem{Key: ledger.FilterPrefix + p.Name(), What: fmt.Sprintf("begins at %x, and the page before it ends before %x", p.Low, low)})
+			add(
+				ledger.Problem{
+					Key:  ledger.FilterPrefix + p.Name(),
+					What: fmt.Sprintf("begins at %x, and the page before it ends before %x", p.Low, low),
+				},
+			)
 		}
 		low = p.High + 1
 	}
--- a/internal/state/committer/writer.go
+++ b/internal/state/committer/writer.go
@@ -236,7 +236,10 @@
 // than what they are to leave.
 func (w *Committer) waits(queue []*Change, now time.Time) bool {
 	return !w.plenty() &&
-		!slices.ContainsFunc(queue, func(ch *Change) bool { return !ch.isSpare(now) || ch.Expires && now.After(ch.ExpiresAt) })
+		!slices.ContainsFunc(
+			queue,
+			func(ch *Change) bool { return !ch.isSpare(now) || ch.Expires && now.After(ch.ExpiresAt) },
+		)
 }
 
 // writeBatch commits as many changes as fit and returns those left. A batch larger
--- a/internal/state/committer/writer_test.go
+++ b/internal/state/committer/writer_test.go
@@ -31,12 +31,25 @@
 
 func writerOn(s kvstore.Store, ops int) (*Committer, *ledger.Ledger) {
 	led := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: kvstore.TxnBytes})
-	return New(Options{Changes: 40.0 / 3, TxnOps: ops}, records{led}, s, metrics.New(), slog.New(slog.DiscardHandler)), led
+	return New(
+		Options{Changes: 40.0 / 3, TxnOps: ops},
+		records{led},
+		s,
+		metrics.New(),
+		slog.New(slog.DiscardHandler),
+	), led
 }
 
 func addJob(led *ledger.Ledger, i int) {
-	led.Apply(ledger.Event{Key: fmt.Sprintf("mm1/j/wk-%06d", i), Version: wire.Revision(i + 1),
-		Value: fmt.Appendf(nil, `{"spec":{"id":"wk-%06d","pieces":1,"shape":"array","owner":"free","cores":1},"at":1,"a":1}`, i)})
+	led.Apply(ledger.Event{
+		Key:     fmt.Sprintf("mm1/j/wk-%06d", i),
+		Version: wire.Revision(i + 1),
+		Value: fmt.Appendf(
+			nil,
+			`{"spec":{"id":"wk-%06d","pieces":1,"shape":"array","owner":"free","cores":1},"at":1,"a":1}`,
+			i,
+		),
+	})
 }
 
 func (s *scarce) AvailableChanges() int { return s.budget }
@@ -57,13 +70,21 @@
 	c, led := writerOn(s, txnOps)
 	id := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
 	for i := range 12 {
-		value := fmt.Sprintf(`{"spec":{"id":"%s","pieces":20,"shape":"array","owner":"free"},"at":1,"a":1,"c":[[0,20,1,"host-1","a",1,1]]}`, id(i))
+		value := fmt.Sprintf(
+			`{"spec":{"id":"%s","pieces":20,"shape":"array","owner":"free"},"at":1,"a":1,"c":[[0,20,1,"host-1","a",1,1]]}`,
+			id(i),
+		)
 		led.Apply(ledger.Event{Key: "mm1/j/" + string(id(i)), Value: []byte(value), Version: wire.Revision(i + 1)})
 	}
 	exit := func(job, task int) *Change {
 		return &Change{done: make(chan error, 1), Draft: func(d *ledger.Transaction) error {
 			j := led.Job(id(job))
-			_, err := d.ReleaseTasks(j, ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}, []wire.TaskIndex{wire.TaskIndex(task)}, true)
+			_, err := d.ReleaseTasks(
+				j,
+				ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1},
+				[]wire.TaskIndex{wire.TaskIndex(task)},
+				true,
+			)
 			return err
 		}}
 	}
@@ -88,12 +109,22 @@
 func TestSmallestBudget(t *testing.T) {
 	s := &scarce{budget: 2}
 	c, led := writerOn(s, 2)
-	led.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1,
-		Value: []byte(`{"spec":{"id":"wk-000001","pieces":1,"shape":"array","owner":"free"},"at":1,"a":1,"c":[[0,1,1,"host-1","a",1,1]]}`)})
+	led.Apply(ledger.Event{
+		Key:     "mm1/j/wk-000001",
+		Version: 1,
+		Value: []byte(
+			`{"spec":{"id":"wk-000001","pieces":1,"shape":"array","owner":"free"},"at":1,"a":1,"c":[[0,1,1,"host-1","a",1,1]]}`,
+		),
+	})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	c.writeBatch(ctx, []*Change{{done: make(chan error, 1), Draft: func(d *ledger.Transaction) error {
-		_, err := d.ReleaseTasks(led.Job("wk-000001"), ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}, []wire.TaskIndex{0}, true)
+		_, err := d.ReleaseTasks(
+			led.Job("wk-000001"),
+			ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1},
+			[]wire.TaskIndex{0},
+			true,
+		)
 		return err
 	}}})
 	if len(s.sizes) != 1 || ctx.Err() != nil {
@@ -150,10 +181,15 @@
 func TestSpareChangesLeaveRoom(t *testing.T) {
 	now := time.Now()
 	mark := func(led *ledger.Ledger, i int, spare bool, age time.Duration) *Change {
-		return &Change{done: make(chan error, 1), BestEffort: spare, asked: now.Add(-age), Draft: func(d *ledger.Transaction) error {
-			_, err := d.Cancel(led.Job(wire.JobID(fmt.Sprintf("wk-%06d", i))))
-			return err
-		}}
+		return &Change{
+			done:       make(chan error, 1),
+			BestEffort: spare,
+			asked:      now.Add(-age),
+			Draft: func(d *ledger.Transaction) error {
+				_, err := d.Cancel(led.Job(wire.JobID(fmt.Sprintf("wk-%06d", i))))
+				return err
+			},
+		}
 	}
 	for _, tc := range []struct {
 		name     string
@@ -204,10 +240,24 @@
 		c, led := writerOn(s, ops)
 		addJob(led, 1)
 		now := time.Now()
-		queue := []*Change{{done: make(chan error, 1), Expires: true, ExpiresAt: now.Add(time.Minute), BestEffort: true, asked: now, Draft: func(d *ledger.Transaction) error {
-			_, err := d.Claim(led.Job("wk-000001"), ledger.ClaimTarget{Machine: "host-1", Zone: "a", Session: 1, Token: 1}, 1, nil)
-			return err
-		}}}
+		queue := []*Change{
+			{
+				done:       make(chan error, 1),
+				Expires:    true,
+				ExpiresAt:  now.Add(time.Minute),
+				BestEffort: true,
+				asked:      now,
+				Draft: func(d *ledger.Transaction) error {
+					_, err := d.Claim(
+						led.Job("wk-000001"),
+						ledger.ClaimTarget{Machine: "host-1", Zone: "a", Session: 1, Token: 1},
+						1,
+						nil,
+					)
+					return err
+				},
+			},
+		}
 		if c.waits(queue, now) {
 			t.Errorf("%d changes a transaction: waits with all of the budget there", ops)
 			continue
--- a/internal/state/kvstore/client.go
+++ b/internal/state/kvstore/client.go
@@ -220,7 +220,12 @@
 func (c *Client) AvailableChanges() int { return int(c.changes.Tokens()) }
 
 // Watch waits for changes after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error) {
+func (c *Client) Watch(
+	ctx context.Context,
+	prefix string,
+	after wire.Revision,
+	wait time.Duration,
+) (wire.Events, error) {
 	if err := c.requests.Wait(ctx); err != nil {
 		return wire.Events{}, errors.Join(ErrRefused, err)
 	}
--- a/internal/state/ledger/apply.go
+++ b/internal/state/ledger/apply.go
@@ -175,8 +175,15 @@
 		return strconv.ErrSyntax
 	}
 	if j == nil {
-		j = &Job{ID: id, Spec: r.Spec, Accepted: r.Accepted, chunks: map[int]*TaskRange{}, chunkTasks: cmp.Or(r.Range, l.limits.TasksPerRange()),
-			Need: NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB), Workflow: r.Of}
+		j = &Job{
+			ID:         id,
+			Spec:       r.Spec,
+			Accepted:   r.Accepted,
+			chunks:     map[int]*TaskRange{},
+			chunkTasks: cmp.Or(r.Range, l.limits.TasksPerRange()),
+			Need:       NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB),
+			Workflow:   r.Of,
+		}
 		l.inGalleryOf(j, r.Gallery)
 		if w := l.workflows[r.Of]; w != nil && w.State == WorkflowCancelled {
 			j.Cancelling = true
--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -65,7 +65,8 @@
 
 // IsFinalKey reports whether a key is that of an archived job or workflow.
 func IsFinalKey(key string) bool {
-	return strings.HasPrefix(key, finalPrefix) || strings.HasPrefix(key, finalFlowPrefix) || strings.HasPrefix(key, finalBookPrefix)
+	return strings.HasPrefix(key, finalPrefix) || strings.HasPrefix(key, finalFlowPrefix) ||
+		strings.HasPrefix(key, finalBookPrefix)
 }
 
 // FinalRecord is what is kept of a job for ever.
@@ -128,8 +129,14 @@
 }
 
 func newPast() past {
-	return past{filter: new(archive.Filter), gone: archive.NewTerminatedMachines(), headVer: map[archive.Series]wire.Revision{}, partVer: map[archive.PartID]wire.Revision{},
-		moved: map[wire.JobID]FinalRecord{}, over: map[wire.JobID]overJob{}}
+	return past{
+		filter:  new(archive.Filter),
+		gone:    archive.NewTerminatedMachines(),
+		headVer: map[archive.Series]wire.Revision{},
+		partVer: map[archive.PartID]wire.Revision{},
+		moved:   map[wire.JobID]FinalRecord{},
+		over:    map[wire.JobID]overJob{},
+	}
 }
 
 // Format returns the format of the records and its version. Without a record it is 1.
--- a/internal/state/ledger/cancels.go
+++ b/internal/state/ledger/cancels.go
@@ -28,7 +28,11 @@
 	if one.at <= c.above {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(c.list, one.at, func(x cancelled, at wire.Revision) int { return cmp.Compare(x.at, at+1) })
+	i, _ := slices.BinarySearchFunc(
+		c.list,
+		one.at,
+		func(x cancelled, at wire.Revision) int { return cmp.Compare(x.at, at+1) },
+	)
 	c.list = slices.Insert(c.list, i, one)
 	if over := len(c.list) - mostCancels; over > 0 {
 		c.incomplete(c.list[over-1].at)
--- a/internal/state/ledger/cancels_test.go
+++ b/internal/state/ledger/cancels_test.go
@@ -25,7 +25,13 @@
 			}
 			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
 			all[at], newest = id, max(newest, at)
-			l.Apply(Event{Key: jobKey(id), Version: at, Value: fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":1},"at":1,"state":"cancelled"}`, id)})
+			l.Apply(
+				Event{
+					Key:     jobKey(id),
+					Version: at,
+					Value:   fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":1},"at":1,"state":"cancelled"}`, id),
+				},
+			)
 		}
 		const flow = wire.WorkflowID("wf-000001")
 		workflow := wire.Revision(0)
@@ -52,7 +58,14 @@
 			slices.Sort(got.Jobs)
 			slices.Sort(want)
 			if !slices.Equal(got.Jobs, want) || slices.Contains(got.Workflows, flow) != (workflow > since) {
-				t.Fatalf("since %d (a workflow at %d): told %d and %v, and %d were cancelled", since, workflow, len(got.Jobs), got.Workflows, len(want))
+				t.Fatalf(
+					"since %d (a workflow at %d): told %d and %v, and %d were cancelled",
+					since,
+					workflow,
+					len(got.Jobs),
+					got.Workflows,
+					len(want),
+				)
 			}
 		}
 	}
--- a/internal/state/ledger/draft.go
+++ b/internal/state/ledger/draft.go
@@ -59,8 +59,17 @@
 
 // NewTransactionOf starts an empty transaction of at most so many changes.
 func (l *Ledger) NewTransactionOf(changes int) *Transaction {
-	return &Transaction{l: l, added: l.FilterAdditions(), most: min(changes, l.limits.TxnOps), jobs: map[wire.JobID]*draftJob{}, marks: map[wire.MachineID]MachinePhase{},
-		usage: map[wire.Team]Resources{}, conds: map[string]wire.Revision{}, puts: map[string]any{}, sizes: map[string]int{}}
+	return &Transaction{
+		l:     l,
+		added: l.FilterAdditions(),
+		most:  min(changes, l.limits.TxnOps),
+		jobs:  map[wire.JobID]*draftJob{},
+		marks: map[wire.MachineID]MachinePhase{},
+		usage: map[wire.Team]Resources{},
+		conds: map[string]wire.Revision{},
+		puts:  map[string]any{},
+		sizes: map[string]int{},
+	}
 }
 
 // Limit leaves room for no more than so many changes, or as many as there are.
@@ -72,7 +81,17 @@
 func (d *Transaction) job(j *Job) *draftJob {
 	w := d.jobs[j.ID]
 	if w == nil {
-		w = &draftJob{job: j, state: j.State, stop: j.Stop, spec: j.Spec, at: j.Accepted, kept: j.kept, gallery: j.Gallery, ended: j.Ended, chunks: map[int]*chunkRecord{}}
+		w = &draftJob{
+			job:     j,
+			state:   j.State,
+			stop:    j.Stop,
+			spec:    j.Spec,
+			at:      j.Accepted,
+			kept:    j.kept,
+			gallery: j.Gallery,
+			ended:   j.Ended,
+			chunks:  map[int]*chunkRecord{},
+		}
 		if j.chunkTasks != d.l.limits.TasksPerRange() {
 			w.size = j.chunkTasks
 		}
@@ -124,7 +143,20 @@
 
 // MarshalJSON writes the job's record.
 func (w *draftJob) MarshalJSON() ([]byte, error) {
-	return json.Marshal(jobRecord{Spec: w.spec, Accepted: w.at, State: w.state, Stop: w.stop, Range: w.size, Of: w.job.Workflow, Kept: w.kept, Gallery: w.gallery, Ended: w.ended, chunkRecord: *w.chunk(0)})
+	return json.Marshal(
+		jobRecord{
+			Spec:        w.spec,
+			Accepted:    w.at,
+			State:       w.state,
+			Stop:        w.stop,
+			Range:       w.size,
+			Of:          w.job.Workflow,
+			Kept:        w.kept,
+			Gallery:     w.gallery,
+			Ended:       w.ended,
+			chunkRecord: *w.chunk(0),
+		},
+	)
 }
 
 // try runs a change and undoes it when the transaction would grow too large.
--- a/internal/state/ledger/galleries_test.go
+++ b/internal/state/ledger/galleries_test.go
@@ -44,7 +44,8 @@
 					t.Fatalf("seed %d: %s goes from %q to %q", seed, j.ID, old, j.Gallery)
 				}
 				if r, had := before[j.Gallery]; j.Gallery != "" && old == "" {
-					if kinds["tie"]++; !had || r.State == ledger.GalleryKept || r.State == ledger.GalleryBroken || r.State == ledger.GalleryWithdrawn {
+					if kinds["tie"]++; !had || r.State == ledger.GalleryKept || r.State == ledger.GalleryBroken ||
+						r.State == ledger.GalleryWithdrawn {
 						t.Fatalf("seed %d: %s (known %v) is tied to %q, which is %q", seed, j.ID, known, j.Gallery, r.State)
 					}
 				}
@@ -103,7 +104,11 @@
 				}
 			case 3, 4:
 				if j == nil {
-					_ = d.SubmitToGallery(&wire.JobSpec{ID: id, Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1}, now, []*ledger.Gallery{nil, g}[rng.IntN(2)])
+					_ = d.SubmitToGallery(
+						&wire.JobSpec{ID: id, Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1},
+						now,
+						[]*ledger.Gallery{nil, g}[rng.IntN(2)],
+					)
 				}
 			case 5:
 				if j != nil && g != nil {
@@ -111,7 +116,12 @@
 				}
 			case 6:
 				if g != nil && rng.IntN(4) == 0 {
-					_ = d.MoveGallery(g, []ledger.GalleryState{ledger.GalleryAtRisk, ledger.GalleryOpen, ledger.GalleryKept, ledger.GalleryBroken}[rng.IntN(4)], "why", now)
+					_ = d.MoveGallery(
+						g,
+						[]ledger.GalleryState{ledger.GalleryAtRisk, ledger.GalleryOpen, ledger.GalleryKept, ledger.GalleryBroken}[rng.IntN(4)],
+						"why",
+						now,
+					)
 				}
 				if g != nil && rng.IntN(12) == 0 {
 					_ = d.WithdrawGallery(g, "gone", now, edition)
@@ -167,7 +177,12 @@
 	f.Add(`{"team":"free","dates":[{"at":1,"date":2,"why":"x"}],"state":"at risk","since":3,"reg":1}`)
 	f.Add(`{"dates":[]}`)
 	f.Fuzz(func(t *testing.T, value string) {
-		l, problems := ledger.Verify(map[string]ledger.Event{ledger.GalleryPrefix + "g": {Key: ledger.GalleryPrefix + "g", Value: []byte(value), Version: 5}}, limits)
+		l, problems := ledger.Verify(
+			map[string]ledger.Event{
+				ledger.GalleryPrefix + "g": {Key: ledger.GalleryPrefix + "g", Value: []byte(value), Version: 5},
+			},
+			limits,
+		)
 		if g := l.Gallery("g"); g != nil {
 			_, _ = g.Date(), g.Ended()
 		} else if len(problems) == 0 {
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -62,7 +62,8 @@
 		}
 	}
 	n := min(longRange, startsPerRange*each)
-	if usual := l.limits.TasksPerRange(); s.Tasks <= 2*usual || n < 2*usual || l.limits.ValueBytes < specBytes+n/6+startsPerRange*claimBytes+n*pairBytes/2 {
+	if usual := l.limits.TasksPerRange(); s.Tasks <= 2*usual || n < 2*usual ||
+		l.limits.ValueBytes < specBytes+n/6+startsPerRange*claimBytes+n*pairBytes/2 {
 		return 0
 	}
 	return n
@@ -225,13 +226,25 @@
 
 // New returns an empty ledger.
 func New(limits Limits) *Ledger {
-	return &Ledger{limits: limits,
-		jobs: map[wire.JobID]*Job{}, active: map[wire.JobID]*Job{}, galleries: map[wire.GalleryName]*Gallery{}, orphans: map[string]Event{},
-		held: map[wire.MachineID][]HeldClaim{}, usage: map[wire.Team]Resources{},
-		teamVer: map[wire.Team]wire.Revision{}, marks: map[wire.MachineID]MachinePhase{},
-		leaving: map[wire.MachineID]string{}, touched: map[wire.MachineID]struct{}{},
-		markVer: map[wire.MachineID]wire.Revision{}, members: map[wire.MemberID]json.RawMessage{},
-		flavors: map[wire.MachineTypeName]wire.MachineType{}, workflows: map[wire.WorkflowID]*Workflow{}, past: newPast(), modules: map[wire.ModuleHash]ModuleRecord{}}
+	return &Ledger{
+		limits:    limits,
+		jobs:      map[wire.JobID]*Job{},
+		active:    map[wire.JobID]*Job{},
+		galleries: map[wire.GalleryName]*Gallery{},
+		orphans:   map[string]Event{},
+		held:      map[wire.MachineID][]HeldClaim{},
+		usage:     map[wire.Team]Resources{},
+		teamVer:   map[wire.Team]wire.Revision{},
+		marks:     map[wire.MachineID]MachinePhase{},
+		leaving:   map[wire.MachineID]string{},
+		touched:   map[wire.MachineID]struct{}{},
+		markVer:   map[wire.MachineID]wire.Revision{},
+		members:   map[wire.MemberID]json.RawMessage{},
+		flavors:   map[wire.MachineTypeName]wire.MachineType{},
+		workflows: map[wire.WorkflowID]*Workflow{},
+		past:      newPast(),
+		modules:   map[wire.ModuleHash]ModuleRecord{},
+	}
 }
 
 // Revision is how far the ledger has caught up.
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -22,12 +22,27 @@
 	TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)}}
 
 func site(m int, token wire.FencingToken) ledger.ClaimTarget {
-	return ledger.ClaimTarget{Machine: wire.MachineID(fmt.Sprintf("host-%d", m)), Type: "g2", Zone: []wire.Zone{"a", "b"}[m%2], Session: 1, Token: token}
+	return ledger.ClaimTarget{
+		Machine: wire.MachineID(fmt.Sprintf("host-%d", m)),
+		Type:    "g2",
+		Zone:    []wire.Zone{"a", "b"}[m%2],
+		Session: 1,
+		Token:   token,
+	}
 }
 
 func spec(rng *rand.Rand, i int) *wire.JobSpec {
-	s := &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Class: "c", Team: []wire.Team{"free", "capped"}[rng.IntN(2)],
-		Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + rng.IntN(20), CPUs: 1, GPUs: 1, Image: "i"}
+	s := &wire.JobSpec{
+		ID:       wire.JobID(fmt.Sprintf("wk-%06d", i)),
+		Class:    "c",
+		Team:     []wire.Team{"free", "capped"}[rng.IntN(2)],
+		Shape:    wire.Array,
+		Priority: wire.Normal,
+		Tasks:    1 + rng.IntN(20),
+		CPUs:     1,
+		GPUs:     1,
+		Image:    "i",
+	}
 	switch rng.IntN(5) {
 	case 0:
 		s.OneZone = true
@@ -131,8 +146,13 @@
 		before = after
 		return nil
 	}
-	leader, _ := store.Apply(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)}}})
-	events = append(events, ledger.Event{Key: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`), Version: leader})
+	leader, _ := store.Apply(
+		wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)}}},
+	)
+	events = append(
+		events,
+		ledger.Event{Key: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`), Version: leader},
+	)
 	truth.Apply(events[0])
 	raise := truth.NewTransaction()
 	if err := raise.UpgradeFormat(ledger.ArchiveFormat, 0); err != nil {
@@ -327,7 +347,16 @@
 			l.Apply(ledger.Event{Key: c.Put, Value: c.Value, Version: rev})
 		}
 	}
-	s := &wire.JobSpec{ID: "wk-000001", Class: "c", Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 50, CPUs: 1, Image: "i"}
+	s := &wire.JobSpec{
+		ID:       "wk-000001",
+		Class:    "c",
+		Team:     "free",
+		Shape:    wire.Array,
+		Priority: wire.Normal,
+		Tasks:    50,
+		CPUs:     1,
+		Image:    "i",
+	}
 	run(func(d *ledger.Transaction) error { return d.Submit(s, 1) })
 	j := l.Job(s.ID)
 	for j.Pending() > 0 {
@@ -358,8 +387,16 @@
 func TestControllersBeginApart(t *testing.T) {
 	for _, controllers := range []int{2, 3, 7} {
 		for i := range 20 {
-			s := &wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Class: "c", Team: "free", Shape: wire.Array, Priority: wire.Normal,
-				Tasks: controllers * 8 * (1 + i%3), CPUs: 1, Image: "i"}
+			s := &wire.JobSpec{
+				ID:       wire.JobID(fmt.Sprintf("wk-%06d", i)),
+				Class:    "c",
+				Team:     "free",
+				Shape:    wire.Array,
+				Priority: wire.Normal,
+				Tasks:    controllers * 8 * (1 + i%3),
+				CPUs:     1,
+				Image:    "i",
+			}
 			by := map[string]int{} // which controller wrote a record of the job
 			for n := range controllers {
 				lim := limits
@@ -379,7 +416,14 @@
 				}
 				txn, err := d.Request()
 				if err != nil || len(txn.Then) != 1 {
-					t.Fatalf("eight starts of %s by controller %d of %d take %d changes: %v", s.ID, n, controllers, len(txn.Then), err)
+					t.Fatalf(
+						"eight starts of %s by controller %d of %d take %d changes: %v",
+						s.ID,
+						n,
+						controllers,
+						len(txn.Then),
+						err,
+					)
 				}
 				if o, ok := by[txn.Then[0].Put]; ok {
 					t.Errorf("controllers %d and %d of %d both write %s", o, n, controllers, txn.Then[0].Put)
@@ -406,7 +450,16 @@
 		}
 	}
 	size := limits.TasksPerRange()
-	s := &wire.JobSpec{ID: "wk-000001", Class: "c", Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 3 * size, CPUs: 1, Image: "i"}
+	s := &wire.JobSpec{
+		ID:       "wk-000001",
+		Class:    "c",
+		Team:     "free",
+		Shape:    wire.Array,
+		Priority: wire.Normal,
+		Tasks:    3 * size,
+		CPUs:     1,
+		Image:    "i",
+	}
 	d := l.NewTransaction()
 	_ = d.Submit(s, 1)
 	apply(d)
@@ -422,7 +475,13 @@
 		d := l.NewTransaction()
 		j.Claims(func(c ledger.Claim) bool {
 			if int(c.First) <= task && task < int(c.First)+c.Count {
-				if _, err := d.ReleaseTasks(j, c, []wire.TaskIndex{wire.TaskIndex(task)}, true); err != nil && !errors.Is(err, ledger.ErrPreconditionFailed) {
+				if _, err := d.ReleaseTasks(
+					j,
+					c,
+					[]wire.TaskIndex{wire.TaskIndex(task)},
+					true,
+				); err != nil &&
+					!errors.Is(err, ledger.ErrPreconditionFailed) {
 					t.Fatal(err)
 				}
 			}
@@ -481,7 +540,16 @@
 	l.Apply(ledger.Event{Key: ledger.MachineTypeKey("g4"), Version: 1,
 		Value: []byte(`{"sku":"g4","cores":48,"accelerators":4,"ram_gb":288,"yards":["a","b"]}`)})
 	const tasks = 5000
-	s := &wire.JobSpec{ID: "wk-000001", Class: "c", Team: "free", Shape: wire.Array, Priority: wire.BestEffort, Tasks: tasks, CPUs: 0.25, Image: "i"}
+	s := &wire.JobSpec{
+		ID:       "wk-000001",
+		Class:    "c",
+		Team:     "free",
+		Shape:    wire.Array,
+		Priority: wire.BestEffort,
+		Tasks:    tasks,
+		CPUs:     0.25,
+		Image:    "i",
+	}
 	d := l.NewTransaction()
 	if err := d.Submit(s, 1); err != nil {
 		t.Fatal(err)
@@ -538,8 +606,13 @@
 // TestEarlierFormOfClaims: records that an earlier version wrote are read.
 func TestEarlierFormOfClaims(t *testing.T) {
 	l := ledger.New(limits)
-	l.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1,
-		Value: []byte(`{"spec":{"id":"wk-000001","pieces":9,"shape":"array","owner":"free"},"at":1,"a":2,"c":[[0,2,1,"host-1","a",1,1],[4,3,2,"host-2","b",5,6]]}`)})
+	l.Apply(ledger.Event{
+		Key:     "mm1/j/wk-000001",
+		Version: 1,
+		Value: []byte(
+			`{"spec":{"id":"wk-000001","pieces":9,"shape":"array","owner":"free"},"at":1,"a":2,"c":[[0,2,1,"host-1","a",1,1],[4,3,2,"host-2","b",5,6]]}`,
+		),
+	})
 	var got []ledger.Claim
 	l.Job("wk-000001").Claims(func(c ledger.Claim) bool { got = append(got, c); return true })
 	want := []ledger.Claim{{First: 0, Count: 2, Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1},
@@ -583,7 +656,16 @@
 		}
 		_ = land(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: []byte(`{"by":"m-0","token":1}`)}}}, nil)
 		_, leader := l.Leader()
-		job := &wire.JobSpec{ID: "wk-000001", Class: "c", Team: "free", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, Image: "i"}
+		job := &wire.JobSpec{
+			ID:       "wk-000001",
+			Class:    "c",
+			Team:     "free",
+			Shape:    wire.Array,
+			Priority: wire.Normal,
+			Tasks:    1,
+			CPUs:     1,
+			Image:    "i",
+		}
 		do(func(d *ledger.Transaction) error { return d.UpgradeFormat(ledger.ArchiveFormat, 0) })
 		do(func(d *ledger.Transaction) error { return d.Submit(job, 1) })
 		gone := func(machine int) {
@@ -599,7 +681,8 @@
 			t.Fatal(err)
 		}
 		gone(4)
-		if n := l.CountTerminated(); n != 2 || l.MachinePhase("host-4") != ledger.Terminated || l.MachinePhase("host-5") != "" {
+		if n := l.CountTerminated(); n != 2 || l.MachinePhase("host-4") != ledger.Terminated ||
+			l.MachinePhase("host-5") != "" {
 			t.Errorf("%d machines are gone", n)
 		}
 		before := model.Read(l, []wire.JobID{job.ID}, nil, model.State{})
@@ -642,7 +725,17 @@
 		for i := range 900 {
 			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
 			ids = append(ids, id)
-			first.Then = append(first.Then, wire.Change{Put: "mm1/j/" + string(id), Value: fmt.Appendf(nil, `{"spec":{"id":"%s","owner":"free","shape":"array","pieces":1,"cores":1},"at":1,"state":"done","d":"AQ=="}`, id)})
+			first.Then = append(
+				first.Then,
+				wire.Change{
+					Put: "mm1/j/" + string(id),
+					Value: fmt.Appendf(
+						nil,
+						`{"spec":{"id":"%s","owner":"free","shape":"array","pieces":1,"cores":1},"at":1,"state":"done","d":"AQ=="}`,
+						id,
+					),
+				},
+			)
 			if len(first.Then) == 40 || i == 899 {
 				if _, err := land(first); err != nil {
 					t.Fatal(err)
@@ -734,7 +827,14 @@
 			}
 		}
 		if broken := blind != ""; (lost > 0) != broken || pages < 4 || conflicts < 20 {
-			t.Errorf("without conditions on %q: %d of %d are not let pass, %d pages, %d conflicts", blind, lost, len(ids), pages, conflicts)
+			t.Errorf(
+				"without conditions on %q: %d of %d are not let pass, %d pages, %d conflicts",
+				blind,
+				lost,
+				len(ids),
+				pages,
+				conflicts,
+			)
 		}
 	}
 }
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -111,7 +111,8 @@
 
 // sameStart reports whether two claims are pieces of one.
 func (c *Claim) sameStart(o *Claim) bool {
-	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Session == o.Session && c.Token == o.Token
+	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Session == o.Session &&
+		c.Token == o.Token
 }
 
 // MarshalJSON writes the claims start by start.
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -20,10 +20,39 @@
 
 // kinds are the kinds of records by their prefixes.
 var kinds = []struct{ prefix, kind string }{
-	{jobPrefix, "jobs"}, {chunkPrefix, "ranges of jobs"}, {machinePrefix, "marks of machines"}, {teamPrefix, "teams"},
-	{memberPrefix, "members"}, {flavorPrefix, "machine types"}, {workflowPrefix, "workflows"}, {GalleryPrefix, "galleries"}, {finalBookPrefix, "archived galleries"}, {filterPrefix, "filter pages"},
-	{headPrefix, "series of gone machines"}, {partPrefix, "parts of gone machines"}, {finalPrefix, "archived jobs"}, {finalFlowPrefix, "archived workflows"},
-	{DocumentPrefix, "documents"}, {LeaderKey, "leader"}, {TokenKey, "token"}, {ScaleOutKey, "rentals"}, {FormatKey, "format"}, {RegisterKey, "register of galleries"}, {modulePrefix, "modules"}, {codePrefix, "code of modules"}, {PolicyKey, "policy"}, {ImportKey, "import under way"},
+	{jobPrefix, "jobs"},
+	{chunkPrefix, "ranges of jobs"},
+	{machinePrefix, "marks of machines"},
+	{teamPrefix, "teams"},
+	{
+		memberPrefix,
+		"members",
+	},
+	{flavorPrefix, "machine types"},
+	{workflowPrefix, "workflows"},
+	{GalleryPrefix, "galleries"},
+	{finalBookPrefix, "archived galleries"},
+	{filterPrefix, "filter pages"},
+	{
+		headPrefix,
+		"series of gone machines",
+	},
+	{partPrefix, "parts of gone machines"},
+	{finalPrefix, "archived jobs"},
+	{finalFlowPrefix, "archived workflows"},
+	{
+		DocumentPrefix,
+		"documents",
+	},
+	{LeaderKey, "leader"},
+	{TokenKey, "token"},
+	{ScaleOutKey, "rentals"},
+	{FormatKey, "format"},
+	{RegisterKey, "register of galleries"},
+	{modulePrefix, "modules"},
+	{codePrefix, "code of modules"},
+	{PolicyKey, "policy"},
+	{ImportKey, "import under way"},
 }
 
 // RecordKind tells in words what a key is of; "" if it is of nothing that is known.
@@ -131,7 +160,12 @@
 	for team, limit := range limits.TeamMax {
 		used := l.usage[team]
 		if limit.CPU > 0 && used.CPU > limit.CPU || limit.GPU > 0 && used.GPU > limit.GPU {
-			complain(teamKey(team), "its tasks use %g cores and %g accelerators, over its limit", float64(used.CPU)/1e6, float64(used.GPU)/1e6)
+			complain(
+				teamKey(team),
+				"its tasks use %g cores and %g accelerators, over its limit",
+				float64(used.CPU)/1e6,
+				float64(used.GPU)/1e6,
+			)
 		}
 	}
 	slices.SortFunc(out, func(a, b Problem) int { return strings.Compare(a.String(), b.String()) })
--- a/internal/testing/controllertest/parttest.go
+++ b/internal/testing/controllertest/parttest.go
@@ -103,16 +103,36 @@
 // New returns the parts of a member.
 func New(t testing.TB, member int) *Parts {
 	set := Settings(t, member)
-	p := &Parts{Set: set, Store: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1)),
-		Stats: metrics.New(), Log: slog.New(slog.DiscardHandler)}
+	p := &Parts{
+		Set:   set,
+		Store: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1)),
+		Stats: metrics.New(),
+		Log:   slog.New(slog.DiscardHandler),
+	}
 	limits := ledger.Limits{ValueBytes: set.ValueBytes(), TxnOps: set.Cluster.State.TxnOps, TxnBytes: kvstore.TxnBytes}
-	p.Cache = watchcache.New(watchcache.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}, p.Store, follower{p}, p.Stats, p.Log)
+	p.Cache = watchcache.New(
+		watchcache.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat},
+		p.Store,
+		follower{p},
+		p.Stats,
+		p.Log,
+	)
 	p.Committer = committer.New(committer.Options{Changes: 13, TxnOps: limits.TxnOps}, p.Cache, p.Store, p.Stats, p.Log)
 	others := []wire.MemberID{}
 	for _, o := range set.Peers {
 		others = append(others, o.Member)
 	}
-	p.Membership = membership.New(membership.Options{Self: set.Member, Others: others, Count: 3, Contact: settings.StartContact, ValueBytes: limits.ValueBytes}, p.Stats, p.Log)
+	p.Membership = membership.New(
+		membership.Options{
+			Self:       set.Member,
+			Others:     others,
+			Count:      3,
+			Contact:    settings.StartContact,
+			ValueBytes: limits.ValueBytes,
+		},
+		p.Stats,
+		p.Log,
+	)
 	p.RunTimes, p.SpotReclaims = estimate.NewRunTimes(p.Membership), &estimate.SpotReclaims{}
 	p.Failures = crashloop.New(p.RunTimes, p.Stats, p.Log)
 	p.Completions = completion.New(64)
@@ -120,8 +140,34 @@
 	p.Registry = reconcile.NewRegistry(p.Membership, p.Completions)
 	p.Policies = policymanager.New(follower{p}, p.Store, set.Member, p.Stats, p.Log)
 	p.Topology = topologytracker.New(set, p.Cache, p.Membership, p.Registry, p.Failures, func() {}, p.Stats, p.Log)
-	p.Deadlines = deadlinetracker.New(set, deadlinetracker.Parts{Cache: p.Cache, Committer: p.Committer, RunTimes: p.RunTimes, Membership: p.Membership, Registry: p.Registry}, p.Stats, p.Log)
-	p.Scheduler = scheduler.New(set, scheduler.Parts{Cache: p.Cache, Membership: p.Membership, Registry: p.Registry, Failures: p.Failures, RunTimes: p.RunTimes, SpotReclaims: p.SpotReclaims, Topology: p.Topology, Policies: p.Policies, Deadlines: p.Deadlines}, p.Stats, p.Log)
+	p.Deadlines = deadlinetracker.New(
+		set,
+		deadlinetracker.Parts{
+			Cache:      p.Cache,
+			Committer:  p.Committer,
+			RunTimes:   p.RunTimes,
+			Membership: p.Membership,
+			Registry:   p.Registry,
+		},
+		p.Stats,
+		p.Log,
+	)
+	p.Scheduler = scheduler.New(
+		set,
+		scheduler.Parts{
+			Cache:        p.Cache,
+			Membership:   p.Membership,
+			Registry:     p.Registry,
+			Failures:     p.Failures,
+			RunTimes:     p.RunTimes,
+			SpotReclaims: p.SpotReclaims,
+			Topology:     p.Topology,
+			Policies:     p.Policies,
+			Deadlines:    p.Deadlines,
+		},
+		p.Stats,
+		p.Log,
+	)
 	return p
 }
 
@@ -142,13 +188,28 @@
 // AddJob adds the record of a job that waits.
 func AddJob(l *ledger.Ledger, i int, shape wire.Shape, tasks int) *ledger.Job {
 	id := wire.JobID(fmt.Sprintf("wk-%06d", i))
-	l.Apply(ledger.Event{Key: "mm1/j/" + string(id), Version: wire.Revision(i + 1),
-		Value: fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":%d,"shape":"%s","owner":"free","cores":1},"at":1,"a":1}`, id, tasks, shape)})
+	l.Apply(ledger.Event{
+		Key:     "mm1/j/" + string(id),
+		Version: wire.Revision(i + 1),
+		Value: fmt.Appendf(
+			nil,
+			`{"spec":{"id":"%s","pieces":%d,"shape":"%s","owner":"free","cores":1},"at":1,"a":1}`,
+			id,
+			tasks,
+			shape,
+		),
+	})
 	return l.Job(id)
 }
 
 // Answer is what a peer tells that was asked at a time.
-func Answer(member wire.MemberID, asked time.Time, cancelled wire.Revision, loaded bool, contact time.Duration) peer.Answer {
+func Answer(
+	member wire.MemberID,
+	asked time.Time,
+	cancelled wire.Revision,
+	loaded bool,
+	contact time.Duration,
+) peer.Answer {
 	return peer.Answer{AsOf: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
 		Cancelled: cancelled, ContactMS: contact.Milliseconds()}}
 }
@@ -168,15 +229,33 @@
 func NewFleet(machines int) *Fleet {
 	g := new(Fleet)
 	add := func(key, value string) {
-		g.Records = append(g.Records, ledger.Event{Key: key, Value: []byte(value), Version: wire.Revision(len(g.Records) + 1)})
+		g.Records = append(
+			g.Records,
+			ledger.Event{Key: key, Value: []byte(value), Version: wire.Revision(len(g.Records) + 1)},
+		)
 	}
-	add(ledger.MachineTypeKey("g2"), `{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"disk_gb":50,"fetch_gb_per_s":1,"hourly_price":4,"startup_s":20,"yards":["a","b","c"]}`)
+	add(
+		ledger.MachineTypeKey("g2"),
+		`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"disk_gb":50,"fetch_gb_per_s":1,"hourly_price":4,"startup_s":20,"yards":["a","b","c"]}`,
+	)
 	name := func(i int) wire.MachineID { return wire.MachineID(fmt.Sprintf("host-%06d", i)) }
 	job := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 	spec := `{"spec":{"id":"%s","workclass":"c","owner":"free","shape":"%s","urgency":"%s","pieces":%d,"cores":4,"accelerators":1,"ram_gb":8,"bundle":"img-%d","pull_gb":4,"loaners":true,"expect_s":60},"at":%d%s}`
 	for i := range machines {
 		if i%100 != 0 {
-			add("mm1/j/"+job(i), fmt.Sprintf(spec, job(i), "array", "normal", 2, i%20, i, fmt.Sprintf(`,"a":1,"c":[[1,"%s","%s",1,1,0,2]]`, name(i), Zone(i))))
+			add(
+				"mm1/j/"+job(i),
+				fmt.Sprintf(
+					spec,
+					job(i),
+					"array",
+					"normal",
+					2,
+					i%20,
+					i,
+					fmt.Sprintf(`,"a":1,"c":[[1,"%s","%s",1,1,0,2]]`, name(i), Zone(i)),
+				),
+			)
 		}
 	}
 	for i := range 1000 {
@@ -190,12 +269,22 @@
 		r := &wire.Heartbeat{Machine: name(i), Type: "g2", Zone: Zone(i), Session: 1, Sequence: 1, Token: 1}
 		if i%100 != 0 {
 			for k := range 2 {
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskID{Job: wire.JobID(job(i)), Index: wire.TaskIndex(k)}, Attempt: 1, State: wire.TaskRunning})
+				r.Tasks = append(
+					r.Tasks,
+					wire.TaskStatus{
+						Task:    wire.TaskID{Job: wire.JobID(job(i)), Index: wire.TaskIndex(k)},
+						Attempt: 1,
+						State:   wire.TaskRunning,
+					},
+				)
 			}
 		}
 		if k := i % 3; k > 0 {
-			g.Peers[k-1].Machines = append(g.Peers[k-1].Machines, peer.Machine{ID: r.Machine, Type: r.Type, Zone: r.Zone, Session: 1, Token: 1, Usable: true,
-				Images: []wire.Image{"img-1", "img-2", "img-3", wire.Image(fmt.Sprintf("img-%d", i%20))}})
+			g.Peers[k-1].Machines = append(
+				g.Peers[k-1].Machines,
+				peer.Machine{ID: r.Machine, Type: r.Type, Zone: r.Zone, Session: 1, Token: 1, Usable: true,
+					Images: []wire.Image{"img-1", "img-2", "img-3", wire.Image(fmt.Sprintf("img-%d", i%20))}},
+			)
 			continue
 		}
 		g.Reports = append(g.Reports, r)
--- a/internal/testing/emulator/steps.go
+++ b/internal/testing/emulator/steps.go
@@ -91,7 +91,14 @@
 
 func (d workDir) value(name string) (map[string]any, error) {
 	info, err := d.store.Put(context.Background(), d.at+"/"+name, strings.NewReader(d.files[name]))
-	return map[string]any{"class": "File", "path": info.Name, "location": info.Name, "basename": path.Base(name), "size": info.Size, "checksum": "sha256$" + info.Sum}, err
+	return map[string]any{
+		"class":    "File",
+		"path":     info.Name,
+		"location": info.Name,
+		"basename": path.Base(name),
+		"size":     info.Size,
+		"checksum": "sha256$" + info.Sum,
+	}, err
 }
 
 // Glob implements cwl.Dir.
--- a/internal/testing/emulator/store.go
+++ b/internal/testing/emulator/store.go
@@ -189,7 +189,8 @@
 		return ev, nil, kvstore.ErrRevisionCompacted
 	}
 	for _, e := range s.log {
-		if e.Version > after && (strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "") {
+		if e.Version > after &&
+			(strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "") {
 			ev.Events = append(ev.Events, e)
 		}
 	}
@@ -395,7 +396,12 @@
 func (l *Link) AvailableChanges() int { return math.MaxInt }
 
 // Watch implements kvstore.Store.
-func (l *Link) Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error) {
+func (l *Link) Watch(
+	ctx context.Context,
+	prefix string,
+	after wire.Revision,
+	wait time.Duration,
+) (wire.Events, error) {
 	end := time.After(wait)
 	defer l.Thaw()
 	for {
--- a/internal/testing/emulator/worker.go
+++ b/internal/testing/emulator/worker.go
@@ -50,9 +50,18 @@
 
 // NewWorld returns a world in which nothing has happened.
 func NewWorld(cancel time.Duration) *World {
-	return &World{specs: map[wire.JobID]*wire.JobSpec{}, on: map[wire.TaskID]wire.MachineID{}, zoneOf: map[wire.TaskID]wire.Zone{},
-		mates: map[wire.TaskID]mate{}, hung: map[wire.MachineID]bool{},
-		TeamMax: map[wire.Team]float64{}, done: map[wire.TaskID]bool{}, seen: map[wire.JobID]map[wire.TaskIndex]bool{}, told: map[wire.JobID]toldState{}, CancelS: cancel}
+	return &World{
+		specs:   map[wire.JobID]*wire.JobSpec{},
+		on:      map[wire.TaskID]wire.MachineID{},
+		zoneOf:  map[wire.TaskID]wire.Zone{},
+		mates:   map[wire.TaskID]mate{},
+		hung:    map[wire.MachineID]bool{},
+		TeamMax: map[wire.Team]float64{},
+		done:    map[wire.TaskID]bool{},
+		seen:    map[wire.JobID]map[wire.TaskIndex]bool{},
+		told:    map[wire.JobID]toldState{},
+		CancelS: cancel,
+	}
 }
 
 // Upload makes a job's description known to the workers.
@@ -272,10 +281,21 @@
 		m.step(t, r, now)
 	}
 	m.tally++
-	rep := &wire.Heartbeat{Machine: m.Type.ID, Addr: m.Type.Addr, Type: m.Type.Type, Zone: m.Type.Zone, Spot: m.Type.Spot,
-		Session: m.session, Sequence: m.tally, Token: m.token}
+	rep := &wire.Heartbeat{
+		Machine:  m.Type.ID,
+		Addr:     m.Type.Addr,
+		Type:     m.Type.Type,
+		Zone:     m.Type.Zone,
+		Spot:     m.Type.Spot,
+		Session:  m.session,
+		Sequence: m.tally,
+		Token:    m.token,
+	}
 	for t, r := range m.tasks {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: t, Attempt: r.attempt, State: r.state, Cause: r.cause, Saved: r.saved})
+		rep.Tasks = append(
+			rep.Tasks,
+			wire.TaskStatus{Task: t, Attempt: r.attempt, State: r.state, Cause: r.cause, Saved: r.saved},
+		)
 	}
 	return rep, now
 }
--- a/internal/testing/model/model.go
+++ b/internal/testing/model/model.go
@@ -33,7 +33,12 @@
 
 // Read spells a ledger out, beside the archive and what was known before.
 func Read(l *ledger.Ledger, ids []wire.JobID, archive map[wire.JobID]ledger.FinalRecord, before State) State {
-	s := State{Jobs: map[wire.JobID]Job{}, Final: maps.Clone(archive), Marks: map[wire.MachineID]ledger.MachinePhase{}, Passed: map[wire.JobID]bool{}}
+	s := State{
+		Jobs:   map[wire.JobID]Job{},
+		Final:  maps.Clone(archive),
+		Marks:  map[wire.MachineID]ledger.MachinePhase{},
+		Passed: map[wire.JobID]bool{},
+	}
 	for _, id := range ids {
 		may, known := l.MayBeArchived(id)
 		s.Passed[id] = may && known
@@ -44,7 +49,13 @@
 		if j == nil {
 			continue
 		}
-		o := Job{Spec: *j.Spec, State: j.State, Count: j.DoneTasks(), Done: map[wire.TaskIndex]bool{}, Claims: map[wire.TaskIndex]ledger.Claim{}}
+		o := Job{
+			Spec:   *j.Spec,
+			State:  j.State,
+			Count:  j.DoneTasks(),
+			Done:   map[wire.TaskIndex]bool{},
+			Claims: map[wire.TaskIndex]ledger.Claim{},
+		}
 		for i := range j.Spec.Tasks {
 			if t := wire.TaskIndex(i); j.TaskDone(t) {
 				o.Done[t] = true
@@ -80,7 +91,14 @@
 			complain("both on record and archived: %s", id)
 		case archived:
 			if old.State == ledger.Active || final.State != old.State || final.Done != old.Count {
-				complain("went_back: %s with %d tasks done is %q, archived %q with %d", id, old.Count, old.State, final.State, final.Done)
+				complain(
+					"went_back: %s with %d tasks done is %q, archived %q with %d",
+					id,
+					old.Count,
+					old.State,
+					final.State,
+					final.Done,
+				)
 			}
 			if len(old.Claims) > 0 {
 				complain("ran_twice: %s is archived with claims", id)
@@ -102,7 +120,8 @@
 			}
 		}
 		for t, c := range old.Claims {
-			if now.Claims[t] != c && !takenOver(c, now.Claims[t], now.Spec.Shape) && !proven(wire.TaskID{Job: id, Index: t}, c) {
+			if now.Claims[t] != c && !takenOver(c, now.Claims[t], now.Spec.Shape) &&
+				!proven(wire.TaskID{Job: id, Index: t}, c) {
 				complain("ran_twice: the claim of %s/%d on %s went without proof", id, t, c.Machine)
 			}
 		}
@@ -204,7 +223,8 @@
 		j := e.Job
 		keep, kept := v.HeadReservations[m.ID]
 		return !(kept && keep != j.ID) && !keptFrom(v, m, e) && !v.Now.Before(e.Retry) && left(e) > 0 && free.Fits(j.Need) && j.ZoneRoom(m.Zone) > given[j.ID] &&
-			ledger.Allowed(j.Spec, m.Type, m.Zone, m.Spot) && (e.Avoid == nil || !e.Avoid(m.ID)) &&
+			ledger.Allowed(j.Spec, m.Type, m.Zone, m.Spot) &&
+			(e.Avoid == nil || !e.Avoid(m.ID)) &&
 			v.TeamRoom(j, taken[j.Spec.Team].Add(e.Ahead, 1), 1) > 0
 	}
 	give := func(e *placement.Entry) {
@@ -219,7 +239,8 @@
 			for _, spot := range []bool{false, true} {
 				for _, e := range v.Queue {
 					// Off spot machines, work that may run nowhere else goes first.
-					if s := e.Job.Spec; s.Priority.Rank() == rank && e.OverGuarantee == beyond && e.Overdue == late && (m.Spot && spot || !m.Spot && s.Spot == spot) {
+					if s := e.Job.Spec; s.Priority.Rank() == rank && e.OverGuarantee == beyond && e.Overdue == late &&
+						(m.Spot && spot || !m.Spot && s.Spot == spot) {
 						like = append(like, e)
 					}
 				}
@@ -246,7 +267,8 @@
 				if !single(e) || m.Images.Has(image) || m.Images.IsFetching(image) || !takes(e) {
 					continue
 				}
-				if underWay > 0 || cold >= v.Limits.ColdStarts || soon(v, m, e) > before[image] || e.Waiting <= v.Limits.DeferCold && elsewhere(v, m, e) {
+				if underWay > 0 || cold >= v.Limits.ColdStarts || soon(v, m, e) > before[image] ||
+					e.Waiting <= v.Limits.DeferCold && elsewhere(v, m, e) {
 					before[image] += left(e)
 					continue
 				}
@@ -278,7 +300,8 @@
 	for _, o := range v.Machines {
 		keep, kept := v.HeadReservations[o.ID]
 		if o.ID != m.ID && o.Usable && (!kept || keep == e.Job.ID) && !keptFrom(v, o, e) && o.Images.Has(e.Job.Spec.Image) &&
-			ledger.Allowed(e.Job.Spec, o.Type, o.Zone, o.Spot) && (e.Avoid == nil || !e.Avoid(o.ID)) {
+			ledger.Allowed(e.Job.Spec, o.Type, o.Zone, o.Spot) &&
+			(e.Avoid == nil || !e.Avoid(o.ID)) {
 			out = append(out, o)
 		}
 	}
--- a/internal/testing/model/model_test.go
+++ b/internal/testing/model/model_test.go
@@ -54,7 +54,12 @@
 		{"a mark went back", State{Marks: map[wire.MachineID]ledger.MachinePhase{"m": ledger.Terminated}}, State{}},
 		{"quota", job(two, "", nil, nil), job(two, "", nil, claims{0: on("m1", "a"), 1: on("m1", "a")})},
 	} {
-		bad := Check(tc.before, tc.after, map[wire.Team]float64{"t": 1}, func(wire.TaskID, ledger.Claim) bool { return false })
+		bad := Check(
+			tc.before,
+			tc.after,
+			map[wire.Team]float64{"t": 1},
+			func(wire.TaskID, ledger.Claim) bool { return false },
+		)
 		if !strings.Contains(strings.Join(bad, "\n"), tc.rule) {
 			t.Errorf("%s is not found: %v", tc.rule, bad)
 		}
--- a/internal/testing/regress/own.go
+++ b/internal/testing/regress/own.go
@@ -113,7 +113,10 @@
 	}
 	p90 := int64(p95 * 0.9) // the tenth begins a little below
 	j["tasks"] = Table{"median": tasks["median"], "p95": p90, "max": p90 + 1}
-	large["tasks"] = Table{"sizes": []any{int64(p95), int64((p95 + most) / 2), int64(most)}, "weights": []any{3.0, 2.0, 1.0}}
+	large["tasks"] = Table{
+		"sizes":   []any{int64(p95), int64((p95 + most) / 2), int64(most)},
+		"weights": []any{3.0, 2.0, 1.0},
+	}
 	return large, 0.1
 }
 
@@ -153,7 +156,13 @@
 	}
 	days := []OwnDay{}
 	day := func(name string, vary Table, faults ...Table) {
-		d := Table{"name": "own-" + name, "seed": int64(900 + len(days)), "slot": "scale", "light": false, "faults": asAny(faults)}
+		d := Table{
+			"name":   "own-" + name,
+			"seed":   int64(900 + len(days)),
+			"slot":   "scale",
+			"light":  false,
+			"faults": asAny(faults),
+		}
 		if vary != nil {
 			d["vary"] = vary
 		}
@@ -190,28 +199,100 @@
 	day("again", nil, again...)
 
 	day("rolls", Table{"state_slow": 0.04, "state_slow_times": 25.0}, slices.Concat(
-		[]Table{at(100, "node_roll", Table{"every_s": 3.0}), at(130, "node_roll", Table{"every_s": 3.0}), at(160, "node_roll", Table{"every_s": 3.0}),
-			at(200, "node_roll", Table{"every_s": 3.0}), at(205, "peers_refuse", Table{"for_s": 25.0}), at(208, "node_roll", Table{"every_s": 3.0}),
-			at(240, "machine_die", Table{"count": int64(150)})},
-		burst(95, 2, 120, whole, whole+Largest))...)
+		[]Table{
+			at(100, "node_roll", Table{"every_s": 3.0}),
+			at(130, "node_roll", Table{"every_s": 3.0}),
+			at(160, "node_roll", Table{"every_s": 3.0}),
+			at(
+				200,
+				"node_roll",
+				Table{"every_s": 3.0},
+			),
+			at(205, "peers_refuse", Table{"for_s": 25.0}),
+			at(208, "node_roll", Table{"every_s": 3.0}),
+			at(240, "machine_die", Table{"count": int64(150)}),
+		},
+		burst(95, 2, 120, whole, whole+Largest),
+	)...)
 
 	day("largest", nil, slices.Concat(burst(100, 3, 100, classes...), []Table{
-		at(110, "machine_die", Table{"count": int64(180)}), at(130, "spot_taken", Table{"share": 0.5, "notice_s": 0.0, "over_s": 20.0}),
-		at(150, "zone_cut", Table{"zone": zones[0], "for_s": 60.0, "mode": "hold"}), crash(160, controllers)})...)
+		at(
+			110,
+			"machine_die",
+			Table{"count": int64(180)},
+		),
+		at(130, "spot_taken", Table{"share": 0.5, "notice_s": 0.0, "over_s": 20.0}),
+		at(150, "zone_cut", Table{"zone": zones[0], "for_s": 60.0, "mode": "hold"}),
+		crash(160, controllers),
+	})...)
 
-	day("stalls", Table{"report": 0.2, "fetch": 0.3, "fetch_shared": true}, slices.Concat(burst(120, 2, 60, whole, whole+Largest), []Table{
-		at(100, "machine_hang", Table{"count": int64(150), "for_s": 38.0}), at(115, "node_freeze", Table{"count": int64(1), "busiest": true, "for_s": 20.0}),
-		at(170, "node_freeze", Table{"count": int64(1), "busiest": true, "for_s": 8.0}), crash(172, 1), at(200, "machine_slow", Table{"count": int64(120), "factor": 4.0, "for_s": 60.0}),
-		at(210, "machine_hang", Table{"count": int64(150), "for_s": 25.0}), crash(215, controllers)})...)
+	day(
+		"stalls",
+		Table{"report": 0.2, "fetch": 0.3, "fetch_shared": true},
+		slices.Concat(burst(120, 2, 60, whole, whole+Largest), []Table{
+			at(
+				100,
+				"machine_hang",
+				Table{"count": int64(150), "for_s": 38.0},
+			),
+			at(115, "node_freeze", Table{"count": int64(1), "busiest": true, "for_s": 20.0}),
+			at(
+				170,
+				"node_freeze",
+				Table{"count": int64(1), "busiest": true, "for_s": 8.0},
+			),
+			crash(172, 1),
+			at(200, "machine_slow", Table{"count": int64(120), "factor": 4.0, "for_s": 60.0}),
+			at(210, "machine_hang", Table{"count": int64(150), "for_s": 25.0}),
+			crash(215, controllers),
+		})...)
 
-	day("refused", Table{"state_slow": 0.08, "state_slow_times": 40.0, "list_lag": 0.9, "boot": 0.3, "boot_slow": 0.2, "boot_slow_times": 2.5}, slices.Concat(
-		burst(110, 2, 80, all...), []Table{
-			at(100, "peers_refuse", Table{"for_s": 60.0}), at(105, "node_cut", Table{"count": int64(1), "busiest": true, "from_state": true, "for_s": 50.0, "mode": "hold"}),
-			at(120, "machine_die", Table{"count": int64(120)}), at(180, "node_cut", Table{"count": int64(1), "busiest": true, "from_workers": true, "for_s": 40.0, "mode": "hold"}),
-			crash(190, 1), at(230, "state_outage", Table{"for_s": 15.0}), crash(235, controllers), crash(246, controllers)})...)
+	day(
+		"refused",
+		Table{
+			"state_slow":       0.08,
+			"state_slow_times": 40.0,
+			"list_lag":         0.9,
+			"boot":             0.3,
+			"boot_slow":        0.2,
+			"boot_slow_times":  2.5,
+		},
+		slices.Concat(
+			burst(110, 2, 80, all...), []Table{
+				at(
+					100,
+					"peers_refuse",
+					Table{"for_s": 60.0},
+				),
+				at(105, "node_cut", Table{"count": int64(1), "busiest": true, "from_state": true, "for_s": 50.0, "mode": "hold"}),
+				at(
+					120,
+					"machine_die",
+					Table{"count": int64(120)},
+				),
+				at(
+					180,
+					"node_cut",
+					Table{"count": int64(1), "busiest": true, "from_workers": true, "for_s": 40.0, "mode": "hold"},
+				),
+				crash(
+					190,
+					1,
+				),
+				at(230, "state_outage", Table{"for_s": 15.0}),
+				crash(235, controllers),
+				crash(246, controllers),
+			})...)
 
 	day("long", nil, slices.Concat(burst(100, 2.5, 200, lastOf(tables(site["jobs"]), "gang")...), []Table{
-		at(120, "machine_die", Table{"count": int64(150)}), crash(180, controllers), at(200, "spot_rate", Table{"per_hour": 15.0, "for_s": 150.0})})...)
+		at(
+			120,
+			"machine_die",
+			Table{"count": int64(150)},
+		),
+		crash(180, controllers),
+		at(200, "spot_rate", Table{"per_hour": 15.0, "for_s": 150.0}),
+	})...)
 	return days, nil
 }
 
@@ -323,7 +404,16 @@
 				within = p[1:]
 			}
 		}
-		out = append(out, fmt.Sprintf("%s: over %s in a hundred began within %.0f s, the last after %.0f", name, within, LargestWait, w["max"]))
+		out = append(
+			out,
+			fmt.Sprintf(
+				"%s: over %s in a hundred began within %.0f s, the last after %.0f",
+				name,
+				within,
+				LargestWait,
+				w["max"],
+			),
+		)
 	}
 	return out
 }
@@ -360,13 +450,29 @@
 	for _, list := range []map[string]Served{r.Classes, r.Teams} {
 		for _, name := range slices.Sorted(maps.Keys(list)) {
 			s := list[name]
-			fmt.Fprintf(&b, "  %-24s %5d accepted %5d begun %5d done, not begun %3d, cancelled %3d", name, max(s.Accepted, s.Jobs), s.Started, s.Done, max(s.Accepted, s.Jobs)-s.Started, s.Cancelled)
+			fmt.Fprintf(
+				&b,
+				"  %-24s %5d accepted %5d begun %5d done, not begun %3d, cancelled %3d",
+				name,
+				max(s.Accepted, s.Jobs),
+				s.Started,
+				s.Done,
+				max(s.Accepted, s.Jobs)-s.Started,
+				s.Cancelled,
+			)
 			if s.Wait != nil {
 				fmt.Fprintf(&b, "; wait p50/p95/max %.0f/%.0f/%.0f s", s.Wait["p50"], s.Wait["p95"], s.Wait["max"])
 			}
 			b.WriteByte('\n')
 		}
 	}
-	fmt.Fprintf(&b, "  users: %d of %d submissions accepted; %d of %d questions in vain\n", r.Users.Accepted, r.Users.Submitted, r.Users.AskedInVain, r.Users.Asked)
+	fmt.Fprintf(
+		&b,
+		"  users: %d of %d submissions accepted; %d of %d questions in vain\n",
+		r.Users.Accepted,
+		r.Users.Submitted,
+		r.Users.AskedInVain,
+		r.Users.Asked,
+	)
 	return b.String()
 }
--- a/internal/testing/regress/own_test.go
+++ b/internal/testing/regress/own_test.go
@@ -15,8 +15,21 @@
 		"capacity": []any{Table{"count": int64(100), "spot": int64(40)}}, "day": []any{Table{"name": "calm"}},
 		"teams": []any{Table{"name": "t", "gpus": 10.0}},
 		"jobs": []any{
-			Table{"name": "weave", "kind": "gang", "initial": int64(80), "arrivals": Table{"rate": 1.0}, "tasks": Table{"sizes": []any{int64(1), int64(8)}, "weights": []any{3.0, 1.0}}},
-			Table{"name": "spin", "kind": "array", "initial": int64(20), "arrivals": Table{"rate": 2.0}, "tasks": Table{"median": 30.0, "p95": 80.0, "max": 120.0}}},
+			Table{
+				"name":     "weave",
+				"kind":     "gang",
+				"initial":  int64(80),
+				"arrivals": Table{"rate": 1.0},
+				"tasks":    Table{"sizes": []any{int64(1), int64(8)}, "weights": []any{3.0, 1.0}},
+			},
+			Table{
+				"name":     "spin",
+				"kind":     "array",
+				"initial":  int64(20),
+				"arrivals": Table{"rate": 2.0},
+				"tasks":    Table{"median": 30.0, "p95": 80.0, "max": 120.0},
+			},
+		},
 		"targets": []any{Table{"kind": "wait", "class": "weave", "within_s": 50.0}, Table{"kind": "price"}}}
 	own, err := OwnSite(site)
 	if err != nil {
@@ -30,13 +43,17 @@
 		t.Errorf("machines %v, days %v", c, own["day"])
 	}
 	rate := func(name string) float64 { return got[name]["arrivals"].(Table)["rate"].(float64) }
-	if got["weave"]["initial"] != int64(90) || got["weave-largest"]["initial"] != int64(30) || rate("weave") != 1.125 || rate("weave-largest") != 0.375 {
+	if got["weave"]["initial"] != int64(90) || got["weave-largest"]["initial"] != int64(30) || rate("weave") != 1.125 ||
+		rate("weave-largest") != 0.375 {
 		t.Errorf("jobs %v", got)
 	}
 	if d := rate("spin") + rate("spin-largest"); d != 3 {
 		t.Errorf("jobs of spin come at %v", d)
 	}
-	if !slices.ContainsFunc(tables(own["targets"]), func(x Table) bool { return x["class"] == "weave-largest" && x["within_s"] == 50.0 }) {
+	if !slices.ContainsFunc(
+		tables(own["targets"]),
+		func(x Table) bool { return x["class"] == "weave-largest" && x["within_s"] == 50.0 },
+	) {
 		t.Errorf("targets %v", own["targets"])
 	}
 	days, err := OwnDays(own)
@@ -56,9 +73,11 @@
 
 // TestFaultsOfADay: each way in which a day of our own fails is told.
 func TestFaultsOfADay(t *testing.T) {
-	r, err := ParseReport([]byte(`{"rules_broken":{"total":1},"idle":{"neglected":3},"targets":[{"kind":"node_restarts","value":2}],
+	r, err := ParseReport(
+		[]byte(`{"rules_broken":{"total":1},"idle":{"neglected":3},"targets":[{"kind":"node_restarts","value":2}],
 		"classes":{"weave":{"jobs":9,"started":4},"weave-largest":{"jobs":2,"started":2,"wait_s":{"p50":100,"p95":230,"p98":250,"max":251}},"wind-largest":{"jobs":2,"started":2,"wait_s":{"p50":241,"max":250}},"spin-largest":{"jobs":2,"started":2,"wait_s":{"max":239}}},
-		"teams":{"t":{"jobs":4,"started":1}}}`))
+		"teams":{"t":{"jobs":4,"started":1}}}`),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +86,8 @@
 	if got != want {
 		t.Errorf("told %q, want %q", got, want)
 	}
-	if tails := r.Tails(); len(tails) != 2 || tails[0] != "weave-largest: over 95 in a hundred began within 240 s, the last after 251" {
+	if tails := r.Tails(); len(tails) != 2 ||
+		tails[0] != "weave-largest: over 95 in a hundred began within 240 s, the last after 251" {
 		t.Errorf("tails %q", tails)
 	}
 }
@@ -105,7 +125,12 @@
 	_, again := kinds(1)
 	_, other := kinds(2)
 	if len(one) != 10 || !reflect.DeepEqual(one, again) || reflect.DeepEqual(one, other) {
-		t.Errorf("%d days; the same again %v, as another seed's %v", len(one), reflect.DeepEqual(one, again), reflect.DeepEqual(one, other))
+		t.Errorf(
+			"%d days; the same again %v, as another seed's %v",
+			len(one),
+			reflect.DeepEqual(one, again),
+			reflect.DeepEqual(one, other),
+		)
 	}
 	for _, kind := range []string{"late_writes", "late_reports", "machine_deaf", "node_cut", "state_outage", "node_crash",
 		"machine_mute", "cancel_now", "cancel_at_end", "close_looks", "odd_requests", "late_commands"} {
--- a/internal/testing/regress/regress.go
+++ b/internal/testing/regress/regress.go
@@ -137,7 +137,14 @@
 
 // String is one line that names the site, the day and the aims.
 func (f Fall) String() string {
-	return fmt.Sprintf("%s, %s: %.3f, on record %.3f; fallen: %s", f.Site, f.Name, f.Is, f.Was, cmp.Or(strings.Join(f.Aims, "; "), "no aim by itself"))
+	return fmt.Sprintf(
+		"%s, %s: %.3f, on record %.3f; fallen: %s",
+		f.Site,
+		f.Name,
+		f.Is,
+		f.Was,
+		cmp.Or(strings.Join(f.Aims, "; "), "no aim by itself"),
+	)
 }
 
 // Compare returns the days of now that fell, by site and name. Days that are not on
--- a/internal/testing/regress/regress_test.go
+++ b/internal/testing/regress/regress_test.go
@@ -34,12 +34,15 @@
 		was  float64
 		told string
 	}{{0.72, ""}, {0.74, "wait a 50 s 0.60 -> 0.50"}} {
-		record := Record{"mill": {"calm": {Runs: 1, Figure: tc.was, Aims: map[string]float64{"wait a 50 s": 0.6, "price": 0.9}}}}
+		record := Record{
+			"mill": {"calm": {Runs: 1, Figure: tc.was, Aims: map[string]float64{"wait a 50 s": 0.6, "price": 0.9}}},
+		}
 		falls := record.Compare(now)
 		if len(falls) == 0 != (tc.told == "") {
 			t.Fatalf("on record %v: %v", tc.was, falls)
 		}
-		if len(falls) > 0 && (!strings.Contains(falls[0].String(), tc.told) || !strings.Contains(falls[0].String(), "mill, calm")) {
+		if len(falls) > 0 &&
+			(!strings.Contains(falls[0].String(), tc.told) || !strings.Contains(falls[0].String(), "mill, calm")) {
 			t.Errorf("told as %q", falls[0])
 		}
 	}
--- a/internal/transport/http1/http1.go
+++ b/internal/transport/http1/http1.go
@@ -88,7 +88,8 @@
 	}
 	method, rest, ok := strings.Cut(string(line), " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || method == "" || !isToken(method) || !strings.HasPrefix(target, "/") || strings.ContainsAny(target, " \t") {
+	if !ok || !ok2 || method == "" || !isToken(method) || !strings.HasPrefix(target, "/") ||
+		strings.ContainsAny(target, " \t") {
 		return nil, &Error{400, "malformed request line"}
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -106,7 +106,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Status != want.Status || !got.Close || got.Header.Get("retry-after") != "2" || !reflect.DeepEqual(got.Body, want.Body) {
+	if got.Status != want.Status || !got.Close || got.Header.Get("retry-after") != "2" ||
+		!reflect.DeepEqual(got.Body, want.Body) {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/workflow/cwl/cases_test.go
+++ b/internal/workflow/cwl/cases_test.go
@@ -206,7 +206,11 @@
 					n.JavaScript = &JavaScript{Lib: c.Lib}
 				}
 				inputs, _ := normal(c.Inputs).(map[string]any)
-				got, err := n.Eval(t.Context(), c.Text, Scope{Inputs: inputs, Self: normal(c.Self), Runtime: map[string]any{"cores": int64(4)}})
+				got, err := n.Eval(
+					t.Context(),
+					c.Text,
+					Scope{Inputs: inputs, Self: normal(c.Self), Runtime: map[string]any{"cores": int64(4)}},
+				)
 				judge(t, got, err, c.Want, c.Error)
 			})
 		}
@@ -235,7 +239,8 @@
 					return
 				}
 				judge(t, got.Args, nil, c.Args, "")
-				if got.Stdin != c.Stdin || c.Stdout != "" && got.Stdout != c.Stdout || c.Env != nil && !maps.Equal(got.Env, c.Env) {
+				if got.Stdin != c.Stdin || c.Stdout != "" && got.Stdout != c.Stdout ||
+					c.Env != nil && !maps.Equal(got.Env, c.Env) {
 					t.Errorf("stdin %q, stdout %q, environment %v", got.Stdin, got.Stdout, got.Env)
 				}
 				for _, f := range got.Files {
--- a/internal/workflow/cwl/check.go
+++ b/internal/workflow/cwl/check.go
@@ -11,7 +11,8 @@
 func (r *reading) check(p *Process) {
 	r.checkExpressions(p)
 	if p.Class != "Workflow" {
-		if p.Class == "ExpressionTool" && p.Needs.JavaScript == nil && strings.HasPrefix(strings.TrimSpace(p.Expression), "${") {
+		if p.Class == "ExpressionTool" && p.Needs.JavaScript == nil &&
+			strings.HasPrefix(strings.TrimSpace(p.Expression), "${") {
 			r.fail(p.where.in("expression", p.where.n), "uses JavaScript without InlineJavascriptRequirement")
 		}
 		return
@@ -120,7 +121,15 @@
 }
 
 // checkLink checks where a value comes from against what is expected, nil for anything.
-func (r *reading) checkLink(a at, p *Process, sources []string, several bool, merge, pick string, want *Type, types map[string]*Type) {
+func (r *reading) checkLink(
+	a at,
+	p *Process,
+	sources []string,
+	several bool,
+	merge, pick string,
+	want *Type,
+	types map[string]*Type,
+) {
 	var from []*Type
 	for _, src := range sources {
 		t := types[src]
@@ -226,7 +235,21 @@
 		param(&p.Outputs[i])
 	}
 	res := p.Needs.Resources
-	one(p.where, &p.Needs, res.CoresMin, res.CoresMax, res.RAMMin, res.RAMMax, res.TmpMin, res.TmpMax, res.OutMin, res.OutMax, p.Needs.TimeLimit, p.Needs.Reuse, p.Needs.Accelerator)
+	one(
+		p.where,
+		&p.Needs,
+		res.CoresMin,
+		res.CoresMax,
+		res.RAMMin,
+		res.RAMMax,
+		res.TmpMin,
+		res.TmpMax,
+		res.OutMin,
+		res.OutMax,
+		p.Needs.TimeLimit,
+		p.Needs.Reuse,
+		p.Needs.Accelerator,
+	)
 	for _, e := range p.Needs.Env {
 		one(p.where, &p.Needs, e.Value)
 	}
--- a/internal/workflow/cwl/command.go
+++ b/internal/workflow/cwl/command.go
@@ -144,7 +144,10 @@
 }
 
 // Resources are what an instance of a tool needs: cores, MiB and accelerators.
-func (p *Process) Resources(ctx context.Context, inputs map[string]any) (cores, ram, accelerators float64, err error) {
+func (p *Process) Resources(
+	ctx context.Context,
+	inputs map[string]any,
+) (cores, ram, accelerators float64, err error) {
 	n, sc := &p.Needs, Scope{Inputs: inputs}
 	least := func(field, lower, upper string, otherwise float64) float64 {
 		low, e := n.EvalNumber(ctx, lower, sc, 0)
@@ -164,7 +167,17 @@
 		}
 		return low
 	}
-	cores, ram = least("cores", n.Resources.CoresMin, n.Resources.CoresMax, defaultCores), least("ram", n.Resources.RAMMin, n.Resources.RAMMax, defaultRAM)
+	cores, ram = least(
+		"cores",
+		n.Resources.CoresMin,
+		n.Resources.CoresMax,
+		defaultCores,
+	), least(
+		"ram",
+		n.Resources.RAMMin,
+		n.Resources.RAMMax,
+		defaultRAM,
+	)
 	accelerators, e := n.EvalNumber(ctx, n.Accelerator, sc, 0)
 	return cores, ram, accelerators, cmp.Or(err, e)
 }
@@ -282,14 +295,22 @@
 	case KindArray:
 		return t.Binding != nil || t.Items.bindsWithin()
 	case KindRecord:
-		return t.Binding != nil || slices.ContainsFunc(t.Fields, func(f Field) bool { return f.Binding != nil || f.Type.bindsWithin() })
+		return t.Binding != nil ||
+			slices.ContainsFunc(t.Fields, func(f Field) bool { return f.Binding != nil || f.Type.bindsWithin() })
 	case KindUnion:
 		return slices.ContainsFunc(t.Union, (*Type).bindsWithin)
 	}
 	return false
 }
 
-func (n *Needs) bindRecord(ctx context.Context, b *Binding, t *Type, m map[string]any, sc Scope, key []any) ([]bound, error) {
+func (n *Needs) bindRecord(
+	ctx context.Context,
+	b *Binding,
+	t *Type,
+	m map[string]any,
+	sc Scope,
+	key []any,
+) ([]bound, error) {
 	var out []bound
 	if b != nil && b.Prefix != "" {
 		out = append(out, bound{key, []string{b.Prefix}})
--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -520,7 +520,11 @@
 func (c *scope) behind(s *Step) string {
 	for _, in := range s.In {
 		for _, src := range in.Source {
-			if id, _, ok := strings.Cut(src, "/"); ok && (c.steps[id].state == StepWaiting || c.steps[id].state == StepRunning) {
+			if id, _, ok := strings.Cut(
+				src,
+				"/",
+			); ok &&
+				(c.steps[id].state == StepWaiting || c.steps[id].state == StepRunning) {
 				return id
 			}
 		}
--- a/internal/workflow/cwl/inputs.go
+++ b/internal/workflow/cwl/inputs.go
@@ -27,8 +27,14 @@
 			required = append(required, in.ID)
 		}
 	}
-	return map[string]any{"$schema": "https://json-schema.org/draft/2020-12/schema", "type": "object", "properties": props, "required": required,
-		"patternProperties": map[string]any{":": true}, "additionalProperties": false}
+	return map[string]any{
+		"$schema":              "https://json-schema.org/draft/2020-12/schema",
+		"type":                 "object",
+		"properties":           props,
+		"required":             required,
+		"patternProperties":    map[string]any{":": true},
+		"additionalProperties": false,
+	}
 }
 
 func (t *Type) schema() map[string]any {
@@ -53,7 +59,12 @@
 		for _, field := range map[Kind][]string{KindFile: {"location", "path", "contents"}, KindDirectory: {"location", "path", "listing"}}[t.Kind] {
 			from = append(from, map[string]any{"required": []any{field}})
 		}
-		return map[string]any{"type": "object", "properties": map[string]any{"class": map[string]any{"const": string(t.Kind)}}, "required": []any{"class"}, "anyOf": from}
+		return map[string]any{
+			"type":       "object",
+			"properties": map[string]any{"class": map[string]any{"const": string(t.Kind)}},
+			"required":   []any{"class"},
+			"anyOf":      from,
+		}
 	case KindArray:
 		return map[string]any{"type": "array", "items": t.Items.schema()}
 	case KindRecord:
@@ -135,7 +146,12 @@
 
 // problems tells what the schema found, in our words where the type has any: of a union
 // the library tells what is wrong with each alternative.
-func (p *Process) problems(file string, n *yaml.Node, v map[string]any, invalid *jsonschema.ValidationError) Problems {
+func (p *Process) problems(
+	file string,
+	n *yaml.Node,
+	v map[string]any,
+	invalid *jsonschema.ValidationError,
+) Problems {
 	leaves := map[string]*jsonschema.ValidationError{}
 	var walk func(e *jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
--- a/internal/workflow/cwl/load.go
+++ b/internal/workflow/cwl/load.go
@@ -19,7 +19,9 @@
 		size += len(b)
 	}
 	if size > mostBundle {
-		return nil, nil, Problems{{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, mostBundle)}}
+		return nil, nil, Problems{
+			{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, mostBundle)},
+		}
 	}
 	r := &reading{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
 	file, fragment, _ := strings.Cut(entry, "#")
@@ -92,7 +94,20 @@
 	return ""
 }
 
-var commonFields = []string{"cwlVersion", "class", "id", "label", "doc", "inputs", "outputs", "requirements", "hints", "intent", "$namespaces", "$schemas"}
+var commonFields = []string{
+	"cwlVersion",
+	"class",
+	"id",
+	"label",
+	"doc",
+	"inputs",
+	"outputs",
+	"requirements",
+	"hints",
+	"intent",
+	"$namespaces",
+	"$schemas",
+}
 
 // process reads a process where it stands.
 func (r *reading) process(a at, version string, inherited Needs, outer []string) *Process {
@@ -117,7 +132,16 @@
 	var own []string
 	switch class {
 	case "CommandLineTool":
-		own = []string{"baseCommand", "arguments", "stdin", "stdout", "stderr", "successCodes", "temporaryFailCodes", "permanentFailCodes"}
+		own = []string{
+			"baseCommand",
+			"arguments",
+			"stdin",
+			"stdout",
+			"stderr",
+			"successCodes",
+			"temporaryFailCodes",
+			"permanentFailCodes",
+		}
 	case "ExpressionTool":
 		own = []string{"expression"}
 	case "Workflow":
@@ -194,9 +218,28 @@
 
 func (r *reading) parameter(id, of string, a at, class string, input bool) Parameter {
 	p := Parameter{ID: id, where: a}
-	f := r.fields(a, "id", "type", "label", "doc", "default", "secondaryFiles", "streamable", "format", "loadContents", "loadListing", "inputBinding", "outputBinding", "outputSource", "linkMerge", "pickValue")
+	f := r.fields(
+		a,
+		"id",
+		"type",
+		"label",
+		"doc",
+		"default",
+		"secondaryFiles",
+		"streamable",
+		"format",
+		"loadContents",
+		"loadListing",
+		"inputBinding",
+		"outputBinding",
+		"outputSource",
+		"linkMerge",
+		"pickValue",
+	)
 	ty := f["type"]
-	if ty.n != nil && ty.n.Kind == yaml.ScalarNode && slices.Contains([]string{"stdin", "stdout", "stderr"}, ty.n.Value) && class == "CommandLineTool" {
+	if ty.n != nil && ty.n.Kind == yaml.ScalarNode &&
+		slices.Contains([]string{"stdin", "stdout", "stderr"}, ty.n.Value) &&
+		class == "CommandLineTool" {
 		if (ty.n.Value == "stdin") != input {
 			r.fail(ty, "%s can't be the type of this", ty.n.Value)
 		}
@@ -318,7 +361,12 @@
 }
 
 func (r *reading) tool(a at, f map[string]at) *Tool {
-	t := &Tool{Command: r.texts(f["baseCommand"]), Success: r.ints(f["successCodes"]), Retry: r.ints(f["temporaryFailCodes"]), Failed: r.ints(f["permanentFailCodes"])}
+	t := &Tool{
+		Command: r.texts(f["baseCommand"]),
+		Success: r.ints(f["successCodes"]),
+		Retry:   r.ints(f["temporaryFailCodes"]),
+		Failed:  r.ints(f["permanentFailCodes"]),
+	}
 	for field, to := range map[string]*string{"stdin": &t.Stdin, "stdout": &t.Stdout, "stderr": &t.Stderr} {
 		if x, ok := f[field]; ok && !isNull(x.n) {
 			*to = r.text(x)
@@ -349,14 +397,49 @@
 }
 
 func (r *reading) step(id, of string, a at, inherited Needs, version string, outer []string) *Step {
-	f := r.fields(a, "id", "label", "doc", "in", "out", "run", "when", "scatter", "scatterMethod", "requirements", "hints")
+	f := r.fields(
+		a,
+		"id",
+		"label",
+		"doc",
+		"in",
+		"out",
+		"run",
+		"when",
+		"scatter",
+		"scatterMethod",
+		"requirements",
+		"hints",
+	)
 	s := &Step{ID: id, Needs: inherited, where: a}
 	r.needs(&s.Needs, f["requirements"], true)
 	r.needs(&s.Needs, f["hints"], false)
 	r.named(f["in"], "id", "source", func(name string, x at) {
-		ff := r.fields(x, "id", "label", "source", "linkMerge", "pickValue", "default", "valueFrom", "loadContents", "loadListing")
-		in := StepInput{ID: name, where: x, LinkMerge: r.oneOf(ff["linkMerge"], "", MergeNested, MergeFlattened),
-			PickValue: r.oneOf(ff["pickValue"], "", PickFirst, PickOnly, PickAll), LoadContents: r.boolean(ff["loadContents"], false)}
+		ff := r.fields(
+			x,
+			"id",
+			"label",
+			"source",
+			"linkMerge",
+			"pickValue",
+			"default",
+			"valueFrom",
+			"loadContents",
+			"loadListing",
+		)
+		in := StepInput{
+			ID:        name,
+			where:     x,
+			LinkMerge: r.oneOf(ff["linkMerge"], "", MergeNested, MergeFlattened),
+			PickValue: r.oneOf(
+				ff["pickValue"],
+				"",
+				PickFirst,
+				PickOnly,
+				PickAll,
+			),
+			LoadContents: r.boolean(ff["loadContents"], false),
+		}
 		if src, ok := ff["source"]; ok {
 			in.List = src.n.Kind == yaml.SequenceNode
 			for _, t := range r.texts(src) {
@@ -394,7 +477,13 @@
 	}
 	s.Method = r.oneOf(f["scatterMethod"], "", DotProduct, NestedCrossProduct, FlatCrossProduct)
 	if len(s.Scatter) > 1 && s.Method == "" {
-		r.fail(a, "scatterMethod is missing; with several inputs expected one of %s, %s, %s", DotProduct, NestedCrossProduct, FlatCrossProduct)
+		r.fail(
+			a,
+			"scatterMethod is missing; with several inputs expected one of %s, %s, %s",
+			DotProduct,
+			NestedCrossProduct,
+			FlatCrossProduct,
+		)
 	}
 	run, ok := f["run"]
 	switch {
@@ -402,7 +491,12 @@
 		r.fail(a, "run is missing")
 		return nil
 	case run.n.Kind == yaml.MappingNode:
-		s.Run = r.process(run, version, s.Needs, append(slices.Clone(outer), fmt.Sprintf("%s#%d:%d", a.file, run.n.Line, run.n.Column)))
+		s.Run = r.process(
+			run,
+			version,
+			s.Needs,
+			append(slices.Clone(outer), fmt.Sprintf("%s#%d:%d", a.file, run.n.Line, run.n.Column)),
+		)
 	default:
 		file, fragment, err := resolve(a.file, r.text(run))
 		if err != nil {
--- a/internal/workflow/cwl/outputs.go
+++ b/internal/workflow/cwl/outputs.go
@@ -54,7 +54,13 @@
 }
 
 // Collect finds a tool's outputs in its working directory. cmd is what Command built.
-func (p *Process) Collect(ctx context.Context, inputs map[string]any, cmd *Command, dir Dir, runtime map[string]any) (map[string]any, error) {
+func (p *Process) Collect(
+	ctx context.Context,
+	inputs map[string]any,
+	cmd *Command,
+	dir Dir,
+	runtime map[string]any,
+) (map[string]any, error) {
 	sc := Scope{Inputs: inputs, Runtime: runtime}
 	if f, err := dir.Stat(outputObject); err != nil {
 		return nil, err
@@ -150,7 +156,14 @@
 	return v, nil
 }
 
-func (p *Process) collect(ctx context.Context, t *Type, b *OutputBinding, secondary []SecondaryFile, sc Scope, dir Dir) (any, error) {
+func (p *Process) collect(
+	ctx context.Context,
+	t *Type,
+	b *OutputBinding,
+	secondary []SecondaryFile,
+	sc Scope,
+	dir Dir,
+) (any, error) {
 	if t.Kind == KindRecord && b == nil {
 		m := map[string]any{}
 		for _, f := range t.Fields {
@@ -205,7 +218,8 @@
 
 // takesList reports whether a list is a value of the type.
 func (t *Type) takesList() bool {
-	return t.Kind == KindArray || t.Kind == KindAny || t.Kind == KindUnion && slices.ContainsFunc(t.Union, (*Type).takesList)
+	return t.Kind == KindArray || t.Kind == KindAny ||
+		t.Kind == KindUnion && slices.ContainsFunc(t.Union, (*Type).takesList)
 }
 
 func (p *Process) globAll(ctx context.Context, b *OutputBinding, sc Scope, dir Dir) ([]map[string]any, error) {
@@ -308,7 +322,13 @@
 	return name + pattern
 }
 
-func (p *Process) secondaryNames(ctx context.Context, s SecondaryFile, f map[string]any, own string, sc Scope) ([]string, error) {
+func (p *Process) secondaryNames(
+	ctx context.Context,
+	s SecondaryFile,
+	f map[string]any,
+	own string,
+	sc Scope,
+) ([]string, error) {
 	if !HasExpression(s.Pattern) {
 		return []string{SecondaryName(own, s.Pattern)}, nil
 	}
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -194,7 +194,8 @@
 // resolve is the file and fragment that a reference in a file leads to.
 func resolve(file, ref string) (name, fragment string, err error) {
 	name, fragment, _ = strings.Cut(ref, "#")
-	if strings.Contains(name, "://") && !strings.HasPrefix(name, "file://") || strings.HasPrefix(name, "file://") || path.IsAbs(name) {
+	if strings.Contains(name, "://") && !strings.HasPrefix(name, "file://") || strings.HasPrefix(name, "file://") ||
+		path.IsAbs(name) {
 		return "", "", fmt.Errorf("%q leads out of the bundle; only relative paths within it are read", ref)
 	}
 	if name == "" {
@@ -366,8 +367,16 @@
 			seen[e.key.Value] = true
 			v := e.node
 			if v.Kind != yaml.MappingNode && predicate != "" && !isNull(v) {
-				v = &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: v.Line, Column: v.Column,
-					Content: []*yaml.Node{{Kind: yaml.ScalarNode, Tag: "!!str", Value: predicate, Line: v.Line, Column: v.Column}, v}}
+				v = &yaml.Node{
+					Kind:   yaml.MappingNode,
+					Tag:    "!!map",
+					Line:   v.Line,
+					Column: v.Column,
+					Content: []*yaml.Node{
+						{Kind: yaml.ScalarNode, Tag: "!!str", Value: predicate, Line: v.Line, Column: v.Column},
+						v,
+					},
+				}
 			}
 			if isNull(v) {
 				v = &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: e.key.Line, Column: e.key.Column}
--- a/internal/workflow/cwl/types.go
+++ b/internal/workflow/cwl/types.go
@@ -29,7 +29,18 @@
 	KindUnion     Kind = "union"
 )
 
-var plainKinds = []Kind{KindNull, KindBoolean, KindInt, KindLong, KindFloat, KindDouble, KindString, KindFile, KindDirectory, KindAny}
+var plainKinds = []Kind{
+	KindNull,
+	KindBoolean,
+	KindInt,
+	KindLong,
+	KindFloat,
+	KindDouble,
+	KindString,
+	KindFile,
+	KindDirectory,
+	KindAny,
+}
 
 // Type is a type of values.
 type Type struct {
@@ -122,7 +133,22 @@
 		}
 		return u
 	}
-	f := r.fields(a, "type", "items", "fields", "symbols", "name", "label", "doc", "inputBinding", "outputBinding", "streamable", "format", "id", "secondaryFiles")
+	f := r.fields(
+		a,
+		"type",
+		"items",
+		"fields",
+		"symbols",
+		"name",
+		"label",
+		"doc",
+		"inputBinding",
+		"outputBinding",
+		"streamable",
+		"format",
+		"id",
+		"secondaryFiles",
+	)
 	kind := Kind("")
 	if ty, ok := f["type"]; ok && ty.n.Kind == yaml.ScalarNode {
 		kind = Kind(ty.n.Value)
@@ -151,8 +177,25 @@
 		}
 	case KindRecord:
 		r.named(f["fields"], "name", "type", func(name string, x at) {
-			ff := r.fields(x, "name", "type", "label", "doc", "inputBinding", "outputBinding", "secondaryFiles", "streamable", "format", "loadContents", "loadListing")
-			field := Field{Name: name, Type: r.readType(ff["type"].or(x), depth+1), SecondaryFiles: r.readSecondary(ff["secondaryFiles"])}
+			ff := r.fields(
+				x,
+				"name",
+				"type",
+				"label",
+				"doc",
+				"inputBinding",
+				"outputBinding",
+				"secondaryFiles",
+				"streamable",
+				"format",
+				"loadContents",
+				"loadListing",
+			)
+			field := Field{
+				Name:           name,
+				Type:           r.readType(ff["type"].or(x), depth+1),
+				SecondaryFiles: r.readSecondary(ff["secondaryFiles"]),
+			}
 			if b, ok := ff["inputBinding"]; ok {
 				field.Binding = r.readBinding(b)
 			}
@@ -225,7 +268,11 @@
 	}
 	switch to.Kind {
 	case KindLong, KindFloat, KindDouble:
-		wider := map[Kind][]Kind{KindLong: {KindInt}, KindFloat: {KindInt, KindLong, KindDouble}, KindDouble: {KindInt, KindLong, KindFloat}}
+		wider := map[Kind][]Kind{
+			KindLong:   {KindInt},
+			KindFloat:  {KindInt, KindLong, KindDouble},
+			KindDouble: {KindInt, KindLong, KindFloat},
+		}
 		return from.Kind == to.Kind || slices.Contains(wider[to.Kind], from.Kind)
 	case KindArray:
 		return from.Kind == KindArray && mayFlow(from.Items, to.Items)
@@ -241,7 +288,9 @@
 		}
 		return true
 	case KindEnum:
-		return from.Kind == KindString || from.Kind == KindEnum && slices.ContainsFunc(from.Symbols, func(s string) bool { return slices.Contains(to.Symbols, s) })
+		return from.Kind == KindString ||
+			from.Kind == KindEnum &&
+				slices.ContainsFunc(from.Symbols, func(s string) bool { return slices.Contains(to.Symbols, s) })
 	case KindString:
 		return from.Kind == KindString || from.Kind == KindEnum
 	}
--- a/internal/workflow/runner/requests.go
+++ b/internal/workflow/runner/requests.go
@@ -19,7 +19,10 @@
 
 // Submit accepts a workflow that Check has found right, or tells of one that is
 // known. Its documents are written first, under their hash, and only then the record.
-func (c *Runner) Submit(ctx context.Context, spec *wire.WorkflowSpec) (st wire.WorkflowStatus, created bool, err error) {
+func (c *Runner) Submit(
+	ctx context.Context,
+	spec *wire.WorkflowSpec,
+) (st wire.WorkflowStatus, created bool, err error) {
 	if c.store == nil {
 		return st, false, ErrNoWorkflows
 	}
@@ -47,7 +50,10 @@
 		short.Bundle, short.Inputs = nil, nil
 		at := wire.UnixMillis(time.Now().UnixMilli())
 		err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
-			return d.SubmitWorkflow(spec.ID, ledger.WorkflowRecord{Spec: &short, Hash: hash, Pieces: len(pieces), Accepted: at})
+			return d.SubmitWorkflow(
+				spec.ID,
+				ledger.WorkflowRecord{Spec: &short, Hash: hash, Pieces: len(pieces), Accepted: at},
+			)
 		})
 		switch {
 		case err == nil:
@@ -206,7 +212,10 @@
 	case at < 0:
 		return "has just been accepted"
 	case v.Queue[at].CrashLooping:
-		return fmt.Sprintf("failed on several machines and rests for %v", max(0, v.Queue[at].Retry.Sub(now)).Round(time.Second))
+		return fmt.Sprintf(
+			"failed on several machines and rests for %v",
+			max(0, v.Queue[at].Retry.Sub(now)).Round(time.Second),
+		)
 	case v.TeamRoom(j, ledger.Resources{}, 1) < 1:
 		return "its team is at its limit"
 	}
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -169,7 +169,11 @@
 		}
 	})
 	slices.SortFunc(out, func(a, b *ledger.Workflow) int {
-		return cmp.Or(cmp.Compare(a.Spec.Priority.Rank(), b.Spec.Priority.Rank()), cmp.Compare(a.Accepted, b.Accepted), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(
+			cmp.Compare(a.Spec.Priority.Rank(), b.Spec.Priority.Rank()),
+			cmp.Compare(a.Accepted, b.Accepted),
+			cmp.Compare(a.ID, b.ID),
+		)
 	})
 	return out
 }
--- a/internal/workflow/runner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -79,7 +79,8 @@
 	})
 	switch {
 	case err == nil:
-		c.log.Info("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "workflow", of)
+		c.log.Info("job accepted",
+			"job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "workflow", of)
 		c.stats.Add("jobs_accepted_total", 1)
 		return nil
 	case errors.Is(err, ledger.ErrPreconditionFailed):
@@ -102,7 +103,12 @@
 	return err
 }
 
-func (c *Runner) endWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) (got ledger.WorkflowState, err error) {
+func (c *Runner) endWorkflow(
+	ctx context.Context,
+	id wire.WorkflowID,
+	state ledger.WorkflowState,
+	why string,
+) (got ledger.WorkflowState, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
--- a/internal/workflow/stepdata/data_test.go
+++ b/internal/workflow/stepdata/data_test.go
@@ -17,7 +17,11 @@
 		t.Fatal(info, err)
 	}
 	b, got, err := d.Get(t.Context(), "a/b.json")
-	if st, e := d.Stat(t.Context(), "a/b.json"); string(b) != "hello" || got != info || st != info || err != nil || e != nil {
+	if st, e := d.Stat(
+		t.Context(),
+		"a/b.json",
+	); string(b) != "hello" || got != info || st != info || err != nil ||
+		e != nil {
 		t.Errorf("%q, %+v, %+v, %v, %v", b, got, st, err, e)
 	}
 	path := filepath.Join(d.Root, "a", "b.json")
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -172,7 +172,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("workflow: its documents: %w", err)
 	}
-	r := &Run{ID: w.ID, Spec: w.Spec, jobs: jobs, store: store, docs: docs, run: run, out: map[string]*step{}, resumed: w.Resumed}
+	r := &Run{
+		ID:      w.ID,
+		Spec:    w.Spec,
+		jobs:    jobs,
+		store:   store,
+		docs:    docs,
+		run:     run,
+		out:     map[string]*step{},
+		resumed: w.Resumed,
+	}
 	run.Contents = func(file map[string]any) (string, error) {
 		name, _ := file["location"].(string)
 		b, _, err := store.Get(ctx, cmp.Or(name, fmt.Sprint(file["path"])))
@@ -310,7 +319,12 @@
 		for name, text := range r.docs.Bundle {
 			bundle[name] = []byte(text)
 		}
-		if err := put(ctx, r.store, OrderName(s.job), Order{r.ID, s.task.ID, r.Spec.Entry, bundle, s.task.Inputs}); err != nil {
+		if err := put(
+			ctx,
+			r.store,
+			OrderName(s.job),
+			Order{r.ID, s.task.ID, r.Spec.Entry, bundle, s.task.Inputs},
+		); err != nil {
 			return err
 		}
 		s.ordered = true
@@ -333,9 +347,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNever, err)
 	}
-	spec := &wire.JobSpec{ID: s.job, Class: r.Spec.Class, Team: r.Spec.Team, Priority: r.Spec.Priority, Shape: wire.Array, Tasks: 1,
-		CPUs: cores, GPUs: accelerators, MemoryGB: ram / 1024, Image: wire.Image(cmp.Or(s.task.Tool.Needs.Image, "none")), ImageGB: r.Spec.ImageGB,
-		Spot: r.Spec.Spot, Estimate: r.Spec.Estimate}
+	spec := &wire.JobSpec{
+		ID:       s.job,
+		Class:    r.Spec.Class,
+		Team:     r.Spec.Team,
+		Priority: r.Spec.Priority,
+		Shape:    wire.Array,
+		Tasks:    1,
+		CPUs:     cores,
+		GPUs:     accelerators,
+		MemoryGB: ram / 1024,
+		Image:    wire.Image(cmp.Or(s.task.Tool.Needs.Image, "none")),
+		ImageGB:  r.Spec.ImageGB,
+		Spot:     r.Spec.Spot,
+		Estimate: r.Spec.Estimate,
+	}
 	return spec, nil
 }
 
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -108,7 +108,13 @@
 	for second := range 200 {
 		if r == nil || restart && second%12 == 0 { // longer than the longest wait before a retry
 			var err error
-			if r, err = Resume(t.Context(), w, &Documents{map[string]string{"main.cwl": twoSteps}, json.RawMessage("{}")}, s, s); err != nil {
+			if r, err = Resume(
+				t.Context(),
+				w,
+				&Documents{map[string]string{"main.cwl": twoSteps}, json.RawMessage("{}")},
+				s,
+				s,
+			); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -148,9 +154,17 @@
 			if restart && tc.once {
 				continue
 			}
-			s := &script{steps: map[string][]string{"a": slices.Clone(tc.a), "b": slices.Clone(tc.b)}, jobs: map[wire.JobID]string{}, cancelled: map[wire.JobID]bool{}}
+			s := &script{
+				steps:     map[string][]string{"a": slices.Clone(tc.a), "b": slices.Clone(tc.b)},
+				jobs:      map[wire.JobID]string{},
+				cancelled: map[wire.JobID]bool{},
+			}
 			play(t, s, tc.resumed, restart)
-			if got := strings.Join(s.submitted, " "); got != tc.want || s.ended != tc.state || !strings.Contains(s.why, tc.why) {
+			if got := strings.Join(
+				s.submitted,
+				" ",
+			); got != tc.want || s.ended != tc.state ||
+				!strings.Contains(s.why, tc.why) {
 				t.Errorf("%s (new drivers %v): submitted %q, ended %q: %s", tc.name, restart, got, s.ended, s.why)
 			}
 		}
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -121,7 +121,13 @@
 		case c.Hire > max(k.Hire, MostHired) || k.Refused != 0 && c.Hire > k.Hire:
 			return nil, fmt.Errorf("%w: %d machines of kind %d are to be rented", ErrMalformed, c.Hire, i)
 		case c.Drain > k.Idle:
-			return nil, fmt.Errorf("%w: %d machines of kind %d are to be given back, and %d are idle", ErrMalformed, c.Drain, i, k.Idle)
+			return nil, fmt.Errorf(
+				"%w: %d machines of kind %d are to be given back, and %d are idle",
+				ErrMalformed,
+				c.Drain,
+				i,
+				k.Idle,
+			)
 		}
 		total += int64(k.Up) + int64(k.Booting) + int64(c.Hire)
 		hired += int64(c.Hire)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -166,7 +166,15 @@
 		j.Group, j.Flags = le.Uint32(r), le.Uint32(r[4:])
 		j.StartBy, j.Accepted, j.Waiting = int64(le.Uint64(r[8:])), int64(le.Uint64(r[16:])), int64(le.Uint64(r[24:]))
 		j.Expected, j.Due = int64(le.Uint64(r[32:])), int64(le.Uint64(r[40:]))
-		j.Tasks, j.Pending, j.Together, j.Running = le.Uint32(r[48:]), le.Uint32(r[52:]), le.Uint32(r[56:]), le.Uint32(r[60:])
+		j.Tasks, j.Pending, j.Together, j.Running = le.Uint32(
+			r[48:],
+		), le.Uint32(
+			r[52:],
+		), le.Uint32(
+			r[56:],
+		), le.Uint32(
+			r[60:],
+		)
 		j.CPU, j.GPU, j.Memory = int64(le.Uint64(r[64:])), int64(le.Uint64(r[72:])), int64(le.Uint64(r[80:]))
 		j.Team, j.Class, j.Image = le.Uint32(r[88:]), le.Uint32(r[92:]), le.Uint32(r[96:])
 		if int(max(j.Team, j.Class, j.Image)) >= names {
@@ -259,10 +267,21 @@
 	for i := range order {
 		n := binary.LittleEndian.Uint32(b[4*i:])
 		if int64(n) >= int64(len(p.Jobs)) || seen[n] {
-			return nil, fmt.Errorf("%w: place %d is given to job %d, which there is none of or which has one", ErrMalformed, i, n)
+			return nil, fmt.Errorf(
+				"%w: place %d is given to job %d, which there is none of or which has one",
+				ErrMalformed,
+				i,
+				n,
+			)
 		}
 		if g := p.Jobs[n].Group; g < group {
-			return nil, fmt.Errorf("%w: place %d is given to a job of group %d, after one of group %d", ErrMalformed, i, g, group)
+			return nil, fmt.Errorf(
+				"%w: place %d is given to a job of group %d, after one of group %d",
+				ErrMalformed,
+				i,
+				g,
+				group,
+			)
 		} else {
 			group = g
 		}
@@ -298,7 +317,12 @@
 			return cmp.Compare(k.startBy, l.startBy)
 		}
 		a, b := &p.Jobs[x], &p.Jobs[y]
-		return cmp.Or(cmp.Compare(a.Together, b.Together), cmp.Compare(a.StartBy, b.StartBy), cmp.Compare(a.Accepted, b.Accepted), cmp.Compare(x, y))
+		return cmp.Or(
+			cmp.Compare(a.Together, b.Together),
+			cmp.Compare(a.StartBy, b.StartBy),
+			cmp.Compare(a.Accepted, b.Accepted),
+			cmp.Compare(x, y),
+		)
 	})
 	return order
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -50,10 +50,32 @@
 // TestWordsOfTheProtocolStay: the values of named constants that travel on the wire.
 func TestWordsOfTheProtocolStay(t *testing.T) {
 	words, err := json.Marshal([]any{
-		Array, Gang, Service, Production, High, Normal, BestEffort,
-		TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited,
-		CauseDone, CausePreempted, CauseGangPeerLost, CauseGangIncomplete, CauseError, CauseInsufficientRoom, CauseBusy, CauseNotFound,
-		OpStart, OpStop, OpForget, MachineBooting, MachineRunning, MachineFailed,
+		Array,
+		Gang,
+		Service,
+		Production,
+		High,
+		Normal,
+		BestEffort,
+		TaskFetching,
+		TaskWaiting,
+		TaskRunning,
+		TaskSaving,
+		TaskExited,
+		CauseDone,
+		CausePreempted,
+		CauseGangPeerLost,
+		CauseGangIncomplete,
+		CauseError,
+		CauseInsufficientRoom,
+		CauseBusy,
+		CauseNotFound,
+		OpStart,
+		OpStop,
+		OpForget,
+		MachineBooting,
+		MachineRunning,
+		MachineFailed,
 	})
 	if err != nil {
 		t.Fatal(err)
