--- a/internal/controller/switch_test.go
+++ b/internal/controller/switch_test.go
@@ -149,7 +149,7 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		switch {
-		case msg == "machine leaves" && a["why"] == "lost":
+		case msg == "machine phase changed" && a["why"] == "lost":
 			o.lost = append(o.lost, fmt.Sprint(a["machine"]))
 		case strings.HasPrefix(msg, "block failed"):
 			o.falls = append(o.falls, fmt.Sprint(a["block"]))
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -40,7 +40,7 @@
 	for _, g := range placement.PlaceGangs(c.Scheduler.Snapshot(now)) {
 		j, parts := g.Entry.Job, g.Parts
 		id, n := j.ID, j.Pending()
-		made := func() { c.log.Info("start", "job", id, "tasks", n, "machines", len(parts)) }
+		made := func() { c.log.Info("gang started", "job", id, "tasks", n, "machines", len(parts)) }
 		ch := &committer.Change{
 			Expires:   true,
 			ExpiresAt: now.Add(2 * time.Second),
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		if err := c.term(ctx, cl); err != nil && ctx.Err() == nil {
-			c.log.Info("not leading", "err", err)
+			c.log.Info("leadership lost", "err", err)
 			wait.For(ctx, time.Second)
 		}
 	}
@@ -117,7 +117,7 @@
 func (c *Leader) resign(ctx context.Context, version wire.Revision) {
 	_, err := c.Committer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
 		Then: []wire.Change{{Delete: ledger.LeaderKey}}})
-	c.log.Info("resigned the lead of an earlier term", "version", version, "err", err)
+	c.log.Info("stale leadership resigned", "version", version, "err", err)
 	wait.For(ctx, standBack)
 }
 
@@ -144,7 +144,7 @@
 	if err := c.Cache.WaitForRevision(ctx, version); err != nil {
 		return err
 	}
-	c.log.Info("leading the fleet", "token", token)
+	c.log.Info("leadership acquired", "token", token)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	l := &leader{
@@ -207,7 +207,7 @@
 	c.Cache.Unlock()
 	for ctx.Err() == nil {
 		if err := l.step(ctx); err != nil && ctx.Err() == nil {
-			c.log.Debug("fleet step", "err", err)
+			c.log.Debug("autoscaling step failed", "err", err)
 		}
 		wait.For(ctx, 500*time.Millisecond)
 	}
--- a/internal/leader/marks.go
+++ b/internal/leader/marks.go
@@ -83,7 +83,7 @@
 	if ch := l.marking[key]; ch != nil && ch.Pending() {
 		return // on its way
 	}
-	l.c.log.Info("machine leaves", "machine", id, "mark", mark, "why", why)
+	l.c.log.Info("machine phase changed", "machine", id, "phase", mark, "why", why)
 	ch := &committer.Change{
 		Draft: func(d *ledger.Transaction) error { return d.SetMachinePhase(id, mark, why, l.version) },
 	}
--- a/internal/leader/rent.go
+++ b/internal/leader/rent.go
@@ -219,7 +219,7 @@
 		return errNotEntitled
 	}
 	got, err := l.cloud.ScaleOut(ctx, h.ScaleOutRequest)
-	l.c.log.Info("hire",
+	l.c.log.Info("scale-out requested",
 		"request", h.Request, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(got),
 		"err", err)
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(got) < h.Count {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -212,7 +212,7 @@
 	defer m.mu.Unlock()
 	if gap := now.Sub(m.ranAt); gap > standstill && !m.ranAt.IsZero() {
 		m.awakeSince = now
-		m.log.Warn("stood still", "seconds", gap.Seconds())
+		m.log.Warn("process paused", "seconds", gap.Seconds())
 		m.stats.Add("standstills_total", 1)
 	}
 	if now.After(m.ranAt) {
@@ -297,7 +297,7 @@
 			ctx,
 			wire.Txn{Then: []wire.Change{{Put: ledger.MemberKey(m.opt.Self), Value: b}}},
 		); err != nil {
-			m.log.Debug("picture not published", "err", err)
+			m.log.Debug("member status not published", "err", err)
 		}
 	}
 	return ctx.Err()
--- a/internal/plugin/policymanager/policies.go
+++ b/internal/plugin/policymanager/policies.go
@@ -406,7 +406,7 @@
 	case err != nil:
 		k.log.Debug("change of policy not written", "err", err)
 	case why != "":
-		k.log.Warn("change of policy given up", "module", r.Next.Short(), "why", why)
+		k.log.Warn("policy swap abandoned", "module", r.Next.Short(), "why", why)
 	default:
 		k.log.Info("policy in use", "module", r.Next.Short())
 	}
--- a/internal/scheduler/crashloop/tracker.go
+++ b/internal/scheduler/crashloop/tracker.go
@@ -176,7 +176,7 @@
 // tellSuspect logs that a job has become suspect.
 func (t *Tracker) tellSuspect(j *ledger.Job, n *notes, was bool) {
 	if n.failures.blamed() && !was {
-		t.log.Warn("job suspect",
+		t.log.Warn("job crash-looping",
 			"job", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(n.failures.on),
 			"rests", time.Until(n.failures.until).Round(time.Second))
 	}
--- a/internal/scheduler/picture.go
+++ b/internal/scheduler/picture.go
@@ -106,7 +106,7 @@
 	for k, n := range faulty {
 		doubted := n > q.MaxQuarantined(all[k])
 		if doubted && !s.doubted[k] {
-			s.log.Warn("judgement not believed: too many machines are said to be faulty",
+			s.log.Warn("quarantine suspended: too many machines judged faulty",
 				"type", k.Type, "zone", k.Zone, "faulty", n, "machines", all[k])
 			s.stats.Add("judgements_doubted_total", 1)
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -53,7 +53,7 @@
 	for _, victim := range victims {
 		h := victim.Held
 		w.Stop(h)
-		s.log.Info("preempt",
+		s.log.Info("tasks preempted",
 			"job", h.Job.ID, "task", h.First, "tasks", h.Count, "attempt", h.Attempt, "machine", w.ID, "for", job)
 		s.stats.Add("preemptions_total", 1)
 	}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -113,8 +113,8 @@
 	w := c.Registry.Worker(r.Machine)
 	if w == nil {
 		w = c.Registry.Register(r, began)
-		c.log.Info("machine heard",
-			"machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
+		c.log.Info("worker registered",
+			"machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "epoch", r.Session)
 	}
 	if a, ok := c.sendToPeerInTouch(w, began); ok {
 		return a
@@ -177,15 +177,17 @@
 	began time.Time,
 ) reconcile.Reconciliation {
 	if w.Session != 0 && r.Session > w.Session {
-		c.log.Info("machine began a new session", "machine", r.Machine, "session", r.Session)
+		c.log.Info("worker started a new epoch", "machine", r.Machine, "epoch", r.Session)
 	}
 	deaf := w.Unreachable()
 	w.LeaseExpired(r, began, c.set.Cluster.Workers.Lease.Duration()-lateReport)
 	f := w.Reconcile(r, c.led().ClaimsOn(r.Machine), hold, began)
 	f.ResolveUnsent(func(j *ledger.Job) bool { return c.machinesReport(j, began) })
 	if w.Unreachable() != deaf {
-		c.log.Warn("machine hears", "machine", r.Machine, "hears", deaf)
-		if !deaf {
+		if deaf {
+			c.log.Info("worker reachable", "machine", r.Machine)
+		} else {
+			c.log.Warn("worker unreachable", "machine", r.Machine)
 			c.stats.Add("machines_deaf_total", 1)
 		}
 	}
@@ -397,7 +399,7 @@
 	}
 	for _, e := range f.Exits {
 		j := e.Held.Job
-		c.log.Info("task over", "job", j.ID, "task", e.Task, "attempt", e.Held.Attempt, "machine", w.ID,
+		c.log.Info("task exited", "job", j.ID, "task", e.Task, "attempt", e.Held.Attempt, "machine", w.ID,
 			"cause", e.Cause, "saved", e.Saved, "session", w.Session)
 		c.stats.Add("exits_total", 1)
 		switch e.Cause {
@@ -539,7 +541,7 @@
 	var claimed []placement.Start // by the draft made last
 	made := func() {
 		for _, s := range claimed {
-			c.log.Info("start", "job", s.Job.ID, "tasks", s.Count, "machine", w.ID, "image", s.How)
+			c.log.Info("task started", "job", s.Job.ID, "tasks", s.Count, "machine", w.ID, "image", s.How)
 			c.stats.Add("starts_"+string(s.How)+"_total", 1)
 		}
 	}
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -293,7 +293,7 @@
 		for ctx.Err() == nil {
 			n, err := k.move(ctx, time.Now())
 			if err != nil && ctx.Err() == nil {
-				k.log.Debug("history not moved", "err", err)
+				k.log.Debug("jobs not archived", "err", err)
 			}
 			if n == 0 {
 				break
@@ -331,7 +331,7 @@
 		_, err = k.host.Commit(ctx, txn)
 	}
 	if err != nil {
-		k.log.Debug("format not raised", "err", err)
+		k.log.Debug("records format not upgraded", "err", err)
 		return
 	}
 	k.log.Info("records have a new format", "format", to)
@@ -393,7 +393,7 @@
 func (k *Archiver) next(l *ledger.Ledger, now time.Time) string {
 	if len(k.jobs)+len(k.machines)+len(k.flows) == 0 && now.Sub(k.looked) > lookEvery {
 		if t := k.took; t.changes > 0 {
-			k.log.Info("history moved", "jobs", t.jobs, "machines", t.machines, "workflows", t.flows, "changes", t.changes)
+			k.log.Info("jobs archived", "jobs", t.jobs, "machines", t.machines, "workflows", t.flows, "changes", t.changes)
 		}
 		k.looked, k.took = now, moved{}
 		k.findFinished(l)
--- a/internal/state/watchcache/mirror.go
+++ b/internal/state/watchcache/mirror.go
@@ -138,7 +138,7 @@
 		for ctx.Err() == nil {
 			ev, err := m.store.Watch(ctx, ledger.Prefix, at, watchWait)
 			if errors.Is(err, kvstore.ErrRevisionCompacted) {
-				m.log.Info("watch fell behind; reading everything again")
+				m.log.Info("watch behind; reloading records")
 				break
 			}
 			if err != nil {
@@ -201,7 +201,7 @@
 		return 0, err
 	}
 	known, active := led.Counts()
-	m.log.Info("ledger read", "jobs", known, "active", active, "revision", from)
+	m.log.Info("records loaded", "jobs", known, "active", active, "revision", from)
 	m.Lock()
 	defer m.Unlock()
 	m.led = led
@@ -332,7 +332,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			m.log.Debug("no token yet", "err", err)
+			m.log.Debug("no fencing token yet", "err", err)
 			pause := 200 * time.Millisecond
 			if conflict := new(kvstore.ConflictError); errors.As(err, &conflict) {
 				// Another took one at the same moment, as when all start together: the records
@@ -390,6 +390,6 @@
 	m.Lock()
 	m.token = mine
 	m.Unlock()
-	m.log.Info("token taken", "token", mine)
+	m.log.Info("fencing token acquired", "token", mine)
 	return nil
 }
