--- /dev/null
+++ b/internal/scheduler/topologytracker/partitions.go
@@ -0,0 +1,102 @@
+package topologytracker
+
+import (
+	"slices"
+	"time"
+
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+const (
+	// maxPendingPartitions bounds the partitions that wait to be attributed.
+	maxPendingPartitions = 100
+	// shareFor is how long an attributed partition is shared with peers.
+	shareFor = 2 * time.Minute
+)
+
+// gangPartition is a gang that lost peers although none of its tasks ended.
+type gangPartition struct {
+	job      wire.JobID
+	block    topology.Block // the innermost that all its machines are in, once attributed
+	machines []wire.MachineID
+	at       time.Time
+}
+
+// ObservePartition records that a gang's task lost its peers, unless the gang was preempted or one of
+// its tasks failed, which then is the cause.
+func (t *Tracker) ObservePartition(j *ledger.Job, attempt wire.Attempt, now time.Time) {
+	if t.tree == nil || j.Stop >= attempt || t.failures.Failing(j.ID) ||
+		slices.ContainsFunc(t.pendingPartitions, func(o gangPartition) bool { return o.job == j.ID }) || len(t.pendingPartitions) >= maxPendingPartitions {
+		return
+	}
+	g := gangPartition{job: j.ID, at: now}
+	j.Claims(func(cl ledger.Claim) bool {
+		g.machines = append(g.machines, cl.Machine)
+		return cl.Attempt == attempt
+	})
+	t.pendingPartitions = append(t.pendingPartitions, g)
+}
+
+// attributePartitions attributes pending partitions to the innermost block that all machines of the gang
+// are in, once the end of a machine would have shown, and drops those that such an end explains.
+func (t *Tracker) attributePartitions(now time.Time, all heartbeats) {
+	t.pendingPartitions = slices.DeleteFunc(t.pendingPartitions, func(g gangPartition) bool {
+		if now.Sub(g.at) < 2*t.settings.SilentAfter() {
+			return false
+		}
+		if block, ok := t.commonBlock(&g, all); ok && block != 0 && !t.failures.Failing(g.job) {
+			g.block = block
+			t.health.ObservePartition(g.block, g.job, g.at)
+			t.attributedPartitions = append(t.attributedPartitions, g)
+		}
+		return true
+	})
+	t.attributedPartitions = slices.DeleteFunc(t.attributedPartitions, func(g gangPartition) bool {
+		return now.Sub(g.at) > shareFor
+	})
+}
+
+// commonBlock returns the innermost block that all machines of the gang are in; false if the gang had
+// none, or if one of them has ended or fallen silent since, which explains the partition.
+func (t *Tracker) commonBlock(g *gangPartition, all heartbeats) (common topology.Block, ok bool) {
+	for i, id := range g.machines {
+		h, known := all[id]
+		if !known || h.reclaimed || h.at.Before(g.at.Add(t.settings.SilentAfter()/2)) {
+			return 0, false
+		}
+		block, _ := t.tree.Locate(id, h.endpoint, h.zone)
+		if i == 0 {
+			common = block
+		}
+		common = t.tree.Common(common, block)
+	}
+	return common, len(g.machines) > 0
+}
+
+// Partitions lists the partitions that were attributed to a block lately, to be shared with peers.
+func (t *Tracker) Partitions(now time.Time) []peer.GangPartition {
+	var out []peer.GangPartition
+	for _, g := range t.attributedPartitions {
+		out = append(out, peer.GangPartition{
+			Job:   g.job,
+			Block: t.tree.Path(g.block),
+			AgeMS: now.Sub(g.at).Milliseconds(),
+		})
+	}
+	return out
+}
+
+// MergePartitions takes over the partitions that a peer shared; asOf is when it was asked.
+func (t *Tracker) MergePartitions(list []peer.GangPartition, asOf time.Time) {
+	if t.tree == nil {
+		return
+	}
+	for _, x := range list {
+		if b, ok := t.tree.ByPath(x.Block); ok {
+			t.health.ObservePartition(b, x.Job, asOf.Add(-time.Duration(x.AgeMS)*time.Millisecond))
+		}
+	}
+}
