--- a/internal/scheduler/topologytracker/partitions.go
+++ b/internal/scheduler/topologytracker/partitions.go
@@ -28,8 +28,11 @@
 // ObservePartition records that a gang's task lost its peers, unless the gang was preempted or one of
 // its tasks failed, which then is the cause.
 func (t *Tracker) ObservePartition(j *ledger.Job, attempt wire.Attempt, now time.Time) {
-	if t.tree == nil || j.Stop >= attempt || t.failures.Failing(j.ID) ||
-		slices.ContainsFunc(t.pendingPartitions, func(o gangPartition) bool { return o.job == j.ID }) || len(t.pendingPartitions) >= maxPendingPartitions {
+	if t.tree == nil || j.Stop >= attempt || t.failures.Failing(j.ID) {
+		return
+	}
+	isPending := func(g gangPartition) bool { return g.job == j.ID }
+	if len(t.pendingPartitions) >= maxPendingPartitions || slices.ContainsFunc(t.pendingPartitions, isPending) {
 		return
 	}
 	g := gangPartition{job: j.ID, at: now}
