--- a/internal/transport/http1/http1.go
+++ b/internal/transport/http1/http1.go
@@ -76,8 +76,14 @@
 	Close  bool
 }
 
+// The versions of the protocol that are accepted.
+const (
+	version10 = "HTTP/1.0"
+	version11 = "HTTP/1.1"
+)
+
 // ReadRequest reads one request. At a clean end before its first byte it
-// returns io.EOF. proceed is called when the peer waits to be told to send.
+// returns io.EOF. proceed is called when the peer waits for "100 Continue".
 func ReadRequest(r *bufio.Reader, proceed func() error) (*Request, error) {
 	line, err := readLine(r, MaxLine)
 	if err == nil && len(line) == 0 {
@@ -86,21 +92,14 @@
 	if err != nil {
 		return nil, err
 	}
-	method, rest, ok := strings.Cut(string(line), " ")
-	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || method == "" || !isToken(method) || !strings.HasPrefix(target, "/") ||
-		strings.ContainsAny(target, " \t") {
-		return nil, &Error{400, "malformed request line"}
-	}
-	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, &Error{400, "unknown protocol version"}
+	q, version, err := parseRequestLine(string(line))
+	if err != nil {
+		return nil, err
 	}
-	q := &Request{Method: method}
-	q.Path, q.Query, _ = strings.Cut(target, "?")
 	if q.Header, err = readHeader(r); err != nil {
 		return nil, err
 	}
-	q.Close = q.Header.hasToken("connection", "close") || version == "HTTP/1.0"
+	q.Close = closes(q.Header, version)
 	framed, err := bodyFraming(q.Header)
 	if err != nil {
 		return nil, err
@@ -117,50 +116,88 @@
 	return q, err
 }
 
-// ReadResponse reads one response whose body may be at most max bytes.
-func ReadResponse(r *bufio.Reader, max int) (*Response, error) {
+// parseRequestLine parses method, target and version.
+func parseRequestLine(line string) (q *Request, version string, err error) {
+	method, rest, hasTarget := strings.Cut(line, " ")
+	target, version, hasVersion := strings.Cut(rest, " ")
+	if !hasTarget || !hasVersion || method == "" || !isToken(method) || !strings.HasPrefix(target, "/") ||
+		strings.ContainsAny(target, " \t") {
+		return nil, "", &Error{400, "malformed request line"}
+	}
+	if version != version11 && version != version10 {
+		return nil, "", &Error{400, "unknown protocol version"}
+	}
+	q = &Request{Method: method}
+	q.Path, q.Query, _ = strings.Cut(target, "?")
+	return q, version, nil
+}
+
+// closes reports whether the connection ends after the message.
+func closes(h Header, version string) bool {
+	return h.hasToken("connection", "close") || version == version10
+}
+
+// ReadResponse reads one response, past interim ones, whose body may be at most maxBody bytes.
+func ReadResponse(r *bufio.Reader, maxBody int) (*Response, error) {
 	for {
-		line, err := readLine(r, MaxLine)
+		p, version, err := readResponseHead(r)
 		if err != nil {
 			return nil, err
 		}
-		version, rest, _ := strings.Cut(string(line), " ")
-		code, _, _ := strings.Cut(rest, " ")
-		status, err := strconv.Atoi(code)
-		if err != nil || status < 100 || status > 599 || !strings.HasPrefix(version, "HTTP/1.") {
-			return nil, &Error{502, "malformed status line"}
-		}
-		p := &Response{Status: status}
-		if p.Header, err = readHeader(r); err != nil {
-			return nil, err
-		}
-		if status < 200 {
+		if p.Status < 200 {
 			continue
 		}
-		p.Close = p.Header.hasToken("connection", "close") || version == "HTTP/1.0"
-		if status == 204 || status == 304 {
+		p.Close = closes(p.Header, version)
+		if p.Status == 204 || p.Status == 304 {
 			return p, nil
 		}
-		framed, err := bodyFraming(p.Header)
-		if err != nil {
+		if err := readResponseBody(r, p, maxBody); err != nil {
 			return nil, err
 		}
-		if !framed.chunked && !framed.given {
-			p.Close = true
-			p.Body, err = io.ReadAll(io.LimitReader(r, int64(max)+1))
-			if err == nil && len(p.Body) > max {
-				err = &Error{413, "body too large"}
-			}
-			return p, err
-		}
-		if framed.length > max {
-			return nil, &Error{413, "body too large"}
+		return p, nil
+	}
+}
+
+// readResponseHead reads status line and header.
+func readResponseHead(r *bufio.Reader) (p *Response, version string, err error) {
+	line, err := readLine(r, MaxLine)
+	if err != nil {
+		return nil, "", err
+	}
+	version, rest, _ := strings.Cut(string(line), " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.Atoi(code)
+	if err != nil || status < 100 || status > 599 || !strings.HasPrefix(version, "HTTP/1.") {
+		return nil, "", &Error{502, "malformed status line"}
+	}
+	p = &Response{Status: status}
+	p.Header, err = readHeader(r)
+	return p, version, err
+}
+
+// readResponseBody reads the body of a response whose header is read. A body without a length ends with
+// the connection.
+func readResponseBody(r *bufio.Reader, p *Response, maxBody int) error {
+	framed, err := bodyFraming(p.Header)
+	if err != nil {
+		return err
+	}
+	if !framed.chunked && !framed.given {
+		p.Close = true
+		p.Body, err = io.ReadAll(io.LimitReader(r, int64(maxBody)+1))
+		if err == nil && len(p.Body) > maxBody {
+			err = &Error{413, "body too large"}
 		}
-		p.Body, err = readBody(r, framed, max)
-		return p, err
+		return err
 	}
+	if framed.length > maxBody {
+		return &Error{413, "body too large"}
+	}
+	p.Body, err = readBody(r, framed, maxBody)
+	return err
 }
 
+// framing tells how a message's body is delimited.
 type framing struct {
 	length  int
 	given   bool
@@ -194,7 +231,7 @@
 	return f, nil
 }
 
-func readBody(r *bufio.Reader, f framing, max int) ([]byte, error) {
+func readBody(r *bufio.Reader, f framing, maxBody int) ([]byte, error) {
 	if !f.chunked {
 		if f.length == 0 {
 			return nil, nil
@@ -216,7 +253,7 @@
 		if err != nil {
 			return nil, &Error{400, "bad chunk size"}
 		}
-		if n > uint64(max-len(body)) {
+		if n > uint64(maxBody-len(body)) {
 			return nil, &Error{413, "body too large"}
 		}
 		if n == 0 {
@@ -257,19 +294,19 @@
 
 // readLine returns the next line without its end. The slice holds until the
 // next read.
-func readLine(r *bufio.Reader, max int) ([]byte, error) {
+func readLine(r *bufio.Reader, maxLine int) ([]byte, error) {
 	var long []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if len(long)+len(part) > max+2 {
+		if len(long)+len(part) > maxLine+2 {
 			return nil, &Error{431, "line too long"}
 		}
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			long = append(long, part...)
 			continue
 		}
 		if err != nil {
-			if err == io.EOF && len(long)+len(part) > 0 {
+			if errors.Is(err, io.EOF) && len(long)+len(part) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -141,11 +141,11 @@
 // events is what gnet calls; it serves listeners and dialled connections alike.
 type events struct {
 	gnet.BuiltinEventEngine
-	limit  int
-	max    int
-	open   atomic.Int64
-	serve  func(*Conn)
-	booted chan gnet.Engine
+	limit    int
+	maxConns int
+	open     atomic.Int64
+	serve    func(*Conn)
+	booted   chan gnet.Engine
 }
 
 func (e *events) OnBoot(eng gnet.Engine) gnet.Action {
@@ -156,7 +156,7 @@
 }
 
 func (e *events) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
-	if n := e.open.Add(1); e.max > 0 && n > int64(e.max) {
+	if n := e.open.Add(1); e.maxConns > 0 && n > int64(e.maxConns) {
 		return nil, gnet.Close
 	}
 	c := newConn(gc, e.limit)
@@ -199,11 +199,14 @@
 	}
 }
 
+// stopTimeout bounds how long the event loop may take to stop once the server's context has ended.
+const stopTimeout = 2 * time.Second
+
 // Serve listens on addr until ctx ends and runs serve in a goroutine for each
-// connection. At most max connections are open; further ones are closed.
-func Serve(ctx context.Context, addr string, max int, serve func(context.Context, *Conn)) error {
+// connection. At most maxConns connections are open; further ones are closed.
+func Serve(ctx context.Context, addr string, maxConns int, serve func(context.Context, *Conn)) error {
 	var goroutines sync.WaitGroup
-	e := &events{limit: 1 << 20, max: max, booted: make(chan gnet.Engine, 1)}
+	e := &events{limit: 1 << 20, maxConns: maxConns, booted: make(chan gnet.Engine, 1)}
 	e.serve = func(c *Conn) {
 		goroutines.Add(1)
 		defer goroutines.Done()
@@ -223,7 +226,7 @@
 			return err
 		case <-ctx.Done():
 		}
-		stopping, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
 		err := eng.Stop(stopping)
 		goroutines.Wait()
@@ -275,7 +278,7 @@
 	}
 	hand := &dialled{opened: make(chan *Conn, 1)}
 	if _, err := d.client.EnrollContext(raw, hand); err != nil {
-		raw.Close()
+		_ = raw.Close() // the error that is returned tells more
 		return nil, err
 	}
 	select {
