--- a/internal/scheduler/topology/health_test.go
+++ b/internal/scheduler/topology/health_test.go
@@ -22,6 +22,7 @@
 }
 
 func newHall(t *testing.T) *hall {
+	t.Helper()
 	tree := testTree(t, 2, 2)
 	x := &hall{
 		t:     t,
--- a/internal/scheduler/topology/pack_test.go
+++ b/internal/scheduler/topology/pack_test.go
@@ -11,8 +11,8 @@
 )
 
 // tree of zones a and b, two switches each, racks in each.
-func testTree(t testing.TB, switches, racks int) *Tree {
-	t.Helper()
+func testTree(tb testing.TB, switches, racks int) *Tree {
+	tb.Helper()
 	var b strings.Builder
 	b.WriteString(`level { name: "zone" cost: 16 } level { name: "switch" cost: 4 } level { name: "rack" cost: 1 }`)
 	for z := range 2 {
@@ -36,7 +36,7 @@
 	}
 	tree, err := Parse([]byte(b.String()), []wire.Zone{"a", "b"})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return tree
 }
