--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -1,23 +1,17 @@
-// Package runner is the part of a controller that drives workflows: it accepts them, submits
-// their steps' jobs as they become ready, and tells of them (docs/cwl.md).
+// Package runner is the part of a controller that drives workflows: it accepts them, submits the jobs of
+// their steps as they become ready, and reports their status (docs/cwl.md).
 //
-// Which controller drives one follows from the workflow's name and the controllers in touch.
-// That two drive one for a while does no harm, that none does only lasts until the next look.
+// Which controller drives a workflow follows from the workflow's name and the controllers that are reachable.
+// Two that drive one for a while do no harm, as each step's job has an id of its own; a workflow that
+// nobody drives is taken up within driveInterval. The fields driven and inspected of a Runner are guarded by
+// the watch cache's lock.
 package runner
 
 import (
-	"bytes"
 	"cmp"
-	"compress/gzip"
 	"context"
-	"crypto/sha256"
-	"encoding/base64"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"hash/fnv"
-	"io"
 	"log/slog"
 	"slices"
 	"sync"
@@ -42,7 +36,7 @@
 	"maddermill/wire"
 )
 
-// Parts are what workflows are driven with.
+// Parts are the parts of the controller that a Runner uses.
 type Parts struct {
 	Cache      *watchcache.Cache
 	Committer  *committer.Committer
@@ -54,118 +48,120 @@
 	Deadlines  *deadlinetracker.Tracker
 }
 
-// Runner is that part of a controller. It is off until Set.
+// Runner drives workflows. It is off until Set.
 type Runner struct {
-	set     *settings.Settings
-	records kvstore.Store
+	settings  *settings.Settings
+	keyValues kvstore.Store
 	Parts
 	stats *metrics.Set
 	log   *slog.Logger
 
 	store stepdata.Store // nil: workflows are off
-	// Under the mirror's lock:
-	driven map[wire.WorkflowID]*driven
-	looked map[wire.WorkflowID]*looked // driven elsewhere, and asked about here
+	// Guarded by the watch cache's lock:
+	driven    map[wire.WorkflowID]*drivenRun
+	inspected map[wire.WorkflowID]*inspection // driven elsewhere, whose status was requested here
 }
 
-// New returns a part with workflows off.
+// New returns a Runner with workflows off.
 func New(set *settings.Settings, records kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
-	return &Runner{set: set, records: records, Parts: p, stats: stats, log: log}
+	return &Runner{settings: set, keyValues: records, Parts: p, stats: stats, log: log}
 }
 
-func (c *Runner) led() *ledger.Ledger { return c.Cache.Records() }
+// records returns the records, for whoever holds the watch cache's lock.
+func (r *Runner) records() *ledger.Ledger { return r.Cache.Records() }
 
-// looked is a workflow that another controller drives, as far as it is looked at here.
-type looked struct {
-	mu  sync.Mutex
-	run *workflow.Run
-	at  wire.Revision
-	ask time.Time // when it was last asked about
+// inspection is a workflow that another controller drives, replayed here for its status.
+type inspection struct {
+	mu          sync.Mutex // guards run and revision
+	run         *workflow.Run
+	revision    wire.Revision
+	requestedAt time.Time // when its status was last requested
 
-	miss atomic.Bool // the last pass lacked some of what is archived
+	archiveMissed atomic.Bool // the last pass could not read some of what is archived
 }
 
-type driven struct {
-	run   *workflow.Run
-	at    wire.Revision // of the record that it was made from
-	next  time.Time     // no step before, after an error
-	steps []wire.StepStatus
+// drivenRun is a workflow that this controller drives.
+type drivenRun struct {
+	run      *workflow.Run
+	revision wire.Revision // of the record that it was made from
+	retryAt  time.Time     // no step before, after an error
+	steps    []wire.StepStatus
 }
 
 // Bounds of driving workflows.
 const (
-	driveEvery    = time.Second
-	driveAgain    = 5 * time.Second // after an error
-	mostPieces    = 26 * 26
-	mostDocuments = 8 << 20 // bytes unpacked
-	// doubtfulAfter is after how many rounds of failures on several machines a step's job is
-	// given up. A user's job is not: its user may know better.
-	doubtfulAfter = 3
-	// stepShare is the part of a controller's share of changes that submitting steps may
-	// take, so that a wide workflow leaves room for users and starts.
+	driveInterval   = time.Second
+	driveRetryAfter = 5 * time.Second // after an error
+	// abandonAfterRounds is after how many rounds of failures on several machines a step's job is
+	// cancelled. A user's own job is not: its user may know better.
+	abandonAfterRounds = 3
+	// stepShare is the share of a controller's changes that submitting steps may take, so that a wide
+	// workflow leaves capacity for users and starts.
 	stepShare = 0.25
 )
 
-// Errors that users of workflows are told of.
+// Errors of users' requests.
 var (
+	// ErrNoWorkflows means that the service runs without workflows.
 	ErrNoWorkflows = errors.New("workflows are not switched on")
-	ErrNotFailed   = errors.New("only a workflow that failed can be resumed")
+	// ErrNotFailed means that a workflow can't be resumed.
+	ErrNotFailed = errors.New("only a workflow that failed can be resumed")
 )
 
 // Set switches workflows on, before Run. What steps pass to each other is kept in store.
-func (c *Runner) Set(store stepdata.Store) {
-	c.store, c.driven, c.looked = store, map[wire.WorkflowID]*driven{}, map[wire.WorkflowID]*looked{}
+func (r *Runner) Set(store stepdata.Store) {
+	r.store, r.driven, r.inspected = store, map[wire.WorkflowID]*drivenRun{}, map[wire.WorkflowID]*inspection{}
 }
 
 // Run drives this controller's part of the workflows, until ctx ends.
-func (c *Runner) Run(ctx context.Context) error {
+func (r *Runner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.For(ctx, driveEvery)
-		c.Cache.Lock()
-		var mine []*ledger.Workflow
-		if c.store != nil && c.Cache.SyncedWithin(time.Now(), settings.StartContact) {
-			mine = c.myWorkflows(time.Now())
+		wait.For(ctx, driveInterval)
+		r.Cache.Lock()
+		var own []*ledger.Workflow
+		if r.store != nil && r.Cache.SyncedWithin(time.Now(), settings.StartContact) {
+			own = r.ownWorkflows(time.Now())
 		}
-		c.Cache.Unlock()
-		budget := max(1, int(c.set.Cluster.State.WriteRPS/float64(c.set.Cluster.Count)*stepShare))
-		for i, w := range mine {
+		r.Cache.Unlock()
+		budget := max(1, int(r.settings.Cluster.State.WriteRPS/float64(r.settings.Cluster.Count)*stepShare))
+		for i, w := range own {
 			// What is left of the budget is shared among those that are left.
-			share := max(1, budget/(len(mine)-i))
+			share := max(1, budget/(len(own)-i))
 			if budget <= 0 {
 				share = 0
 			}
-			n, err := c.drive(ctx, w, share)
+			n, err := r.drive(ctx, w, share)
 			budget -= n
 			if err != nil && ctx.Err() == nil {
-				c.log.Warn("workflow does not move on", "workflow", w.ID, "err", err)
+				r.log.Warn("workflow does not move on", "workflow", w.ID, "err", err)
 			}
 		}
 	}
 	return ctx.Err()
 }
 
-// myWorkflows are those that are not over and that fall to this controller, by weights
-// that each member has for each workflow, so that few change hands when a member goes.
-func (c *Runner) myWorkflows(now time.Time) []*ledger.Workflow {
-	members := append(c.Membership.ReachablePeers(now), c.set.Member)
+// ownWorkflows lists the workflows that have not ended and that this controller drives, by weights that each
+// controller has for each workflow, so that few change owners when a controller leaves.
+func (r *Runner) ownWorkflows(now time.Time) []*ledger.Workflow {
+	members := append(r.Membership.ReachablePeers(now), r.settings.Member)
 	var out []*ledger.Workflow
-	for id := range c.driven {
-		if c.led().Workflow(id) == nil {
-			delete(c.driven, id) // archived
+	for id := range r.driven {
+		if r.records().Workflow(id) == nil {
+			delete(r.driven, id) // archived
 		}
 	}
-	c.led().EachWorkflow(func(w *ledger.Workflow) {
+	r.records().EachWorkflow(func(w *ledger.Workflow) {
 		if w.State != ledger.WorkflowActive && (w.State != ledger.WorkflowCancelled || w.Swept) {
-			delete(c.driven, w.ID)
+			delete(r.driven, w.ID)
 			return
 		}
 		best := slices.MaxFunc(members, func(a, b wire.MemberID) int {
 			return cmp.Or(cmp.Compare(weight(a, w.ID), weight(b, w.ID)), cmp.Compare(a, b))
 		})
-		if best == c.set.Member {
+		if best == r.settings.Member {
 			out = append(out, w)
 		} else {
-			delete(c.driven, w.ID)
+			delete(r.driven, w.ID)
 		}
 	})
 	slices.SortFunc(out, func(a, b *ledger.Workflow) int {
@@ -178,138 +174,90 @@
 	return out
 }
 
+// goldenRatio64 spreads the hashes of names that end alike.
+const goldenRatio64 = 0x9e3779b97f4a7c15
+
+// weight is the weight of a controller for a workflow; the greatest drives it (rendezvous hashing).
 func weight(m wire.MemberID, w wire.WorkflowID) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(m))
-	h.Write([]byte{0})
-	h.Write([]byte(w))
-	return h.Sum64() * 0x9e3779b97f4a7c15 // names that end alike are spread
+	_, _ = h.Write([]byte(string(m) + "\x00" + string(w))) // a hash takes any write
+	return h.Sum64() * goldenRatio64
 }
 
-// drive moves one workflow on.
-func (c *Runner) drive(ctx context.Context, w *ledger.Workflow, most int) (submitted int, err error) {
-	c.Cache.Lock()
-	d := c.driven[w.ID]
-	if d != nil && d.at != w.Version {
-		d = nil // resumed, or cancelled
-	}
-	c.Cache.Unlock()
+// drive moves one workflow on and submits at most maxSubmitted of its steps.
+func (r *Runner) drive(ctx context.Context, w *ledger.Workflow, maxSubmitted int) (submitted int, err error) {
 	now := time.Now()
-	if d != nil && now.Before(d.next) {
-		return 0, nil
-	}
-	if d == nil {
-		run, err := c.resume(ctx, w, new(atomic.Bool))
-		if errors.Is(err, errNoDocuments) {
-			return 0, err
-		}
-		if err != nil {
-			// They were checked when it was accepted, by another version perhaps.
-			return 0, stepJobs{c: c}.EndWorkflow(ctx, w.ID, ledger.WorkflowFailed, err.Error())
-		}
-		d = &driven{run: run, at: w.Version}
+	d, err := r.takeUp(ctx, w)
+	if d == nil || now.Before(d.retryAt) {
+		return 0, err
 	}
 	if w.State == ledger.WorkflowCancelled {
-		most = 0
+		maxSubmitted = 0
 	}
-	over := false
-	submitted, over, err = d.run.Step(ctx, now, most)
+	submitted, ended, err := d.run.Step(ctx, now, maxSubmitted)
 	if w.State == ledger.WorkflowCancelled && ctx.Err() == nil {
-		gone, e := d.run.Cancel(ctx)
-		if err = e; gone && e == nil {
-			err = c.Committer.CommitNow(ctx, func(dr *ledger.Transaction) error {
-				if now := c.led().Workflow(w.ID); now != nil {
-					return dr.DeleteWorkflow(now)
-				}
-				return ledger.ErrPreconditionFailed
-			})
-			if errors.Is(err, ledger.ErrPreconditionFailed) {
-				err = nil
-			}
-		}
+		err = r.cancelSteps(ctx, w, d)
 	}
 	if err != nil {
-		d.next = now.Add(driveAgain)
+		d.retryAt = now.Add(driveRetryAfter)
 	}
-	steps := d.run.Steps(c.whyWaits)
-	c.Cache.Lock()
-	defer c.Cache.Unlock()
+	steps := d.run.Steps(r.waitReason)
+	r.Cache.Lock()
+	defer r.Cache.Unlock()
 	d.steps = steps
-	if c.driven[w.ID] = d; over {
-		delete(c.driven, w.ID)
+	if r.driven[w.ID] = d; ended {
+		delete(r.driven, w.ID)
 	}
-	c.stats.Add("workflow_steps_submitted_total", int64(submitted))
+	r.stats.Add("workflow_steps_submitted_total", int64(submitted))
 	return submitted, err
 }
 
-// pack turns documents into pieces that fit the state service's values, and their hash.
-func (c *Runner) pack(docs *workflow.Documents) (hash string, pieces []string, err error) {
-	b, err := json.Marshal(docs)
-	if err != nil {
-		return "", nil, err
-	}
-	var packed bytes.Buffer
-	z := gzip.NewWriter(&packed)
-	if _, err := z.Write(b); err != nil {
-		return "", nil, err
+// takeUp returns the run of a workflow, resumed if it is not driven yet; nil if it can't be resumed now, or
+// never: then the workflow has failed.
+func (r *Runner) takeUp(ctx context.Context, w *ledger.Workflow) (*drivenRun, error) {
+	r.Cache.Lock()
+	d := r.driven[w.ID]
+	r.Cache.Unlock()
+	if d != nil && d.revision == w.Version { // else it was resumed or cancelled since
+		return d, nil
 	}
-	if err := z.Close(); err != nil {
-		return "", nil, err
-	}
-	sum := sha256.Sum256(packed.Bytes())
-	size := (c.set.ValueBytes() - 64) / 4 * 3
-	for part := range slices.Chunk(packed.Bytes(), size) {
-		pieces = append(pieces, base64.StdEncoding.EncodeToString(part))
+	run, err := r.resume(ctx, w, new(atomic.Bool))
+	if errors.Is(err, errNoDocuments) {
+		return nil, err
 	}
-	if len(pieces) > mostPieces {
-		return "", nil, fmt.Errorf("%w: its documents are too large", server.ErrUnschedulable)
+	if err != nil {
+		// The documents were checked when the workflow was accepted, perhaps by another version.
+		return nil, stepJobs{runner: r}.EndWorkflow(ctx, w.ID, ledger.WorkflowFailed, err.Error())
 	}
-	return hex.EncodeToString(sum[:]), pieces, nil
+	return &drivenRun{run: run, revision: w.Version}, nil
 }
 
-// documents reads a workflow's documents from their pieces and checks them.
-func (c *Runner) documents(ctx context.Context, w *ledger.Workflow) (*workflow.Documents, error) {
-	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
-	defer cancel()
-	var packed []byte
-	for n := range w.Pieces {
-		it, err := c.records.Get(ctx, ledger.DocumentKey(w.Hash, n))
-		if err != nil {
-			return nil, err
-		}
-		var text string
-		if err := json.Unmarshal(it.Value, &text); err != nil {
-			return nil, err
-		}
-		part, err := base64.StdEncoding.DecodeString(text)
-		if err != nil {
-			return nil, err
-		}
-		packed = append(packed, part...)
+// cancelSteps cancels the steps' jobs of a cancelled workflow, and deletes its record once none is left.
+func (r *Runner) cancelSteps(ctx context.Context, w *ledger.Workflow, d *drivenRun) error {
+	allGone, err := d.run.Cancel(ctx)
+	if !allGone || err != nil {
+		return err
 	}
-	if sum := sha256.Sum256(packed); hex.EncodeToString(sum[:]) != w.Hash {
-		return nil, fmt.Errorf("documents of %s are not what their hash says", w.ID)
-	}
-	z, err := gzip.NewReader(bytes.NewReader(packed))
-	if err != nil {
-		return nil, err
-	}
-	b, err := io.ReadAll(io.LimitReader(z, mostDocuments))
-	if err != nil {
-		return nil, err
+	err = r.Committer.CommitNow(ctx, func(transaction *ledger.Transaction) error {
+		if now := r.records().Workflow(w.ID); now != nil {
+			return transaction.DeleteWorkflow(now)
+		}
+		return ledger.ErrPreconditionFailed
+	})
+	if errors.Is(err, ledger.ErrPreconditionFailed) {
+		return nil // another controller did
 	}
-	docs := new(workflow.Documents)
-	return docs, json.Unmarshal(b, docs)
+	return err
 }
 
-// errNoDocuments: a workflow's documents can't be read now.
+// errNoDocuments means that a workflow's documents can't be read now.
 var errNoDocuments = errors.New("documents can't be read")
 
 // resume takes a workflow up from its documents and its steps' jobs.
-func (c *Runner) resume(ctx context.Context, w *ledger.Workflow, miss *atomic.Bool) (*workflow.Run, error) {
-	docs, err := c.documents(ctx, w)
+func (r *Runner) resume(ctx context.Context, w *ledger.Workflow, archiveMissed *atomic.Bool) (*workflow.Run, error) {
+	docs, err := r.documents(ctx, w)
 	if err != nil {
 		return nil, errors.Join(errNoDocuments, err)
 	}
-	return workflow.Resume(ctx, w, docs, stepJobs{c, w.Ended(), miss}, c.store)
+	return workflow.Resume(ctx, w, docs, stepJobs{r, w.Ended(), archiveMissed}, r.store)
 }
--- a/internal/workflow/runner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -13,42 +13,49 @@
 	"maddermill/wire"
 )
 
-// stepJobs is the service as workflows see it.
+// Timeouts of one operation on a step's job.
+const (
+	writeTimeout   = 3 * time.Second
+	archiveTimeout = time.Second
+)
+
+// stepJobs implements workflow.Jobs: the jobs of steps.
 type stepJobs struct {
-	c    *Runner
-	over bool         // the workflow is, so its steps' jobs may be archived
-	miss *atomic.Bool // set when the archive could not be read
+	runner        *Runner
+	ended         bool         // the workflow is, so its steps' jobs may be archived
+	archiveMissed *atomic.Bool // set when the archive could not be read
 }
 
+// StepState returns the state of a step's job.
 func (s stepJobs) StepState(id wire.JobID) workflow.JobState {
-	s.c.Cache.Lock()
-	j := s.c.led().Job(id)
+	s.runner.Cache.Lock()
+	j := s.runner.records().Job(id)
 	if j == nil {
-		s.c.Cache.Unlock()
-		if !s.over {
+		s.runner.Cache.Unlock()
+		if !s.ended {
 			return workflow.Unknown
 		}
 		// Only the steps of a workflow that is over are archived.
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), archiveTimeout)
 		defer cancel()
-		switch st, err := s.c.Jobs.Archived(ctx, id); {
+		switch st, err := s.runner.Jobs.Archived(ctx, id); {
 		case st.Status == wire.Done:
 			return workflow.Done
 		case st.Status == wire.Cancelled:
 			return workflow.Cancelled
 		case !errors.Is(err, server.ErrNoSuchJob):
-			s.miss.Store(true)
+			s.archiveMissed.Store(true)
 		}
 		return workflow.Unknown
 	}
-	defer s.c.Cache.Unlock()
-	switch {
-	case j.State == ledger.Done:
+	defer s.runner.Cache.Unlock()
+	switch j.State {
+	case ledger.Done:
 		return workflow.Done
-	case j.State == ledger.Cancelled:
+	case ledger.Cancelled:
 		return workflow.Cancelled
 	}
-	if rounds, suspect := s.c.Failures.CrashLooping(id); suspect && rounds >= doubtfulAfter {
+	if rounds, suspect := s.runner.Failures.CrashLooping(id); suspect && rounds >= abandonAfterRounds {
 		return workflow.Doubtful
 	}
 	return workflow.Active
@@ -57,9 +64,9 @@
 // SubmitStep accepts a step's job as Submit does a user's, on the condition that the
 // workflow is active.
 func (s stepJobs) SubmitStep(ctx context.Context, of wire.WorkflowID, spec *wire.JobSpec) error {
-	c := s.c
+	c := s.runner
 	c.Cache.Lock()
-	verdict := c.Jobs.Admit(spec, time.Now())
+	verdict := c.Jobs.Admit(spec, time.Now()) //nolint:contextcheck // a module that decides has a time limit of its own
 	c.Cache.Unlock()
 	if errors.Is(verdict, server.ErrUnschedulable) {
 		return errors.Join(workflow.ErrNever, verdict)
@@ -68,10 +75,10 @@
 		return errors.Join(workflow.ErrNotNow, verdict)
 	}
 	at := wire.UnixMillis(time.Now().UnixMilli())
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	err := c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
-		w := c.led().Workflow(of)
+		w := c.records().Workflow(of)
 		if w == nil {
 			return ledger.ErrPreconditionFailed
 		}
@@ -91,28 +98,31 @@
 	return errors.Join(workflow.ErrNotNow, err)
 }
 
+// CancelStep cancels a step's job.
 func (s stepJobs) CancelStep(ctx context.Context, id wire.JobID) error {
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err := s.c.Jobs.Cancel(ctx, id)
+	_, err := s.runner.Jobs.Cancel(ctx, id)
 	return err
 }
 
+// EndWorkflow records the end of a workflow.
 func (s stepJobs) EndWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) error {
-	_, err := s.c.endWorkflow(ctx, id, state, why)
+	_, err := s.runner.endWorkflow(ctx, id, state, why)
 	return err
 }
 
-func (c *Runner) endWorkflow(
+// endWorkflow records the end of a workflow and returns the state that it then has.
+func (r *Runner) endWorkflow(
 	ctx context.Context,
 	id wire.WorkflowID,
 	state ledger.WorkflowState,
 	why string,
 ) (got ledger.WorkflowState, err error) {
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err = c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
-		w := c.led().Workflow(id)
+	err = r.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
+		w := r.records().Workflow(id)
 		if w == nil {
 			return ledger.ErrPreconditionFailed
 		}
@@ -121,7 +131,7 @@
 		return err
 	})
 	if err == nil && got == state {
-		c.log.Info("workflow", "workflow", id, "state", cmp.Or(string(state), "active"), "why", why)
+		r.log.Info("workflow", "workflow", id, "state", cmp.Or(string(state), "active"), "why", why)
 	}
 	return got, err
 }
--- /dev/null
+++ b/internal/workflow/runner/submit.go
@@ -0,0 +1,78 @@
+package runner
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"maddermill/internal/server"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/workflow"
+	"maddermill/wire"
+)
+
+// Submit accepts a valid workflow, or returns the status of one that is known: repeated submissions are
+// idempotent. Its documents are written first, under their hash, and only then the record.
+func (r *Runner) Submit(
+	ctx context.Context,
+	spec *wire.WorkflowSpec,
+) (st wire.WorkflowStatus, created bool, err error) {
+	if r.store == nil {
+		return st, false, ErrNoWorkflows
+	}
+	if !r.Jobs.Loaded() {
+		return st, false, kvstore.ErrUnreachable
+	}
+	r.Cache.Lock()
+	known := r.records().Workflow(spec.ID) != nil
+	r.Cache.Unlock()
+	if !known && r.settings.FindTeam(spec.Team) == nil {
+		if st, err = r.Status(ctx, spec.ID); errors.Is(err, server.ErrNoSuchJob) {
+			err = errors.Join(server.ErrUnschedulable, errors.New("unknown team"))
+		}
+		return st, false, err
+	}
+	if !known {
+		err := r.create(ctx, spec)
+		if err == nil {
+			return wire.WorkflowStatus{ID: spec.ID, Status: wire.Queued}, true, nil
+		}
+		if !errors.Is(err, ledger.ErrPreconditionFailed) {
+			return st, false, err
+		}
+	}
+	st, err = r.Status(ctx, spec.ID)
+	return st, false, err
+}
+
+// create writes a workflow's documents and its record. ErrPreconditionFailed: it is known by now.
+func (r *Runner) create(ctx context.Context, spec *wire.WorkflowSpec) error {
+	hash, pieces, err := r.pack(&workflow.Documents{Bundle: spec.Bundle, Inputs: spec.Inputs})
+	if err != nil {
+		return err
+	}
+	if err := r.writePieces(ctx, hash, pieces); err != nil {
+		return errors.Join(kvstore.ErrUnreachable, err)
+	}
+	short := *spec
+	short.Bundle, short.Inputs = nil, nil
+	record := ledger.WorkflowRecord{
+		Spec:     &short,
+		Hash:     hash,
+		Pieces:   len(pieces),
+		Accepted: wire.UnixMillis(time.Now().UnixMilli()),
+	}
+	err = r.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
+		return d.SubmitWorkflow(spec.ID, record)
+	})
+	if errors.Is(err, ledger.ErrTooLarge) {
+		return errors.Join(server.ErrUnschedulable, err)
+	}
+	if err == nil {
+		r.log.Info("workflow accepted",
+			"workflow", spec.ID, "class", spec.Class, "team", spec.Team, "pieces", len(pieces))
+		r.stats.Add("workflows_accepted_total", 1)
+	}
+	return err
+}
