--- a/internal/workflow/stepdata/data.go
+++ b/internal/workflow/stepdata/data.go
@@ -105,8 +105,8 @@
 	if err != nil {
 		return Info{}, err
 	}
-	defer os.Remove(f.Name())
-	if err := f.Chmod(0o644); err != nil { // machines that run steps read it, too
+	defer func() { _ = os.Remove(f.Name()) }() // there is none once it is renamed
+	if err := f.Chmod(0o644); err != nil {     // machines that run steps read it, too
 		return Info{}, errors.Join(err, f.Close())
 	}
 	sum := sha256.New()
@@ -160,7 +160,7 @@
 	if err != nil {
 		return Info{}, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	st, err := f.Stat()
 	if err != nil {
 		return Info{}, err
--- a/internal/workflow/stepdata/data_test.go
+++ b/internal/workflow/stepdata/data_test.go
@@ -17,16 +17,17 @@
 		t.Fatal(info, err)
 	}
 	b, got, err := d.Get(t.Context(), "a/b.json")
-	if st, e := d.Stat(
-		t.Context(),
-		"a/b.json",
-	); string(b) != "hello" || got != info || st != info || err != nil ||
+	if st, e := d.Stat(t.Context(), "a/b.json"); string(b) != "hello" || got != info || st != info || err != nil ||
 		e != nil {
 		t.Errorf("%q, %+v, %+v, %v, %v", b, got, st, err, e)
 	}
 	path := filepath.Join(d.Root, "a", "b.json")
 	whole, _ := os.ReadFile(path)
-	for name, damaged := range map[string][]byte{"changed": append([]byte("j"), whole[1:]...), "cut off": whole[:len(whole)-1], "nearly empty": whole[:3]} {
+	for name, damaged := range map[string][]byte{
+		"changed":      append([]byte("j"), whole[1:]...),
+		"cut off":      whole[:len(whole)-1],
+		"nearly empty": whole[:3],
+	} {
 		if err := os.WriteFile(path, damaged, 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -76,9 +76,13 @@
 	Outputs map[string]any `json:"outputs,omitempty"`
 }
 
-// OrderName, ResultName and OutputsName are the names under which data is kept.
-func OrderName(id wire.JobID) string        { return "orders/" + string(id) + ".json" }
-func ResultName(id wire.JobID) string       { return "results/" + string(id) + ".json" }
+// OrderName is the name under which the order of a step's job is stored.
+func OrderName(id wire.JobID) string { return "orders/" + string(id) + ".json" }
+
+// ResultName is the name under which the result of a step's job is stored.
+func ResultName(id wire.JobID) string { return "results/" + string(id) + ".json" }
+
+// OutputsName is the name under which the outputs of a workflow are stored.
 func OutputsName(id wire.WorkflowID) string { return "outputs/" + string(id) + ".json" }
 
 func put(ctx context.Context, store stepdata.Store, name string, v any) error {
@@ -199,6 +203,24 @@
 func (r *Run) Step(ctx context.Context, now time.Time, most int) (submitted int, over bool, err error) {
 	began := time.Now()
 	r.run.Enough = func() bool { return ctx.Err() != nil || time.Since(began) > mostLook }
+	err = r.observe(ctx, now)
+	r.cut = r.run.Enough()
+	if r.passive {
+		_, _, over = r.run.Over()
+		return 0, over, err
+	}
+	submitted, e := r.submitReady(ctx, now, most)
+	err = cmp.Or(err, e)
+	outputs, failure, over := r.run.Over()
+	if !over {
+		return submitted, false, err
+	}
+	return submitted, true, r.end(ctx, outputs, failure)
+}
+
+// observe takes in what became of the steps under way and makes further ones ready, until nothing moves. It
+// returns the first error.
+func (r *Run) observe(ctx context.Context, now time.Time) (err error) {
 	for again := true; again && !r.run.Enough(); {
 		again = false
 		for _, id := range slices.Clone(r.order) {
@@ -213,11 +235,11 @@
 			again = true
 		}
 	}
-	r.cut = r.run.Enough()
-	if r.passive {
-		_, _, over = r.run.Over()
-		return 0, over, err
-	}
+	return err
+}
+
+// submitReady submits up to most steps that are ready. It returns the first error.
+func (r *Run) submitReady(ctx context.Context, now time.Time, most int) (submitted int, err error) {
 	for _, id := range r.order {
 		s := r.out[id]
 		if submitted >= most || ctx.Err() != nil {
@@ -235,11 +257,7 @@
 		}
 		submitted++
 	}
-	outputs, failure, over := r.run.Over()
-	if !over {
-		return submitted, false, err
-	}
-	return submitted, true, r.end(ctx, outputs, failure)
+	return submitted, err
 }
 
 // Cut reports whether the last pass ended early: more is known of than it told.
@@ -257,7 +275,8 @@
 		}
 		return false, r.jobs.CancelStep(ctx, s.job)
 	case Cancelled:
-		return r.failed(s, fmt.Errorf("its job %s was cancelled", s.job)), nil
+		r.fail(s, fmt.Errorf("its job %s was cancelled", s.job))
+		return true, nil
 	case Done:
 	default:
 		return false, nil
@@ -275,9 +294,11 @@
 		if now.Sub(s.doneAt) < missingResult {
 			return false, nil
 		}
-		return r.failed(s, fmt.Errorf("its job %s is done and left no result", s.job)), nil
+		r.fail(s, fmt.Errorf("its job %s is done and left no result", s.job))
+		return true, nil
 	case errors.Is(err, stepdata.ErrDamaged):
-		return r.failed(s, err), nil
+		r.fail(s, err)
+		return true, nil
 	case err != nil:
 		return false, err
 	case res.Error == "" && res.Code == 0:
@@ -290,7 +311,8 @@
 		s.again(r.ID)
 		return true, nil
 	}
-	return r.failed(s, errors.New(cmp.Or(res.Error, fmt.Sprintf("the tool ended with code %d", res.Code)))), nil
+	r.fail(s, errors.New(cmp.Or(res.Error, fmt.Sprintf("the tool ended with code %d", res.Code))))
+	return true, nil
 }
 
 // again moves a step on to its next attempt.
@@ -299,17 +321,16 @@
 	s.job, s.ordered, s.doneAt = JobOf(w, s.task.ID, s.attempt), false, time.Time{}
 }
 
-// failed ends a step for good, unless the workflow was resumed since.
-func (r *Run) failed(s *step, why error) bool {
+// fail ends a step for good, unless the workflow was resumed since.
+func (r *Run) fail(s *step, why error) {
 	if s.failed < r.resumed {
 		s.failed++
 		s.retries, s.next = 0, time.Time{}
 		s.again(r.ID)
-		return true
+		return
 	}
 	delete(r.out, s.task.ID)
 	r.run.Finish(s.task.ID, nil, why)
-	return true
 }
 
 // submit writes a step's order and then submits its job.
@@ -334,7 +355,7 @@
 		err = r.jobs.SubmitStep(ctx, r.ID, spec)
 	}
 	if errors.Is(err, ErrNever) {
-		r.failed(s, err)
+		r.fail(s, err)
 		r.order = slices.DeleteFunc(slices.Clone(r.order), func(id string) bool { return r.out[id] == nil })
 		return nil
 	}
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -60,7 +60,9 @@
 		return nil
 	default:
 		res = Result{}
-		fmt.Sscan(what, &res.Code)
+		if _, err := fmt.Sscan(what, &res.Code); err != nil {
+			return err
+		}
 	}
 	b, _ := json.Marshal(res)
 	_, err := s.Put(ctx, ResultName(spec.ID), strings.NewReader(string(b)))
@@ -140,11 +142,15 @@
 		once    bool // what is waited for is known to one driver only
 	}{
 		{"fine", []string{"ok"}, []string{"ok"}, 0, "a/0 b/0", ledger.WorkflowDone, "", false},
-		{"two retries", []string{"retry", "retry", "ok"}, []string{"ok"}, 0, "a/0 a/1 a/2 b/0", ledger.WorkflowDone, "", false},
-		{"too many retries", []string{"retry", "retry", "retry", "retry"}, nil, 0, "a/0 a/1 a/2 a/3", ledger.WorkflowFailed, "a: the tool ended with code 75", false},
-		{"fails for good", []string{"ok"}, []string{"3"}, 0, "a/0 b/0", ledger.WorkflowFailed, "b: the tool ended with code 3", false},
+		{"two retries", []string{"retry", "retry", "ok"}, []string{"ok"}, 0, "a/0 a/1 a/2 b/0",
+			ledger.WorkflowDone, "", false},
+		{"too many retries", []string{"retry", "retry", "retry", "retry"}, nil, 0, "a/0 a/1 a/2 a/3",
+			ledger.WorkflowFailed, "a: the tool ended with code 75", false},
+		{"fails for good", []string{"ok"}, []string{"3"}, 0, "a/0 b/0",
+			ledger.WorkflowFailed, "b: the tool ended with code 3", false},
 		{"goes on after a failure", []string{"ok"}, []string{"3", "ok"}, 1, "a/0 b/0 b/1", ledger.WorkflowDone, "", false},
-		{"fails again after it went on", []string{"4", "5"}, nil, 1, "a/0 a/1", ledger.WorkflowFailed, "a: the tool ended with code 5", false},
+		{"fails again after it went on", []string{"4", "5"}, nil, 1, "a/0 a/1",
+			ledger.WorkflowFailed, "a: the tool ended with code 5", false},
 		{"given up", []string{"doubtful"}, nil, 0, "a/0", ledger.WorkflowFailed, "was cancelled", false},
 		{"leaves nothing", []string{"silent"}, nil, 0, "a/0", ledger.WorkflowFailed, "left no result", true},
 		{"can never run", []string{"never"}, nil, 0, "", ledger.WorkflowFailed, "can never run", false},
@@ -204,7 +210,11 @@
 inputs: {x: 'int[]'}
 outputs: []
 steps:
-  s: {run: {class: CommandLineTool, baseCommand: t, inputs: {a: int}, outputs: {o: string}}, scatter: a, in: {a: x}, out: [o]}
+  s:
+    run: {class: CommandLineTool, baseCommand: t, inputs: {a: int}, outputs: {o: string}}
+    scatter: a
+    in: {a: x}
+    out: [o]
 `
 		s := &slow{&script{cancelled: map[wire.JobID]bool{}}, map[wire.JobID]bool{}}
 		for i := 95; i < 100; i++ {
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -73,7 +73,10 @@
 	f.Kinds = make([]Kind, kinds)
 	for i := range f.Kinds {
 		k, r := &f.Kinds[i], b[i*kindBytes:]
-		for n, v := range [...]*uint32{&k.Type, &k.Zone, &k.Spot, &k.Up, &k.Booting, &k.Idle, &k.Refused, &k.Boot, &k.Hire, &k.Drain} {
+		fields := [...]*uint32{
+			&k.Type, &k.Zone, &k.Spot, &k.Up, &k.Booting, &k.Idle, &k.Refused, &k.Boot, &k.Hire, &k.Drain,
+		}
+		for n, v := range fields {
 			*v = le.Uint32(r[4*n:])
 		}
 		if k.Price = int64(le.Uint64(r[40:])); int(max(k.Type, k.Zone)) >= names {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -68,7 +68,7 @@
 	Names []string
 }
 
-// ErrMalformed: bytes are not a pass, or not an answer to it.
+// ErrMalformed means that bytes are not a pass, or not an answer to it.
 var ErrMalformed = errors.New("policy: malformed")
 
 // Append appends the pass as it is handed to a plug-in: little-endian, version, number of
