--- /dev/null
+++ b/internal/server/completions.go
@@ -0,0 +1,121 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/settings"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
+	"maddermill/wire"
+)
+
+// After an exit with one of these causes the job is retried no sooner than this.
+const (
+	notFoundBackoff       = 5 * time.Second // the worker does not know the job
+	gangIncompleteBackoff = 2 * time.Second
+)
+
+// noteCompletions logs the completions that a heartbeat shows, whatever its age and whether or not it may
+// be answered: a completion stays proof for its claim. It needs the cache's lock.
+func (s *HeartbeatServer) noteCompletions(r *wire.Heartbeat, now time.Time) {
+	for i := range r.Tasks {
+		task := &r.Tasks[i]
+		if task.State != wire.TaskExited || task.Cause != wire.CauseDone {
+			continue
+		}
+		done := peer.Completion{
+			Job:     task.Task.Job,
+			Task:    task.Task.Index,
+			Attempt: task.Attempt,
+			Machine: r.Machine,
+			Session: r.Epoch,
+		}
+		if s.CompletionUnrecorded(done) {
+			s.Completions.Add(done, !s.Cache.SyncedWithin(now, settings.StartContact), now)
+		}
+	}
+}
+
+// CompletionUnrecorded reports whether the records may lack a completion: they hold the claim that it
+// completes, or they are not loaded, or may be too old to show that claim. It needs the cache's lock.
+func (s *HeartbeatServer) CompletionUnrecorded(done peer.Completion) bool {
+	return !s.Cache.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(s.records(), done)
+}
+
+// observeExits logs and counts the exits that a heartbeat proves and passes what they show on to the
+// trackers of failures, images and the topology. It needs the cache's lock.
+func (s *HeartbeatServer) observeExits(w *reconcile.Worker, exits []reconcile.TaskExit, now time.Time) {
+	images := s.Registry.Images(s.records(), w)
+	for _, exit := range exits {
+		job := exit.Held.Job
+		s.log.Info("task exited", "job", job.ID, "task", exit.Task, "attempt", exit.Held.Attempt, "machine", w.ID,
+			"cause", exit.Cause, "saved", exit.Saved, "session", w.Session)
+		s.stats.Add("exits_total", 1)
+		switch exit.Cause {
+		case wire.CauseDone:
+			s.Failures.Completed(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.Ran, now)
+			if exit.Held.Session == w.Session {
+				images.Use(job.Spec.Image, job.Spec.ImageGB)
+			} else {
+				s.stats.Add("completions_recalled_total", 1)
+			}
+		case wire.CauseError:
+			s.Failures.Failed(job, exit.Task, w.ID, s.Topology.BlockOf(w), now)
+		case wire.CauseInsufficientRoom:
+			w.CordonedUntil = now.Add(2 * s.set.Cluster.Workers.Report.Duration())
+		case wire.CauseBusy:
+			s.Failures.Avoid(job.ID, w.ID, now)
+		case wire.CauseNotFound:
+			s.Failures.Retry(job.ID, now.Add(notFoundBackoff))
+		case wire.CauseGangPeerLost:
+			s.Topology.ObservePartition(job, exit.Held.Attempt, now)
+		case wire.CauseGangIncomplete:
+			s.Failures.Retry(job.ID, now.Add(gangIncompleteBackoff))
+		case wire.CausePreempted:
+			// Nothing follows from it: the job is placed again by its records.
+		}
+	}
+}
+
+const (
+	// finishedSweepInterval is how often RemoveSilentWorkers examines the active jobs.
+	finishedSweepInterval = 2 * time.Second
+	// finishedExpiry is how long its changes may wait before they are dropped and asked for again.
+	finishedExpiry = time.Second
+)
+
+// RemoveSilentWorkers completes, until ctx ends, the jobs whose tasks are all done but that are still
+// active: two controllers recorded their last tasks at the same time, so that neither saw the last one. It
+// has nothing to do with workers; the name is kept for its caller. It returns ctx's error.
+func (s *HeartbeatServer) RemoveSilentWorkers(ctx context.Context) error {
+	for ctx.Err() == nil {
+		wait.For(ctx, finishedSweepInterval)
+		s.Cache.Read(func(records *ledger.Ledger) {
+			records.EachActive(func(job *ledger.Job) {
+				if job.Spec.Shape != wire.Service && job.Done == job.Spec.Tasks {
+					s.Committer.Enqueue(s.completeChange(job.ID))
+				}
+			})
+		})
+	}
+	return ctx.Err()
+}
+
+// completeChange returns the change that completes a job.
+func (s *HeartbeatServer) completeChange(id wire.JobID) *committer.Change {
+	return &committer.Change{
+		Expires:   true,
+		ExpiresAt: time.Now().Add(finishedExpiry),
+		Draft: func(txn *ledger.Transaction) error {
+			if job := s.records().Job(id); job != nil {
+				return txn.CompleteJob(job)
+			}
+			return ledger.ErrPreconditionFailed
+		},
+	}
+}
--- /dev/null
+++ b/internal/server/jobadmission.go
@@ -0,0 +1,105 @@
+package server
+
+import (
+	"errors"
+	"time"
+
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/policy"
+	"maddermill/wire"
+)
+
+// Reasons why a job can never run, joined to ErrUnschedulable. Users see their messages.
+var (
+	errNotAdmitted   = errors.New("not admitted by the policy")
+	errUnknownTeam   = errors.New("unknown team")
+	errOverLimit     = errors.New("over the team's limit")
+	errNoMachineType = errors.New("no allowed machine type fits a task")
+)
+
+// Indexes into policy.Admission.Names of a job's team, class and image; the team's is the zero value.
+const (
+	admissionClassName = 1
+	admissionImageName = 2
+)
+
+// Admit returns nil if a job that is not known can run and is admitted now. The error is ErrUnschedulable
+// joined with the reason if it never can, kvstore.ErrUnreachable if that can't be decided yet. It needs the
+// cache's lock.
+func (s *JobServer) Admit(spec *wire.JobSpec, now time.Time) error {
+	if err := s.feasible(spec); err != nil {
+		return err
+	}
+	return s.admitByPolicy(spec, now)
+}
+
+// admitByPolicy asks the active policy, if there is one, whether to admit a job. It needs the cache's lock.
+func (s *JobServer) admitByPolicy(spec *wire.JobSpec, now time.Time) error {
+	if !s.Policies.HasPolicy(s.records()) {
+		return nil
+	}
+	need := ledger.NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
+	admission := policy.Admission{
+		Now:   now.UnixMilli(),
+		Names: []string{string(spec.Team), string(spec.Class), string(spec.Image)},
+		Job:   placement.JobOf(spec, need, wire.UnixMillis(now.UnixMilli())),
+	}
+	admission.Job.Class, admission.Job.Image = admissionClassName, admissionImageName
+	teamSum := ledger.Resources{}.Add(need, spec.Tasks) // of the team's jobs with this one
+	s.records().EachActive(func(job *ledger.Job) {
+		pending := uint32(job.Pending())
+		admission.AllJobs++
+		admission.AllTasks += pending
+		if job.Spec.Team == spec.Team {
+			admission.TeamJobs++
+			admission.TeamTasks += pending
+			teamSum = teamSum.Add(job.Need, job.Claimed+int(pending))
+		}
+	})
+	if team := s.set.FindTeam(spec.Team); team != nil {
+		admission.Guaranteed = !scheduler.OverGuarantee(team, teamSum)
+	}
+	switch s.Policies.Admit(s.records(), &admission, now) {
+	case policy.PutOff:
+		return kvstore.ErrUnreachable
+	case policy.Refuse:
+		return errors.Join(ErrUnschedulable, errNotAdmitted)
+	}
+	return nil
+}
+
+// feasible returns nil if a job can run on some machine type within its team's limit; the errors are those
+// of Admit. It needs the cache's lock.
+func (s *JobServer) feasible(spec *wire.JobSpec) error {
+	team := s.set.FindTeam(spec.Team)
+	if team == nil {
+		return errors.Join(ErrUnschedulable, errUnknownTeam)
+	}
+	if len(s.records().MachineTypes()) == 0 {
+		return kvstore.ErrUnreachable // the machine types aren't known yet
+	}
+	need := ledger.NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
+	together := spec.Tasks // tasks that must run at the same time
+	if spec.Shape == wire.Array {
+		together = 1
+	}
+	sum := ledger.Resources{}.Add(need, together)
+	limit := ledger.NewResources(team.CPUsMax, team.GPUsMax, 0)
+	if team.CPUsMax > 0 && sum.CPU > limit.CPU || team.GPUsMax > 0 && sum.GPU > limit.GPU {
+		return errors.Join(ErrUnschedulable, errOverLimit)
+	}
+	for _, machineType := range s.records().MachineTypes() {
+		if !ledger.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB).Fits(need) {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			if ledger.Allowed(spec, machineType.Name, zone, false) {
+				return nil
+			}
+		}
+	}
+	return errors.Join(ErrUnschedulable, errNoMachineType)
+}
--- /dev/null
+++ b/internal/server/rebalance_test.go
@@ -0,0 +1,108 @@
+package server
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/wire"
+)
+
+// TestRebalance: a controller that serves most of the workers passes some on, to the one that serves the
+// fewest, a few at a time and each at most once per redirectInterval; one with its share keeps them, and so
+// does one whose peers are not synced. After two of three controllers had ended, the third once served nine
+// of ten workers, and its share of changes was the bound of the whole cluster.
+func TestRebalance(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		theirs     [2]int        // workers of each peer
+		syncAge    time.Duration // of the peers
+		redirected int           // per snapshot
+		to         wire.MemberID
+	}{
+		{"all here", [2]int{0, 4}, 0, 3, "m-1"},
+		{"shared", [2]int{28, 31}, 0, 0, ""},
+		{"peers not synced", [2]int{0, 0}, time.Minute, 0, ""},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newTestHeartbeatServer(t)
+			for i, n := range tc.theirs {
+				a := controllertest.Answer(wire.MemberID(fmt.Sprintf("m-%d", i+1)), time.Now(), 0, true, tc.syncAge)
+				for range n {
+					a.Status.Machines = append(a.Status.Machines, peer.Machine{Session: 1})
+				}
+				s.Membership.ObserveStatus(a.Status, a.AsOf)
+			}
+			heartbeatAll(t, s, 1)
+			s.Scheduler.InvalidateSnapshot()
+			s.Scheduler.Snapshot(time.Now())
+			if n, to := heartbeatAll(t, s, 2); n != tc.redirected || to != tc.to {
+				t.Errorf("%d redirected to %q, want %d to %q", n, to, tc.redirected, tc.to)
+			}
+			if tc.redirected > 0 {
+				checkNotRedirected(t, s)
+			}
+		})
+	}
+}
+
+// newTestHeartbeatServer returns a server whose records are loaded and synced.
+func newTestHeartbeatServer(t *testing.T) *HeartbeatServer {
+	t.Helper()
+	p := controllertest.New(t, 0)
+	p.Cache.SetForTest(1, time.Now())
+	parts := HeartbeatServerParts{
+		Cache:       p.Cache,
+		Committer:   p.Committer,
+		Membership:  p.Membership,
+		Registry:    p.Registry,
+		Failures:    p.Failures,
+		Topology:    p.Topology,
+		Scheduler:   p.Scheduler,
+		Completions: p.Completions,
+		Exchange:    p.Exchange,
+	}
+	return NewHeartbeatServer(p.Set, parts, p.Stats, p.Log)
+}
+
+// heartbeatAll sends one heartbeat of each of 30 workers and returns how many were redirected, and to which
+// member the last of them.
+func heartbeatAll(t *testing.T, s *HeartbeatServer, sequence wire.HeartbeatSequence) (n int, to wire.MemberID) {
+	t.Helper()
+	const workers = 30
+	for i := range workers {
+		if a := s.Heartbeat(t.Context(), testHeartbeat(i, sequence)); a.Status == statusMisdirected {
+			n, to = n+1, a.Redirect.ReportTo
+		}
+	}
+	return n, to
+}
+
+// testHeartbeat is a heartbeat of the worker with a number.
+func testHeartbeat(worker int, sequence wire.HeartbeatSequence) *wire.Heartbeat {
+	id := wire.MachineID(fmt.Sprint("host-", worker))
+	return &wire.Heartbeat{Machine: id, Epoch: 1, Sequence: sequence, FencingToken: 1}
+}
+
+// checkNotRedirected checks, on a server with a large surplus, that neither a worker that was redirected a
+// moment ago nor one with a start under way is redirected.
+func checkNotRedirected(t *testing.T, s *HeartbeatServer) {
+	t.Helper()
+	s.surplus.count = 100
+	if a := s.Heartbeat(t.Context(), testHeartbeat(0, 3)); a.Status != statusOK {
+		t.Errorf("status %d for a worker that was redirected and came back, want 200", a.Status)
+	}
+	s.records().Apply(ledger.Event{
+		Key:     "mm1/j/wk-000001",
+		Version: 5,
+		Value: []byte(`{"spec":{"id":"wk-000001","pieces":1,"shape":"array"},` +
+			`"at":1,"a":1,"c":[[0,1,1,"host-20","a",1,1]]}`),
+	})
+	a := s.Heartbeat(t.Context(), testHeartbeat(20, 3))
+	if a.Status != statusOK || len(a.Response.Commands) != 1 {
+		t.Errorf("answer %+v for a worker whose start is under way, want 200 and one command", a)
+	}
+}
