--- a/internal/server/reconcile/workers_test.go
+++ b/internal/server/reconcile/worker_test.go
@@ -73,7 +73,8 @@
 		w := NewWorker(tc.r, nil, time.Time{})
 		w.Session = tc.r.Epoch
 		if tc.sent != 0 {
-			w.sent[claimID{wire.TaskID{Job: "wk-000001"}, 3}] = tc.sent
+			sent := w.observe(taskKey{wire.TaskID{Job: "wk-000001"}, 3})
+			sent.sent, sent.sentSequence = true, tc.sent
 		}
 		if f := w.Reconcile(tc.r, tc.held, hold, time.Time{}); len(f.Exits) != tc.exits {
 			t.Errorf("%s: %d exits, want %d", tc.name, len(f.Exits), tc.exits)
@@ -270,7 +271,7 @@
 	if w.Unreachable() {
 		t.Fatal("deaf after one lost answer")
 	}
-	if answered(3, report(1, 3, hold, running), hold); w.Unreachable() || w.hears.missed != 0 {
+	if answered(3, report(1, 3, hold, running), hold); w.Unreachable() || w.reachability.ineffective != 0 {
 		t.Fatal("an answer that arrived does not count")
 	}
 	j[0].Attempt, j[0].First = 4, 0
