--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -1,6 +1,7 @@
 package reconcile
 
 import (
+	"errors"
 	"slices"
 
 	"maddermill/internal/state/committer"
@@ -9,74 +10,89 @@
 	"maddermill/wire"
 )
 
-// ExitChanges makes one change a job out of what is over.
-func ExitChanges(m *watchcache.Cache, exits []TaskExit) []*committer.Change {
-	byJob := map[*ledger.Job][]TaskExit{}
+// ExitChanges returns the changes that record exits, one for each job, in the order in which the jobs first
+// occur. It and the drafts of the changes need the cache's lock.
+func ExitChanges(cache *watchcache.Cache, exits []TaskExit) []*committer.Change {
+	exitsByJob := map[*ledger.Job][]TaskExit{}
 	var order []*ledger.Job
-	for _, e := range exits {
-		if byJob[e.Held.Job] == nil {
-			order = append(order, e.Held.Job)
+	for _, exit := range exits {
+		job := exit.Held.Job
+		if exitsByJob[job] == nil {
+			order = append(order, job)
 		}
-		byJob[e.Held.Job] = append(byJob[e.Held.Job], e)
+		exitsByJob[job] = append(exitsByJob[job], exit)
 	}
-	var out []*committer.Change
-	for _, j := range order {
-		list := byJob[j]
-		first := slices.ContainsFunc(list, func(e TaskExit) bool { return e.Recalled })
-		out = append(
-			out,
-			&committer.Change{
-				Urgent:     first,
-				BestEffort: j.BestEffort() && !first,
-				Priority:   j.Spec.Priority,
-				Draft:      func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) },
+	var changes []*committer.Change
+	for _, job := range order {
+		jobExits := exitsByJob[job]
+		urgent := slices.ContainsFunc(jobExits, func(exit TaskExit) bool { return exit.Recalled })
+		changes = append(changes, &committer.Change{
+			Urgent:     urgent,
+			BestEffort: job.BestEffort() && !urgent,
+			Priority:   job.Spec.Priority,
+			Draft: func(txn *ledger.Transaction) error {
+				return draftExits(cache.Records(), txn, job.ID, jobExits)
 			},
-		)
+		})
 	}
-	return out
+	return changes
 }
 
-// draftExits records what is over, together what was one claim and ended alike.
-func draftExits(l *ledger.Ledger, d *ledger.Transaction, id wire.JobID, list []TaskExit) error {
-	j := l.Job(id)
-	if j == nil {
+// exitGroup is what tasks have in common that one release records: they were started together and ended
+// alike.
+type exitGroup struct {
+	claim     ledger.Claim // without First and Count: the pieces of one start go together
+	taskRange int
+	done      bool
+}
+
+// draftExits adds a job's exits to a transaction. The error is ErrPreconditionFailed if none is left to
+// record, any other if the transaction can't take them.
+func draftExits(records *ledger.Ledger, txn *ledger.Transaction, id wire.JobID, exits []TaskExit) error {
+	job := records.Job(id)
+	if job == nil {
 		return ledger.ErrPreconditionFailed
 	}
-	type group struct {
-		claim ledger.Claim
-		part  int
-		done  bool
-	}
-	tasks := map[group][]wire.TaskIndex{}
-	var order []group
-	for _, e := range list {
-		g := group{e.Held.Claim, e.Held.Range(), e.Cause == wire.CauseDone}
-		g.claim.First, g.claim.Count = 0, 0 // pieces of one start go together
-		if tasks[g] == nil {
-			order = append(order, g)
+	tasks := map[exitGroup][]wire.TaskIndex{}
+	var order []exitGroup
+	for i := range exits {
+		exit := &exits[i]
+		group := exitGroup{claim: exit.Held.Claim, taskRange: exit.Held.Range(), done: exit.Cause == wire.CauseDone}
+		group.claim.First, group.claim.Count = 0, 0
+		if tasks[group] == nil {
+			order = append(order, group)
 		}
-		tasks[g] = append(tasks[g], e.Task)
+		tasks[group] = append(tasks[group], exit.Task)
 	}
-	err := ledger.ErrPreconditionFailed
-	for _, g := range order {
-		if g.done && j.Spec.Shape == wire.Gang && j.Spec.Tasks > 1 {
-			if _, er := d.CompleteGang(j, g.claim.Attempt); er == nil {
-				err = nil
-				continue
-			} // else one by one: more may be on record than fits the batch
+	result := ledger.ErrPreconditionFailed
+	for _, group := range order {
+		switch err := draftExitGroup(txn, job, group, tasks[group]); {
+		case err == nil:
+			result = nil
+		case !errors.Is(err, ledger.ErrPreconditionFailed):
+			return err
 		}
-		switch _, er := d.ReleaseTasks(j, g.claim, tasks[g], g.done); er {
-		case nil:
-			err = nil
-			if !g.done && j.Spec.Shape == wire.Gang && j.Spec.Tasks > 1 && j.State == ledger.Active {
-				// The gang has lost a member: its others stop and save if they
-				// still can, and all start again together.
-				_ = d.PreemptGang(j, g.claim.Attempt)
-			}
-		case ledger.ErrPreconditionFailed:
-		default:
-			return er
+	}
+	return result
+}
+
+// draftExitGroup adds the exits of one group to a transaction.
+func draftExitGroup(txn *ledger.Transaction, job *ledger.Job, group exitGroup, tasks []wire.TaskIndex) error {
+	inGang := job.Spec.Shape == wire.Gang && job.Spec.Tasks > 1
+	if group.done && inGang {
+		if _, err := txn.CompleteGang(job, group.claim.Attempt); err == nil {
+			return nil
 		}
+		// Else task by task: the whole gang may be more than fits into the transaction.
+	}
+	if _, err := txn.ReleaseTasks(job, group.claim, tasks, group.done); err != nil {
+		return err
+	}
+	if !group.done && inGang && job.State == ledger.Active {
+		// The gang has lost a task: the others stop, save a checkpoint if they still can, and all start
+		// again together. An error is no loss: the gang is being stopped already, or its tasks find out by
+		// themselves that they lack a peer. The release stands all the same.
+		_ = txn.PreemptGang(job, group.claim.Attempt)
 	}
-	return err
+	return nil
 }
--- /dev/null
+++ b/internal/server/reconcile/reachability_test.go
@@ -0,0 +1,114 @@
+package reconcile
+
+import (
+	"testing"
+	"time"
+
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// The time between heartbeats of these tests, and the lease less the age that a heartbeat may have.
+const (
+	testInterval = 3 * time.Second
+	testMinLease = 25 * time.Second
+)
+
+// heartbeatTime is the time at which the i-th heartbeat comes.
+func heartbeatTime(i int) time.Time {
+	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(i) * testInterval)
+}
+
+// answered is what came of a heartbeat that was answered.
+type answered struct {
+	exits, commands int
+	unreachable     bool
+}
+
+// answer processes the i-th heartbeat under a token and answers it.
+func answer(w *Worker, claims []ledger.HeldClaim, i int, r *wire.Heartbeat, token wire.FencingToken) answered {
+	f := w.Reconcile(r, claims, token, heartbeatTime(i))
+	commands := w.Commands(r, claims, ledger.Resources{}, true)
+	w.ObserveReachable(heartbeatTime(i))
+	return answered{exits: len(f.Exits), commands: len(commands), unreachable: w.Unreachable()}
+}
+
+// unreachableWorker is a worker that was found unreachable at its 6th heartbeat: the start of a second
+// attempt was lost twice.
+func unreachableWorker(t *testing.T) (*Worker, []ledger.HeldClaim) {
+	t.Helper()
+	claims := claimOf(1, ours, "")
+	w := NewWorker(heartbeat(1, 1, ours), nil, heartbeatTime(0))
+	first := heartbeat(1, 1, ours)
+	w.Reconcile(first, claims, ours, heartbeatTime(1))
+	commands := w.Commands(first, claims, ledger.Resources{}, true)
+	w.ObserveReachable(heartbeatTime(1))
+	if len(commands) != 1 || commands[0].Op != wire.OpStart {
+		t.Fatalf("commands %v, want a start", commands)
+	}
+	answer(w, claims, 2, heartbeat(1, 2, ours), ours) // the start was lost once
+	if w.Unreachable() {
+		t.Fatal("unreachable after one lost answer")
+	}
+	answer(w, claims, 3, heartbeat(1, 3, ours, status(wire.TaskRunning, testAttempt)), ours)
+	if w.Unreachable() || w.reachability.ineffective != 0 {
+		t.Fatal("an answer that arrived does not count")
+	}
+	claims[0].Attempt, claims[0].First = testAttempt+1, 0
+	answer(w, claims, 4, heartbeat(1, 4, ours), ours)
+	answer(w, claims, 5, heartbeat(1, 5, ours), ours)
+	got := answer(w, claims, 6, heartbeat(1, 6, ours), ours)
+	if want := (answered{exits: 1, unreachable: true}); got != want {
+		t.Fatalf("after two lost starts: %+v, want %+v", got, want)
+	}
+	return w, claims
+}
+
+// TestUnreachable: one lost answer makes no machine unreachable, two in a row do; only a token that the
+// worker had not shown proves that answers arrive. What was released of an unreachable machine is not sent
+// again when it is reachable.
+func TestUnreachable(t *testing.T) {
+	w, claims := unreachableWorker(t)
+	if got := w.UnreachableFor(heartbeatTime(7)); got != testInterval {
+		t.Errorf("unreachable for %v, want %v", got, testInterval)
+	}
+	if w.ProvesAbsence(ours) || !w.ProvesAbsence(ours+1) {
+		t.Fatal("a token that it has shown proves that answers arrive, or one that it has not does not")
+	}
+	got := answer(w, claims, 7, heartbeat(1, 7, ours), ours+1)
+	if want := (answered{exits: 1, unreachable: true}); got != want {
+		t.Fatalf("under a new token: %+v, want %+v", got, want)
+	}
+	got = answer(w, claims, 8, heartbeat(1, 8, ours+1), ours+1)
+	if got.unreachable || got.commands != 0 {
+		t.Fatalf("once it has shown the token: %+v, want reachable and no commands", got)
+	}
+}
+
+// TestEpochWithinLease: an epoch that begins within a lease of an answered heartbeat makes a machine
+// unreachable until it shows a newer token; one that begins later does not.
+func TestEpochWithinLease(t *testing.T) {
+	w, claims := unreachableWorker(t)
+	answer(w, claims, 7, heartbeat(1, 7, ours), ours+1)
+	answer(w, claims, 8, heartbeat(1, 8, ours+1), ours+1)
+	if w.Unreachable() {
+		t.Fatal("unreachable though it has shown a newer token")
+	}
+	r := heartbeat(2, 1, ours+1)
+	if w.LeaseExpired(r, heartbeatTime(9), testMinLease); !w.Unreachable() {
+		t.Error("reachable though its epoch ended 3 s after an answer")
+	}
+	if w.Reconcile(r, claims, ours+2, heartbeatTime(9)); !w.Unreachable() {
+		t.Error("reachable without having shown a newer token")
+	}
+	if w.Reconcile(heartbeat(2, 2, ours+2), claims, ours+2, heartbeatTime(10)); w.Unreachable() {
+		t.Error("unreachable though it has shown a newer token")
+	}
+
+	quiet := NewWorker(heartbeat(1, 1, ours), nil, heartbeatTime(0))
+	quiet.Reconcile(heartbeat(1, 1, ours), nil, ours, heartbeatTime(0))
+	quiet.ObserveReachable(heartbeatTime(0))
+	if quiet.LeaseExpired(heartbeat(2, 1, ours), heartbeatTime(20), testMinLease); quiet.Unreachable() {
+		t.Error("unreachable though its epoch ended long after the last answer")
+	}
+}
--- a/internal/server/reconcile/recorder.go
+++ b/internal/server/reconcile/recorder.go
@@ -20,33 +20,34 @@
 )
 
 const (
-	// recordEvery is how often it is looked for completions to record.
-	recordEvery = 300 * time.Millisecond
-	// othersRecord is how long after an outage the completions of other controllers' jobs are left to
-	// them, so that not all write the same records.
-	othersRecord = 4 * time.Second
+	// recordInterval is how often the log is checked for completions to record.
+	recordInterval = 300 * time.Millisecond
+	// peersJobsDelay is how long after an outage the completions of peers' jobs are left to them, so that
+	// not all controllers write the same records.
+	peersJobsDelay = 4 * time.Second
 )
 
-// Recorder records the completions that were reported while the state service was out of reach as
-// soon as it is back, whoever holds the machines then: most of their workers have begun new sessions
-// and report only seconds later. It also drops completions that are on record.
+// Recorder records the completions that were reported during an outage of the state service as soon as it
+// is back, whichever controller the machines report to then: the leases of most workers have expired, and
+// they report again only seconds later. It also prunes the log of completions that are on record.
 type Recorder struct {
 	completed *completion.Log
-	mirror    *watchcache.Cache
-	writer    *committer.Committer
+	cache     *watchcache.Cache
+	committer *committer.Committer
 	limits    ledger.Limits
 	stats     *metrics.Set
 	log       *slog.Logger
 
-	touched   time.Time // since when the state service is in reach; zero: it isn't
-	recording map[wire.JobID][]*committer.Change
+	// The cache's lock guards the fields below.
+	syncedSince time.Time // since when the state service is in reach; zero: it isn't
+	recording   map[wire.JobID][]*committer.Change
 }
 
-// NewRecorder returns a recorder that does nothing before Run. Limits tell which of how many
-// controllers this one is.
+// NewRecorder returns a recorder that does nothing before Run. The limits hold which of how many controllers
+// this one is.
 func NewRecorder(
 	completed *completion.Log,
-	m *watchcache.Cache,
+	cache *watchcache.Cache,
 	w *committer.Committer,
 	limits ledger.Limits,
 	stats *metrics.Set,
@@ -54,8 +55,8 @@
 ) *Recorder {
 	return &Recorder{
 		completed: completed,
-		mirror:    m,
-		writer:    w,
+		cache:     cache,
+		committer: w,
 		limits:    limits,
 		stats:     stats,
 		log:       log,
@@ -63,54 +64,56 @@
 	}
 }
 
-// Run records and drops completions until ctx ends.
+// Run records and prunes completions until ctx ends, and returns ctx's error.
 func (r *Recorder) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.For(ctx, recordEvery)
-		r.mirror.Read(func(l *ledger.Ledger) { r.look(l, time.Now()) })
+		wait.For(ctx, recordInterval)
+		r.cache.Read(func(records *ledger.Ledger) { r.record(records, time.Now()) })
 	}
 	return ctx.Err()
 }
 
-// look is one look at the log, under the mirror's lock.
-func (r *Recorder) look(l *ledger.Ledger, now time.Time) {
-	if !r.mirror.SyncedWithin(now, settings.StartContact) {
-		r.touched = time.Time{}
+// record prunes the log and enqueues changes for the completions that lack a record. It needs the cache's
+// lock.
+func (r *Recorder) record(records *ledger.Ledger, now time.Time) {
+	if !r.cache.SyncedWithin(now, settings.StartContact) {
+		r.syncedSince = time.Time{}
 		return
 	}
-	if r.touched.IsZero() {
-		r.touched = now
+	if r.syncedSince.IsZero() {
+		r.syncedSince = now
 	}
-	r.completed.Prune(l, r.mirror.SyncedAt())
+	r.completed.Prune(records, r.cache.SyncedAt())
 	maps.DeleteFunc(r.recording, func(_ wire.JobID, changes []*committer.Change) bool {
 		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
-	for id, exits := range r.lacking(l, now) {
+	for id, exits := range r.unrecorded(records, now) {
 		r.log.Info("completions recorded", "job", id, "tasks", len(exits))
 		r.stats.Add("completions_recorded_total", int64(len(exits)))
-		r.recording[id] = ExitChanges(r.mirror, exits)
+		r.recording[id] = ExitChanges(r.cache, exits)
 		for _, change := range r.recording[id] {
-			r.writer.Enqueue(change)
+			r.committer.Enqueue(change)
 		}
 	}
 }
 
-// lacking is what this controller is to record now, by job.
-func (r *Recorder) lacking(l *ledger.Ledger, now time.Time) map[wire.JobID][]TaskExit {
-	out := map[wire.JobID][]TaskExit{}
-	r.completed.EachUnrecorded(func(c peer.Completion) {
-		if r.recording[c.Job] != nil || !r.mine(c.Job) && now.Sub(r.touched) < othersRecord {
+// unrecorded returns, by job, the completions that this controller is to record now.
+func (r *Recorder) unrecorded(records *ledger.Ledger, now time.Time) map[wire.JobID][]TaskExit {
+	exits := map[wire.JobID][]TaskExit{}
+	r.completed.EachUnrecorded(func(done peer.Completion) {
+		if r.recording[done.Job] != nil || !r.ownsJob(done.Job) && now.Sub(r.syncedSince) < peersJobsDelay {
 			return
 		}
-		if held, ok := completion.ClaimOf(l, c); ok {
-			out[c.Job] = append(out[c.Job], TaskExit{Held: held, Task: c.Task, Cause: wire.CauseDone, Recalled: true})
+		if claim, ok := completion.ClaimOf(records, done); ok {
+			exit := TaskExit{Held: claim, Task: done.Task, Cause: wire.CauseDone, Recalled: true}
+			exits[done.Job] = append(exits[done.Job], exit)
 		}
 	})
-	return out
+	return exits
 }
 
-// mine reports whether a job's completions are this controller's to record first.
-func (r *Recorder) mine(id wire.JobID) bool {
+// ownsJob reports whether a job's completions are this controller's to record first.
+func (r *Recorder) ownsJob(id wire.JobID) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32()%uint32(max(1, r.limits.ControllerCount))) == r.limits.ControllerIndex
--- a/internal/server/reconcile/registry.go
+++ b/internal/server/reconcile/registry.go
@@ -10,101 +10,109 @@
 	"maddermill/wire"
 )
 
-// Registry is the machines that report to this controller, and what is known of their images.
-// It has no lock: it is used under the mirror's.
+// How long a worker that sends no heartbeats stays in the registry.
+const (
+	silentRetention     = 10 * time.Minute
+	terminatedRetention = time.Minute // if the machine is recorded as terminated
+)
+
+// Registry holds the workers that report to this controller, and which images their machines hold. It has
+// no lock of its own: it is used under the lock of the watch cache.
 type Registry struct {
-	members   *membership.Membership
-	completed *completion.Log
-	workers   map[wire.MachineID]*Worker
-	images    map[wire.MachineID]*cached
+	membership *membership.Membership
+	completed  *completion.Log
+	workers    map[wire.MachineID]*Worker
+	images     map[wire.MachineID]*machineImages
 }
 
-// cached is what a machine is believed to hold in a session.
-type cached struct {
-	session wire.AgentEpoch
-	images  *placement.Images
+// machineImages are the images that a machine holds, as far as known, in an agent epoch.
+type machineImages struct {
+	epoch  wire.AgentEpoch
+	images *placement.Images
 }
 
-// NewRegistry returns a roster without machines. Members tell of the images of a machine that
-// another controller held before.
+// NewRegistry returns an empty registry. The peers of the membership supply the images of a machine that
+// reported to another controller before.
 func NewRegistry(m *membership.Membership, completed *completion.Log) *Registry {
 	return &Registry{
-		members:   m,
-		completed: completed,
-		workers:   map[wire.MachineID]*Worker{},
-		images:    map[wire.MachineID]*cached{},
+		membership: m,
+		completed:  completed,
+		workers:    map[wire.MachineID]*Worker{},
+		images:     map[wire.MachineID]*machineImages{},
 	}
 }
 
-// Worker is a machine that reports here; nil: it doesn't.
+// Worker returns the worker of a machine, nil if none reports here.
 func (r *Registry) Worker(id wire.MachineID) *Worker { return r.workers[id] }
 
-// Register adds a machine that reports here for the first time.
-func (r *Registry) Register(report *wire.Heartbeat, now time.Time) *Worker {
-	w := NewWorker(report, r.completed, now)
+// Register adds a worker that sends its first heartbeat here.
+func (r *Registry) Register(heartbeat *wire.Heartbeat, now time.Time) *Worker {
+	w := NewWorker(heartbeat, r.completed, now)
 	r.workers[w.ID] = w
 	return w
 }
 
-// Len is the number of machines.
+// Len is the number of workers.
 func (r *Registry) Len() int { return len(r.workers) }
 
-// Each gives f every machine, in no order.
+// Each calls f for every worker, in no particular order.
 func (r *Registry) Each(f func(*Worker)) {
 	for _, w := range r.workers {
 		f(w)
 	}
 }
 
-// Images is what a machine is believed to hold.
-func (r *Registry) Images(l *ledger.Ledger, w *Worker) *placement.Images {
-	c := r.images[w.ID]
-	if c != nil && c.session == w.Session {
-		return c.images
+// Images returns the images that a machine holds, as far as known, for the caller to update. A new agent
+// epoch begins without images.
+func (r *Registry) Images(records *ledger.Ledger, w *Worker) *placement.Images {
+	known := r.images[w.ID]
+	if known != nil && known.epoch == w.Session {
+		return known.images
 	}
-	f, _ := l.MachineType(w.Type)
-	fresh := &cached{w.Session, placement.NewImages(f.CacheGB)}
-	if c == nil {
-		// Another controller may have held it in this session.
-		for _, p := range r.members.Peers() {
-			for i := range p.Status.Machines {
-				if m := &p.Status.Machines[i]; m.ID == w.ID && m.Session == w.Session {
-					for _, name := range m.Images {
-						fresh.images.Use(name, 0)
-					}
-				}
+	machineType, _ := records.MachineType(w.Type)
+	images := placement.NewImages(machineType.CacheGB)
+	if known == nil {
+		// The worker may have reported to another controller in this epoch.
+		r.addPeersImages(images, w)
+	}
+	r.images[w.ID] = &machineImages{epoch: w.Session, images: images}
+	return images
+}
+
+// addPeersImages adds the images that peers know to be on a machine in its present epoch.
+func (r *Registry) addPeersImages(images *placement.Images, w *Worker) {
+	for _, peer := range r.membership.Peers() {
+		for i := range peer.Status.Machines {
+			m := &peer.Status.Machines[i]
+			if m.ID != w.ID || m.Session != w.Session {
+				continue
+			}
+			for _, name := range m.Images {
+				images.Use(name, 0)
 			}
 		}
 	}
-	r.images[w.ID] = fresh
-	return fresh.images
 }
 
-// KnownImages is what a machine is believed to hold, if anything is known of it yet; else nil.
+// KnownImages returns the images that a machine holds, nil if nothing is known of them yet.
 func (r *Registry) KnownImages(w *Worker) *placement.Images {
-	if c := r.images[w.ID]; c != nil {
-		return c.images
+	if known := r.images[w.ID]; known != nil {
+		return known.images
 	}
 	return nil
 }
 
-// Bounds of remembering machines that report no more.
-const (
-	forgetSilent = 10 * time.Minute
-	forgetGone   = time.Minute // of those that are gone for good
-)
-
-// Forget drops the machines that are long silent, or gone, and tells which.
-func (r *Registry) Forget(l *ledger.Ledger, now time.Time) (gone []wire.MachineID) {
+// Forget drops the workers that have been silent for long, or whose machines are terminated, and returns
+// them.
+func (r *Registry) Forget(records *ledger.Ledger, now time.Time) (forgotten []wire.MachineID) {
 	for id, w := range r.workers {
-		if silent := now.Sub(
-			w.LastHeartbeat,
-		); silent > forgetSilent ||
-			silent > forgetGone && l.MachinePhase(id) == ledger.Terminated {
+		silence := now.Sub(w.LastHeartbeat)
+		terminated := silence > terminatedRetention && records.MachinePhase(id) == ledger.Terminated
+		if silence > silentRetention || terminated {
 			delete(r.workers, id)
 			delete(r.images, id)
-			gone = append(gone, id)
+			forgotten = append(forgotten, id)
 		}
 	}
-	return gone
+	return forgotten
 }
