--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -14,12 +14,12 @@
 	Zones     []Zone          `json:"yards"`
 }
 
-// MachineTypeList answers the question for machine types.
+// MachineTypeList is the cloud's list of machine types.
 type MachineTypeList struct {
 	Types []MachineType `json:"builds"`
 }
 
-// ScaleOutID names a rental request; one is never used twice.
+// ScaleOutID names a scale-out request; one is never used for two requests.
 type ScaleOutID string
 
 // ScaleOutRequest asks the cloud for machines.
@@ -31,7 +31,7 @@
 	Count   int             `json:"number"`
 }
 
-// MachineIDList is a set of machine names: a rental's answer, a return's body.
+// MachineIDList is a set of machines: the answer to a scale-out, the body of a scale-in.
 type MachineIDList struct {
 	Names []MachineID `json:"millstones"`
 }
--- a/wire/workers_test.go
+++ b/wire/heartbeats_test.go
@@ -8,14 +8,12 @@
 	"maddermill/wire"
 )
 
-// FuzzReport: a report that is taken reads the same once written.
+// FuzzReport: a heartbeat that is accepted reads the same once written.
 func FuzzReport(f *testing.F) {
-	f.Add(
-		[]byte(
-			`{"millstone":"host-000231","endpoint":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,"shift":1,"tally":88,
-	 "warrant":41,"recall_s":4.5,"pieces":[{"piece":"wk-000412/3","try":2,"status":"running"},{"piece":"wk-000398/0","try":1,"status":"ended","cause":"done"}]}`,
-		),
-	)
+	f.Add([]byte(`{"millstone":"host-000231","endpoint":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,
+	 "shift":1,"tally":88,"warrant":41,"recall_s":4.5,"pieces":[
+	 {"piece":"wk-000412/3","try":2,"status":"running"},
+	 {"piece":"wk-000398/0","try":1,"status":"ended","cause":"done"}]}`))
 	f.Add([]byte(`{"pieces":[{"piece":"wk-000412"}]}`))
 	f.Add([]byte(`{"pieces":[{"piece":"wk-000412/-1"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -6,17 +6,17 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
+	"slices"
 )
 
-// Shape tells how the tasks of a job relate.
+// Shape is how the tasks of a job relate.
 type Shape string
 
 // The shapes of jobs.
 const (
-	Array   Shape = "array"
-	Gang    Shape = "gang"
-	Service Shape = "daemon"
+	Array   Shape = "array"  // independent tasks
+	Gang    Shape = "gang"   // tasks that start, run and end together
+	Service Shape = "daemon" // tasks that run until the job is cancelled
 )
 
 // Priority is a job's urgency.
@@ -48,7 +48,7 @@
 // MaxTasks is the largest number of tasks of one job.
 const MaxTasks = 100_000
 
-// JobSpec is a submission.
+// JobSpec is the submission of a job: POST /api/jobs. CPUs, GPUs and MemoryGB are of each task.
 type JobSpec struct {
 	ID         JobID             `json:"id"`
 	Class      Class             `json:"workclass"`
@@ -61,23 +61,24 @@
 	MemoryGB   float64           `json:"ram_gb"`
 	Image      Image             `json:"bundle"`
 	ImageGB    float64           `json:"pull_gb"`
-	Types      []MachineTypeName `json:"builds"`
-	Zone       *Zone             `json:"yard"`
-	OneZone    bool              `json:"together"`
-	Spread     bool              `json:"scatter"`
-	Spot       bool              `json:"loaners"`
-	Estimate   Seconds           `json:"expect_s"`
-	Checkpoint Seconds           `json:"snapshot_s"`
-	Save       Seconds           `json:"stash_s"`
-	Deadline   *Seconds          `json:"due_s"`
+	Types      []MachineTypeName `json:"builds"`     // allowed; nil: all
+	Zone       *Zone             `json:"yard"`       // required; nil: any
+	OneZone    bool              `json:"together"`   // all tasks in one zone
+	Spread     bool              `json:"scatter"`    // tasks on different machines
+	Spot       bool              `json:"loaners"`    // spot instances allowed
+	Estimate   Seconds           `json:"expect_s"`   // run time of a task
+	Checkpoint Seconds           `json:"snapshot_s"` // interval between checkpoints
+	Save       Seconds           `json:"stash_s"`    // to save a checkpoint when stopped
+	Deadline   *Seconds          `json:"due_s"`      // from the submission; nil: none
 }
 
+// requiredJobFields are the keys that a submission must have.
 var requiredJobFields = []string{"id", "workclass", "owner", "shape", "urgency", "pieces",
 	"cores", "accelerators", "ram_gb", "bundle", "pull_gb", "together", "scatter", "loaners",
 	"expect_s", "snapshot_s", "stash_s"}
 
-// DecodeJobSpec reads a submission and checks everything that can be checked
-// without knowing teams and machine types. The error names the field.
+// DecodeJobSpec reads a submission and checks all that can be checked without knowing teams and machine
+// types. Unknown keys are ignored. The error names the first field at fault and is for users to read.
 func DecodeJobSpec(body []byte) (JobSpec, error) {
 	var fields map[string]json.RawMessage
 	if err := decodeOne(body, &fields); err != nil || fields == nil {
@@ -100,72 +101,74 @@
 	return s, s.Check()
 }
 
-// Check tells which field, if any, is out of range.
+// maxAmount bounds the amounts of a submission: resources, sizes and seconds.
+const maxAmount = 1e9
+
+// maxNameLength bounds the names in a submission, in bytes.
+const maxNameLength = 100
+
+// Check returns an error that names the first field that is out of range, nil if there is none.
 func (s *JobSpec) Check() error {
-	bad := func(field string) error { return fmt.Errorf("field %q is invalid", field) }
-	amount := func(v float64) bool { return v >= 0 && v <= 1e9 && !math.IsNaN(v) }
-	switch {
-	case !s.ID.Valid():
-		return bad("id")
-	case !shortName(string(s.Class)):
-		return bad("workclass")
-	case !shortName(string(s.Team)):
-		return bad("owner")
-	case s.Shape != Array && s.Shape != Gang && s.Shape != Service:
-		return bad("shape")
-	case s.Priority.Rank() < 0:
-		return bad("urgency")
-	case s.Tasks < 1 || s.Tasks > MaxTasks:
-		return bad("pieces")
-	case !amount(s.CPUs):
-		return bad("cores")
-	case !amount(s.GPUs):
-		return bad("accelerators")
-	case !amount(s.MemoryGB):
-		return bad("ram_gb")
-	case !shortName(string(s.Image)):
-		return bad("bundle")
-	case !amount(s.ImageGB):
-		return bad("pull_gb")
-	case s.Zone != nil && !shortName(string(*s.Zone)):
-		return bad("yard")
-	case !amount(float64(s.Estimate)):
-		return bad("expect_s")
-	case !amount(float64(s.Checkpoint)):
-		return bad("snapshot_s")
-	case !amount(float64(s.Save)):
-		return bad("stash_s")
-	case s.Deadline != nil && !amount(float64(*s.Deadline)):
-		return bad("due_s")
+	checks := [...]struct {
+		field string // its JSON key
+		valid bool
+	}{
+		{"id", s.ID.Valid()},
+		{"workclass", validName(s.Class)},
+		{"owner", validName(s.Team)},
+		{"shape", s.Shape == Array || s.Shape == Gang || s.Shape == Service},
+		{"urgency", s.Priority.Rank() >= 0},
+		{"pieces", s.Tasks >= 1 && s.Tasks <= MaxTasks},
+		{"cores", validAmount(s.CPUs)},
+		{"accelerators", validAmount(s.GPUs)},
+		{"ram_gb", validAmount(s.MemoryGB)},
+		{"bundle", validName(s.Image)},
+		{"pull_gb", validAmount(s.ImageGB)},
+		{"yard", s.Zone == nil || validName(*s.Zone)},
+		{"expect_s", validAmount(float64(s.Estimate))},
+		{"snapshot_s", validAmount(float64(s.Checkpoint))},
+		{"stash_s", validAmount(float64(s.Save))},
+		{"due_s", s.Deadline == nil || validAmount(float64(*s.Deadline))},
+		{"builds", s.validTypes()},
 	}
-	if s.Types != nil && len(s.Types) == 0 {
-		return bad("builds")
-	}
-	for _, t := range s.Types {
-		if !shortName(string(t)) {
-			return bad("builds")
+	for i := range checks {
+		if !checks[i].valid {
+			return fmt.Errorf("field %q is invalid", checks[i].field)
 		}
 	}
 	return nil
 }
 
-func shortName(s string) bool { return len(s) >= 1 && len(s) <= 100 }
+// validTypes reports whether the machine types allowed are nil, for all, or a list that is not empty.
+func (s *JobSpec) validTypes() bool {
+	if s.Types != nil && len(s.Types) == 0 {
+		return false
+	}
+	return !slices.ContainsFunc(s.Types, func(name MachineTypeName) bool { return !validName(name) })
+}
+
+// validName reports whether a name is of a length that the protocol allows.
+func validName[T ~string](name T) bool { return len(name) >= 1 && len(name) <= maxNameLength }
+
+// validAmount reports whether an amount is a number from 0 to maxAmount.
+func validAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
 
+// decodeOne reads one JSON value, with nothing but white space after it.
 func decodeOne(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(into); err != nil {
 		return err
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("trailing data")
 	}
 	return nil
 }
 
-// Status is what users are told of a job.
+// Status is the state of a job or workflow as users see it.
 type Status string
 
-// The states of a job.
+// The states of a job. Done and Cancelled are final.
 const (
 	Queued    Status = "queued"
 	Running   Status = "running"
@@ -173,7 +176,8 @@
 	Cancelled Status = "aborted"
 )
 
-// JobStatus answers submissions, polls and cancellations.
+// JobStatus answers submissions, polls and cancellations. Done and Running count tasks; they are nil where
+// only the status is known, as of archived jobs.
 type JobStatus struct {
 	ID      JobID  `json:"id"`
 	Status  Status `json:"status"`
@@ -181,7 +185,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// ErrorBody is the body of answers other than success.
+// ErrorBody is the body of answers other than success; its message is for users to read.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/wire/state.go
+++ b/wire/kvstore.go
@@ -17,13 +17,13 @@
 	Revision Revision `json:"epoch"`
 }
 
-// Condition holds when a key has a version; 0: the key does not exist.
+// Condition holds if a key has a version; with version 0, if the key does not exist.
 type Condition struct {
 	Key     string   `json:"k"`
 	Version Revision `json:"stamp"`
 }
 
-// Change puts or deletes one key.
+// Change puts or deletes one key. A key with a lease is deleted when the lease expires.
 type Change struct {
 	Put    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -31,19 +31,19 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is an atomic transaction.
+// Txn is an atomic compare-and-swap: if all conditions hold, all changes are made.
 type Txn struct {
 	If   []Condition `json:"if"`
 	Then []Change    `json:"then"`
 }
 
-// TxnResult answers a transaction; Failed names the keys that differ.
+// TxnResult answers a transaction: the keys whose conditions failed, or the revision that it made.
 type TxnResult struct {
 	Failed   []string `json:"failed,omitempty"`
 	Revision Revision `json:"epoch"`
 }
 
-// LeaseRequest asks for a lease; LeaseGrant answers.
+// LeaseRequest asks for a lease. LeaseGrant is the answer.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
@@ -53,7 +53,7 @@
 	Lease LeaseID `json:"tenure"`
 }
 
-// Event is one change told by a watch.
+// Event is one change in the answer to a watch: Put with Value, or Delete.
 type Event struct {
 	Put     string          `json:"set,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -61,7 +61,7 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// Events is a watch's answer.
+// Events is the answer to a watch: the changes up to a revision.
 type Events struct {
 	Revision Revision `json:"epoch"`
 	Events   []Event  `json:"log"`
--- a/wire/topology.go
+++ b/wire/topology.go
@@ -6,27 +6,27 @@
 	"fmt"
 )
 
-// TopologyView is what a controller tells of the declared topology: GET /api/topology,
-// a JSON object a line, each with one of the fields block, machine and gang.
+// TopologyView is the declared topology as a controller knows it: GET /api/topology. It is written as
+// JSON lines, each an object with one of the fields block, machine and gang.
 type TopologyView struct {
 	Blocks   []BlockView
 	Machines []MachineView
 	Gangs    []GangView
 }
 
-// BlockView is a block; outer ones come before what is in them.
+// BlockView is a block of the topology; outer blocks come before those within them.
 type BlockView struct {
 	Path     string `json:"path"` // "soar/switch-2/rack-5"
 	Level    string `json:"level"`
-	Down     bool   `json:"down"` // it, or what it is in, is taken to have failed
+	Down     bool   `json:"down"` // it, or a block around it, has failed as far as known
 	Machines int    `json:"machines"`
 	Empty    int    `json:"empty"` // machines without tasks
 }
 
-// MachineView is a machine that some controller has heard lately.
+// MachineView is a machine that has lately sent a heartbeat to some controller, with its free resources.
 type MachineView struct {
 	Machine MachineID `json:"machine"`
-	Block   string    `json:"block"` // "" if nothing is known of its place
+	Block   string    `json:"block"` // "" if its block is not known
 	Usable  bool      `json:"usable"`
 	CPUs    float64   `json:"cpus"` // free
 	GPUs    float64   `json:"gpus"`
@@ -34,7 +34,7 @@
 	Jobs    []JobID   `json:"jobs,omitempty"`
 }
 
-// GangView is a gang of several tasks that has its machines.
+// GangView is a gang of several tasks that is placed.
 type GangView struct {
 	Job      JobID       `json:"job"`
 	Tasks    int         `json:"tasks"`
@@ -43,13 +43,14 @@
 	Machines []MachineID `json:"machines"`
 }
 
+// topologyLine is a line of a written view; one field is set.
 type topologyLine struct {
 	Block   *BlockView   `json:"block,omitempty"`
 	Machine *MachineView `json:"machine,omitempty"`
 	Gang    *GangView    `json:"gang,omitempty"`
 }
 
-// AppendLines appends the view, a JSON object a line.
+// AppendLines appends the view to b as JSON lines.
 func (v *TopologyView) AppendLines(b []byte) ([]byte, error) {
 	buf := bytes.NewBuffer(b)
 	out := json.NewEncoder(buf)
@@ -71,8 +72,7 @@
 	return buf.Bytes(), nil
 }
 
-// DecodeTopology reads what AppendLines wrote. Lines of kinds that it doesn't know are
-// passed over.
+// DecodeTopology reads what AppendLines wrote. Lines of unknown kinds are ignored.
 func DecodeTopology(b []byte) (TopologyView, error) {
 	var v TopologyView
 	for i, line := range bytes.Split(bytes.TrimSpace(b), []byte("\n")) {
--- a/wire/workflows.go
+++ b/wire/workflows.go
@@ -31,10 +31,11 @@
 	Inputs   json.RawMessage   `json:"inputs,omitempty"` // by name
 }
 
-// MaxWindow bounds how many steps of a workflow may be submitted at once.
+// MaxWindow is the greatest number of steps of a workflow that may be submitted at once.
 const MaxWindow = 1000
 
-// DecodeWorkflowSpec reads and checks a submission, but for its documents.
+// DecodeWorkflowSpec reads a submission and checks all of it but its documents. The error names the field
+// and is for users to read.
 func DecodeWorkflowSpec(b []byte) (*WorkflowSpec, error) {
 	s := &WorkflowSpec{Priority: Normal}
 	if err := json.Unmarshal(b, s); err != nil {
@@ -63,8 +64,8 @@
 	return s, nil
 }
 
-// WorkflowStatus is what users are told of a workflow: GET /api/workflows/{id}, and a line
-// whenever it changes from GET /api/workflows/{id}/events.
+// WorkflowStatus is the state of a workflow as users see it: GET /api/workflows/{id}, and a line from GET
+// /api/workflows/{id}/events whenever it changes.
 type WorkflowStatus struct {
 	ID      WorkflowID      `json:"id"`
 	Status  Status          `json:"status"`
@@ -73,15 +74,15 @@
 	Outputs json.RawMessage `json:"outputs,omitempty"`
 }
 
-// Failed is a workflow of which a step failed for good. What does not depend on it has
-// run; what does may be resumed.
+// Failed is the status of a workflow of which a step failed for good. The steps that do not depend on it
+// have run; the others may be resumed.
 const Failed Status = "failed"
 
-// StepStatus is how far a step has come.
+// StepStatus is the progress of a step.
 type StepStatus struct {
 	Step     string `json:"step"`
 	State    string `json:"state"`
-	Finished int    `json:"over"`          // runs that are over
+	Finished int    `json:"over"`          // runs that have ended
 	Total    int    `json:"total"`         // runs in all, as far as known
 	Reason   string `json:"why,omitempty"` // what it, or its next run, waits for
 }
