--- /dev/null
+++ b/internal/server/api/routes.go
@@ -0,0 +1,118 @@
+package api
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"time"
+
+	"maddermill/internal/transport/http1"
+	"maddermill/wire"
+)
+
+// route is how the requests of a path are answered.
+type route struct {
+	method string // the only one allowed
+	kind   string // by which the request is counted if it is shed; "": it is never shed
+	handle func(s *Server, ctx context.Context, request *http1.Request) *http1.Response
+}
+
+// fixedRoutes are the routes of the paths without an id.
+var fixedRoutes = map[string]route{
+	"/healthz":        {"GET", "", (*Server).health},
+	"/metrics":        {"GET", "", (*Server).metrics},
+	"/api/duties":     {"GET", "", (*Server).duties},
+	"/api/judgements": {"GET", "poll", (*Server).judgements},
+	"/api/topology":   {"GET", "poll", (*Server).topology},
+	"/api/jobs":       {"POST", "submission", (*Server).submitJob},
+	"/v1/report":      {"POST", "", (*Server).heartbeat},
+}
+
+// answer routes a request and returns its response.
+func (s *Server) answer(ctx context.Context, request *http1.Request) *http1.Response {
+	if route, ok := fixedRoutes[request.Path]; ok {
+		return s.follow(ctx, route, request)
+	}
+	if request.Path == workflowsPath || strings.HasPrefix(request.Path, workflowsPath+"/") {
+		return s.workflows(ctx, request)
+	}
+	if rest, ok := strings.CutPrefix(request.Path, "/api/jobs/"); ok {
+		return s.job(ctx, rest, request.Method)
+	}
+	return problem(404, errNoSuchPath)
+}
+
+// follow answers a request by a route.
+func (s *Server) follow(ctx context.Context, r route, request *http1.Request) *http1.Response {
+	switch {
+	case request.Method != r.method:
+		return notAllowed(r.method)
+	case r.kind == "":
+		return r.handle(s, ctx, request)
+	}
+	return s.limited(r.kind, func() *http1.Response { return r.handle(s, ctx, request) })
+}
+
+// health reports whether the controller is ready.
+func (s *Server) health(context.Context, *http1.Request) *http1.Response {
+	if !s.View.Healthy() {
+		return problem(503, errNotReady)
+	}
+	return reply(200, struct{}{})
+}
+
+// metrics returns the controller's metrics.
+func (s *Server) metrics(context.Context, *http1.Request) *http1.Response {
+	return &http1.Response{
+		Status: 200,
+		Body:   s.Metrics(),
+		Header: http1.Header{{Name: "content-type", Value: "text/plain; version=0.0.4"}},
+	}
+}
+
+// duties returns the state of the controller's components.
+func (s *Server) duties(context.Context, *http1.Request) *http1.Response {
+	return reply(200, s.Duties(time.Now()))
+}
+
+// topology returns the declared topology as JSON lines.
+func (s *Server) topology(context.Context, *http1.Request) *http1.Response {
+	view, ok := s.View.Topology(time.Now())
+	if !ok {
+		return problem(404, errNoTopology)
+	}
+	body, err := view.AppendLines(nil)
+	if err != nil {
+		return problem(500, err)
+	}
+	return &http1.Response{
+		Status: 200,
+		Body:   body,
+		Header: http1.Header{{Name: "content-type", Value: "application/x-ndjson"}},
+	}
+}
+
+// judgements returns the judgements of machines.
+func (s *Server) judgements(context.Context, *http1.Request) *http1.Response {
+	list, ok := s.View.Judgements()
+	if !ok {
+		return problem(404, errNoJudgements)
+	}
+	return reply(200, list)
+}
+
+// heartbeat answers a worker's heartbeat.
+func (s *Server) heartbeat(ctx context.Context, request *http1.Request) *http1.Response {
+	var heartbeat wire.Heartbeat
+	if err := json.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Epoch == 0 {
+		return problem(400, errNoHeartbeat)
+	}
+	answer := s.Workers.Heartbeat(ctx, &heartbeat)
+	switch answer.Status {
+	case 200:
+		return reply(200, answer.Response)
+	case 421:
+		return reply(421, answer.Redirect)
+	}
+	return problem(answer.Status, errNotEntitled)
+}
--- /dev/null
+++ b/internal/server/api/server.go
@@ -0,0 +1,154 @@
+// Package api serves users' requests and workers' heartbeats over HTTP/1.1. It parses and routes requests
+// (routes.go), sheds users' requests beyond the bounds of Server, and turns results and errors into
+// responses (responses.go); what a request means is decided by the services behind the interfaces Jobs,
+// Heartbeats, Workflows and Inspector.
+//
+// A Server has no lock; its counters are atomic. Serve runs once for each connection, in a goroutine of its
+// own. The bytes of responses, messages of errors included, are part of the protocol.
+package api
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"log/slog"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"maddermill/internal/server"
+	"maddermill/internal/supervise"
+	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
+	"maddermill/wire"
+)
+
+// Jobs is the service of jobs as users' requests need it.
+type Jobs interface {
+	Submit(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, bool, error)
+	Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error)
+	Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error)
+}
+
+// Heartbeats is the service that answers workers' heartbeats.
+type Heartbeats interface {
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) server.HeartbeatAnswer
+}
+
+// Inspector is what a controller reports of itself. The booleans are false where there is nothing to report.
+type Inspector interface {
+	Topology(now time.Time) (wire.TopologyView, bool)
+	Judgements() ([]wire.Judgement, bool)
+	Healthy() bool
+}
+
+// Server answers the requests of connections. Its exported fields are set before the first Serve.
+type Server struct {
+	Users      Jobs
+	Workers    Heartbeats
+	Workflows  Workflows
+	View       Inspector
+	Metrics    func() []byte // in the text format of Prometheus
+	Duties     func(time.Time) []supervise.Status
+	RetryAfter time.Duration     // that clients whose request is shed are to wait
+	MaxUsers   int               // users' connections; the rest is reserved for workers
+	MaxBusy    int               // users' requests at once, at most half of them polls
+	Shed       func(kind string) // called for each request that is shed, if not nil
+	Log        *slog.Logger
+
+	// The numbers of what is in progress.
+	users   atomic.Int64 // connections of users
+	busy    atomic.Int64 // users' requests
+	polls   atomic.Int64 // polls of jobs among them
+	streams atomic.Int64 // streams of workflows' events
+}
+
+// Limits of connections and requests.
+const (
+	idleTimeout    = 90 * time.Second        // of a connection, between requests
+	requestTimeout = 10 * time.Second        // from a request's first byte to its last
+	pollTimeout    = 1900 * time.Millisecond // of the answer to a poll
+	submitTimeout  = 4500 * time.Millisecond // of the answer to a submission or cancellation
+	readBuffer     = 2048                    // bytes
+)
+
+// Serve answers the requests of one connection until the connection or ctx ends.
+func (s *Server) Serve(ctx context.Context, conn *transport.Conn) {
+	reader := bufio.NewReaderSize(conn, readBuffer)
+	isUser := false
+	defer func() {
+		if isUser {
+			s.users.Add(-1)
+		}
+	}()
+	for ctx.Err() == nil {
+		request, err := readRequest(conn, reader)
+		if err != nil {
+			if p := framingFailure(err); p != nil {
+				s.writeLast(conn, p)
+			}
+			return
+		}
+		if !isUser && strings.HasPrefix(request.Path, "/api/") {
+			isUser = true
+			if s.users.Add(1) > int64(s.MaxUsers) {
+				s.writeLast(conn, s.shed("connection"))
+				return
+			}
+		}
+		if id, ok := eventsRequest(request); ok {
+			s.streamEvents(ctx, conn, id)
+			return
+		}
+		p := s.answer(ctx, request)
+		p.Close = p.Close || request.Close
+		if s.write(conn, p) != nil || p.Close {
+			return
+		}
+	}
+}
+
+// errIdle is returned by readRequest if no request has begun before the connection ended or idleTimeout.
+var errIdle = errors.New("api: no request on the connection")
+
+// readRequest waits for a request and reads it.
+func readRequest(conn *transport.Conn, reader *bufio.Reader) (*http1.Request, error) {
+	conn.SetReadDeadline(time.Now().Add(idleTimeout))
+	if _, err := reader.Peek(1); err != nil {
+		return nil, errIdle
+	}
+	conn.SetReadDeadline(time.Now().Add(requestTimeout))
+	return http1.ReadRequest(reader, func() error {
+		_, err := conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		return err
+	})
+}
+
+// write writes a response.
+func (s *Server) write(conn *transport.Conn, p *http1.Response) error {
+	_, err := conn.Write(http1.AppendResponse(nil, p))
+	return err
+}
+
+// writeLast writes the last response of a connection.
+func (s *Server) writeLast(conn *transport.Conn, p *http1.Response) {
+	p.Close = true
+	_ = s.write(conn, p) // the connection ends either way
+}
+
+// limited runs a user's request, or sheds it if too many are in progress.
+func (s *Server) limited(kind string, run func() *http1.Response) *http1.Response {
+	defer s.busy.Add(-1)
+	if s.busy.Add(1) > int64(s.MaxBusy) {
+		return s.shed(kind)
+	}
+	return run()
+}
+
+// shed counts a request that is not run as too many are in progress, and returns its response.
+func (s *Server) shed(kind string) *http1.Response {
+	if s.Shed != nil {
+		s.Shed(kind)
+	}
+	return s.retryLater()
+}
