--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -21,12 +21,13 @@
 	"maddermill/wire"
 )
 
-// held is what polls of one job wait for.
-var held = make(chan struct{})
+// startTimeout bounds how long a test waits for the first answer of a server.
+const startTimeout = 10 * time.Second
 
-type service struct{}
-
-type workflows struct{}
+// service stands for all services behind the API but workflows.
+type service struct {
+	blockPolls chan struct{} // polls of wk-000004 wait until it is closed
+}
 
 func (service) Submit(_ context.Context, s *wire.JobSpec) (wire.JobStatus, bool, error) {
 	if s.Team == "nobody" {
@@ -34,97 +35,170 @@
 	}
 	return wire.JobStatus{ID: s.ID, Status: wire.Queued}, true, nil
 }
-func (service) Status(_ context.Context, id wire.JobID) (wire.JobStatus, error) {
+
+func (s service) Status(_ context.Context, id wire.JobID) (wire.JobStatus, error) {
 	switch id {
 	case "wk-000001":
 		return wire.JobStatus{ID: id, Status: wire.Done}, nil
 	case "wk-000004":
-		<-held
+		<-s.blockPolls
 		return wire.JobStatus{ID: id, Status: wire.Running}, nil
 	case "wk-000002":
 		return wire.JobStatus{}, kvstore.ErrUnreachable
 	}
 	return wire.JobStatus{}, server.ErrNoSuchJob
 }
+
 func (s service) Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	return s.Status(ctx, id)
 }
+
 func (service) Heartbeat(context.Context, *wire.Heartbeat) server.HeartbeatAnswer {
-	return server.HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{FencingToken: 3, Commands: []wire.Command{}}}
+	return server.HeartbeatAnswer{
+		Status:   200,
+		Response: &wire.HeartbeatResponse{FencingToken: 3, Commands: []wire.Command{}},
+	}
 }
+
 func (service) Healthy() bool                        { return true }
 func (service) Judgements() ([]wire.Judgement, bool) { return nil, true }
+
+func (service) Topology(time.Time) (wire.TopologyView, bool) {
+	return wire.TopologyView{
+		Blocks: []wire.BlockView{{Path: "a", Level: "zone"}},
+		Gangs:  []wire.GangView{{Job: "wk-000001"}},
+	}, true
+}
+
+// workflows is the service of workflows; wf-000001 is the only one known.
+type workflows struct{}
+
 func (workflows) Submit(_ context.Context, s *wire.WorkflowSpec) (wire.WorkflowStatus, bool, error) {
 	return wire.WorkflowStatus{ID: s.ID, Status: wire.Queued}, true, nil
 }
+
 func (workflows) Status(_ context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	if id != "wf-000001" {
 		return wire.WorkflowStatus{}, server.ErrNoSuchJob
 	}
 	return wire.WorkflowStatus{ID: id, Status: wire.Done}, nil
 }
+
 func (s workflows) Cancel(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	return s.Status(ctx, id)
 }
+
 func (workflows) Resume(context.Context, wire.WorkflowID) (wire.WorkflowStatus, error) {
 	return wire.WorkflowStatus{}, runner.ErrNotFailed
 }
-func (service) Topology(time.Time) (wire.TopologyView, bool) {
-	return wire.TopologyView{
-		Blocks: []wire.BlockView{{Path: "a", Level: "zone"}},
-		Gangs:  []wire.GangView{{Job: "wk-000001"}},
-	}, true
+
+// testServer is a server on a loopback port, and a client of it.
+type testServer struct {
+	addr       string
+	client     *http1.Client
+	shed       chan string   // the kinds of requests that were shed
+	blockPolls chan struct{} // as in service
 }
 
-// TestOverTheWire serves on a loopback port through gnet, and asks both through
-// our client and with bytes that no client of ours would send.
-func TestOverTheWire(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := l.Addr().String()
-	l.Close()
-	ctx, cancel := context.WithCancel(t.Context())
-	shed := make(chan string, 100)
-	server := &api.Server{
-		Users:      service{},
-		Workers:    service{},
+// newTestServer starts a server, which ends with the test. That it ends without an error is checked.
+func newTestServer(t *testing.T) *testServer {
+	t.Helper()
+	s := &testServer{addr: freeAddr(t), shed: make(chan string, 100), blockPolls: make(chan struct{})}
+	services := service{blockPolls: s.blockPolls}
+	apiServer := &api.Server{
+		Users:      services,
+		Workers:    services,
 		Workflows:  workflows{},
-		View:       service{},
+		View:       services,
 		Duties:     new(supervise.Group).Status,
 		Metrics:    func() []byte { return []byte("x 1\n") },
 		RetryAfter: time.Second,
 		MaxUsers:   100,
 		MaxBusy:    10,
-		Shed:       func(kind string) { shed <- kind },
+		Shed:       func(kind string) { s.shed <- kind },
 		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
+	ctx, cancel := context.WithCancel(context.Background()) // t.Context() ends before the cleanup
 	served := make(chan error, 1)
-	go func() { served <- transport.Serve(ctx, addr, 50, server.Serve) }()
+	go func() { served <- transport.Serve(ctx, s.addr, 50, apiServer.Serve) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-served; err != nil {
+			t.Errorf("stopping: %v", err)
+		}
+	})
 	dialer, err := transport.NewDialer(1 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dialer.Stop()
-	client := &http1.Client{Dialer: dialer, Addr: addr, MaxIdle: 2, MaxBody: 1 << 20}
-	for up := false; !up; {
-		one, done := context.WithTimeout(ctx, 10*time.Second)
-		p, err := client.Do(one, &http1.Request{Method: "GET", Path: "/healthz"})
-		done()
-		up = err == nil && p.Status == 200
+	t.Cleanup(dialer.Stop)
+	s.client = &http1.Client{Dialer: dialer, Addr: s.addr, MaxIdle: 2, MaxBody: 1 << 20}
+	s.waitHealthy(t)
+	return s
+}
+
+// freeAddr returns an address on the loopback interface that nobody listens on.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return l.Addr().String()
+}
+
+// waitHealthy waits until the server answers.
+func (s *testServer) waitHealthy(t *testing.T) {
+	t.Helper()
+	for healthy := false; !healthy; {
+		ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
+		p, err := s.client.Do(ctx, &http1.Request{Method: "GET", Path: "/healthz"})
+		cancel()
+		healthy = err == nil && p.Status == 200
 		if err != nil && !errors.Is(err, http1.ErrNotSent) {
 			t.Fatal(err)
 		}
 	}
-	job := `{"id":"wk-000009","workclass":"c","owner":"OWNER","shape":"array","urgency":"normal","pieces":1,"cores":1,"accelerators":0,
-	 "ram_gb":1,"bundle":"i","pull_gb":1,"together":false,"scatter":false,"loaners":true,"expect_s":1,"snapshot_s":0,"stash_s":0}`
+}
+
+// exchange sends bytes on a connection of its own and returns all that the server answers until it closes
+// the connection; the error is that of reading.
+func (s *testServer) exchange(t *testing.T, request string) (string, error) {
+	t.Helper()
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }() // the server has closed it
+	if _, err := io.WriteString(conn, request); err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(bufio.NewReader(conn))
+	return string(got), err
+}
+
+// submission is a submission of wk-000009 by a team.
+func submission(team string) string {
+	return `{"id":"wk-000009","workclass":"c","owner":"` + team + `","shape":"array","urgency":"normal","pieces":1,
+	 "cores":1,"accelerators":0,"ram_gb":1,"bundle":"i","pull_gb":1,"together":false,"scatter":false,"loaners":true,
+	 "expect_s":1,"snapshot_s":0,"stash_s":0}`
+}
+
+// TestRoutes serves through gnet and asks through our client: the status of each path and method.
+func TestRoutes(t *testing.T) {
+	s := newTestServer(t)
+	const workflow = `{"id":"wf-000001","owner":"t","bundle":{"main.cwl":` +
+		`"{cwlVersion: v1.2, class: Workflow, inputs: [], outputs: [], steps: []}"}}`
+	const badWorkflow = `{"id":"wf-000001","owner":"t","bundle":{"main.cwl":"{class: Workflow}"}}`
 	for _, tc := range []struct {
 		method, path, body string
 		status             int
 	}{
-		{"POST", "/api/jobs", strings.Replace(job, "OWNER", "t", 1), 201},
-		{"POST", "/api/jobs", strings.Replace(job, "OWNER", "nobody", 1), 422},
+		{"POST", "/api/jobs", submission("t"), 201},
+		{"POST", "/api/jobs", submission("nobody"), 422},
 		{"POST", "/api/jobs", "{}", 400},
 		{"POST", "/api/jobs", strings.Repeat("x", http1.MaxBody), 400},
 		{"GET", "/api/jobs", "", 405},
@@ -143,8 +217,8 @@
 		{"GET", "/api/duties", "", 200},
 		{"GET", "/api/judgements", "", 200},
 		{"POST", "/api/duties", "", 405},
-		{"POST", "/api/workflows", `{"id":"wf-000001","owner":"t","bundle":{"main.cwl":"{cwlVersion: v1.2, class: Workflow, inputs: [], outputs: [], steps: []}"}}`, 201},
-		{"POST", "/api/workflows", `{"id":"wf-000001","owner":"t","bundle":{"main.cwl":"{class: Workflow}"}}`, 400},
+		{"POST", "/api/workflows", workflow, 201},
+		{"POST", "/api/workflows", badWorkflow, 400},
 		{"POST", "/api/workflows", `{"id":"wk-000001"}`, 400},
 		{"GET", "/api/workflows", "", 405},
 		{"GET", "/api/workflows/wf-000001", "", 200},
@@ -154,34 +228,55 @@
 		{"POST", "/api/workflows/wf-000001/resume", "", 409},
 		{"POST", "/api/workflows/wf-000001/stop", "", 404},
 	} {
-		p, err := client.Do(ctx, &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
+		p, err := s.client.Do(t.Context(), &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
 		if err != nil || p.Status != tc.status {
 			t.Errorf("%s %s: %v, %v, want %d", tc.method, tc.path, p, err, tc.status)
 		}
 		if err == nil && p.Status == 503 && p.Header.Get("retry-after") != "1" {
-			t.Errorf("%s %s: no Retry-After", tc.method, tc.path)
+			t.Errorf("%s %s: retry-after %q, want 1", tc.method, tc.path, p.Header.Get("retry-after"))
 		}
 	}
-	// A stream of events ends, and its connection with it, once the workflow is final.
-	stream, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.WriteString(stream, "GET /api/workflows/wf-000001/events HTTP/1.1\r\nhost: x\r\n\r\n"); err != nil {
-		t.Fatal(err)
+}
+
+// TestMessages: the bodies of answers other than success, which users read, byte for byte.
+func TestMessages(t *testing.T) {
+	s := newTestServer(t)
+	for _, tc := range []struct{ method, path, body, want string }{
+		{"POST", "/api/jobs", submission("nobody"), `{"error":"can never run: unknown team"}`},
+		{"POST", "/api/jobs", "{}", `{"error":"field \"id\" is missing"}`},
+		{"GET", "/api/jobs", "", `{"error":"method not allowed"}`},
+		{"GET", "/api/jobs/wk-000002", "", `{"error":"try again later"}`},
+		{"GET", "/api/jobs/wk-000003", "", `{"error":"no such job"}`},
+		{"POST", "/v1/report", "{}", `{"error":"not a report"}`},
+		{"GET", "/nothing", "", `{"error":"no such path"}`},
+		{"POST", "/api/workflows", `{"id":"wf-000001","owner":"t"}`, `{"error":"bundle: is missing"}`},
+		{"GET", "/api/workflows/wf-000002", "", `{"error":"no such workflow"}`},
+	} {
+		p, err := s.client.Do(t.Context(), &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
+		if err != nil || string(p.Body) != tc.want {
+			t.Errorf("%s %s: %v, %v, want %s", tc.method, tc.path, p, err, tc.want)
+		}
 	}
-	if b, err := io.ReadAll(
-		stream,
-	); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 200") ||
-		!strings.HasSuffix(string(b), `{"id":"wf-000001","status":"done"}`+"\n") {
-		t.Errorf("the stream is %q, %v", b, err)
+}
+
+// TestEvents: a stream of events ends, and its connection with it, once the workflow is final.
+func TestEvents(t *testing.T) {
+	s := newTestServer(t)
+	got, err := s.exchange(t, "GET /api/workflows/wf-000001/events HTTP/1.1\r\nhost: x\r\n\r\n")
+	if err != nil || !strings.HasPrefix(got, "HTTP/1.1 200") ||
+		!strings.HasSuffix(got, `{"id":"wf-000001","status":"done"}`+"\n") {
+		t.Errorf("the stream is %q, %v", got, err)
 	}
-	// However many polls are under way, further ones are put off at once and submissions
-	// keep their part.
+}
+
+// TestShedding: however many polls are in progress, further ones are shed at once and submissions keep their
+// part.
+func TestShedding(t *testing.T) {
+	s := newTestServer(t)
 	polls := make(chan int, 8)
 	for range cap(polls) {
 		go func() {
-			p, err := client.Do(ctx, &http1.Request{Method: "GET", Path: "/api/jobs/wk-000004"})
+			p, err := s.client.Do(t.Context(), &http1.Request{Method: "GET", Path: "/api/jobs/wk-000004"})
 			if err != nil {
 				p = &http1.Response{}
 			}
@@ -189,47 +284,38 @@
 		}()
 	}
 	for range 3 {
-		if kind := <-shed; kind != "poll" {
-			t.Errorf("put off a %s", kind)
+		if kind := <-s.shed; kind != "poll" {
+			t.Errorf("shed a %s, want a poll", kind)
 		}
 		if status := <-polls; status != 503 {
-			t.Errorf("a poll beyond the bound got %d", status)
+			t.Errorf("a poll beyond the bound: status %d, want 503", status)
 		}
 	}
-	if p, err := client.Do(
-		ctx,
-		&http1.Request{Method: "POST", Path: "/api/jobs", Body: []byte(strings.Replace(job, "OWNER", "t", 1))},
-	); err != nil ||
-		p.Status != 201 {
-		t.Errorf("a submission beside them got %v, %v", p, err)
+	p, err := s.client.Do(t.Context(),
+		&http1.Request{Method: "POST", Path: "/api/jobs", Body: []byte(submission("t"))})
+	if err != nil || p.Status != 201 {
+		t.Errorf("a submission beside them: %v, %v, want 201", p, err)
 	}
-	close(held)
+	close(s.blockPolls)
 	for range 5 {
 		if status := <-polls; status != 200 {
-			t.Errorf("a poll under way got %d", status)
+			t.Errorf("a poll in progress: status %d, want 200", status)
 		}
 	}
-	for in, want := range map[string]string{
+}
+
+// TestFraming: bytes that no client of ours would send. The server closes the connection after its answer.
+func TestFraming(t *testing.T) {
+	s := newTestServer(t)
+	for request, want := range map[string]string{
 		"nonsense\r\n\r\n": "HTTP/1.1 400",
 		"POST /api/jobs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n": "HTTP/1.1 413",
 		"GET /" + strings.Repeat("y", 9000) + " HTTP/1.1\r\n\r\n":  "HTTP/1.1 431",
 		"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n":       "HTTP/1.1 200",
 	} {
-		c, err := net.Dial("tcp4", addr)
-		if err != nil {
-			t.Fatal(err)
+		// The server may reset a connection with unread bytes, which is an error of reading.
+		if got, err := s.exchange(t, request); !strings.HasPrefix(got, want) {
+			t.Errorf("%.30q: %q, %v, want %s", request, got, err, want)
 		}
-		if _, err := io.WriteString(c, in); err != nil {
-			t.Fatal(err)
-		}
-		got, err := io.ReadAll(bufio.NewReader(c)) // ends only if the server closes
-		if !strings.HasPrefix(string(got), want) {
-			t.Errorf("%.30q: %q, %v, want %s", in, got, err, want)
-		}
-		c.Close()
-	}
-	cancel()
-	if err := <-served; err != nil {
-		t.Errorf("stopping: %v", err)
 	}
 }
