--- /dev/null
+++ b/internal/server/reconcile/registry.go
@@ -0,0 +1,118 @@
+package reconcile
+
+import (
+	"time"
+
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// How long a worker that sends no heartbeats stays in the registry.
+const (
+	silentRetention     = 10 * time.Minute
+	terminatedRetention = time.Minute // if the machine is recorded as terminated
+)
+
+// Registry holds the workers that report to this controller, and which images their machines hold. It has
+// no lock of its own: it is used under the lock of the watch cache.
+type Registry struct {
+	membership *membership.Membership
+	completed  *completion.Log
+	workers    map[wire.MachineID]*Worker
+	images     map[wire.MachineID]*machineImages
+}
+
+// machineImages are the images that a machine holds, as far as known, in an agent epoch.
+type machineImages struct {
+	epoch  wire.AgentEpoch
+	images *placement.Images
+}
+
+// NewRegistry returns an empty registry. The peers of the membership supply the images of a machine that
+// reported to another controller before.
+func NewRegistry(m *membership.Membership, completed *completion.Log) *Registry {
+	return &Registry{
+		membership: m,
+		completed:  completed,
+		workers:    map[wire.MachineID]*Worker{},
+		images:     map[wire.MachineID]*machineImages{},
+	}
+}
+
+// Worker returns the worker of a machine, nil if none reports here.
+func (r *Registry) Worker(id wire.MachineID) *Worker { return r.workers[id] }
+
+// Register adds a worker that sends its first heartbeat here.
+func (r *Registry) Register(heartbeat *wire.Heartbeat, now time.Time) *Worker {
+	w := NewWorker(heartbeat, r.completed, now)
+	r.workers[w.ID] = w
+	return w
+}
+
+// Len is the number of workers.
+func (r *Registry) Len() int { return len(r.workers) }
+
+// Each calls f for every worker, in no particular order.
+func (r *Registry) Each(f func(*Worker)) {
+	for _, w := range r.workers {
+		f(w)
+	}
+}
+
+// Images returns the images that a machine holds, as far as known, for the caller to update. A new agent
+// epoch begins without images.
+func (r *Registry) Images(records *ledger.Ledger, w *Worker) *placement.Images {
+	known := r.images[w.ID]
+	if known != nil && known.epoch == w.Session {
+		return known.images
+	}
+	machineType, _ := records.MachineType(w.Type)
+	images := placement.NewImages(machineType.CacheGB)
+	if known == nil {
+		// The worker may have reported to another controller in this epoch.
+		r.addPeersImages(images, w)
+	}
+	r.images[w.ID] = &machineImages{epoch: w.Session, images: images}
+	return images
+}
+
+// addPeersImages adds the images that peers know to be on a machine in its present epoch.
+func (r *Registry) addPeersImages(images *placement.Images, w *Worker) {
+	for _, peer := range r.membership.Peers() {
+		for i := range peer.Status.Machines {
+			m := &peer.Status.Machines[i]
+			if m.ID != w.ID || m.Session != w.Session {
+				continue
+			}
+			for _, name := range m.Images {
+				images.Use(name, 0)
+			}
+		}
+	}
+}
+
+// KnownImages returns the images that a machine holds, nil if nothing is known of them yet.
+func (r *Registry) KnownImages(w *Worker) *placement.Images {
+	if known := r.images[w.ID]; known != nil {
+		return known.images
+	}
+	return nil
+}
+
+// Forget drops the workers that have been silent for long, or whose machines are terminated, and returns
+// them.
+func (r *Registry) Forget(records *ledger.Ledger, now time.Time) (forgotten []wire.MachineID) {
+	for id, w := range r.workers {
+		silence := now.Sub(w.LastHeartbeat)
+		terminated := silence > terminatedRetention && records.MachinePhase(id) == ledger.Terminated
+		if silence > silentRetention || terminated {
+			delete(r.workers, id)
+			delete(r.images, id)
+			forgotten = append(forgotten, id)
+		}
+	}
+	return forgotten
+}
