--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -19,6 +19,7 @@
 	"maddermill/internal/state/archive"
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/wait"
 	"maddermill/wire"
 )
@@ -273,7 +274,7 @@
 		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		c.cache.SetForTest(1, time.Time{})
+		watchcache.SetStateForTest(t, c.cache, 1, time.Time{})
 		done := make(chan error, 1)
 		go func() { _, err := c.cache.Load(t.Context()); done <- err }()
 		answered := 0
@@ -281,7 +282,8 @@
 		for n := 1; ; n++ {
 			time.Sleep(500 * time.Millisecond)
 			c.cache.Lock()
-			c.cache.SetForTest(c.cache.Token(), time.Now()) // a few seconds are within what safety allows without
+			// A few seconds are within what safety allows without.
+			watchcache.SetStateForTest(t, c.cache, c.cache.Token(), time.Now())
 			c.cache.Unlock()
 			r := &wire.Heartbeat{
 				Machine:  "host-9999999",
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -9,6 +9,7 @@
 
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/wire"
 )
 
@@ -32,7 +33,7 @@
 		{"one has restarted and knows nothing", []peer.Answer{answerOf("m-1", fresh, 0, false, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
 	} {
 		c := quietCore(t, 0)
-		c.cache.SetForTest(0, old)
+		watchcache.SetStateForTest(t, c.cache, 0, old)
 		c.cache.Records().AdvanceRevision(7)
 		for _, a := range tc.peers {
 			c.heardPeer(a)
@@ -105,15 +106,15 @@
 	if c.Healthy() {
 		t.Error("healthy before the ledger was read, beside one that is in touch")
 	}
-	c.cache.SetForTest(0, now)
+	watchcache.SetStateForTest(t, c.cache, 0, now)
 	if !c.Healthy() {
 		t.Error("not healthy for want of a token, which users need none of")
 	}
-	c.cache.SetForTest(1, now)
+	watchcache.SetStateForTest(t, c.cache, 1, now)
 	if !c.Healthy() {
 		t.Error("not healthy in touch with the state service")
 	}
-	c.cache.SetForTest(c.cache.Token(), now.Add(-10*time.Second))
+	watchcache.SetStateForTest(t, c.cache, c.cache.Token(), now.Add(-10*time.Second))
 	c.heardPeer(answerOf("m-1", now, 0, true, 10*time.Second))
 	if !c.Healthy() {
 		t.Error("not healthy in an outage that all share")
@@ -141,7 +142,7 @@
 func TestRedirect(t *testing.T) {
 	now := time.Now()
 	c := quietCore(t, 0)
-	c.cache.SetForTest(1, now.Add(-8*time.Second))
+	watchcache.SetStateForTest(t, c.cache, 1, now.Add(-8*time.Second))
 	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
@@ -155,7 +156,7 @@
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d for a worker that came back", a.Status)
 	}
-	c.cache.SetForTest(c.cache.Token(), now.Add(-time.Hour))
+	watchcache.SetStateForTest(t, c.cache, c.cache.Token(), now.Add(-time.Hour))
 	r.Sequence = 4
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 {
 		t.Errorf("%d long after a cancellation may have been missed", a.Status)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"log/slog"
 	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
@@ -33,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCore(t, 0)
 		now := time.Now()
-		c.cache.SetForTest(1, now)
+		watchcache.SetStateForTest(t, c.cache, 1, now)
 		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
 		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
 		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 503 {
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -9,12 +9,13 @@
 
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 )
 
 func growTo(b *testing.B, machines int) (*Controller, *controllertest.Fleet) {
 	c, f := quietCore(b, 0), controllertest.NewFleet(machines)
-	f.Join(c.cache, c.membership, c.registry)
+	f.Join(b, c.cache, c.membership, c.registry)
 	c.boot = time.Now().Add(-time.Hour)
 	return c, f
 }
@@ -31,7 +32,7 @@
 				if g == nil {
 					g, f = growTo(b, n)
 				}
-				g.cache.SetForTest(1, time.Now())
+				watchcache.SetStateForTest(b, g.cache, 1, time.Now())
 				b.ReportAllocs()
 				b.ResetTimer()
 				what(b)
--- a/internal/controller/places_test.go
+++ b/internal/controller/places_test.go
@@ -15,6 +15,7 @@
 	"maddermill/internal/scheduler/topologytracker"
 	"maddermill/internal/server/reconcile"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/wire"
 )
 
@@ -28,7 +29,7 @@
 	}
 	c := quietCore(t, 0)
 	c.TopologyTracker.Set(tree)
-	c.cache.SetForTest(1, now)
+	watchcache.SetStateForTest(t, c.cache, 1, now)
 	for z, zone := range []wire.Zone{"a", "b"} {
 		for rack := 1; rack <= 4; rack++ {
 			for m := 1; m <= 3; m++ {
@@ -145,7 +146,7 @@
 		}
 		later := now.Add(2*c.set.SilentAfter() + time.Second)
 		c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = later })
-		c.cache.SetForTest(c.cache.Token(), later)
+		watchcache.SetStateForTest(t, c.cache, c.cache.Token(), later)
 		for i := range 3 {
 			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
 			tc.explain(c, c.cache.Records().Job(id), c.registry.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1))), later)
@@ -183,7 +184,7 @@
 	pass := func(seconds int) (down bool) {
 		for range seconds {
 			now = now.Add(time.Second)
-			c.cache.SetForTest(c.cache.Token(), now)
+			watchcache.SetStateForTest(t, c.cache, c.cache.Token(), now)
 			c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = now })
 			c.TopologyTracker.DetectFailedBlocks(now)
 		}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -15,6 +15,7 @@
 	"maddermill/internal/settings"
 	"maddermill/internal/state/committer"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
@@ -57,7 +58,7 @@
 		{"stood still a minute ago", 0, time.Minute, true},
 	} {
 		c := quiet(t)
-		c.Cache.SetForTest(0, now)
+		watchcache.SetStateForTest(t, c.Cache, 0, now)
 		c.Membership.SetRunningForTest(now.Add(-tc.ran))
 		if tc.since > 0 {
 			c.Membership.SetRunningForTest(now.Add(-tc.since - time.Minute))
@@ -199,7 +200,7 @@
 	}
 	follow(t, c)
 	now := time.Now()
-	c.Cache.SetForTest(7, now)
+	watchcache.SetStateForTest(t, c.Cache, 7, now)
 	early := wire.MachineID("r-7-1-0")
 	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Session: 1, Sequence: 1}
 	c.Registry.Register(r, now).Reconcile(r, nil, 7, now)
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
 	"maddermill/wire"
 )
 
@@ -26,7 +27,7 @@
 		{"heard again", 3, time.Minute, time.Second, false},
 	} {
 		c := quiet(t)
-		c.Cache.SetForTest(0, now)
+		watchcache.SetStateForTest(t, c.Cache, 0, now)
 		l := &leader{
 			c:       c,
 			began:   now.Add(-time.Hour),
--- a/internal/scheduler/believe_test.go
+++ b/internal/scheduler/believe_test.go
@@ -8,6 +8,7 @@
 	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
@@ -22,7 +23,7 @@
 		p.Failures.EnableQuarantine(quarantine.DefaultPriors)
 		now := time.Now()
 		led := p.Cache.Records()
-		p.Cache.SetForTest(1, now)
+		watchcache.SetStateForTest(t, p.Cache, 1, now)
 		led.Apply(
 			ledger.Event{
 				Key:     ledger.MachineTypeKey("g2"),
--- a/internal/scheduler/deadlinetracker/promises_test.go
+++ b/internal/scheduler/deadlinetracker/promises_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
@@ -19,7 +20,7 @@
 			p := controllertest.New(b, 0)
 			led := p.Cache.Records()
 			now := time.Now()
-			p.Cache.SetForTest(1, now)
+			watchcache.SetStateForTest(b, p.Cache, 1, now)
 			version := wire.Revision(0)
 			apply := func(key string, value []byte) {
 				version++
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -6,6 +6,7 @@
 
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
@@ -26,7 +27,7 @@
 		{"long ago", "m-1", now.Add(-time.Minute), false},
 	} {
 		p := controllertest.New(t, 0)
-		p.Cache.SetForTest(0, now)
+		watchcache.SetStateForTest(t, p.Cache, 0, now)
 		p.Cache.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
 		p.Registry.Register(&wire.Heartbeat{Machine: "host-1"}, now)
 		j := controllertest.AddJob(p.Cache.Records(), 2, wire.Gang, 4)
--- a/internal/scheduler/promises_test.go
+++ b/internal/scheduler/promises_test.go
@@ -9,6 +9,7 @@
 	"maddermill/internal/scheduler/deadline"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
@@ -21,7 +22,7 @@
 	decide := func(register, tied bool) (starts map[wire.JobID]time.Time, out []string) {
 		p := controllertest.New(t, 0)
 		led := p.Cache.Records()
-		p.Cache.SetForTest(1, now)
+		watchcache.SetStateForTest(t, p.Cache, 1, now)
 		led.Apply(
 			ledger.Event{
 				Key:     ledger.MachineTypeKey("g2"),
--- a/internal/scheduler/suspects_test.go
+++ b/internal/scheduler/suspects_test.go
@@ -9,6 +9,7 @@
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
@@ -21,7 +22,7 @@
 	c := controllertest.New(t, 0)
 	led := c.Cache.Records()
 	now := time.Now()
-	c.Cache.SetForTest(0, now)
+	watchcache.SetStateForTest(t, c.Cache, 0, now)
 	const bad, good, other = wire.MachineID("host-bad"), wire.MachineID("host-good"), wire.MachineID("host-other")
 	fail := func(j *ledger.Job, m wire.MachineID, task wire.TaskIndex, at time.Time) {
 		c.Failures.Failed(j, task, m, "", at)
--- a/internal/server/spread_test.go
+++ b/internal/server/spread_test.go
@@ -7,6 +7,7 @@
 
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
 )
@@ -30,7 +31,7 @@
 		{"peers out of touch", [2]int{0, 0}, time.Minute, 0, ""},
 	} {
 		p := controllertest.New(t, 0)
-		p.Cache.SetForTest(1, time.Now())
+		watchcache.SetStateForTest(t, p.Cache, 1, time.Now())
 		c := NewHeartbeatServer(
 			p.Set,
 			HeartbeatServerParts{
--- /dev/null
+++ b/internal/state/watchcache/tokens.go
@@ -0,0 +1,113 @@
+package watchcache
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/wait"
+	"maddermill/wire"
+)
+
+// Timing of the acquisition of tokens.
+const (
+	tokenTimeout    = 3 * time.Second        // for one attempt
+	tokenRetryDelay = 200 * time.Millisecond // after an attempt failed
+	// tokenConflictDelay comes after an attempt that another controller was ahead of, as when all start
+	// together: by then the records show the other's token.
+	tokenConflictDelay = 10 * time.Millisecond
+)
+
+// RequestToken asks for a fencing token above one that a worker has accepted. It never waits; while a
+// request is pending further ones are dropped, since the worker's next heartbeat asks again.
+func (c *Cache) RequestToken(above wire.FencingToken) {
+	select {
+	case c.tokenRequest <- above:
+	default:
+	}
+}
+
+// AcquireTokens acquires a fencing token at the start and whenever one is requested above the one in
+// use, until ctx ends.
+func (c *Cache) AcquireTokens(ctx context.Context) error {
+	var above wire.FencingToken
+	for {
+		if err := c.acquireToken(ctx, above); err != nil {
+			if ctx.Err() != nil {
+				return ctx.Err()
+			}
+			c.log.Debug("no fencing token yet", "err", err)
+			delay := tokenRetryDelay
+			if conflict := new(kvstore.ConflictError); errors.As(err, &conflict) {
+				delay = tokenConflictDelay
+			}
+			wait.For(ctx, delay)
+			continue
+		}
+		var err error
+		if above, err = c.nextTokenRequest(ctx); err != nil {
+			return err
+		}
+	}
+}
+
+// nextTokenRequest waits for a request that the token in use does not satisfy and returns the token
+// that the new one is to exceed.
+func (c *Cache) nextTokenRequest(ctx context.Context) (above wire.FencingToken, err error) {
+	for {
+		select {
+		case <-ctx.Done():
+			return 0, ctx.Err()
+		case above = <-c.tokenRequest:
+		}
+		c.Lock()
+		token := c.token
+		c.Unlock()
+		if above >= token {
+			return above, nil
+		}
+	}
+}
+
+// acquireToken commits the next fencing token, above the last one on record and a given one, and has
+// this controller use it. Its error wraps a kvstore.ConflictError when another controller was ahead.
+func (c *Cache) acquireToken(ctx context.Context, above wire.FencingToken) error {
+	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
+	defer cancel()
+	if err := c.WaitForRevision(ctx, 0); err != nil {
+		return err
+	}
+	c.Lock()
+	last, version := c.records.Token()
+	c.Unlock()
+	token := max(last.Last, above) + 1
+	value, err := json.Marshal(last.Next(token, c.opt.Member, c.opt.Reads))
+	if err != nil {
+		return fmt.Errorf("watchcache: encode the record of fencing token %d: %w", token, err)
+	}
+	revision, err := c.store.Commit(ctx, wire.Txn{
+		If:   []wire.Condition{{Key: ledger.TokenKey, Version: version}},
+		Then: []wire.Change{{Put: ledger.TokenKey, Value: value}},
+	})
+	var conflict *kvstore.ConflictError
+	if errors.As(err, &conflict) {
+		return errors.Join(err, c.WaitForRevision(ctx, conflict.Revision))
+	}
+	if err != nil {
+		return fmt.Errorf("watchcache: acquire fencing token %d: %w", token, err)
+	}
+	// Until the records hold everything older than the token, a command under it could release or
+	// start what a predecessor has changed.
+	if err := c.WaitForRevision(ctx, revision); err != nil {
+		return err
+	}
+	c.Lock()
+	c.token = token
+	c.Unlock()
+	c.log.Info("fencing token acquired", "token", token)
+	return nil
+}
--- a/internal/testing/controllertest/parttest.go
+++ b/internal/testing/controllertest/parttest.go
@@ -296,13 +296,13 @@
 }
 
 // Join has the records read, and the machines held and heard, by parts of the first member.
-func (g *Fleet) Join(m *watchcache.Cache, others *membership.Membership, r *reconcile.Registry) {
+func (g *Fleet) Join(t testing.TB, m *watchcache.Cache, others *membership.Membership, r *reconcile.Registry) {
 	now := time.Now()
 	m.Read(func(l *ledger.Ledger) {
 		for _, e := range g.Records {
 			l.Apply(e)
 		}
-		m.SetForTest(1, now)
+		watchcache.SetStateForTest(t, m, 1, now)
 		l.AdvanceRevision(wire.Revision(len(g.Records)))
 		for _, report := range g.Reports {
 			r.Register(report, now).Reconcile(report, l.ClaimsOn(report.Machine), 1, now)
