--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -42,9 +42,8 @@
 		id, n := j.ID, j.Pending()
 		made := func() { c.log.Info("gang started", "job", id, "tasks", n, "machines", len(parts)) }
 		ch := &committer.Change{
-			Expires:   true,
+			Class:     committer.StartClass(g.Entry.Overdue),
 			ExpiresAt: now.Add(2 * time.Second),
-			Overdue:   g.Entry.Overdue,
 			Priority:  j.Spec.Priority,
 			OnCommit:  made,
 			Draft: func(d *ledger.Transaction) error {
--- a/internal/scheduler/deadlinetracker/promises.go
+++ b/internal/scheduler/deadlinetracker/promises.go
@@ -242,7 +242,12 @@
 			return // on its way
 		}
 		left--
-		ch := &committer.Change{Expires: true, ExpiresAt: now.Add(5 * time.Second), OnCommit: made, Draft: draft}
+		ch := &committer.Change{
+			Class:     committer.ClassStart,
+			ExpiresAt: now.Add(5 * time.Second),
+			OnCommit:  made,
+			Draft:     draft,
+		}
 		p.asked[n] = ch
 		p.Committer.Enqueue(ch)
 	}
@@ -350,13 +355,17 @@
 		*left--
 		id, name := j.ID, g.Name
 		p.Committer.Enqueue(
-			&committer.Change{Expires: true, ExpiresAt: now.Add(tieEvery), Draft: func(d *ledger.Transaction) error {
-				j, g := p.led().Job(id), p.led().Gallery(name)
-				if j == nil || g == nil {
-					return ledger.ErrPreconditionFailed
-				}
-				return d.AssignGallery(j, g)
-			}},
+			&committer.Change{
+				Class:     committer.ClassStart,
+				ExpiresAt: now.Add(tieEvery),
+				Draft: func(d *ledger.Transaction) error {
+					j, g := p.led().Job(id), p.led().Gallery(name)
+					if j == nil || g == nil {
+						return ledger.ErrPreconditionFailed
+					}
+					return d.AssignGallery(j, g)
+				},
+			},
 		)
 	})
 	if *left <= 0 {
--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -22,14 +22,18 @@
 	var out []*committer.Change
 	for _, j := range order {
 		list := byJob[j]
-		first := slices.ContainsFunc(list, func(e TaskExit) bool { return e.Recalled })
+		class := committer.ClassRecord
+		if slices.ContainsFunc(list, func(e TaskExit) bool { return e.Recalled }) {
+			class = committer.ClassUrgent
+		} else if j.BestEffort() {
+			class = committer.ClassBestEffortRecord
+		}
 		out = append(
 			out,
 			&committer.Change{
-				Urgent:     first,
-				BestEffort: j.BestEffort() && !first,
-				Priority:   j.Spec.Priority,
-				Draft:      func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) },
+				Class:    class,
+				Priority: j.Spec.Priority,
+				Draft:    func(d *ledger.Transaction) error { return draftExits(m.Records(), d, j.ID, list) },
 			},
 		)
 	}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -439,7 +439,7 @@
 		out = append(
 			out,
 			&committer.Change{
-				Expires:   true,
+				Class:     committer.ClassStart,
 				ExpiresAt: time.Now().Add(c.reportWait()),
 				Draft: func(d *ledger.Transaction) error {
 					if j := c.led().Job(id); j != nil {
@@ -458,7 +458,7 @@
 // whose machines change hands while one of them fetches would else begin anew each time.
 func (c *HeartbeatServer) takeOver(w *reconcile.Worker, h ledger.HeldClaim, until time.Time) *committer.Change {
 	id, attempt, site := h.Job.ID, h.Attempt, c.siteOf(w)
-	return &committer.Change{Expires: true, ExpiresAt: until, Draft: func(d *ledger.Transaction) error {
+	return &committer.Change{Class: committer.ClassStart, ExpiresAt: until, Draft: func(d *ledger.Transaction) error {
 		if j := c.led().Job(id); j != nil && c.holds(w, site) {
 			return d.TakeOver(j, attempt, site)
 		}
@@ -525,7 +525,7 @@
 	}
 	if len(spare) > 0 {
 		ch := c.startChange(w, spare, until)
-		ch.BestEffort = true
+		ch.Class = ch.Class.AsBestEffort()
 		out = append(out, ch)
 	}
 	return out
@@ -550,9 +550,8 @@
 		return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank())
 	})
 	return &committer.Change{
-		Expires:   true,
+		Class:     committer.StartClass(late),
 		ExpiresAt: until,
-		Overdue:   late,
 		Priority:  first.Job.Spec.Priority,
 		OnCommit:  made,
 		Draft: func(d *ledger.Transaction) error {
@@ -601,7 +600,7 @@
 					id := j.ID
 					c.Committer.Enqueue(
 						&committer.Change{
-							Expires:   true,
+							Class:     committer.ClassStart,
 							ExpiresAt: time.Now().Add(time.Second),
 							Draft: func(d *ledger.Transaction) error {
 								if j := c.led().Job(id); j != nil {
