--- /dev/null
+++ b/internal/state/kvstore/client_test.go
@@ -0,0 +1,219 @@
+package kvstore_test
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/transport"
+	"maddermill/internal/transport/http1"
+	"maddermill/wire"
+)
+
+// newClient returns a client of a service at an address, alone on limits that no test reaches.
+func newClient(t *testing.T, addr string) *kvstore.Client {
+	t.Helper()
+	dialer, err := transport.NewDialer(1 << 20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(dialer.Stop)
+	connections := func() *http1.Client {
+		return &http1.Client{Dialer: dialer, Addr: addr, MaxIdle: 2, MaxBody: 1 << 20}
+	}
+	return kvstore.NewClient(connections(), connections(), 1000, 1000, 1, 12)
+}
+
+// serve serves HTTP until the test ends and returns the address.
+func serve(t *testing.T, h http.Handler) string {
+	t.Helper()
+	s := httptest.NewServer(h)
+	t.Cleanup(s.Close)
+	return s.Listener.Addr().String()
+}
+
+// newService returns a client of a service that holds keys, each with itself as its value.
+func newService(t *testing.T, keys ...string) *kvstore.Client {
+	t.Helper()
+	c := newClient(t, serve(t, emulator.StateHandler(emulator.NewLink(emulator.NewStore(12, 4096), 1))))
+	for _, key := range keys {
+		if _, err := c.Commit(t.Context(), create(key)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return c
+}
+
+// create is a transaction that creates a key with itself as its value.
+func create(key string) wire.Txn {
+	return wire.Txn{
+		If:   []wire.Condition{{Key: key}},
+		Then: []wire.Change{{Put: key, Value: []byte(`"` + key + `"`)}},
+	}
+}
+
+// TestRead: Get and Each read what was committed.
+func TestRead(t *testing.T) {
+	c := newService(t, "a/1", "a/2", "a/3", "b/1")
+	item, err := c.Get(t.Context(), "a/2")
+	if err != nil || string(item.Value) != `"a/2"` {
+		t.Errorf("get a/2: %s, error %v", item.Value, err)
+	}
+	var keys []string
+	err = kvstore.Each(t.Context(), c, "a/", 2, func(item wire.Item) error {
+		keys = append(keys, item.Key)
+		return nil
+	})
+	if want := []string{"a/1", "a/2", "a/3"}; err != nil || !slices.Equal(keys, want) {
+		t.Errorf("keys %v, error %v; want %v", keys, err, want)
+	}
+}
+
+// TestConflict: a transaction whose conditions do not hold names the keys, and is not executed.
+func TestConflict(t *testing.T) {
+	c := newService(t, "a/1")
+	before, err := c.Revision(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = c.Commit(t.Context(), create("a/1"))
+	var conflict *kvstore.ConflictError
+	if !errors.As(err, &conflict) || !slices.Equal(conflict.Failed, []string{"a/1"}) {
+		t.Errorf("created a/1 again: error %v, want a conflict on it", err)
+	}
+	if after, err := c.Revision(t.Context()); err != nil || after != before {
+		t.Errorf("revision %d, error %v; want %d", after, err, before)
+	}
+}
+
+// TestWatch: a watch returns the changes after a revision.
+func TestWatch(t *testing.T) {
+	c := newService(t, "a/1", "b/1")
+	before, err := c.Revision(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "b/1"}}}); err != nil {
+		t.Fatal(err)
+	}
+	events, err := c.Watch(t.Context(), "b/", before, time.Second)
+	if err != nil || len(events.Events) != 1 || events.Events[0].Delete != "b/1" || events.Revision <= before {
+		t.Errorf("watch after revision %d: %+v, error %v; want the deletion of b/1", before, events, err)
+	}
+}
+
+// TestLease: a lease that was granted can be renewed, another can't.
+func TestLease(t *testing.T) {
+	c := newService(t)
+	lease, err := c.GrantLease(t.Context(), time.Minute)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := c.RenewLease(t.Context(), lease); err != nil {
+		t.Error(err)
+	}
+	if err := c.RenewLease(t.Context(), lease+1); !errors.Is(err, kvstore.ErrLeaseNotFound) {
+		t.Errorf("renewed a lease that never was: error %v, want %v", err, kvstore.ErrLeaseNotFound)
+	}
+}
+
+// operations are the client's, with what the messages of their errors say.
+var operations = map[string]struct {
+	run    func(ctx context.Context, c *kvstore.Client) error
+	prefix string
+}{
+	"get": {func(ctx context.Context, c *kvstore.Client) error {
+		_, err := c.Get(ctx, "a/1")
+		return err
+	}, "state: get a/1: "},
+	"list": {func(ctx context.Context, c *kvstore.Client) error {
+		_, err := c.List(ctx, "a/", "a/1", 10)
+		return err
+	}, `state: list a/ after "a/1": `},
+	"revision": {func(ctx context.Context, c *kvstore.Client) error {
+		_, err := c.Revision(ctx)
+		return err
+	}, "state: read revision: "},
+	"commit": {func(ctx context.Context, c *kvstore.Client) error {
+		_, err := c.Commit(ctx, wire.Txn{Then: []wire.Change{{Delete: "a/1"}}})
+		return err
+	}, "state: commit of 1 changes: "},
+	"watch": {func(ctx context.Context, c *kvstore.Client) error {
+		_, err := c.Watch(ctx, "a/", 7, time.Second)
+		return err
+	}, "state: watch a/ after revision 7: "},
+	"grant": {func(ctx context.Context, c *kvstore.Client) error {
+		_, err := c.GrantLease(ctx, time.Minute)
+		return err
+	}, "state: grant lease of 1m0s: "},
+	"renew": {func(ctx context.Context, c *kvstore.Client) error {
+		return c.RenewLease(ctx, 5)
+	}, "state: renew lease 5: "},
+}
+
+// TestErrors: an answer of any status becomes the error that says whether the request was executed, and
+// the message names the operation and its object.
+func TestErrors(t *testing.T) {
+	for _, tc := range []struct {
+		name, operation string
+		status          int
+		body            string
+		want            error
+	}{
+		{"over the limits", "commit", 429, `{}`, kvstore.ErrRefused},
+		{"over the limits", "watch", 429, `{}`, kvstore.ErrRefused},
+		{"unavailable", "get", 503, `{}`, kvstore.ErrRefused},
+		{"unavailable", "list", 503, `{}`, kvstore.ErrRefused},
+		{"unavailable", "revision", 503, `{}`, kvstore.ErrRefused},
+		{"unavailable", "grant", 503, `{}`, kvstore.ErrRefused},
+		{"no JSON", "get", 200, `{`, kvstore.ErrUnknown},
+		{"no JSON", "commit", 409, `{`, kvstore.ErrUnknown},
+		{"no JSON", "grant", 200, `{`, kvstore.ErrUnknown},
+		{"no such key", "get", 404, `{}`, kvstore.ErrNotFound},
+		{"compacted", "watch", 410, `{}`, kvstore.ErrRevisionCompacted},
+		{"no such lease", "renew", 404, `{}`, kvstore.ErrLeaseNotFound},
+		{"no such lease", "commit", 400, `{"error":"no such lease"}`, kvstore.ErrLeaseNotFound},
+		{"malformed", "commit", 400, `{"error":"malformed"}`, kvstore.ErrInvalid},
+		{"malformed", "commit", 400, `malformed`, kvstore.ErrInvalid},
+		{"malformed", "list", 400, `{}`, kvstore.ErrInvalid},
+		{"malformed", "renew", 400, `{}`, kvstore.ErrInvalid},
+	} {
+		t.Run(tc.operation+"/"+tc.name, func(t *testing.T) {
+			c := newClient(t, serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(tc.status)
+				_, _ = w.Write([]byte(tc.body))
+			})))
+			op := operations[tc.operation]
+			err := op.run(t.Context(), c)
+			if !errors.Is(err, tc.want) {
+				t.Fatalf("error %v, want %v", err, tc.want)
+			}
+			if !strings.HasPrefix(err.Error(), op.prefix) {
+				t.Errorf("message %q, want one that begins with %q", err, op.prefix)
+			}
+		})
+	}
+}
+
+// TestNoService: a request that could not be sent was not executed.
+func TestNoService(t *testing.T) {
+	gone := httptest.NewServer(http.NotFoundHandler())
+	addr := gone.Listener.Addr().String()
+	gone.Close()
+	c := newClient(t, addr)
+	for name, op := range operations {
+		t.Run(name, func(t *testing.T) {
+			err := op.run(t.Context(), c)
+			if !errors.Is(err, kvstore.ErrRefused) || !strings.HasPrefix(err.Error(), op.prefix) {
+				t.Errorf("error %v, want %v that begins with %q", err, kvstore.ErrRefused, op.prefix)
+			}
+		})
+	}
+}
