--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -3,6 +3,7 @@
 import (
 	"io"
 	"log/slog"
+	"maddermill/internal/membership"
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
@@ -35,7 +36,7 @@
 		c := quietCore(t, 0)
 		now := time.Now()
 		watchcache.SetStateForTest(t, c.cache, 1, now)
-		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
+		membership.SetLastRanForTest(t, c.membership, now.Add(-50*time.Second))
 		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
 		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 503 {
 			t.Errorf("%d for a report from before", a.Status)
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -16,6 +16,7 @@
 	"testing/synctest"
 	"time"
 
+	"maddermill/internal/membership"
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/scheduler/topology"
 	"maddermill/internal/server"
@@ -345,7 +346,7 @@
 	ran := time.Now()
 	wait.For(ctx, d)
 	if c := h.core(i); c != nil {
-		c.membership.SetRunningForTest(ran)
+		membership.SetLastRanForTest(h.t, c.membership, ran)
 	}
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -11,6 +11,7 @@
 
 	"maddermill/internal/leader/autoscale"
 	"maddermill/internal/leader/cloud"
+	"maddermill/internal/membership"
 	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/committer"
@@ -59,9 +60,9 @@
 	} {
 		c := quiet(t)
 		watchcache.SetStateForTest(t, c.Cache, 0, now)
-		c.Membership.SetRunningForTest(now.Add(-tc.ran))
+		membership.SetLastRanForTest(t, c.Membership, now.Add(-tc.ran))
 		if tc.since > 0 {
-			c.Membership.SetRunningForTest(now.Add(-tc.since - time.Minute))
+			membership.SetLastRanForTest(t, c.Membership, now.Add(-tc.since-time.Minute))
 			for at := now.Add(-tc.since); at.Before(now); at = at.Add(time.Second) {
 				c.Membership.RunningSince(at)
 			}
--- /dev/null
+++ b/internal/membership/publish_test.go
@@ -0,0 +1,122 @@
+package membership
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/metrics"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// records are records under a lock.
+type records struct {
+	mu     sync.Mutex
+	ledger *ledger.Ledger
+}
+
+func (r *records) Read(f func(*ledger.Ledger)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	f(r.ledger)
+}
+
+// newMembership returns a membership of m-0 with m-1 as its only peer.
+func newMembership(t *testing.T) *Membership {
+	t.Helper()
+	opt := Options{Self: "m-0", Others: []wire.MemberID{"m-1"}, Count: 2, ValueBytes: 2048}
+	return New(opt, metrics.New(), slog.New(slog.DiscardHandler))
+}
+
+// TestPublishedLate: a published status that is written late, after newer ones of the same run of its
+// controller, is passed over: machines in it would seem to have sent heartbeats just now.
+func TestPublishedLate(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := newMembership(t)
+		r := &records{ledger: ledger.New(ledger.Limits{})}
+		ctx, cancel := context.WithCancel(t.Context())
+		go func() { _ = m.ReadPublished(ctx, r) }()
+		version := wire.Revision(0)
+		publish := func(boot int64, revision wire.Revision) wire.Revision {
+			t.Helper()
+			version++
+			value, err := json.Marshal(peer.Status{
+				Version:  peer.Version,
+				Member:   "m-1",
+				Boot:     boot,
+				Revision: revision,
+				Loaded:   true,
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			r.Read(func(l *ledger.Ledger) {
+				l.Apply(ledger.Event{Key: ledger.MemberKey("m-1"), Value: value, Version: version})
+			})
+			time.Sleep(10 * time.Second)
+			return m.Peer("m-1").Status.Revision
+		}
+		for _, tc := range []struct {
+			boot           int64
+			revision, want wire.Revision
+		}{{1, 10, 10}, {1, 7, 10}, {1, 12, 12}, {2, 11, 11}} {
+			if got := publish(tc.boot, tc.revision); got != tc.want {
+				t.Errorf("run %d published revision %d: merged %d, want %d", tc.boot, tc.revision, got, tc.want)
+			}
+		}
+		if _, ok := m.CancellationsConfirmedUntil(100, time.Now()); ok {
+			t.Error("a published status confirms cancellations")
+		}
+		cancel()
+		synctest.Wait()
+	})
+}
+
+// TestEncodeStatus: a status too long for a stored value loses its images, and then machines.
+func TestEncodeStatus(t *testing.T) {
+	const machines = 20
+	for _, tc := range []struct {
+		name     string
+		maxBytes int
+		images   bool
+		whole    bool
+	}{
+		{"fits", 1 << 20, true, true},
+		{"without images", 2048, false, true},
+		{"without some machines", 512, false, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := peer.Status{Version: peer.Version, Member: "m-1"}
+			for range machines {
+				s.Machines = append(s.Machines, peer.Machine{
+					ID:     "host-1",
+					Zone:   "a",
+					Images: []wire.Image{"image-of-some-length-1", "image-of-some-length-2"},
+				})
+			}
+			value, err := encodeStatus(s, tc.maxBytes)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(value) > tc.maxBytes {
+				t.Errorf("%d bytes, want at most %d", len(value), tc.maxBytes)
+			}
+			var got peer.Status
+			if err := json.Unmarshal(value, &got); err != nil {
+				t.Fatal(err)
+			}
+			if whole := len(got.Machines) == machines; whole != tc.whole || len(got.Machines) == 0 {
+				t.Fatalf("%d machines of %d, want all: %v", len(got.Machines), machines, tc.whole)
+			}
+			if images := len(got.Machines[0].Images) > 0; images != tc.images {
+				t.Errorf("images %v, want %v", images, tc.images)
+			}
+		})
+	}
+}
