--- /dev/null
+++ b/internal/membership/peer/frame_test.go
@@ -0,0 +1,139 @@
+package peer
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"maddermill/wire"
+)
+
+// frame returns a status as a frame.
+func frame(tb testing.TB, s Status) []byte {
+	tb.Helper()
+	b, err := cbor.Marshal(s)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...)
+}
+
+// read reads a frame.
+func read(frame []byte) (*Status, error) { return readFrame(bufio.NewReader(bytes.NewReader(frame))) }
+
+var example = Status{Version: Version, Member: "m-1", Boot: 5, Revision: 7, Cancelled: 6, ContactMS: 12, Loaded: true,
+	Machines: []Machine{{ID: "host-1", Type: "g", Zone: "a", Session: 2, Token: 9, AgeMS: 100, Usable: true}},
+	Classes:  []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}}}
+
+// TestFrames: what is written is read again, of all versions spoken.
+func TestFrames(t *testing.T) {
+	var written bytes.Buffer
+	if err := writeFrame(&written, &example); err != nil {
+		t.Fatal(err)
+	}
+	if want := frame(t, example); !bytes.Equal(written.Bytes(), want) {
+		t.Errorf("wrote %x, want %x", written.Bytes(), want)
+	}
+	got, err := read(written.Bytes())
+	if err != nil || !reflect.DeepEqual(*got, example) {
+		t.Errorf("read %+v, error %v; want %+v", got, err, example)
+	}
+	older := example
+	older.Version = Oldest
+	if _, err := read(frame(t, older)); err != nil {
+		t.Errorf("a frame of the oldest version: %v", err)
+	}
+}
+
+// TestFramesRefused: frames that are too long or of another version are not taken.
+func TestFramesRefused(t *testing.T) {
+	newer, earlier := example, example
+	newer.Version, earlier.Version = Version+1, Oldest-1
+	for _, tc := range []struct {
+		name  string
+		frame []byte
+		want  error
+	}{
+		{"a newer version", frame(t, newer), errVersion},
+		{"an earlier version", frame(t, earlier), errVersion},
+		{"too long", []byte{0xff, 0xff, 0xff, 0xff, 1}, errFrameTooLong},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if _, err := read(tc.frame); !errors.Is(err, tc.want) {
+				t.Errorf("error %v, want %v", err, tc.want)
+			}
+		})
+	}
+}
+
+// TestAgreedVersion: an asker is answered in the newest version that both speak; one from before versions
+// were negotiated is answered in its own.
+func TestAgreedVersion(t *testing.T) {
+	for _, tc := range []struct {
+		name                string
+		version, maxVersion int
+		want                int
+	}{
+		{"from before", 1, 0, 1},
+		{"of this version", Oldest, Version, Version},
+		{"of a later version", Oldest, Version + 3, Version},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			ask, err := read(frame(t, Status{Version: tc.version, MaxVersion: tc.maxVersion, Member: "m-1"}))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := agreedVersion(ask); got != tc.want {
+				t.Errorf("asked in %d, up to %d: answered in %d, want %d", tc.version, tc.maxVersion, got, tc.want)
+			}
+		})
+	}
+}
+
+// TestLargeFleetFits: the status of ten thousand machines, each with as many images as a cache holds, is
+// taken. Frames were refused from about three thousand machines a controller on, and peers then took
+// each other for silent.
+func TestLargeFleetFits(t *testing.T) {
+	s := example
+	s.Machines = nil
+	for i := range 10_000 {
+		m := Machine{
+			ID:      wire.MachineID(fmt.Sprintf("host-%06d", i)),
+			Type:    "darkgreen48",
+			Zone:    "southern",
+			Session: 1000,
+			Token:   100_000,
+			AgeMS:   5000,
+			Usable:  true,
+		}
+		for k := range 10 {
+			m.Images = append(m.Images, wire.Image(fmt.Sprintf("image-%06d", i*10+k)))
+		}
+		s.Machines = append(s.Machines, m)
+	}
+	got, err := read(frame(t, s))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(got.Machines) != len(s.Machines) {
+		t.Errorf("%d machines, want %d", len(got.Machines), len(s.Machines))
+	}
+}
+
+// FuzzFrame: no bytes from a peer do harm.
+func FuzzFrame(f *testing.F) {
+	f.Add(frame(f, example))
+	f.Add([]byte{0, 0, 0, 1, 0xa0})
+	f.Fuzz(func(t *testing.T, in []byte) {
+		s, err := read(in)
+		if err == nil && (s.Version < Oldest || s.Version > Version) {
+			t.Errorf("version %d is taken", s.Version)
+		}
+	})
+}
