--- a/internal/membership/completion/exchange.go
+++ b/internal/membership/completion/exchange.go
@@ -8,66 +8,67 @@
 	"maddermill/wire"
 )
 
-// mostTold is how many completions a peer is told of at once.
-const mostTold = 500
+// maxShared is how many completions one answer has.
+const maxShared = 500
 
-// askFor is how long after its start a controller that has not heard all peers' logs takes it that
-// a task ended in a way that nobody knows. Peers are asked every second.
-const askFor = 2500 * time.Millisecond
+// exchangeTimeout is how long after its start a controller that has not read all peers' logs takes a task
+// without a known completion to have ended without one. Peers are asked every second.
+const exchangeTimeout = 2500 * time.Millisecond
 
-// Exchange is what a controller and its peers tell each other of their logs: each entry once a
-// peer, since who asks says what it was told last.
+// Exchange shares the entries of a log with the peers, and adds theirs. Each entry is shared once with
+// each run of a peer, since the asker names the last one that it was told.
 type Exchange struct {
 	log   *Log
-	boot  time.Time // of this run
+	boot  time.Time // when this run began
 	peers []wire.MemberID
-	told  map[wire.MemberID]cursor
+	read  map[wire.MemberID]cursor // how far each peer's log was read
 }
 
 // cursor is how far a peer's log was read.
 type cursor struct {
-	boot   int64 // of the peer's run
-	number uint64
-	whole  bool // the peer had no more to tell then
+	boot     int64  // of the peer's run
+	number   uint64 // of the last entry read
+	complete bool   // the peer had no further entries then
 }
 
-// NewExchange returns an exchange of a log with peers, for a run that began at a boot time.
+// NewExchange returns an exchange of a log with peers, for a run that began at boot.
 func NewExchange(log *Log, boot time.Time, peers []wire.MemberID) *Exchange {
-	return &Exchange{log: log, boot: boot, peers: peers, told: map[wire.MemberID]cursor{}}
+	return &Exchange{log: log, boot: boot, peers: peers, read: map[wire.MemberID]cursor{}}
 }
 
-// Complete reports whether the log holds what the peers kept when this controller started, or they
-// had time to tell.
+// Complete reports whether the log holds what the peers kept when this controller started, or they had
+// time enough to share it.
 func (x *Exchange) Complete(now time.Time) bool {
-	return now.Sub(x.boot) > askFor ||
-		!slices.ContainsFunc(x.peers, func(id wire.MemberID) bool { return !x.told[id].whole })
+	return now.Sub(x.boot) > exchangeTimeout ||
+		!slices.ContainsFunc(x.peers, func(id wire.MemberID) bool { return !x.read[id].complete })
 }
 
-// Request puts into what is said to a peer how far its log was read.
+// Request sets in a question to a peer how far its log was read.
 func (x *Exchange) Request(to wire.MemberID, ask *peer.Status) {
-	at := x.told[to]
+	at := x.read[to]
 	ask.CompletedBoot, ask.CompletedTo = at.boot, at.number
 }
 
-// Answer puts into the answer to a peer what it wasn't told yet.
+// Answer sets in the answer to a peer's question the entries that the peer has not read yet.
 func (x *Exchange) Answer(ask peer.Status, answer *peer.Status, now time.Time) {
 	number := uint64(0)
 	if ask.CompletedBoot == x.boot.UnixMilli() {
 		number = ask.CompletedTo
 	}
 	answer.CompletedBoot = x.boot.UnixMilli()
-	answer.Completed, answer.CompletedTo = x.log.Since(number, mostTold, now)
+	answer.Completed, answer.CompletedTo = x.log.Since(number, maxShared, now)
 }
 
-// Merge keeps what a peer told of, as far as it may still be lacking in the records; apart as in Note.
-func (x *Exchange) Merge(s *peer.Status, lacking func(peer.Completion) bool, apart bool, now time.Time) {
+// Merge adds the completions in a peer's answer that the records may lack, which lacking reports, to the
+// log; unsynced as in Log.Add.
+func (x *Exchange) Merge(s *peer.Status, lacking func(peer.Completion) bool, unsynced bool, now time.Time) {
 	if s.CompletedBoot == 0 {
 		return // an earlier version, or a published status
 	}
-	x.told[s.Member] = cursor{s.CompletedBoot, s.CompletedTo, len(s.Completed) < mostTold}
+	x.read[s.Member] = cursor{s.CompletedBoot, s.CompletedTo, len(s.Completed) < maxShared}
 	for _, c := range s.Completed {
 		if lacking(c) {
-			x.log.Add(c, apart, now)
+			x.log.Add(c, unsynced, now)
 		}
 	}
 }
--- a/internal/membership/completion/log.go
+++ b/internal/membership/completion/log.go
@@ -1,12 +1,27 @@
-// Package completion keeps the completions of tasks that workers reported and that the records do
-// not hold yet. A worker whose lease ends forgets its tasks, so what it reported before, in an
-// outage of the state service or to a controller that ended since, is known to controllers only.
-// Each tells its peers what it keeps (docs/meetings.md, "Completions outlive the session").
+// Package completion keeps the completions of tasks that workers reported and that the records do not
+// hold yet. A worker whose lease ends forgets its tasks, so what it reported before, in an outage of the
+// state service or to a controller that ended since, is known to controllers only. Each shares what it
+// keeps with its peers (docs/meetings.md, "Completions outlive the session").
 //
-// A Log has no lock: it is used under the mirror's.
+// # Types
+//
+// A [Log] is the completions that one controller knows of, in a bounded amount of memory. An [Exchange]
+// shares them with the peers, each entry once with each run of a peer.
+//
+// # Locking and goroutines
+//
+// Neither type has a lock: both are used under the lock of the records (watchcache.Cache.Lock). The
+// package starts no goroutines.
+//
+// # Invariants
+//
+//   - A completion proves how the task of that attempt on that machine in that session ended, and nothing
+//     else.
+//   - A completion is kept until records that are newer than it lack its claim, or there is no room.
 package completion
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -15,63 +30,65 @@
 	"maddermill/wire"
 )
 
-// tellAfter is how old a completion must be to be told to peers. Nearly all are on record sooner,
+// shareAfter is how old a completion must be to be shared with peers. Nearly all are on record sooner,
 // and a controller that ends before has a worker that reports them once more.
-const tellAfter = 1500 * time.Millisecond
+const shareAfter = 1500 * time.Millisecond
 
-// entryBytes is about what an entry takes of memory, by which the bound of a Log is chosen.
-const entryBytes = 400
+// Sizes of a Log.
+const (
+	entryBytes  = 400 // about what an entry takes of memory
+	minCapacity = 256 // entries
+)
 
-// Capacity is how many completions may be kept in a number of bytes of memory.
-func Capacity(bytes int) int { return max(256, bytes/entryBytes) }
+// Capacity returns how many completions a Log may keep in a number of bytes of memory.
+func Capacity(bytes int) int { return max(minCapacity, bytes/entryBytes) }
 
-// entry is a completion in the order in which it came.
+// entry is a completion in the order in which they were added.
 type entry struct {
 	peer.Completion
-	number uint64
-	noted  time.Time
-	apart  bool // noted while out of touch with the state service
+	number   uint64
+	addedAt  time.Time
+	unsynced bool // added while this controller was out of touch with the state service
 }
 
-// Log is the completions that one controller knows of.
+// Log is the completions that one controller knows of and that the records may lack.
 type Log struct {
-	most  int
-	last  uint64 // number of the entry noted last
-	known map[peer.Completion]struct{}
-	order []entry // by number
-	lost  int     // entries that there was no room for
+	capacity int
+	last     uint64 // number of the entry added last; the first one's is 1
+	known    map[peer.Completion]struct{}
+	entries  []entry // by number
+	lost     int     // entries that were dropped for want of room
 }
 
-// New returns an empty log that holds at most so many completions.
-func New(most int) *Log {
-	return &Log{most: most, known: map[peer.Completion]struct{}{}}
+// New returns an empty log that keeps at most capacity completions.
+func New(capacity int) *Log {
+	return &Log{capacity: capacity, known: map[peer.Completion]struct{}{}}
 }
 
-// Len is how many completions are kept.
-func (l *Log) Len() int { return len(l.order) }
+// Len returns how many completions are kept.
+func (l *Log) Len() int { return len(l.entries) }
 
-// Lost counts the completions that were dropped since there was no room for them.
+// Lost returns how many completions were dropped because there was no room for them.
 func (l *Log) Lost() int { return l.lost }
 
-// Add keeps a completion; apart: while this controller is out of touch with the state service.
-// Where the log is full the oldest one goes.
-func (l *Log) Add(c peer.Completion, apart bool, now time.Time) {
+// Add adds a completion unless it is known. unsynced says that this controller is out of touch with the
+// state service. A full log drops its oldest entry.
+func (l *Log) Add(c peer.Completion, unsynced bool, now time.Time) {
 	if _, ok := l.known[c]; ok {
 		return
 	}
-	if len(l.order) >= l.most {
-		delete(l.known, l.order[0].Completion)
-		l.order = l.order[1:]
+	if len(l.entries) >= l.capacity {
+		delete(l.known, l.entries[0].Completion)
+		l.entries = l.entries[1:]
 		l.lost++
 	}
 	l.last++
 	l.known[c] = struct{}{}
-	l.order = append(l.order, entry{c, l.last, now, apart})
+	l.entries = append(l.entries, entry{c, l.last, now, unsynced})
 }
 
-// Cause is how a claim's task ended that no worker can show any more: done if that was reported,
-// else nothing is known. A completion proves nothing of another attempt, machine or session. A nil
-// log knows of none.
+// Cause returns how the task of a claim ended that no worker can report any more: wire.CauseDone if its
+// completion is known, else "". A nil log knows of none.
 func (l *Log) Cause(h *ledger.HeldClaim, task wire.TaskIndex) wire.Cause {
 	if l == nil || len(l.known) == 0 {
 		return ""
@@ -83,21 +100,15 @@
 	return wire.CauseDone
 }
 
-// Since returns the completions after a number, at most so many, that are old enough to be told,
-// and the number of the last of them.
-func (l *Log) Since(number uint64, most int, now time.Time) ([]peer.Completion, uint64) {
-	begin, _ := slices.BinarySearchFunc(l.order, number+1, func(e entry, n uint64) int {
-		switch {
-		case e.number < n:
-			return -1
-		case e.number > n:
-			return 1
-		}
-		return 0
+// Since returns at most limit completions after a number that are old enough to be shared, and the number
+// of the last of them.
+func (l *Log) Since(number uint64, limit int, now time.Time) ([]peer.Completion, uint64) {
+	begin, _ := slices.BinarySearchFunc(l.entries, number+1, func(e entry, n uint64) int {
+		return cmp.Compare(e.number, n)
 	})
 	var out []peer.Completion
-	for _, e := range l.order[begin:] {
-		if len(out) == most || now.Sub(e.noted) < tellAfter {
+	for _, e := range l.entries[begin:] {
+		if len(out) == limit || now.Sub(e.addedAt) < shareAfter {
 			break
 		}
 		out, number = append(out, e.Completion), e.number
@@ -105,20 +116,21 @@
 	return out, number
 }
 
-// EachUnrecorded gives f the completions that were noted while out of touch, in their order.
+// EachUnrecorded calls f for the completions that were added while this controller was out of touch with
+// the state service, in their order.
 func (l *Log) EachUnrecorded(f func(peer.Completion)) {
-	for _, e := range l.order {
-		if e.apart {
+	for _, e := range l.entries {
+		if e.unsynced {
 			f(e.Completion)
 		}
 	}
 }
 
-// Prune drops what is on record, given records that hold all that was committed before contact: a
-// completion whose claim they lack.
-func (l *Log) Prune(records *ledger.Ledger, contact time.Time) {
-	l.order = slices.DeleteFunc(l.order, func(e entry) bool {
-		if !e.noted.Before(contact) || Claimed(records, e.Completion) {
+// Prune drops the completions that are on record: those added before syncedAt whose claim the records
+// lack. The records must hold all that was committed before syncedAt.
+func (l *Log) Prune(records *ledger.Ledger, syncedAt time.Time) {
+	l.entries = slices.DeleteFunc(l.entries, func(e entry) bool {
+		if !e.addedAt.Before(syncedAt) || Claimed(records, e.Completion) {
 			return false
 		}
 		delete(l.known, e.Completion)
@@ -126,13 +138,13 @@
 	})
 }
 
-// Claimed reports whether the records hold the claim that a completion is of.
+// Claimed reports whether the records hold the claim of a completion.
 func Claimed(records *ledger.Ledger, c peer.Completion) bool {
 	_, ok := ClaimOf(records, c)
 	return ok
 }
 
-// ClaimOf is the claim that a completion is of, if the records hold it.
+// ClaimOf returns the claim of a completion; false: the records do not hold it.
 func ClaimOf(records *ledger.Ledger, c peer.Completion) (ledger.HeldClaim, bool) {
 	for _, h := range records.ClaimsOn(c.Machine) {
 		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Session == c.Session && h.Covers(c.Task) {
--- a/internal/membership/completion/log_test.go
+++ b/internal/membership/completion/log_test.go
@@ -1,7 +1,6 @@
 package completion
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -10,11 +9,13 @@
 	"maddermill/wire"
 )
 
+// at returns a time so many seconds into a test.
 func at(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 
-func done(job string, task int, attempt wire.Attempt) peer.Completion {
+// done returns the completion of a task of job wk-000001 on host-1 in session 3.
+func done(task int, attempt wire.Attempt) peer.Completion {
 	return peer.Completion{
-		Job:     wire.JobID(job),
+		Job:     "wk-000001",
 		Task:    wire.TaskIndex(task),
 		Attempt: attempt,
 		Machine: "host-1",
@@ -26,26 +27,30 @@
 // attempt, task, machine or session.
 func TestCompletionOfAnotherAttempt(t *testing.T) {
 	l := New(4)
-	l.Add(done("wk-000001", 2, 5), false, at(0))
+	l.Add(done(2, 5), false, at(0))
 	claim := ledger.Claim{First: 0, Count: 4, Attempt: 5, Machine: "host-1", Session: 3, Token: 9}
 	for _, tc := range []struct {
+		name   string
 		change func(h *ledger.HeldClaim)
 		task   wire.TaskIndex
 		want   wire.Cause
 	}{
-		{func(*ledger.HeldClaim) {}, 2, wire.CauseDone},
-		{func(h *ledger.HeldClaim) { h.Token = 8 }, 2, wire.CauseDone}, // who held the machine does not matter
-		{func(*ledger.HeldClaim) {}, 1, ""},
-		{func(h *ledger.HeldClaim) { h.Attempt = 6 }, 2, ""},
-		{func(h *ledger.HeldClaim) { h.Session = 4 }, 2, ""},
-		{func(h *ledger.HeldClaim) { h.Machine = "host-2" }, 2, ""},
-		{func(h *ledger.HeldClaim) { h.Job = &ledger.Job{ID: "wk-000002"} }, 2, ""},
+		{"the same", func(*ledger.HeldClaim) {}, 2, wire.CauseDone},
+		// Who held the machine does not matter.
+		{"another token", func(h *ledger.HeldClaim) { h.Token = 8 }, 2, wire.CauseDone},
+		{"another task", func(*ledger.HeldClaim) {}, 1, ""},
+		{"another attempt", func(h *ledger.HeldClaim) { h.Attempt = 6 }, 2, ""},
+		{"another session", func(h *ledger.HeldClaim) { h.Session = 4 }, 2, ""},
+		{"another machine", func(h *ledger.HeldClaim) { h.Machine = "host-2" }, 2, ""},
+		{"another job", func(h *ledger.HeldClaim) { h.Job = &ledger.Job{ID: "wk-000002"} }, 2, ""},
 	} {
-		h := ledger.HeldClaim{Job: &ledger.Job{ID: "wk-000001"}, Claim: claim}
-		tc.change(&h)
-		if got := l.Cause(&h, tc.task); got != tc.want {
-			t.Errorf("task %d of %+v: %q, want %q", tc.task, h.Claim, got, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			h := ledger.HeldClaim{Job: &ledger.Job{ID: "wk-000001"}, Claim: claim}
+			tc.change(&h)
+			if got := l.Cause(&h, tc.task); got != tc.want {
+				t.Errorf("cause of task %d of %+v: %q, want %q", tc.task, h.Claim, got, tc.want)
+			}
+		})
 	}
 	if (*Log)(nil).Cause(&ledger.HeldClaim{Job: &ledger.Job{}}, 0) != "" {
 		t.Error("a nil log knows of a completion")
@@ -56,76 +61,110 @@
 func TestLogIsBounded(t *testing.T) {
 	l := New(3)
 	for i := range 5 {
-		l.Add(done("wk-000001", i, 1), false, at(float64(i)))
-		l.Add(done("wk-000001", i, 1), false, at(float64(i))) // once more
+		l.Add(done(i, 1), false, at(float64(i)))
+		l.Add(done(i, 1), false, at(float64(i))) // once more
+	}
+	if l.Len() != 3 || l.Lost() != 2 {
+		t.Errorf("%d kept, %d lost; want 3 and 2", l.Len(), l.Lost())
 	}
-	told, number := l.Since(0, 10, at(60))
-	if l.Len() != 3 || l.Lost() != 2 || number != 5 || len(told) != 3 || told[0].Task != 2 {
-		t.Errorf("%d kept, %d lost, told %v up to %d", l.Len(), l.Lost(), told, number)
+	shared, number := l.Since(0, 10, at(60))
+	if number != 5 || len(shared) != 3 || shared[0].Task != 2 {
+		t.Errorf("shared %v up to number %d, want tasks 2 to 4 up to number 5", shared, number)
 	}
 }
 
-// TestExchange: each completion is told once to each run of a peer, none before it is old enough,
-// and all of them again to and by a new run.
+// run is one run of a controller: its log and the exchange of that with its only peer.
+type run struct {
+	id       wire.MemberID
+	log      *Log
+	exchange *Exchange
+}
+
+func newRun(id, other wire.MemberID, boot time.Time) *run {
+	l := New(2000)
+	return &run{id, l, NewExchange(l, boot, []wire.MemberID{other})}
+}
+
+// ask has a run ask another and merge all of the answer, and returns how many completions it had.
+func (r *run) ask(from *run, now time.Time) int {
+	ask, answer := peer.Status{Member: r.id}, peer.Status{Member: from.id}
+	r.exchange.Request(from.id, &ask)
+	from.exchange.Answer(ask, &answer, now)
+	r.exchange.Merge(&answer, everything, false, now)
+	return len(answer.Completed)
+}
+
+func everything(peer.Completion) bool { return true }
+
+// TestExchange: each completion is shared once with each run of a peer, none before it is old enough,
+// and all of them again with and by a new run.
 func TestExchange(t *testing.T) {
-	everything := func(peer.Completion) bool { return true }
-	side := func(boot float64, peer wire.MemberID) (*Log, *Exchange) {
-		l := New(2000)
-		return l, NewExchange(l, at(boot), []wire.MemberID{peer})
-	}
-	a, askedA := side(0, "b")
-	b, askedB := side(0, "a")
-	for i := range mostTold + 20 {
-		a.Add(done("wk-000001", i, 1), false, at(10))
+	a, b := newRun("a", "b", at(0)), newRun("b", "a", at(0))
+	for i := range maxShared + 20 {
+		a.log.Add(done(i, 1), false, at(10))
 	}
-	round := func(s float64) int {
-		ask := peer.Status{Member: "b"}
-		askedB.Request("a", &ask)
-		answer := peer.Status{Member: "a"}
-		askedA.Answer(ask, &answer, at(s))
-		askedB.Merge(&answer, everything, false, at(s))
-		return len(answer.Completed)
-	}
-	for k, want := range []int{0, mostTold, 20, 0} {
-		if got := round([]float64{10.5, 12, 13, 14}[k]); got != want {
-			t.Errorf("round %d told %d completions, want %d", k, got, want)
+	for _, tc := range []struct {
+		at       float64
+		shared   int
+		complete bool
+	}{
+		{10.5, 0, true}, // none is old enough
+		{12, maxShared, false},
+		{13, 20, true},
+		{14, 0, true},
+	} {
+		if got := b.ask(a, at(tc.at)); got != tc.shared {
+			t.Errorf("at %v s: %d completions shared, want %d", tc.at, got, tc.shared)
 		}
-		if complete := askedB.Complete(at(0.1)); complete != (k != 1) {
-			t.Errorf("after round %d the log is complete: %v", k, complete)
+		if got := b.exchange.Complete(at(0.1)); got != tc.complete {
+			t.Errorf("at %v s: complete %v, want %v", tc.at, got, tc.complete)
 		}
 	}
-	if b.Len() != a.Len() {
-		t.Errorf("%d arrived of %d", b.Len(), a.Len())
+	if b.log.Len() != a.log.Len() {
+		t.Errorf("%d completions arrived, want %d", b.log.Len(), a.log.Len())
+	}
+
+	a = newRun("a", "b", at(20)) // its next run has no completions, and asks
+	a.ask(b, at(21))
+	if a.log.Len() != maxShared {
+		t.Errorf("%d completions shared with a new run, want %d", a.log.Len(), maxShared)
+	}
+}
+
+// TestPeerWithoutCompletions: a peer of an earlier version, or its published status, does not count as one
+// whose log was read.
+func TestPeerWithoutCompletions(t *testing.T) {
+	x := newRun("a", "c", at(20)).exchange
+	x.Merge(&peer.Status{Member: "c"}, everything, false, at(22))
+	if x.read["c"].complete {
+		t.Error("a peer without completions counts as read")
 	}
-	a, askedA = side(20, "b") // its next run knows nothing, and asks
-	ask, answer := peer.Status{Member: "a"}, peer.Status{Member: "b"}
-	askedA.Request("b", &ask)
-	askedB.Answer(ask, &answer, at(21))
-	askedA.Merge(&answer, everything, false, at(21))
-	if a.Len() != mostTold {
-		t.Errorf("a new run was told %d completions", a.Len())
+	if x.Complete(at(22)) {
+		t.Error("the exchange is complete without the peer's log")
 	}
-	askedA.Merge(&peer.Status{Member: "c"}, everything, false, at(22)) // an earlier version, or a published status
-	if askedA.told["c"].whole {
-		t.Error("a peer that tells of no completions counts as heard")
+	if now := at(20).Add(exchangeTimeout + 1); !x.Complete(now) {
+		t.Error("the exchange is not complete after its timeout")
 	}
 }
 
 // TestPrune: what is on record goes once the records are as new as the completion.
 func TestPrune(t *testing.T) {
 	records := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 1 << 16})
-	records.Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: fmt.Appendf(
-		nil,
-		`{"spec":{"id":"wk-000001","pieces":8,"shape":"array","owner":"free","cores":1},"at":1,"a":5,"c":[[5,"host-1","a",3,9,0,2]]}`,
-	)})
+	records.Apply(ledger.Event{
+		Key:     "mm1/j/wk-000001",
+		Version: 1,
+		Value: []byte(`{"spec":{"id":"wk-000001","pieces":8,"shape":"array","owner":"free","cores":1},` +
+			`"at":1,"a":5,"c":[[5,"host-1","a",3,9,0,2]]}`),
+	})
 	l := New(8)
-	l.Add(done("wk-000001", 0, 5), false, at(1)) // claimed
-	l.Add(done("wk-000001", 3, 5), false, at(1)) // not, or not yet
+	l.Add(done(0, 5), false, at(1)) // claimed
+	l.Add(done(3, 5), false, at(1)) // not, or not yet
 	l.Prune(records, at(0.5))
 	if l.Len() != 2 {
-		t.Errorf("%d kept by records from before", l.Len())
+		t.Errorf("%d kept by records from before, want 2", l.Len())
 	}
-	if l.Prune(records, at(2)); l.Len() != 1 || !Claimed(records, done("wk-000001", 0, 5)) {
-		t.Errorf("%d kept by newer records", l.Len())
+	l.Prune(records, at(2))
+	if l.Len() != 1 || !Claimed(records, done(0, 5)) {
+		t.Errorf("%d kept by newer records, want 1, which is claimed", l.Len())
 	}
 }
