--- a/internal/membership/completion/exchange.go
+++ b/internal/membership/completion/exchange.go
@@ -16,7 +16,7 @@
 const exchangeTimeout = 2500 * time.Millisecond
 
 // Exchange shares the entries of a log with the peers, and adds theirs. Each entry is shared once with
-// each run of a peer, since the asker names the last one that it was told.
+// each run of a peer, since the asker names the last one that it has read.
 type Exchange struct {
 	log   *Log
 	boot  time.Time // when this run began
--- a/internal/membership/peer/status.go
+++ b/internal/membership/peer/status.go
@@ -9,7 +9,7 @@
 //
 // # Compatibility
 //
-// A status also says what the asker lacks and was told before, so questions and answers have one type.
+// A status also says what the asker lacks and has read before, so questions and answers have one type.
 // Controllers of neighbouring versions run together during an upgrade: see Version. The CBOR keys and
 // JSON names are the protocol and must not change; golden tests compare the bytes.
 //
@@ -90,7 +90,7 @@
 	GangReservations []Reservation `cbor:"17,keyasint,omitempty" json:"-"`
 
 	// Completions that workers reported and that the records may lack: of the run CompletedBoot, those up
-	// to number CompletedTo. An asker names with CompletedBoot and CompletedTo how far it was told.
+	// to number CompletedTo. An asker names with CompletedBoot and CompletedTo how far it has read.
 
 	Completed     []Completion `cbor:"23,keyasint,omitempty" json:"-"`
 	CompletedTo   uint64       `cbor:"24,keyasint,omitempty" json:"-"`
