--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -3,7 +3,9 @@
 import (
 	"io"
 	"log/slog"
+	"maddermill/internal/membership"
 	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
@@ -33,8 +35,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCore(t, 0)
 		now := time.Now()
-		c.cache.SetForTest(1, now)
-		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
+		watchcache.SetStateForTest(t, c.cache, 1, now)
+		membership.SetLastRanForTest(t, c.membership, now.Add(-50*time.Second))
 		r := &wire.Heartbeat{Machine: "host-1", Epoch: 1, Sequence: 1}
 		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 503 {
 			t.Errorf("%d for a report from before", a.Status)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -11,10 +11,12 @@
 
 	"maddermill/internal/leader/autoscale"
 	"maddermill/internal/leader/cloud"
+	"maddermill/internal/membership"
 	"maddermill/internal/scheduler/estimate"
 	"maddermill/internal/settings"
 	"maddermill/internal/state/committer"
 	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
@@ -57,10 +59,10 @@
 		{"stood still a minute ago", 0, time.Minute, true},
 	} {
 		c := quiet(t)
-		c.Cache.SetForTest(0, now)
-		c.Membership.SetRunningForTest(now.Add(-tc.ran))
+		watchcache.SetStateForTest(t, c.Cache, 0, now)
+		membership.SetLastRanForTest(t, c.Membership, now.Add(-tc.ran))
 		if tc.since > 0 {
-			c.Membership.SetRunningForTest(now.Add(-tc.since - time.Minute))
+			membership.SetLastRanForTest(t, c.Membership, now.Add(-tc.since-time.Minute))
 			for at := now.Add(-tc.since); at.Before(now); at = at.Add(time.Second) {
 				c.Membership.RunningSince(at)
 			}
@@ -199,7 +201,7 @@
 	}
 	follow(t, c)
 	now := time.Now()
-	c.Cache.SetForTest(7, now)
+	watchcache.SetStateForTest(t, c.Cache, 7, now)
 	early := wire.MachineID("r-7-1-0")
 	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Epoch: 1, Sequence: 1}
 	c.Registry.Register(r, now).Reconcile(r, nil, 7, now)
--- a/internal/server/completions.go
+++ b/internal/server/completions.go
@@ -109,7 +109,7 @@
 // completeChange returns the change that completes a job.
 func (s *HeartbeatServer) completeChange(id wire.JobID) *committer.Change {
 	return &committer.Change{
-		Expires:   true,
+		Class:     committer.ClassStart,
 		ExpiresAt: time.Now().Add(finishedExpiry),
 		Draft: func(txn *ledger.Transaction) error {
 			if job := s.records().Job(id); job != nil {
--- a/internal/server/preemptions.go
+++ b/internal/server/preemptions.go
@@ -21,7 +21,7 @@
 		}
 		id, attempt := job.ID, claim.Attempt
 		changes = append(changes, &committer.Change{
-			Expires:   true,
+			Class:     committer.ClassStart,
 			ExpiresAt: time.Now().Add(s.commitWait()),
 			Draft: func(txn *ledger.Transaction) error {
 				if job := s.records().Job(id); job != nil {
--- a/internal/server/rebalance_test.go
+++ b/internal/server/rebalance_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maddermill/internal/state/watchcache"
 	"testing"
 	"time"
 
@@ -53,7 +54,7 @@
 func newTestHeartbeatServer(t *testing.T) *HeartbeatServer {
 	t.Helper()
 	p := controllertest.New(t, 0)
-	p.Cache.SetForTest(1, time.Now())
+	watchcache.SetStateForTest(t, p.Cache, 1, time.Now())
 	parts := HeartbeatServerParts{
 		Cache:       p.Cache,
 		Committer:   p.Committer,
--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -25,11 +25,15 @@
 	var changes []*committer.Change
 	for _, job := range order {
 		jobExits := exitsByJob[job]
-		urgent := slices.ContainsFunc(jobExits, func(exit TaskExit) bool { return exit.Recalled })
+		class := committer.ClassRecord
+		if slices.ContainsFunc(jobExits, func(exit TaskExit) bool { return exit.Recalled }) {
+			class = committer.ClassUrgent
+		} else if job.BestEffort() {
+			class = committer.ClassBestEffortRecord
+		}
 		changes = append(changes, &committer.Change{
-			Urgent:     urgent,
-			BestEffort: job.BestEffort() && !urgent,
-			Priority:   job.Spec.Priority,
+			Class:    class,
+			Priority: job.Spec.Priority,
 			Draft: func(txn *ledger.Transaction) error {
 				return draftExits(cache.Records(), txn, job.ID, jobExits)
 			},
--- a/internal/server/starts.go
+++ b/internal/server/starts.go
@@ -58,7 +58,7 @@
 	}
 	if len(bestEffort) > 0 {
 		change := s.startChange(w, bestEffort, expiresAt)
-		change.BestEffort = true
+		change.Class = change.Class.AsBestEffort()
 		changes = append(changes, change)
 	}
 	return changes
@@ -86,9 +86,8 @@
 		return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank())
 	})
 	return &committer.Change{
-		Expires:   true,
+		Class:     committer.StartClass(overdue),
 		ExpiresAt: expiresAt,
-		Overdue:   overdue,
 		Priority:  mostUrgent.Job.Spec.Priority,
 		OnCommit: func() {
 			for _, start := range claimed {
@@ -161,7 +160,7 @@
 ) *committer.Change {
 	id, attempt, target := claim.Job.ID, claim.Attempt, claimTarget(w)
 	return &committer.Change{
-		Expires:   true,
+		Class:     committer.ClassStart,
 		ExpiresAt: expiresAt,
 		Draft: func(txn *ledger.Transaction) error {
 			if job := s.records().Job(id); job != nil && s.stillHolds(w, target) {
