--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -61,8 +61,8 @@
 ) (token wire.FencingToken, ok bool) {
 	if w.CommandToken != 0 && r.FencingToken <= w.CommandToken {
 		switch newest := s.Cache.Token(); {
-		case w.ProvesAbsence(w.CommandToken):
-		case w.ProvesAbsence(newest):
+		case w.ProvesReachable(w.CommandToken):
+		case w.ProvesReachable(newest):
 			return newest, true
 		default:
 			s.Cache.RequestToken(newest)
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -157,7 +157,7 @@
 		s.log.Info("worker started a new epoch", "machine", r.Machine, "epoch", r.Epoch)
 	}
 	wasUnreachable := w.Unreachable()
-	w.LeaseExpired(r, now, s.set.Cluster.Workers.Lease.Duration()-maxHeartbeatAge)
+	w.ObserveEpoch(r, now, s.set.Cluster.Workers.Lease.Duration()-maxHeartbeatAge)
 	findings := w.Reconcile(r, s.records().ClaimsOn(r.Machine), token, now)
 	findings.ResolveUnsent(func(job *ledger.Job) bool { return s.allMachinesReport(job, now) })
 	if w.Unreachable() != wasUnreachable {
@@ -287,7 +287,7 @@
 			s.noteFetch(w, command.Task.Job, now)
 		}
 	}
-	w.ObserveReachable(receivedAt)
+	w.ObserveAnswered(receivedAt)
 	s.stats.Observe("report_seconds", now.Sub(receivedAt))
 	return HeartbeatAnswer{
 		Status:   statusOK,
--- a/internal/server/reconcile/reachability.go
+++ b/internal/server/reconcile/reachability.go
@@ -39,8 +39,8 @@
 	h.unreachable, h.shownToken = true, shown
 }
 
-// ObserveReachable notes that the latest heartbeat was answered, and when it came.
-func (w *Worker) ObserveReachable(at time.Time) {
+// ObserveAnswered notes that the latest heartbeat was answered, and when it came.
+func (w *Worker) ObserveAnswered(at time.Time) {
 	w.reachability.answeredSequence = w.Sequence
 	w.reachability.answeredAt = at
 	w.reachability.answeredToken = w.CommandToken
@@ -57,16 +57,15 @@
 	return max(time.Millisecond, now.Sub(w.reachability.since))
 }
 
-// ProvesAbsence reports whether a heartbeat that shows a token proves that answers arrive, and so whether a
-// task that it does not show is not on the machine.
-func (w *Worker) ProvesAbsence(token wire.FencingToken) bool {
+// ProvesReachable reports whether a heartbeat that shows a token proves that answers arrive.
+func (w *Worker) ProvesReachable(token wire.FencingToken) bool {
 	return !w.reachability.unreachable || token > w.reachability.shownToken
 }
 
-// LeaseExpired finds a machine unreachable whose heartbeat begins a new epoch too early: within a lease of a
+// ObserveEpoch finds a machine unreachable whose heartbeat begins a new epoch too early: within a lease of a
 // heartbeat whose answer arrived no epoch begins. minLease is the length of a lease less the greatest age of
 // a heartbeat when it comes. It is to be called before Reconcile.
-func (w *Worker) LeaseExpired(r *wire.Heartbeat, now time.Time, minLease time.Duration) {
+func (w *Worker) ObserveEpoch(r *wire.Heartbeat, now time.Time, minLease time.Duration) {
 	h := &w.reachability
 	if w.Session != 0 && r.Epoch > w.Session && !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < minLease {
 		h.setUnreachable(r.FencingToken, now)
--- a/internal/server/reconcile/reachability_test.go
+++ b/internal/server/reconcile/reachability_test.go
@@ -29,7 +29,7 @@
 func answer(w *Worker, claims []ledger.HeldClaim, i int, r *wire.Heartbeat, token wire.FencingToken) answered {
 	f := w.Reconcile(r, claims, token, heartbeatTime(i))
 	commands := w.Commands(r, claims, ledger.Resources{}, true)
-	w.ObserveReachable(heartbeatTime(i))
+	w.ObserveAnswered(heartbeatTime(i))
 	return answered{exits: len(f.Exits), commands: len(commands), unreachable: w.Unreachable()}
 }
 
@@ -42,7 +42,7 @@
 	first := heartbeat(1, 1, ours)
 	w.Reconcile(first, claims, ours, heartbeatTime(1))
 	commands := w.Commands(first, claims, ledger.Resources{}, true)
-	w.ObserveReachable(heartbeatTime(1))
+	w.ObserveAnswered(heartbeatTime(1))
 	if len(commands) != 1 || commands[0].Op != wire.OpStart {
 		t.Fatalf("commands %v, want a start", commands)
 	}
@@ -72,7 +72,7 @@
 	if got := w.UnreachableFor(heartbeatTime(7)); got != testInterval {
 		t.Errorf("unreachable for %v, want %v", got, testInterval)
 	}
-	if w.ProvesAbsence(ours) || !w.ProvesAbsence(ours+1) {
+	if w.ProvesReachable(ours) || !w.ProvesReachable(ours+1) {
 		t.Fatal("a token that it has shown proves that answers arrive, or one that it has not does not")
 	}
 	got := answer(w, claims, 7, heartbeat(1, 7, ours), ours+1)
@@ -95,7 +95,7 @@
 		t.Fatal("unreachable though it has shown a newer token")
 	}
 	r := heartbeat(2, 1, ours+1)
-	if w.LeaseExpired(r, heartbeatTime(9), testMinLease); !w.Unreachable() {
+	if w.ObserveEpoch(r, heartbeatTime(9), testMinLease); !w.Unreachable() {
 		t.Error("reachable though its epoch ended 3 s after an answer")
 	}
 	if w.Reconcile(r, claims, ours+2, heartbeatTime(9)); !w.Unreachable() {
@@ -107,8 +107,8 @@
 
 	quiet := NewWorker(heartbeat(1, 1, ours), nil, heartbeatTime(0))
 	quiet.Reconcile(heartbeat(1, 1, ours), nil, ours, heartbeatTime(0))
-	quiet.ObserveReachable(heartbeatTime(0))
-	if quiet.LeaseExpired(heartbeat(2, 1, ours), heartbeatTime(20), testMinLease); quiet.Unreachable() {
+	quiet.ObserveAnswered(heartbeatTime(0))
+	if quiet.ObserveEpoch(heartbeat(2, 1, ours), heartbeatTime(20), testMinLease); quiet.Unreachable() {
 		t.Error("unreachable though its epoch ended long after the last answer")
 	}
 }
--- /dev/null
+++ b/internal/server/reconcile/tasks.go
@@ -0,0 +1,105 @@
+package reconcile
+
+import (
+	"time"
+
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// taskKey is one attempt of a task.
+type taskKey struct {
+	task    wire.TaskID
+	attempt wire.Attempt
+}
+
+// keyOf is the key of the i-th task of a claim.
+func keyOf(claim *ledger.HeldClaim, i int) taskKey {
+	return taskKey{wire.TaskID{Job: claim.Job.ID, Index: claim.First + wire.TaskIndex(i)}, claim.Attempt}
+}
+
+// observedTask is one attempt of a task as it was last observed on its machine, and what it was commanded
+// to do there. It is kept while the machine reports the task or the records hold a claim of it, and for one
+// agent epoch at most.
+type observedTask struct {
+	// status is the task in the heartbeat that is being reconciled; nil: the machine doesn't report it.
+	status       *wire.TaskStatus
+	claimed      bool      // the records held a claim of it at the latest heartbeat
+	runningSince time.Time // when it was first reported running; zero: it wasn't
+
+	stop         bool                   // it is to be stopped, saving a checkpoint if it can
+	sent         bool                   // a start was sent
+	sentSequence wire.HeartbeatSequence // of the heartbeat whose answer carried the latest start
+
+	// withheld: its start is not to be sent any more, as other claims fill the machine or the machine is
+	// unreachable. withheldBefore is the value before the heartbeat that is being reconciled.
+	withheld, withheldBefore bool
+}
+
+// notObserved stands for a task of which nothing is known. It is never written to.
+var notObserved = &observedTask{}
+
+// task is what is known of a task, for reading only.
+func (w *Worker) task(key taskKey) *observedTask {
+	if task := w.tasks[key]; task != nil {
+		return task
+	}
+	return notObserved
+}
+
+// observe is what is known of a task, for writing.
+func (w *Worker) observe(key taskKey) *observedTask {
+	task := w.tasks[key]
+	if task == nil {
+		task = &observedTask{}
+		w.tasks[key] = task
+	}
+	return task
+}
+
+// observeHeartbeat takes over a heartbeat's fields and tasks. In a new agent epoch nothing that was known
+// of the tasks holds any more.
+func (w *Worker) observeHeartbeat(r *wire.Heartbeat, token wire.FencingToken, now time.Time) {
+	if r.Epoch != w.Session {
+		clear(w.tasks)
+		w.oldTokens = nil
+		w.reachability.answeredSequence = 0
+	} else if token != w.CommandToken {
+		w.oldTokens = append(w.oldTokens, w.CommandToken)
+	}
+	w.Session, w.Sequence, w.LastHeartbeat, w.CommandToken = r.Epoch, r.Sequence, now, token
+	w.Addr, w.Type, w.Zone, w.Spot = r.Addr, r.Type, r.Zone, r.Spot
+	w.Fresh = r.FencingToken == token
+	w.ReclaimAt = time.Time{}
+	if r.ReclaimNotice != nil {
+		w.ReclaimAt = now.Add(r.ReclaimNotice.Duration())
+	}
+	for _, task := range w.tasks {
+		task.status, task.claimed = nil, false
+		task.withheld, task.withheldBefore = false, task.withheld
+	}
+	for i := range r.Tasks {
+		status := &r.Tasks[i]
+		task := w.observe(taskKey{status.Task, status.Attempt})
+		task.status = status
+		if status.State == wire.TaskRunning && task.runningSince.IsZero() {
+			task.runningSince = now
+		}
+	}
+}
+
+// pruneTasks ends the reconciliation of a heartbeat: of tasks that the machine doesn't report only what
+// claims still need is kept. A task that is neither reported nor claimed can't come back, as a later claim
+// of it has another attempt.
+func (w *Worker) pruneTasks() {
+	for key, task := range w.tasks {
+		switch {
+		case task.status != nil:
+			task.status = nil // not to keep the heartbeat in memory
+		case task.claimed:
+			task.stop, task.runningSince = false, time.Time{}
+		default:
+			delete(w.tasks, key)
+		}
+	}
+}
