--- a/internal/state/backup/earlier_test.go
+++ b/internal/state/backup/earlier_test.go
@@ -22,9 +22,9 @@
 // TestEarlierExportIsContinued: an export of an earlier version is read, verified and worked on. The same
 // records are still written byte for byte.
 func TestEarlierExportIsContinued(t *testing.T) {
-	records := fill(t, 60)
+	written := fill(t, 60)
 	var exported bytes.Buffer
-	if _, err := Export(t.Context(), records.link, &exported, time.UnixMilli(1_700_000_000_000)); err != nil {
+	if _, err := Export(t.Context(), written.link, &exported, time.UnixMilli(1_700_000_000_000)); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, earlierExport, exported.Bytes())
@@ -33,30 +33,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // only read
 	store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 	link := emulator.NewLink(store, 1)
 	if _, err := Import(t.Context(), file, link, limits, time.UnixMilli(1_700_000_001_000)); err != nil {
 		t.Fatal(err)
 	}
 	verify(t, link)
-	continued := &filled{
-		t:     t,
-		store: store,
-		link:  link,
-		l:     ledger.New(limits),
-		next:  records.next,
-		now:   map[string]string{},
-		was:   records.was,
+	continued := &fixture{
+		t:       t,
+		store:   store,
+		link:    link,
+		records: ledger.New(limits),
+		next:    written.next,
+		state:   map[string]string{},
+		history: written.history,
 	}
 	for _, item := range store.Items() {
-		continued.l.Apply(ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version})
+		continued.records.Apply(ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version})
 		if strings.HasPrefix(item.Key, ledger.FilterPrefix) {
 			page := archive.FirstPage()
 			if err := json.Unmarshal(item.Value, page); err != nil {
 				t.Fatal(err)
 			}
-			continued.l.PutFilterPage(page, item.Version, continued.l.FilterAdditions())
+			continued.records.PutFilterPage(page, item.Version, continued.records.FilterAdditions())
 		}
 	}
 	for range 20 {
--- a/internal/state/backup/stream.go
+++ b/internal/state/backup/stream.go
@@ -1,6 +1,11 @@
-// Package backup takes all records at one revision while the service runs, writes them as a
-// stream that tells when it is damaged, and puts them into an empty state service
-// (docs/history.md, "Exports").
+// Package backup reads all records of the state service at one revision while the service runs,
+// writes them as a stream that shows when it is damaged, and restores them into an empty state
+// service (docs/history.md, "Exports").
+//
+// Export writes a stream and CheckExport reads one; Import restores it; Verify checks the
+// invariants of the records in place. All three read the records with Pages. Only Import writes to
+// the state service, and it only creates keys. A stream must not be used unless it was read to its
+// End without a DamagedError.
 package backup
 
 import (
@@ -17,20 +22,24 @@
 	"maddermill/wire"
 )
 
-// magic begins every export; the last byte is the version of the form.
+// magic begins every export; the last byte is the version of the format.
 var magic = [8]byte{'M', 'M', 'S', 'T', 'A', 'T', 'E', 1}
 
-// mostFrame bounds a frame, packed and unpacked.
-const mostFrame = 8 << 20
+const (
+	// maxFrameBytes bounds a frame, compressed and uncompressed.
+	maxFrameBytes = 8 << 20
+	// headerBytes is the size of a frame's header: four bytes of length and eight of checksum.
+	headerBytes = 4 + 8
+)
 
-// Record is a key with its value; nil: the key was deleted.
+// Record is a key with its value; a nil value means that the key was deleted.
 type Record struct {
 	Key   string `cbor:"1,keyasint"`
 	Value []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// frame is one part of a stream: records as pages of the state service had them, changes made
-// while these were read, in order, or the end.
+// frame is one part of a stream: records as the pages of the state service had them, changes made
+// while these pages were read, in order, or the end.
 type frame struct {
 	Base    []Record `cbor:"1,keyasint,omitempty"`
 	Changes []Record `cbor:"2,keyasint,omitempty"`
@@ -39,123 +48,185 @@
 
 // End closes a stream.
 type End struct {
-	Revision wire.Revision   `cbor:"1,keyasint"` // that the records are of
-	At       wire.UnixMillis `cbor:"2,keyasint"`
-	Base     int             `cbor:"3,keyasint"` // records
-	Changes  int             `cbor:"4,keyasint"`
-	Sum      uint64          `cbor:"5,keyasint"` // over the sums of all frames before
+	Revision wire.Revision   `cbor:"1,keyasint"` // of the records
+	At       wire.UnixMillis `cbor:"2,keyasint"` // when they were exported
+	Base     int             `cbor:"3,keyasint"` // records in pages
+	Changes  int             `cbor:"4,keyasint"` // changes while the pages were read
+	Sum      uint64          `cbor:"5,keyasint"` // checksum over the headers of all frames before
 }
 
-// DamagedError is a stream that is not whole: nothing of it may be used.
+// DamagedError reports that a stream is not complete: nothing of it may be used.
 type DamagedError struct {
 	Offset int64 // of the frame, in bytes
 	Reason string
 }
 
+// Error implements error.
 func (d *DamagedError) Error() string {
-	return fmt.Sprintf("snapshot: damaged at byte %d: %s", d.Offset, d.Reason)
+	return fmt.Sprintf("backup: damaged at byte %d: %s", d.Offset, d.Reason)
 }
 
-// writer writes frames: four bytes of length, eight of the sum (xxhash64) of what follows, and
-// the frame in CBOR, packed by zstd.
-type writer struct {
-	w    io.Writer
-	pack *zstd.Encoder
-	sums *xxhash.Digest
-	end  End
+// streamWriter writes frames. A frame is four bytes of length, eight of checksum (xxhash64) of what
+// follows, and its content in CBOR, compressed with zstd.
+type streamWriter struct {
+	out        io.Writer
+	compressor *zstd.Encoder
+	sums       *xxhash.Digest // over all headers
+	end        End
 }
 
-func newWriter(w io.Writer) (*writer, error) {
-	pack, err := zstd.NewWriter(nil)
+// newWriter writes the head of a stream and returns a writer for its frames.
+func newWriter(out io.Writer) (*streamWriter, error) {
+	compressor, err := zstd.NewWriter(nil)
 	if err != nil {
 		return nil, err
 	}
-	_, err = w.Write(magic[:])
-	return &writer{w: w, pack: pack, sums: xxhash.New()}, err
+	_, err = out.Write(magic[:])
+	return &streamWriter{out: out, compressor: compressor, sums: xxhash.New()}, err
 }
 
-func (w *writer) write(f frame) error {
+// write writes a frame.
+func (w *streamWriter) write(f frame) error {
 	w.end.Base += len(f.Base)
 	w.end.Changes += len(f.Changes)
-	b, err := cbor.Marshal(f)
+	content, err := cbor.Marshal(f)
 	if err != nil {
 		return err
 	}
-	if len(b) > mostFrame {
-		return fmt.Errorf("snapshot: a frame of %d bytes", len(b))
+	if len(content) > maxFrameBytes {
+		return fmt.Errorf("backup: a frame of %d bytes", len(content))
 	}
-	b = w.pack.EncodeAll(b, nil)
-	head := binary.BigEndian.AppendUint32(nil, uint32(len(b)))
-	head = binary.BigEndian.AppendUint64(head, xxhash.Sum64(b))
-	if _, err := w.w.Write(head); err != nil {
+	content = w.compressor.EncodeAll(content, nil)
+	header := binary.BigEndian.AppendUint32(nil, uint32(len(content)))
+	header = binary.BigEndian.AppendUint64(header, xxhash.Sum64(content))
+	if _, err := w.out.Write(header); err != nil {
 		return err
 	}
-	_, _ = w.sums.Write(head) // never fails
-	_, err = w.w.Write(b)
+	_, _ = w.sums.Write(header) // never fails
+	_, err = w.out.Write(content)
 	return err
 }
 
-func (w *writer) close(revision wire.Revision, at wire.UnixMillis) (End, error) {
+// close writes the end of the stream and returns it.
+func (w *streamWriter) close(revision wire.Revision, at wire.UnixMillis) (End, error) {
 	w.end.Revision, w.end.At, w.end.Sum = revision, at, w.sums.Sum64()
 	return w.end, w.write(frame{End: &w.end})
 }
 
-// read calls f for every frame of a stream and returns its end. An error that is a *Damaged
-// tells where it is not whole.
-func read(r io.Reader, f func(frame) error) (End, error) {
-	in := bufio.NewReader(r)
-	unpack, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(mostFrame), zstd.WithDecoderConcurrency(1))
+// read calls visit for every frame of a stream but the last and returns its end. The error is a
+// *DamagedError where the stream is not complete, or that of visit.
+func read(in io.Reader, visit func(frame) error) (End, error) {
+	decompressor, err := zstd.NewReader(
+		nil,
+		zstd.WithDecoderMaxMemory(maxFrameBytes),
+		zstd.WithDecoderConcurrency(1),
+	)
 	if err != nil {
 		return End{}, err
 	}
-	defer unpack.Close()
-	var at int64
-	damaged := func(format string, a ...any) error { return &DamagedError{at, fmt.Sprintf(format, a...)} }
-	var head [12]byte
-	if _, err := io.ReadFull(in, head[:8]); err != nil || [8]byte(head[:8]) != magic {
-		return End{}, damaged("this is no export, or one of another version")
+	defer decompressor.Close()
+	r := &streamReader{in: bufio.NewReader(in), decompressor: decompressor, sums: xxhash.New()}
+	if err := r.readMagic(); err != nil {
+		return End{}, err
 	}
-	at = 8
-	sums, base, changes := xxhash.New(), 0, 0
 	for {
-		if _, err := io.ReadFull(in, head[:]); err != nil {
-			return End{}, damaged("it is cut off")
-		}
-		n := binary.BigEndian.Uint32(head[:])
-		if n > mostFrame {
-			return End{}, damaged("a frame of %d bytes", n)
-		}
-		b := make([]byte, n)
-		if _, err := io.ReadFull(in, b); err != nil {
-			return End{}, damaged("it is cut off")
-		}
-		if xxhash.Sum64(b) != binary.BigEndian.Uint64(head[4:]) {
-			return End{}, damaged("the checksum is not right")
-		}
-		b, err := unpack.DecodeAll(b, nil)
+		f, err := r.next()
 		if err != nil {
-			return End{}, damaged("%v", err)
-		}
-		var fr frame
-		if err := cbor.Unmarshal(b, &fr); err != nil {
-			return End{}, damaged("%v", err)
+			return End{}, err
 		}
-		if fr.End != nil {
-			if fr.End.Sum != sums.Sum64() || fr.End.Base != base || fr.End.Changes != changes {
-				return End{}, damaged("frames are missing or out of order before the end")
-			}
-			if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-				at += int64(len(head)) + int64(n)
-				return End{}, damaged("something follows the end")
+		if f.End != nil {
+			if err := r.expectEOF(); err != nil {
+				return End{}, err
 			}
-			return *fr.End, nil
+			return *f.End, nil
 		}
-		_, _ = sums.Write(head[:]) // never fails
-		base += len(fr.Base)
-		changes += len(fr.Changes)
-		if err := f(fr); err != nil {
+		if err := visit(f); err != nil {
 			return End{}, err
 		}
-		at += int64(len(head)) + int64(n)
 	}
 }
+
+// streamReader reads frames and checks them.
+type streamReader struct {
+	in           *bufio.Reader
+	decompressor *zstd.Decoder
+
+	offset int64 // of the frame that is being read, in bytes
+	size   int64 // of the frame that was read last, in bytes
+
+	// What the end must tell: the checksum over the headers, and the counts, of all frames so far.
+	sums          *xxhash.Digest
+	base, changes int
+}
+
+// damaged returns a *DamagedError for the frame that is being read.
+func (r *streamReader) damaged(format string, args ...any) error {
+	return &DamagedError{r.offset, fmt.Sprintf(format, args...)}
+}
+
+// readMagic reads the head of a stream.
+func (r *streamReader) readMagic() error {
+	var head [len(magic)]byte
+	if _, err := io.ReadFull(r.in, head[:]); err != nil || head != magic {
+		return r.damaged("this is no export, or one of another version")
+	}
+	r.size = int64(len(magic))
+	return nil
+}
+
+// next reads a frame. An end is checked against the frames before it.
+func (r *streamReader) next() (frame, error) {
+	r.offset += r.size
+	var header [headerBytes]byte
+	content, err := r.readContent(&header)
+	if err != nil {
+		return frame{}, err
+	}
+	content, err = r.decompressor.DecodeAll(content, nil)
+	if err != nil {
+		return frame{}, r.damaged("%v", err)
+	}
+	var f frame
+	if err := cbor.Unmarshal(content, &f); err != nil {
+		return frame{}, r.damaged("%v", err)
+	}
+	if f.End != nil {
+		if f.End.Sum != r.sums.Sum64() || f.End.Base != r.base || f.End.Changes != r.changes {
+			return frame{}, r.damaged("frames are missing or out of order before the end")
+		}
+		return f, nil
+	}
+	_, _ = r.sums.Write(header[:]) // never fails
+	r.base += len(f.Base)
+	r.changes += len(f.Changes)
+	return f, nil
+}
+
+// readContent reads a frame's header and its compressed content, and checks the content.
+func (r *streamReader) readContent(header *[headerBytes]byte) ([]byte, error) {
+	if _, err := io.ReadFull(r.in, header[:]); err != nil {
+		return nil, r.damaged("it is cut off")
+	}
+	n := binary.BigEndian.Uint32(header[:])
+	if n > maxFrameBytes {
+		return nil, r.damaged("a frame of %d bytes", n)
+	}
+	content := make([]byte, n)
+	if _, err := io.ReadFull(r.in, content); err != nil {
+		return nil, r.damaged("it is cut off")
+	}
+	if xxhash.Sum64(content) != binary.BigEndian.Uint64(header[4:]) {
+		return nil, r.damaged("the checksum is not right")
+	}
+	r.size = headerBytes + int64(n)
+	return content, nil
+}
+
+// expectEOF checks that nothing follows the end.
+func (r *streamReader) expectEOF() error {
+	r.offset += r.size
+	if _, err := r.in.ReadByte(); !errors.Is(err, io.EOF) {
+		return r.damaged("something follows the end")
+	}
+	return nil
+}
