--- /dev/null
+++ b/internal/state/archive/example_test.go
@@ -0,0 +1,44 @@
+package archive_test
+
+import (
+	"fmt"
+
+	"maddermill/internal/state/archive"
+)
+
+// A controller that does not have a job on record asks the filter before it reads the archive.
+func ExampleFilter() {
+	// The leader archives two jobs, which changes the stored page of the filter.
+	const valueBytes = 4096
+	pages, _ := archive.FirstPage().With([]string{"wk-000001", "wk-000002"}, valueBytes)
+
+	// Another controller reads that page; a third job is archived while it does.
+	var filter archive.Filter
+	since := filter.Added()
+	filter.Add("wk-000003")
+	filter.Put(pages[0], 7, since)
+
+	for _, job := range []string{"wk-000001", "wk-000003", "wk-000004"} {
+		page, _ := filter.Page(job)
+		fmt.Println(job, "may be archived:", page.MayHold(job))
+	}
+	// Output:
+	// wk-000001 may be archived: true
+	// wk-000003 may be archived: true
+	// wk-000004 may be archived: false
+}
+
+// Machines are added part by part: a series of names is stored as a head and its parts.
+func ExampleTerminatedMachines() {
+	set := archive.NewTerminatedMachines()
+	part, _ := archive.PartOfMachine("host-000007")
+	head, numbers := set.With(part, []string{"host-000007", "host-000008"})
+	set.SetHead(part.Series, head)
+	set.SetPart(part, numbers)
+
+	fmt.Println("part", part, "has", numbers.Len(), "machines")
+	fmt.Println(set.Has("host-000008"), set.Has("host-000009"), set.Count())
+	// Output:
+	// part 000000/6/host- has 2 machines
+	// true false 2
+}
--- /dev/null
+++ b/internal/state/archive/terminated.go
@@ -0,0 +1,135 @@
+package archive
+
+import (
+	"encoding/json"
+
+	"github.com/RoaringBitmap/roaring/v2"
+)
+
+// MachineNumbers is a set of numbers, stored as a serialized bitmap. It is never changed, only
+// replaced. The zero value is the empty set.
+type MachineNumbers struct{ numbers *roaring.Bitmap }
+
+// MarshalJSON encodes the set.
+func (s MachineNumbers) MarshalJSON() ([]byte, error) {
+	b, err := s.bitmap().ToBytes()
+	if err != nil {
+		return nil, err
+	}
+	return json.Marshal(b)
+}
+
+// UnmarshalJSON decodes what MarshalJSON encoded.
+func (s *MachineNumbers) UnmarshalJSON(b []byte) error {
+	var bitmap []byte
+	if err := json.Unmarshal(b, &bitmap); err != nil {
+		return err
+	}
+	var err error
+	s.numbers, err = readBitmap(bitmap)
+	return err
+}
+
+// bitmap returns the set's bitmap, which must not be changed.
+func (s MachineNumbers) bitmap() *roaring.Bitmap {
+	if s.numbers == nil {
+		return roaring.New()
+	}
+	return s.numbers
+}
+
+// Len returns how many numbers are in the set.
+func (s MachineNumbers) Len() int { return int(s.bitmap().GetCardinality()) }
+
+// with returns the set with more numbers.
+func (s MachineNumbers) with(numbers ...uint32) MachineNumbers {
+	changed := s.bitmap().Clone()
+	changed.AddMany(numbers)
+	changed.RunOptimize()
+	return MachineNumbers{changed}
+}
+
+// Head is what is stored of a series besides its parts. It is written whenever machines of the
+// series are added, so its version changes with each of its parts.
+type Head struct {
+	Gone  int            `json:"n"` // terminated machines in all parts, complete or not
+	Whole MachineNumbers `json:"w"` // the numbers of the complete parts: all their machines are terminated
+}
+
+// TerminatedMachines is the set of terminated machines, by series and part. Machines whose names are
+// in no series can't be in it.
+type TerminatedMachines struct {
+	heads map[Series]Head
+	parts map[PartID]MachineNumbers // without complete ones
+}
+
+// NewTerminatedMachines returns an empty set.
+func NewTerminatedMachines() *TerminatedMachines {
+	return &TerminatedMachines{map[Series]Head{}, map[PartID]MachineNumbers{}}
+}
+
+// SetHead replaces the head of a series.
+func (t *TerminatedMachines) SetHead(s Series, h Head) { t.heads[s] = h }
+
+// SetPart replaces a part; an empty one is removed.
+func (t *TerminatedMachines) SetPart(id PartID, numbers MachineNumbers) {
+	if numbers.Len() == 0 {
+		delete(t.parts, id)
+		return
+	}
+	t.parts[id] = numbers
+}
+
+// Has reports whether a machine is in the set.
+func (t *TerminatedMachines) Has(name string) bool {
+	if len(t.heads) == 0 {
+		return false
+	}
+	s, n, ok := SplitName(name)
+	if !ok {
+		return false
+	}
+	if h := t.heads[s]; h.Whole.numbers != nil && h.Whole.numbers.Contains(n/Span) {
+		return true
+	}
+	part, ok := t.parts[PartID{s, n / Span}]
+	return ok && part.numbers.Contains(n%Span)
+}
+
+// Count returns how many machines are in the set.
+func (t *TerminatedMachines) Count() int {
+	n := 0
+	for _, h := range t.heads {
+		n += h.Gone
+	}
+	return n
+}
+
+// With returns what replaces a part and the head of its series when machines of that part are added;
+// the set itself stays. A part that becomes complete is empty and is listed in the head.
+func (t *TerminatedMachines) With(id PartID, names []string) (Head, MachineNumbers) {
+	head, part := t.heads[id.Series], t.parts[id]
+	before := part.Len()
+	var numbers []uint32
+	for _, name := range names {
+		if s, n, ok := SplitName(name); ok && s == id.Series && n/Span == id.Number {
+			numbers = append(numbers, n%Span)
+		}
+	}
+	part = part.with(numbers...)
+	head.Gone += part.Len() - before
+	head.Whole = head.Whole.with()
+	if part.Len() == Span {
+		head.Whole, part = head.Whole.with(id.Number), MachineNumbers{}
+	}
+	return head, part
+}
+
+// Head returns the head of a series.
+func (t *TerminatedMachines) Head(s Series) Head { return t.heads[s] }
+
+// Part returns how many machines are stored in a part, and whether the part is complete, which is
+// stored in the head of its series.
+func (t *TerminatedMachines) Part(id PartID) (n int, whole bool) {
+	return t.parts[id].Len(), t.heads[id.Series].Whole.bitmap().Contains(id.Number)
+}
--- /dev/null
+++ b/internal/state/archive/terminated_test.go
@@ -0,0 +1,95 @@
+package archive
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// randomMachine returns a name of one of three series.
+func randomMachine(rng *rand.Rand) string {
+	switch rng.IntN(3) {
+	case 0:
+		return fmt.Sprintf("host-%06d", rng.IntN(3*Span))
+	case 1:
+		return fmt.Sprintf("host-%d", rng.IntN(30))
+	}
+	return fmt.Sprintf("spot/a-%03d", rng.IntN(900))
+}
+
+// addStored adds machines of one part, in their stored form.
+func addStored(t *testing.T, set *TerminatedMachines, names ...string) {
+	t.Helper()
+	part, ok := PartOfMachine(names[0])
+	if !ok {
+		t.Fatalf("%s is of no part", names[0])
+	}
+	if again, err := ParsePartID(part.String()); err != nil || again != part {
+		t.Fatalf("got %v, %v from %q, want %v", again, err, part, part)
+	}
+	head, numbers := set.With(part, names)
+	set.SetHead(part.Series, stored(t, head, 2048))
+	set.SetPart(part, stored(t, numbers, 2048))
+}
+
+// TestTerminatedMachines compares the set of machines with a plain one, part by part and beyond the
+// size at which a part is complete.
+func TestTerminatedMachines(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 9))
+	set, want := NewTerminatedMachines(), map[string]bool{}
+	for range 3000 {
+		name := randomMachine(rng)
+		addStored(t, set, name)
+		want[name] = true
+	}
+	complete := make([]string, 0, Span)
+	for i := range Span {
+		name := fmt.Sprintf("host-%06d", Span+i)
+		complete = append(complete, name)
+		want[name] = true
+	}
+	addStored(t, set, complete...)
+	if part, _ := PartOfMachine(complete[0]); len(set.parts) == 0 || set.parts[part].Len() != 0 {
+		t.Error("a complete part is still stored")
+	}
+	for range 20_000 {
+		if name := randomMachine(rng); set.Has(name) != want[name] {
+			t.Fatalf("%s: got %v, want %v", name, set.Has(name), want[name])
+		}
+	}
+	if set.Count() != len(want) {
+		t.Errorf("got %d machines, want %d", set.Count(), len(want))
+	}
+	for _, odd := range []string{"", "host", "host-", "host-1234567890"} {
+		if _, ok := PartOfMachine(odd); ok || set.Has(odd) {
+			t.Errorf("%q has a part", odd)
+		}
+	}
+}
+
+// FuzzRecords: no stored bytes cause a panic, and a page that was decoded can be stored again.
+func FuzzRecords(f *testing.F) {
+	pages, _ := FirstPage().With(names(0, 3), 4096)
+	p, _ := json.Marshal(pages[0])
+	_, s := NewTerminatedMachines().With(PartID{Series{"host-", 6}, 0}, []string{"host-000007"})
+	set, _ := json.Marshal(s)
+	f.Add(p)
+	f.Add(set)
+	f.Add([]byte(`{"n":1,"w":"OjAAAAAAAAA="}`))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		var page Page
+		if json.Unmarshal(in, &page) == nil && page.taken != nil {
+			page.MayHold("wk-000001")
+			stored(t, &page, 1<<30)
+		}
+		var h Head
+		if json.Unmarshal(in, &h) == nil {
+			h.Whole.Len()
+		}
+		var set MachineNumbers
+		if json.Unmarshal(in, &set) == nil {
+			set.Len()
+		}
+	})
+}
