--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -101,11 +101,13 @@
 	}
 }
 
-// TestReportGrace: a controller that can't hear of a cancellation may answer a
-// worker once more at the end of the bound; the lease that this renews must be
-// over, on a clock that drifts, before the cancellation's time is.
-func TestReportGrace(t *testing.T) {
-	for _, tc := range []struct{ lease, cancel string }{{"30.0", "60.0"}, {"36.0", "61.0"}, {"50.0", "52.0"}, {"60.0", "30.0"}} {
+// TestHeartbeatGrace: a controller that can't know of a cancellation may answer a worker once more at
+// the end of the grace; the lease that this renews must expire, on a clock that drifts, within the time
+// for cancellations.
+func TestHeartbeatGrace(t *testing.T) {
+	for _, tc := range []struct{ lease, cancel string }{
+		{"30.0", "60.0"}, {"36.0", "61.0"}, {"50.0", "52.0"}, {"60.0", "30.0"},
+	} {
 		text := strings.Replace(platform, "lease_s = 30.0", "lease_s = "+tc.lease, 1)
 		s, err := Parse([]byte(strings.Replace(text, "cancel_s = 60.0", "cancel_s = "+tc.cancel, 1)))
 		if err != nil {
