--- a/cmd/maddermill/cwl.go
+++ b/cmd/maddermill/cwl.go
@@ -17,260 +17,225 @@
 	"maddermill/wire"
 )
 
+// cwlCommands are the commands with which users check, submit and follow CWL workflows.
+type cwlCommands struct{ server string }
+
+// cwlCommand returns the cwl command.
 func cwlCommand() *cobra.Command {
-	var server string
-	cmd := &cobra.Command{Use: "cwl", Short: "Check, submit and follow CWL workflows"}
-	cmd.PersistentFlags().StringVar(&server, "server", "127.0.0.1:8080", "a controller's or load balancer's `ADDRESS`")
-	ask := func(cmd *cobra.Command, method, path string, body []byte) (*wire.WorkflowStatus, error) {
-		p, err := request(server, method, "/api/workflows"+path, body)
-		if err != nil {
-			return nil, err
-		}
-		if p.Status/100 != 2 {
-			var problem wire.ErrorBody
-			if json.Unmarshal(p.Body, &problem) == nil && problem.Error != "" {
-				return nil, fmt.Errorf("status %d: %s", p.Status, problem.Error)
-			}
-			return nil, fmt.Errorf("status %d: %s", p.Status, p.Body)
+	c := &cwlCommands{}
+	root := &cobra.Command{Use: "cwl", Short: "Check, submit and follow CWL workflows"}
+	addServerFlag(root, &c.server)
+	root.AddCommand(
+		&cobra.Command{
+			Use:   "validate FILE [INPUTS]",
+			Short: "Check a document, and inputs for it, and name all that is wrong",
+			Args:  cobra.RangeArgs(1, 2),
+			RunE:  validateDocument,
+		},
+		&cobra.Command{
+			Use:   "schema FILE",
+			Short: "Print the JSON schema of a document's inputs",
+			Args:  cobra.ExactArgs(1),
+			RunE:  printSchema,
+		},
+		c.submitCommand(),
+		c.watchCommand(),
+		c.oneCommand("status", "Print a workflow's state, and its steps' where its controller is asked", "GET", ""),
+		c.oneCommand("cancel", "Cancel a workflow", "POST", "/cancel"),
+		c.oneCommand("resume", "Let a workflow that failed go on from the failure", "POST", "/resume"),
+	)
+	return root
+}
+
+// validateDocument runs "cwl validate".
+func validateDocument(cmd *cobra.Command, args []string) error {
+	process, bundle, _, err := readProcess(cmd.ErrOrStderr(), args[0])
+	if err != nil {
+		return err
+	}
+	if len(args) > 1 {
+		if _, err := readInputs(process, args[1:]); err != nil {
+			return err
 		}
-		st := new(wire.WorkflowStatus)
-		return st, json.Unmarshal(p.Body, st)
 	}
-	print := func(cmd *cobra.Command, v any) error {
-		b, err := json.MarshalIndent(v, "", " ")
-		fmt.Fprintf(cmd.OutOrStdout(), "%s\n", b)
+	printf(cmd.OutOrStdout(), "%s: a valid %s of %d files\n", args[0], process.Class, len(bundle))
+	return nil
+}
+
+// printSchema runs "cwl schema".
+func printSchema(cmd *cobra.Command, args []string) error {
+	process, _, _, err := readProcess(cmd.ErrOrStderr(), args[0])
+	if err != nil {
 		return err
 	}
-	one := func(use, short, method, verb string) *cobra.Command {
-		return &cobra.Command{
-			Use:   use + " ID",
-			Short: short,
-			Args:  cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				st, err := ask(cmd, method, "/"+args[0]+verb, nil)
-				if err != nil {
-					return err
-				}
-				return print(cmd, st)
-			},
+	return printJSON(cmd.OutOrStdout(), process.InputSchema())
+}
+
+// printJSON prints a value as JSON on several lines.
+func printJSON(w io.Writer, v any) error {
+	b, err := json.MarshalIndent(v, "", " ")
+	printf(w, "%s\n", b)
+	return err
+}
+
+// oneCommand returns a command that sends a request for one workflow and prints its state. verb is
+// what follows the workflow's id in the path.
+func (c *cwlCommands) oneCommand(use, short, method, verb string) *cobra.Command {
+	return &cobra.Command{
+		Use:   use + " ID",
+		Short: short,
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			status, err := c.send(cmd.Context(), method, "/"+args[0]+verb, nil)
+			if err != nil {
+				return err
+			}
+			return printJSON(cmd.OutOrStdout(), status)
+		},
+	}
+}
+
+// send sends a request about a workflow and returns the workflow's state. path follows the one of all
+// workflows.
+func (c *cwlCommands) send(
+	ctx context.Context,
+	method, path string,
+	body []byte,
+) (*wire.WorkflowStatus, error) {
+	response, err := request(ctx, c.server, method, "/api/workflows"+path, body)
+	if err != nil {
+		return nil, err
+	}
+	if response.Status/100 != 2 {
+		var problem wire.ErrorBody
+		if json.Unmarshal(response.Body, &problem) == nil && problem.Error != "" {
+			return nil, fmt.Errorf("status %d: %s", response.Status, problem.Error)
 		}
+		return nil, fmt.Errorf("status %d: %s", response.Status, response.Body)
 	}
-	spec := &wire.WorkflowSpec{}
-	var id, class, team, urgency string
-	var expect float64
+	status := new(wire.WorkflowStatus)
+	return status, json.Unmarshal(response.Body, status)
+}
+
+// submitFlags are the flags of "cwl submit".
+type submitFlags struct {
+	id, class, team, urgency string
+	spot                     bool
+	window                   int
+	expect                   float64 // seconds
+}
+
+// submitCommand returns "cwl submit".
+func (c *cwlCommands) submitCommand() *cobra.Command {
+	var values submitFlags
 	submit := &cobra.Command{
 		Use:   "submit FILE [INPUTS]",
 		Short: "Submit a workflow with its inputs (YAML or JSON)",
 		Args:  cobra.RangeArgs(1, 2),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			p, bundle, entry, err := readProcess(cmd.ErrOrStderr(), args[0])
-			if err != nil {
-				return err
-			}
-			in, err := readInputs(p, args[1:])
-			if err != nil {
-				return err
-			}
-			spec.ID, spec.Class, spec.Team, spec.Priority = wire.WorkflowID(
-				id,
-			), wire.Class(
-				class,
-			), wire.Team(
-				team,
-			), wire.Priority(
-				urgency,
-			)
-			spec.Estimate, spec.Entry, spec.Bundle = wire.Seconds(expect), entry, map[string]string{}
-			for name, b := range bundle {
-				spec.Bundle[name] = string(b)
-			}
-			if spec.Inputs, err = json.Marshal(in); err != nil {
-				return err
-			}
-			body, err := json.Marshal(spec)
-			if err != nil {
-				return err
-			}
-			st, err := ask(cmd, "POST", "", body)
-			if err != nil {
-				return err
-			}
-			return print(cmd, st)
-		},
+		RunE:  func(cmd *cobra.Command, args []string) error { return c.submit(cmd, args, &values) },
 	}
 	f := submit.Flags()
-	f.StringVar(&id, "id", fmt.Sprintf("wf-%d", time.Now().UnixMilli()), "the workflow's `ID`, wf- and 6 to 18 digits")
-	f.StringVar(&class, "class", "workflow", "the `CLASS` of its steps' jobs")
-	f.StringVar(&team, "team", "", "the `TEAM` that it counts for")
-	f.StringVar(&urgency, "urgency", "normal", "prod, high, normal or best_effort")
-	f.BoolVar(&spec.Spot, "spot", true, "its steps may run on cheap machines")
-	f.IntVar(&spec.Window, "window", 0, "steps submitted at once; 0: the service's default")
-	f.Float64Var(&expect, "expect", 0, "a step's expected run time in `SECONDS`")
-	_ = submit.MarkFlagRequired("team")
-	var lines bool
-	watch := &cobra.Command{
-		Use:   "watch ID",
-		Short: "Follow a workflow until it is over; the exit status tells how it ended",
-		Args:  cobra.ExactArgs(1),
-		RunE:  func(cmd *cobra.Command, args []string) error { return follow(cmd, args[0], lines, ask) },
+	defaultID := fmt.Sprintf("wf-%d", time.Now().UnixMilli())
+	f.StringVar(&values.id, "id", defaultID, "the workflow's `ID`, wf- and 6 to 18 digits")
+	f.StringVar(&values.class, "class", "workflow", "the `CLASS` of its steps' jobs")
+	f.StringVar(&values.team, "team", "", "the `TEAM` that it counts for")
+	f.StringVar(&values.urgency, "urgency", "normal", "prod, high, normal or best_effort")
+	f.BoolVar(&values.spot, "spot", true, "its steps may run on cheap machines")
+	f.IntVar(&values.window, "window", 0, "steps submitted at once; 0: the service's default")
+	f.Float64Var(&values.expect, "expect", 0, "a step's expected run time in `SECONDS`")
+	_ = submit.MarkFlagRequired("team") // fails for an unknown flag only
+	return submit
+}
+
+// submit reads a document and its inputs, submits them and prints the workflow's state.
+func (c *cwlCommands) submit(cmd *cobra.Command, args []string, values *submitFlags) error {
+	process, bundle, entry, err := readProcess(cmd.ErrOrStderr(), args[0])
+	if err != nil {
+		return err
 	}
-	watch.Flags().BoolVar(&lines, "json", false, "print each change as a JSON object on a line")
-	cmd.AddCommand(
-		&cobra.Command{
-			Use:   "validate FILE [INPUTS]",
-			Short: "Check a document, and inputs for it, and name all that is wrong",
-			Args:  cobra.RangeArgs(1, 2),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				p, bundle, _, err := readProcess(cmd.ErrOrStderr(), args[0])
-				if err == nil && len(args) > 1 {
-					_, err = readInputs(p, args[1:])
-				}
-				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: a valid %s of %d files\n", args[0], p.Class, len(bundle))
-				}
-				return err
-			},
-		},
-		&cobra.Command{Use: "schema FILE", Short: "Print the JSON schema of a document's inputs", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				p, _, _, err := readProcess(cmd.ErrOrStderr(), args[0])
-				if err != nil {
-					return err
-				}
-				return print(cmd, p.InputSchema())
-			}},
-		submit,
-		watch,
-		one("status", "Print a workflow's state, and its steps' where its controller is asked", "GET", ""),
-		one("cancel", "Cancel a workflow", "POST", "/cancel"),
-		one("resume", "Let a workflow that failed go on from the failure", "POST", "/resume"),
-	)
-	return cmd
+	inputs, err := readInputs(process, args[1:])
+	if err != nil {
+		return err
+	}
+	spec := &wire.WorkflowSpec{
+		ID:       wire.WorkflowID(values.id),
+		Class:    wire.Class(values.class),
+		Team:     wire.Team(values.team),
+		Priority: wire.Priority(values.urgency),
+		Spot:     values.spot,
+		Window:   values.window,
+		Estimate: wire.Seconds(values.expect),
+		Entry:    entry,
+		Bundle:   map[string]string{},
+	}
+	for name, content := range bundle {
+		spec.Bundle[name] = string(content)
+	}
+	if spec.Inputs, err = json.Marshal(inputs); err != nil {
+		return err
+	}
+	body, err := json.Marshal(spec)
+	if err != nil {
+		return err
+	}
+	status, err := c.send(cmd.Context(), "POST", "", body)
+	if err != nil {
+		return err
+	}
+	return printJSON(cmd.OutOrStdout(), status)
 }
 
-// readProcess reads a document and all files below its folder that it may refer to.
+// readProcess reads a document and all files below its folder that it may refer to. It returns the
+// process, the files and the name of the process within them, and prints warnings.
 func readProcess(warnings io.Writer, name string) (*cwl.Process, cwl.Bundle, string, error) {
 	file, fragment, _ := strings.Cut(name, "#")
-	root := filepath.Dir(file)
-	bundle := cwl.Bundle{}
-	var gather func(name string) error
-	gather = func(name string) error {
-		if _, known := bundle[name]; known {
-			return nil
-		}
-		b, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(name)))
-		if err != nil {
-			return err
-		}
-		bundle[name] = b
-		for _, ref := range cwl.References(name, b) {
-			if err := gather(ref); err != nil && !errors.Is(err, os.ErrNotExist) {
-				return err
-			}
-		}
-		return nil
-	}
-	entry := filepath.Base(file)
-	if err := gather(entry); err != nil {
+	bundle, entry := cwl.Bundle{}, filepath.Base(file)
+	if err := addToBundle(bundle, filepath.Dir(file), entry); err != nil {
 		return nil, nil, "", err
 	}
 	if fragment != "" {
 		entry += "#" + fragment
 	}
-	p, warned, err := cwl.Load(bundle, entry)
-	for _, w := range warned {
-		fmt.Fprintln(warnings, "warning:", w)
+	process, warned, err := cwl.Load(bundle, entry)
+	for _, warning := range warned {
+		printLine(warnings, "warning:", warning)
 	}
-	return p, bundle, entry, err
+	return process, bundle, entry, err
 }
 
-func readInputs(p *cwl.Process, args []string) (map[string]any, error) {
-	name, b := "inputs", []byte("{}")
-	if len(args) > 0 {
-		var err error
-		if name = args[0]; name != "" {
-			if b, err = readFile(name); err != nil {
-				return nil, err
-			}
-		}
+// addToBundle adds a file below a folder to a bundle, and those that it refers to and that exist.
+func addToBundle(bundle cwl.Bundle, folder, name string) error {
+	if _, known := bundle[name]; known {
+		return nil
 	}
-	in, err := p.ReadInputs(name, b)
+	content, err := os.ReadFile(filepath.Join(folder, filepath.FromSlash(name)))
 	if err != nil {
-		return nil, err
-	}
-	_, err = p.Complete(in)
-	return in, err
-}
-
-// follow prints a workflow's progress as it changes: on a terminal in place, elsewhere a
-// line each time.
-func follow(
-	cmd *cobra.Command,
-	id string,
-	lines bool,
-	ask func(*cobra.Command, string, string, []byte) (*wire.WorkflowStatus, error),
-) error {
-	ctx := cmd.Context()
-	if ctx == nil {
-		ctx = context.Background()
+		return err
 	}
-	out := cmd.OutOrStdout()
-	info, err := os.Stdout.Stat()
-	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
-	last := ""
-	for {
-		st, err := ask(cmd, "GET", "/"+id, nil)
-		if err != nil {
+	bundle[name] = content
+	for _, reference := range cwl.References(name, content) {
+		if err := addToBundle(bundle, folder, reference); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
-		line := progress(st)
-		if lines {
-			b, err := json.Marshal(st)
-			if err != nil {
-				return err
-			}
-			line = string(b)
-		}
-		if line != last {
-			if terminal && !lines {
-				fmt.Fprintf(out, "\r\x1b[K%s", line)
-			} else {
-				fmt.Fprintln(out, line)
-			}
-			last = line
-		}
-		switch st.Status {
-		case wire.Done, wire.Failed, wire.Cancelled:
-			if terminal && !lines {
-				fmt.Fprintln(out)
-			}
-			if len(st.Out) > 0 && !lines {
-				fmt.Fprintf(out, "%s\n", st.Out)
-			}
-			if st.Status != wire.Done {
-				return fmt.Errorf("workflow %s %s: %s", id, st.Status, st.Why)
-			}
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(time.Second):
-		}
 	}
+	return nil
 }
 
-func progress(st *wire.WorkflowStatus) string {
-	parts := []string{fmt.Sprintf("%s %s", st.ID, st.Status)}
-	for _, s := range st.Steps {
-		text := s.Step + " " + s.State
-		if s.Total > 1 {
-			text += fmt.Sprintf(" %d/%d", s.Over, s.Total)
-		}
-		if s.Why != "" {
-			text += " (" + s.Why + ")"
+// readInputs reads and checks a process's inputs from the file that args may name.
+func readInputs(process *cwl.Process, args []string) (map[string]any, error) {
+	name, content := "inputs", []byte("{}")
+	if len(args) > 0 {
+		var err error
+		if name = args[0]; name != "" {
+			if content, err = readFile(name); err != nil {
+				return nil, err
+			}
 		}
-		parts = append(parts, text)
 	}
-	return strings.Join(parts, "  ")
+	inputs, err := process.ReadInputs(name, content)
+	if err != nil {
+		return nil, err
+	}
+	_, err = process.Complete(inputs)
+	return inputs, err
 }
--- /dev/null
+++ b/cmd/maddermill/cwlwatch.go
@@ -0,0 +1,123 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"maddermill/wire"
+)
+
+// watchEvery is how often a workflow's state is read while it is watched.
+const watchEvery = time.Second
+
+// watchCommand returns "cwl watch".
+func (c *cwlCommands) watchCommand() *cobra.Command {
+	var asJSON bool
+	watch := &cobra.Command{
+		Use:   "watch ID",
+		Short: "Follow a workflow until it is over; the exit status tells how it ended",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return c.watch(cmd.Context(), args[0], newProgress(cmd.OutOrStdout(), asJSON))
+		},
+	}
+	watch.Flags().BoolVar(&asJSON, "json", false, "print each change as a JSON object on a line")
+	return watch
+}
+
+// watch prints a workflow's progress as it changes, until the workflow is over or ctx ends. It fails
+// unless the workflow is done.
+func (c *cwlCommands) watch(ctx context.Context, id string, p *progress) error {
+	for {
+		status, err := c.send(ctx, "GET", "/"+id, nil)
+		if err != nil {
+			return err
+		}
+		if err := p.show(status); err != nil {
+			return err
+		}
+		switch status.Status {
+		case wire.Done, wire.Failed, wire.Cancelled:
+			p.finish(status)
+			if status.Status != wire.Done {
+				return fmt.Errorf("workflow %s %s: %s", id, status.Status, status.Why)
+			}
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(watchEvery):
+		}
+	}
+}
+
+// progress prints the states of a workflow: in place on a terminal, else as a line each.
+type progress struct {
+	out     io.Writer
+	asJSON  bool
+	inPlace bool
+	last    string // the line that was printed last
+}
+
+// newProgress returns a progress that prints to out, in place if standard output is a terminal.
+func newProgress(out io.Writer, asJSON bool) *progress {
+	info, err := os.Stdout.Stat()
+	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
+	return &progress{out: out, asJSON: asJSON, inPlace: terminal && !asJSON}
+}
+
+// show prints a state unless it is printed already.
+func (p *progress) show(status *wire.WorkflowStatus) error {
+	line := describeWorkflow(status)
+	if p.asJSON {
+		b, err := json.Marshal(status)
+		if err != nil {
+			return err
+		}
+		line = string(b)
+	}
+	if line == p.last {
+		return nil
+	}
+	p.last = line
+	if p.inPlace {
+		printf(p.out, "\r\x1b[K%s", line)
+	} else {
+		printLine(p.out, line)
+	}
+	return nil
+}
+
+// finish ends the line that is printed in place, and prints what the workflow gave.
+func (p *progress) finish(status *wire.WorkflowStatus) {
+	if p.inPlace {
+		printLine(p.out)
+	}
+	if len(status.Out) > 0 && !p.asJSON {
+		printf(p.out, "%s\n", status.Out)
+	}
+}
+
+// describeWorkflow describes the state of a workflow and of its steps on a line.
+func describeWorkflow(status *wire.WorkflowStatus) string {
+	parts := []string{fmt.Sprintf("%s %s", status.ID, status.Status)}
+	for _, step := range status.Steps {
+		text := step.Step + " " + step.State
+		if step.Total > 1 {
+			text += fmt.Sprintf(" %d/%d", step.Over, step.Total)
+		}
+		if step.Why != "" {
+			text += " (" + step.Why + ")"
+		}
+		parts = append(parts, text)
+	}
+	return strings.Join(parts, "  ")
+}
--- a/cmd/maddermill/promises.go
+++ b/cmd/maddermill/promises.go
@@ -19,8 +19,13 @@
 	"maddermill/wire"
 )
 
+// listPageItems is how many keys commands that list records read at once.
+const listPageItems = 1000
+
+// promisesCommand returns the promises command, with which operators check the register of galleries
+// and inspect the galleries' deadlines.
 func promisesCommand(config *string) *cobra.Command {
-	cmd := &cobra.Command{
+	root := &cobra.Command{
 		Use:   "promises",
 		Short: "Check a register of galleries, and show what became of their dates (docs/promises.md)",
 	}
@@ -29,19 +34,7 @@
 		Short: "Check a register and name what is wrong; with --config its teams, too",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var set *settings.Settings
-			if *config != "" {
-				s, err := settings.Load(*config, "")
-				if err != nil {
-					return err
-				}
-				set = s
-			}
-			r, err := deadlinetracker.Read(args[0], set)
-			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], r)
-			}
-			return err
+			return checkRegister(cmd.OutOrStdout(), args[0], *config)
 		},
 	}
 	var dates bool
@@ -50,51 +43,47 @@
 		Short: "List the galleries on record with their dates and states, those that are over last",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, store, limits, done, err := openState(cmd, *config, 0.2)
-			if err != nil {
-				return err
-			}
-			defer done()
-			return showGalleries(ctx, store, limits, cmd.OutOrStdout(), dates)
+			return withRecords(cmd, *config, commandShare, func(ctx context.Context, r records) error {
+				return showGalleries(ctx, r.store, cmd.OutOrStdout(), dates)
+			})
 		},
 	}
 	show.Flags().BoolVar(&dates, "dates", false, "every date that was promised, when and why")
-	cmd.AddCommand(check, show)
-	return cmd
+	root.AddCommand(check, show)
+	return root
+}
+
+// checkRegister checks a register, and its teams if config names a settings file.
+func checkRegister(w io.Writer, file, config string) error {
+	var set *settings.Settings
+	if config != "" {
+		var err error
+		if set, err = settings.Load(config, ""); err != nil {
+			return err
+		}
+	}
+	register, err := deadlinetracker.Read(file, set)
+	if err != nil {
+		return err
+	}
+	printf(w, "%s: %s\n", file, register)
+	return nil
 }
 
-// showGalleries prints the galleries on record and in the archive.
-func showGalleries(ctx context.Context, store kvstore.Store, limits ledger.Limits, w io.Writer, dates bool) error {
+// showGalleries prints the galleries on record and in the archive, and every deadline of theirs if dates
+// is set.
+func showGalleries(ctx context.Context, store *kvstore.Client, w io.Writer, dates bool) error {
 	out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(out, "GALLERY\tTEAM\tPROMISED\tSTATE\tSINCE\tWHY")
+	printLine(out, "GALLERY\tTEAM\tPROMISED\tSTATE\tSINCE\tWHY")
 	count := 0
 	for _, prefix := range []string{ledger.GalleryPrefix, ledger.FinalGalleryKey("")} {
-		err := kvstore.Each(ctx, store, prefix, 1000, func(it wire.Item) error {
-			var g ledger.GalleryRecord
-			if err := json.Unmarshal(it.Value, &g); err != nil || len(g.Promises) == 0 {
-				return errors.Join(fmt.Errorf("%s: is no gallery", it.Key), err)
+		err := kvstore.Each(ctx, store, prefix, listPageItems, func(item wire.Item) error {
+			var gallery ledger.GalleryRecord
+			if err := json.Unmarshal(item.Value, &gallery); err != nil || len(gallery.Promises) == 0 {
+				return errors.Join(fmt.Errorf("%s: is no gallery", item.Key), err)
 			}
 			count++
-			stamp := func(t wire.UnixMillis) string { return t.Time().UTC().Format(time.RFC3339) }
-			st := string(g.State)
-			if st == "" {
-				st = "open"
-			}
-			fmt.Fprintf(
-				out,
-				"%s\t%s\t%s\t%s\t%s\t%s\n",
-				strings.TrimPrefix(it.Key, prefix),
-				g.Team,
-				stamp(g.Promises[len(g.Promises)-1].Date),
-				st,
-				stamp(g.Since),
-				g.Why,
-			)
-			for _, p := range g.Promises {
-				if dates {
-					fmt.Fprintf(out, "  on %s\t\t%s\t\t\t%s\n", stamp(p.At), stamp(p.Date), p.Why)
-				}
-			}
+			printGallery(out, strings.TrimPrefix(item.Key, prefix), &gallery, dates)
 			return nil
 		})
 		if err != nil {
@@ -104,6 +93,31 @@
 	if err := out.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "%d galleries\n", count)
+	printf(w, "%d galleries\n", count)
 	return nil
 }
+
+// printGallery prints a gallery as a row, and every deadline of it as one if dates is set.
+func printGallery(w io.Writer, id string, gallery *ledger.GalleryRecord, dates bool) {
+	format := func(t wire.UnixMillis) string { return t.Time().UTC().Format(time.RFC3339) }
+	state := string(gallery.State)
+	if state == "" {
+		state = "open"
+	}
+	printf(
+		w,
+		"%s\t%s\t%s\t%s\t%s\t%s\n",
+		id,
+		gallery.Team,
+		format(gallery.Promises[len(gallery.Promises)-1].Date),
+		state,
+		format(gallery.Since),
+		gallery.Why,
+	)
+	if !dates {
+		return
+	}
+	for _, p := range gallery.Promises {
+		printf(w, "  on %s\t\t%s\t\t\t%s\n", format(p.At), format(p.Date), p.Why)
+	}
+}
--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -10,42 +10,33 @@
 
 	"github.com/spf13/cobra"
 
-	"maddermill/internal/plugin"
 	"maddermill/internal/scheduler/quarantine"
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/state/ledger"
 	"maddermill/wire"
 )
 
+// quarantineCommands are the commands with which operators inspect which machines are judged faulty.
+type quarantineCommands struct {
+	config *string
+	server string // "": the controller of the settings file
+}
+
+// quarantineCommand returns the quarantine command.
 func quarantineCommand(config *string) *cobra.Command {
-	cmd := &cobra.Command{
+	c := &quarantineCommands{config: config}
+	root := &cobra.Command{
 		Use:   "quarantine",
 		Short: "Tell which machines are judged faulty or slow, and why (docs/quarantine.md)",
-		Long:  "What a controller believes of the machines that report to it. Ask each controller: who holds a\nmachine judges it.",
+		Long: "What a controller believes of the machines that report to it. Ask each controller: who holds a\n" +
+			"machine judges it.",
 	}
-	var server string
 	var raw bool
-	ask := func() (list []wire.Judgement, body []byte, err error) {
-		if body, err = view(*config, server, "/api/judgements"); err != nil {
-			return nil, nil, err
-		}
-		return list, body, json.Unmarshal(body, &list)
-	}
 	list := &cobra.Command{
 		Use:   "list",
 		Short: "List machines on which tasks failed, or that are slow, the worst first",
 		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			list, body, err := ask()
-			if err != nil {
-				return err
-			}
-			if raw {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s\n", body)
-				return err
-			}
-			return listJudgements(cmd.OutOrStdout(), list)
-		},
+		RunE:  func(cmd *cobra.Command, _ []string) error { return c.list(cmd.Context(), cmd.OutOrStdout(), raw) },
 	}
 	list.Flags().BoolVar(&raw, "json", false, "as the controller tells it")
 	explain := &cobra.Command{
@@ -53,51 +44,77 @@
 		Short: "Tell why a machine is judged as it is, and what was ruled out",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			list, _, err := ask()
-			if err != nil {
-				return err
-			}
-			for i := range list {
-				if list[i].Machine == wire.MachineID(args[0]) {
-					quarantine.Write(cmd.OutOrStdout(), &list[i])
-					return nil
-				}
-			}
-			return fmt.Errorf("%s: no task failed there that this controller remembers, nor is it slow", args[0])
+			return c.explain(cmd.Context(), cmd.OutOrStdout(), wire.MachineID(args[0]))
 		},
 	}
 	past := &cobra.Command{
 		Use:   "past",
 		Short: "List the machines on record that were returned for being judged faulty, and why",
 		Args:  cobra.NoArgs,
-		Long:  "From the records of the state service that the settings file (--config) names. Marks of machines\nthat are gone are swept once work is archived, and then no longer listed.",
+		Long: "From the records of the state service that the settings file (--config) names. Marks of machines\n" +
+			"that are gone are swept once work is archived, and then no longer listed.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, store, _, done, err := openState(cmd, *config, 0.2)
-			if err != nil {
-				return err
-			}
-			defer done()
-			return listPast(ctx, store, cmd.OutOrStdout())
+			return withRecords(cmd, *config, commandShare, func(ctx context.Context, r records) error {
+				return listReturned(ctx, r.store, cmd.OutOrStdout())
+			})
 		},
 	}
-	cmd.PersistentFlags().StringVar(&server, "server", "", "a controller's `ADDRESS`, if not the one of --config")
-	cmd.AddCommand(list, explain, past)
-	return cmd
+	root.PersistentFlags().StringVar(&c.server, "server", "", "a controller's `ADDRESS`, if not the one of --config")
+	root.AddCommand(list, explain, past)
+	return root
+}
+
+// judgements reads the judgements of a controller, and returns the body of its response as well.
+func (c *quarantineCommands) judgements(ctx context.Context) (list []wire.Judgement, body []byte, err error) {
+	if body, err = view(ctx, *c.config, c.server, "/api/judgements"); err != nil {
+		return nil, nil, err
+	}
+	return list, body, json.Unmarshal(body, &list)
+}
+
+// list prints all judgements, as a table or as the controller sent them.
+func (c *quarantineCommands) list(ctx context.Context, out io.Writer, raw bool) error {
+	list, body, err := c.judgements(ctx)
+	if err != nil {
+		return err
+	}
+	if raw {
+		_, err = fmt.Fprintf(out, "%s\n", body)
+		return err
+	}
+	return printJudgements(out, list)
+}
+
+// explain prints why a machine is judged as it is.
+func (c *quarantineCommands) explain(ctx context.Context, out io.Writer, machine wire.MachineID) error {
+	list, _, err := c.judgements(ctx)
+	if err != nil {
+		return err
+	}
+	for i := range list {
+		if list[i].Machine == machine {
+			quarantine.Write(out, &list[i])
+			return nil
+		}
+	}
+	return fmt.Errorf("%s: no task failed there that this controller remembers, nor is it slow", machine)
 }
 
-// listPast prints the marks of machines that were judged faulty.
-func listPast(ctx context.Context, store plugin.Records, out io.Writer) error {
-	return kvstore.Each(ctx, store, ledger.MarksPrefix, 1000, func(it wire.Item) error {
-		if m, mark, why, ok := ledger.DecodeMachinePhase(it); ok && strings.HasPrefix(why, "faulty") {
-			fmt.Fprintf(out, "%s  %s  %s\n", m, mark, why)
+// listReturned prints the machines on record that were returned because they were judged faulty.
+func listReturned(ctx context.Context, store *kvstore.Client, out io.Writer) error {
+	return kvstore.Each(ctx, store, ledger.MarksPrefix, listPageItems, func(item wire.Item) error {
+		machine, phase, why, ok := ledger.DecodeMachinePhase(item)
+		if ok && strings.HasPrefix(why, "faulty") {
+			printf(out, "%s  %s  %s\n", machine, phase, why)
 		}
 		return nil
 	})
 }
 
-func listJudgements(out io.Writer, list []wire.Judgement) error {
+// printJudgements prints judgements as a table.
+func printJudgements(out io.Writer, list []wire.Judgement) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "machine\tjudged\tprobability\trate\ttimes as long\tdone\tfailed")
+	printLine(w, "machine\tjudged\tprobability\trate\ttimes as long\tdone\tfailed")
 	for _, j := range list {
 		judged := "sound"
 		switch {
@@ -108,7 +125,7 @@
 		case j.Sure > 0.5:
 			judged = "watched"
 		}
-		fmt.Fprintf(
+		printf(
 			w,
 			"%s\t%s\t%.3g\t%.2g\t%.1f\t%d\t%d\n",
 			j.Machine,
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -14,7 +12,6 @@
 	"runtime/debug"
 	"strings"
 	"syscall"
-	"time"
 
 	"golang.org/x/sync/errgroup"
 	"gopkg.in/natefinch/lumberjack.v2"
@@ -32,11 +29,44 @@
 	"maddermill/internal/transport"
 	"maddermill/internal/transport/http1"
 	"maddermill/internal/workflow/stepdata"
-	"maddermill/policy"
 )
 
-func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
+// Shares of the socket quota. Users get no more than theirs, so that workers, other controllers, the
+// state service and the cloud can always be reached.
+const (
+	listenShare = 0.9
+	userShare   = 0.6
+	// assumedSockets is the socket quota where none is stated.
+	assumedSockets = 10_000
+)
+
+const (
+	// heapShare is the part of the memory quota that the Go runtime may use before it collects more.
+	heapShare = 0.7
+	// assumedBodyBytes bounds what answers may hold of memory where no memory quota is stated; with a
+	// quota it is a sixth of it.
+	assumedBodyBytes = 16 << 20
+	// cloudBodyBytes bounds an answer of the cloud.
+	cloudBodyBytes = 4 << 20
+)
 
+// The files in which a queue is recorded.
+const (
+	queueFileMB  = 50
+	queueBackups = 3
+)
+
+// serveOptions are the flags of the serve command.
+type serveOptions struct {
+	config    string // the platform's settings file
+	operators string // the operators' settings file; "": defaults
+	topology  string // the topology's file; "": none
+	register  string // the file of galleries and their deadlines; "": none
+	queue     string // the file to record the queue in; "": not recorded
+	workflows string // the folder of workflows' data; "": workflows are off
+}
+
+// newLogger returns the controller's log, on standard error, at the level of LOG_LEVEL.
 func newLogger(member string) (*slog.Logger, error) {
 	levels := map[string]slog.Level{
 		"":      slog.LevelInfo,
@@ -52,44 +82,9 @@
 	return slog.New(h).With("member", member), nil
 }
 
-// recordEvery is how often a queue is recorded.
-const recordEvery = 10 * time.Second
-
-// recordQueue writes passes as lines, now and then, apart from the one who gives them.
-func recordQueue(out io.Writer, log *slog.Logger) func(*policy.Pass) {
-	lines := make(chan []byte, 1)
-	go func() {
-		for b := range lines {
-			if _, err := out.Write(b); err != nil {
-				log.Warn("queue not recorded", "err", err)
-			}
-		}
-	}()
-	var last time.Time
-	return func(p *policy.Pass) {
-		if now := time.Now(); len(p.Jobs) > 1 && now.Sub(last) >= recordEvery {
-			last = now
-			b, err := json.Marshal(recorded{p.Now, p.Append(nil)})
-			if err != nil {
-				return
-			}
-			select {
-			case lines <- append(b, '\n'):
-			default: // the disk is slow
-			}
-		}
-	}
-}
-
-// Shares of the socket quota. Users get no more than theirs, so that workers,
-// the mesh and the outside systems can always be reached.
-const (
-	listenShare = 0.9
-	userShare   = 0.6
-)
-
-func serve(ctx context.Context, config, operators, topology, workflows, queue, register string) error {
-	set, err := settings.Load(config, operators)
+// serve runs a controller until ctx ends or the process gets SIGINT or SIGTERM.
+func serve(ctx context.Context, opt serveOptions) error {
+	set, err := settings.Load(opt.config, opt.operators)
 	if err != nil {
 		return err
 	}
@@ -98,89 +93,96 @@
 		return err
 	}
 	slog.SetDefault(log)
-	quota := set.Cluster.Quota
-	if quota.CPUShare > 0 && quota.CPUShare <= 1 {
-		runtime.GOMAXPROCS(1)
-	}
-	if quota.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(quota.MemoryMB * 0.7 * (1 << 20)))
-	}
-	if ctx == nil {
-		ctx = context.Background()
-	}
+	applyQuota(set)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 
-	held := 16 << 20
-	if quota.MemoryMB > 0 {
-		held = int(quota.MemoryMB*(1<<20)) / 6
-	}
-	dialer, err := transport.NewDialer(held)
+	bodyBytes := maxBodyBytes(set)
+	dialer, err := transport.NewDialer(bodyBytes)
 	if err != nil {
 		return err
 	}
 	defer dialer.Stop()
-	store := kvstore.NewClient(
-		&http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 8, MaxBody: held},
-		&http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 1, MaxBody: held},
-		set.Cluster.State.RPS, set.Cluster.State.WriteRPS, set.Cluster.Count, set.Cluster.State.TxnOps)
-	core := controller.New(set, store, log)
-	if workflows != "" {
-		if err := os.MkdirAll(workflows, 0o755); err != nil {
-			return fmt.Errorf("--workflows: %w", err)
-		}
-		core.Workflows.Set(stepdata.Dir{Root: workflows})
-	}
-	if p := set.Operators.Plugins; p.On {
-		bounds := plugin.DefaultBounds
-		bounds.Memory, bounds.Call = p.MemoryMB<<20, p.Call
-		initial := policymanager.Initial{
-			Name:      strings.TrimSuffix(filepath.Base(p.Initial), ".wasm"),
-			Signature: p.Signature,
-		}
-		if p.Initial != "" {
-			if initial.Code, err = os.ReadFile(p.Initial); err != nil {
-				return fmt.Errorf("%s: plugins.initial_module: %w", operators, err)
-			}
-			if err := plugin.Verify(p.Keys, plugin.HashOf(initial.Code), p.Signature); err != nil {
-				return fmt.Errorf("%s: plugins.initial_signature: %w", operators, err)
-			}
-		}
-		core.SetPlugins(p.Keys, bounds, p.Starve, initial)
+	core := controller.New(set, newStore(set, dialer, bodyBytes), log)
+	if err := setWorkflows(core, opt.workflows); err != nil {
+		return err
+	}
+	if err := setPlugins(core, set, opt.operators); err != nil {
+		return err
 	}
-	if queue != "" {
-		out := &lumberjack.Logger{Filename: queue, MaxSize: 50, MaxBackups: 3}
-		defer out.Close()
+	if opt.queue != "" {
+		out := &lumberjack.Logger{Filename: opt.queue, MaxSize: queueFileMB, MaxBackups: queueBackups}
+		defer func() { _ = out.Close() }() // lines are written whole, without a buffer
 		core.RecordPasses(recordQueue(out, log))
 	}
-	if register != "" {
-		r, err := deadlinetracker.Read(register, set)
-		if err != nil {
-			return err
-		}
-		core.Deadlines.Set(r)
+	if err := setDeadlines(core, set, opt.register); err != nil {
+		return err
 	}
-	var reread chan os.Signal
-	if topology != "" {
-		t, err := topologytracker.Read(topology, set.Cluster.Zones)
-		if err != nil {
-			return err
-		}
-		core.TopologyTracker.Set(t)
-		reread = make(chan os.Signal, 1)
-		signal.Notify(reread, syscall.SIGHUP)
-		defer signal.Stop(reread)
+	reload, err := setTopology(core, set, opt.topology)
+	if err != nil {
+		return err
+	}
+	if reload != nil {
+		defer signal.Stop(reload)
 	}
-	cl := cloud.NewClient(
-		&http1.Client{Dialer: dialer, Addr: set.Outside.Cloud, MaxIdle: 1, MaxBody: 4 << 20},
+	cloudClient := cloud.NewClient(
+		&http1.Client{Dialer: dialer, Addr: set.Outside.Cloud, MaxIdle: 1, MaxBody: cloudBodyBytes},
 		set.Cluster.Cloud.RPS,
 	)
-
-	sockets := quota.Sockets
+	sockets := set.Cluster.Quota.Sockets
 	if sockets == 0 {
-		sockets = 10_000
+		sockets = assumedSockets
+	}
+	server := newServer(core, set, log, sockets)
+	log.Info("starting",
+		"version", version, "bind", set.Bind, "mesh", set.MeshAddr, "objectives", len(set.Cluster.Objectives))
+	addReloads(core, opt, reload)
+
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { return core.Run(ctx, dialer, cloudClient) })
+	g.Go(func() error { return transport.Serve(ctx, set.Bind, int(listenShare*float64(sockets)), server.Serve) })
+	err = g.Wait()
+	if errors.Is(err, context.Canceled) {
+		err = nil
+	}
+	log.Info("stopped", "err", err, "objectives", len(set.Cluster.Objectives))
+	return err
+}
+
+// applyQuota fits the Go runtime into the process's quota.
+func applyQuota(set *settings.Settings) {
+	quota := set.Cluster.Quota
+	if quota.CPUShare > 0 && quota.CPUShare <= 1 {
+		runtime.GOMAXPROCS(1)
+	}
+	if quota.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(quota.MemoryMB * heapShare * (1 << 20)))
+	}
+}
+
+// maxBodyBytes returns how much memory answers of the state service may take.
+func maxBodyBytes(set *settings.Settings) int {
+	if memory := set.Cluster.Quota.MemoryMB; memory > 0 {
+		return int(memory*(1<<20)) / 6
 	}
-	server := &api.Server{
+	return assumedBodyBytes
+}
+
+// newStore returns the client of the state service. Watches have a connection of their own.
+func newStore(set *settings.Settings, dialer *transport.Dialer, bodyBytes int) *kvstore.Client {
+	return kvstore.NewClient(
+		&http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 8, MaxBody: bodyBytes},
+		&http1.Client{Dialer: dialer, Addr: set.Outside.State, MaxIdle: 1, MaxBody: bodyBytes},
+		set.Cluster.State.RPS,
+		set.Cluster.State.WriteRPS,
+		set.Cluster.Count,
+		set.Cluster.State.TxnOps,
+	)
+}
+
+// newServer returns the server of users' and workers' requests.
+func newServer(core *controller.Controller, set *settings.Settings, log *slog.Logger, sockets int) *api.Server {
+	return &api.Server{
 		Users:      core.Jobs,
 		Workers:    core.Heartbeats,
 		Workflows:  core.Workflows,
@@ -193,31 +195,87 @@
 		MaxUsers:   int(userShare * float64(sockets)),
 		MaxBusy:    max(32, sockets/8),
 	}
-	log.Info("starting",
-		"version", version, "bind", set.Bind, "mesh", set.MeshAddr, "objectives", len(set.Cluster.Objectives))
-	if register != "" {
-		core.Components.Add(
-			supervise.Component{
-				Name: "register",
-				Run:  func(ctx context.Context) error { return core.Deadlines.Reload(ctx, register) },
-			},
-		)
-	}
-	if topology != "" {
-		core.Components.Add(
-			supervise.Component{
-				Name: "topology",
-				Run:  func(ctx context.Context) error { return core.TopologyTracker.Reload(ctx, topology, reread) },
-			},
-		)
+}
+
+// setWorkflows switches workflows on, with their data in a folder, unless its name is empty.
+func setWorkflows(core *controller.Controller, folder string) error {
+	if folder == "" {
+		return nil
 	}
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return core.Run(ctx, dialer, cl) })
-	g.Go(func() error { return transport.Serve(ctx, set.Bind, int(listenShare*float64(sockets)), server.Serve) })
-	err = g.Wait()
-	if errors.Is(err, context.Canceled) {
-		err = nil
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return fmt.Errorf("--workflows: %w", err)
+	}
+	core.Workflows.Set(stepdata.Dir{Root: folder})
+	return nil
+}
+
+// setPlugins switches plug-ins on if the operators' settings, read from the file operators, say so. It
+// reads and verifies the initial module.
+func setPlugins(core *controller.Controller, set *settings.Settings, operators string) error {
+	p := set.Operators.Plugins
+	if !p.On {
+		return nil
+	}
+	bounds := plugin.DefaultBounds
+	bounds.Memory, bounds.Call = p.MemoryMB<<20, p.Call
+	initial := policymanager.Initial{
+		Name:      strings.TrimSuffix(filepath.Base(p.Initial), ".wasm"),
+		Signature: p.Signature,
+	}
+	if p.Initial != "" {
+		var err error
+		if initial.Code, err = os.ReadFile(p.Initial); err != nil {
+			return fmt.Errorf("%s: plugins.initial_module: %w", operators, err)
+		}
+		if err := plugin.Verify(p.Keys, plugin.HashOf(initial.Code), p.Signature); err != nil {
+			return fmt.Errorf("%s: plugins.initial_signature: %w", operators, err)
+		}
+	}
+	core.SetPlugins(p.Keys, bounds, p.Starve, initial)
+	return nil
+}
+
+// setDeadlines reads the register of galleries unless its name is empty.
+func setDeadlines(core *controller.Controller, set *settings.Settings, file string) error {
+	if file == "" {
+		return nil
+	}
+	register, err := deadlinetracker.Read(file, set)
+	if err != nil {
+		return err
+	}
+	core.Deadlines.Set(register)
+	return nil
+}
+
+// setTopology reads the topology unless its name is empty, and returns a channel that gets SIGHUP, or
+// nil without a topology. The caller stops the signals.
+func setTopology(core *controller.Controller, set *settings.Settings, file string) (chan os.Signal, error) {
+	if file == "" {
+		return nil, nil
+	}
+	tree, err := topologytracker.Read(file, set.Cluster.Zones)
+	if err != nil {
+		return nil, err
+	}
+	core.TopologyTracker.Set(tree)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	return reload, nil
+}
+
+// addReloads adds the components that read the register and the topology again when they change.
+func addReloads(core *controller.Controller, opt serveOptions, reload <-chan os.Signal) {
+	if opt.register != "" {
+		core.Components.Add(supervise.Component{
+			Name: "register",
+			Run:  func(ctx context.Context) error { return core.Deadlines.Reload(ctx, opt.register) },
+		})
+	}
+	if opt.topology != "" {
+		core.Components.Add(supervise.Component{
+			Name: "topology",
+			Run:  func(ctx context.Context) error { return core.TopologyTracker.Reload(ctx, opt.topology, reload) },
+		})
 	}
-	log.Info("stopped", "err", err, "objectives", len(set.Cluster.Objectives))
-	return err
 }
