--- /dev/null
+++ b/internal/settings/configfile/configfile_test.go
@@ -0,0 +1,98 @@
+package configfile
+
+import (
+	"context"
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/protocolbuffers/txtpbfmt/parser"
+)
+
+// TestFields: each element of a repeated field counts, however it is written, and its line is that of the
+// field and not of the comment before it.
+func TestFields(t *testing.T) {
+	const text = `# first
+block { name: "a" }
+block: [
+  { name: "b" },
+  { name: "c" }
+]
+zone: ["x", "y"]
+`
+	nodes, err := parser.Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	blocks := Fields(nodes, "block")
+	if len(blocks) != 3 || len(Fields(nodes, "zone")) != 2 || len(Fields(nodes, "rack")) != 0 {
+		t.Fatalf("got %d blocks, %d zones, %d racks, want 3, 2, 0",
+			len(blocks), len(Fields(nodes, "zone")), len(Fields(nodes, "rack")))
+	}
+	for i, want := range []int{2, 4, 5} {
+		if got := Line(blocks[i]); got != want {
+			t.Errorf("block %d: got line %d, want %d", i, got, want)
+		}
+	}
+	for _, tc := range []struct{ got, want string }{
+		{FieldError(blocks[2], "block[2]", "%d names", 2).Error(), "line 5: block[2]: 2 names"},
+		{FieldError(nil, "block", "is missing").Error(), "block: is missing"},
+	} {
+		if tc.got != tc.want {
+			t.Errorf("got %q, want %q", tc.got, tc.want)
+		}
+	}
+}
+
+// TestRead: each line of an error names the file, and the original can be found.
+func TestRead(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "f")
+	if _, err := Read(file, func(b []byte) (string, error) { return string(b), nil }); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("got %v, want %v", err, os.ErrNotExist)
+	}
+	if err := os.WriteFile(file, []byte("text"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	wrong := errors.New("one\ntwo")
+	content, err := Read(file, func(b []byte) (string, error) { return string(b), wrong })
+	if want := file + ": one\n" + file + ": two"; content != "text" || !errors.Is(err, wrong) || err.Error() != want {
+		t.Errorf("got %q, %v, want %q", content, err, want)
+	}
+}
+
+// TestFollow: a change of the file and a signal are reported, once each; else nothing is.
+func TestFollow(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "f")
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		reload, reports := make(chan os.Signal), 0
+		ended := make(chan error, 1)
+		go func() { ended <- Follow(ctx, file, reload, func() { reports++ }) }()
+		expect := func(what string, want int) {
+			t.Helper()
+			time.Sleep(3 * pollInterval)
+			synctest.Wait()
+			if reports != want {
+				t.Errorf("%s: got %d reports, want %d", what, reports, want)
+			}
+		}
+		expect("unchanged", 0)
+		if err := os.WriteFile(file, []byte("text"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		expect("created", 1)
+		reload <- os.Interrupt
+		expect("signal", 2)
+		if err := os.Remove(file); err != nil {
+			t.Fatal(err)
+		}
+		expect("removed", 3)
+		cancel()
+		if err := <-ended; !errors.Is(err, context.Canceled) {
+			t.Errorf("got %v, want %v", err, context.Canceled)
+		}
+	})
+}
