--- a/internal/state/ledger/apply.go
+++ b/internal/state/ledger/apply.go
@@ -9,18 +9,18 @@
 	"maddermill/wire"
 )
 
-// recordKinds are the kinds of records with a key each, and what takes over a change of one.
-var recordKinds = []struct {
+// recordAppliers are the kinds of records with a key each, and what takes over a change of one.
+var recordAppliers = []struct {
 	prefix string
 	apply  func(l *Ledger, name string, e Event) error
 }{
 	{GalleryPrefix, func(l *Ledger, name string, e Event) error { return l.applyGallery(wire.GalleryName(name), e) }},
 	{workflowPrefix, func(l *Ledger, name string, e Event) error { return l.applyWorkflow(wire.WorkflowID(name), e) }},
-	{chunkPrefix, (*Ledger).applyRange},
+	{taskRangePrefix, (*Ledger).applyTaskRange},
 	{machinePrefix, (*Ledger).applyMachine},
 	{teamPrefix, (*Ledger).applyTeam},
 	{memberPrefix, (*Ledger).applyMember},
-	{flavorPrefix, (*Ledger).applyFlavor},
+	{machineTypePrefix, (*Ledger).applyMachineType},
 }
 
 // apply takes over one change.
@@ -28,13 +28,13 @@
 	if id, ok := strings.CutPrefix(e.Key, jobPrefix); ok {
 		return l.applyJob(wire.JobID(id), e)
 	}
-	if mine, err := l.applyPast(e); mine {
+	if handled, err := l.applyArchive(e); handled {
 		return err
 	}
-	if mine, err := l.applyPolicy(e); mine {
+	if handled, err := l.applyPolicy(e); handled {
 		return err
 	}
-	for _, kind := range recordKinds {
+	for _, kind := range recordAppliers {
 		if name, ok := strings.CutPrefix(e.Key, kind.prefix); ok {
 			return kind.apply(l, name, e)
 		}
@@ -42,19 +42,19 @@
 	return l.applySingle(e)
 }
 
-// applyRange takes over a range of a job's tasks. It may come before its job.
-func (l *Ledger) applyRange(name string, e Event) error {
-	id, n, ok := splitChunkKey(name)
+// applyTaskRange takes over a range of a job's tasks. It may come before its job.
+func (l *Ledger) applyTaskRange(name string, e Event) error {
+	id, n, ok := parseTaskRangeKey(name)
 	if !ok {
 		return strconv.ErrSyntax
 	}
 	if j := l.jobs[id]; j != nil {
-		return l.applyChunk(j, n, e)
+		return l.updateRange(j, n, e)
 	}
 	if e.Value == nil {
-		delete(l.orphans, e.Key)
+		delete(l.orphanRanges, e.Key)
 	} else {
-		l.orphans[e.Key] = e
+		l.orphanRanges[e.Key] = e
 	}
 	return nil
 }
@@ -62,25 +62,25 @@
 // applyMachine takes over a machine's mark.
 func (l *Ledger) applyMachine(name string, e Event) error {
 	m := wire.MachineID(name)
-	if e.Value == nil && e.Version >= l.markVer[m] {
-		delete(l.marks, m)
-		delete(l.markVer, m)
-		delete(l.leaving, m)
+	if e.Value == nil && e.Version >= l.phaseVersions[m] {
+		delete(l.phases, m)
+		delete(l.phaseVersions, m)
+		delete(l.terminating, m)
 		return nil
 	}
-	if e.Value == nil || e.Version <= l.markVer[m] {
+	if e.Value == nil || e.Version <= l.phaseVersions[m] {
 		return nil
 	}
 	var r machineRecord
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return err
 	}
-	l.marks[m], l.markVer[m] = r.Mark, e.Version
-	l.touched[m] = struct{}{}
-	if r.Mark == Terminated {
-		delete(l.leaving, m)
+	l.phases[m], l.phaseVersions[m] = r.Phase, e.Version
+	l.changedMachines[m] = struct{}{}
+	if r.Phase == Terminated {
+		delete(l.terminating, m)
 	} else {
-		l.leaving[m] = r.Why
+		l.terminating[m] = r.Reason
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 		return err
 	}
 	team := wire.Team(text)
-	l.teamVer[team] = max(l.teamVer[team], e.Version)
+	l.teamVersions[team] = max(l.teamVersions[team], e.Version)
 	return nil
 }
 
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// applyFlavor takes over a machine type. Types never go.
-func (l *Ledger) applyFlavor(_ string, e Event) error {
+// applyMachineType takes over a machine type. Types never go.
+func (l *Ledger) applyMachineType(_ string, e Event) error {
 	if e.Value == nil {
 		return nil
 	}
@@ -111,7 +111,7 @@
 	if err := json.Unmarshal(e.Value, &f); err != nil {
 		return err
 	}
-	l.flavors[f.Name] = f
+	l.machineTypes[f.Name] = f
 	return nil
 }
 
@@ -119,26 +119,26 @@
 func (l *Ledger) applySingle(e Event) error {
 	switch e.Key {
 	case RegisterKey:
-		if e.Version > l.registerVer && e.Value != nil {
-			l.registerVer = e.Version
+		if e.Version > l.registerVersion && e.Value != nil {
+			l.registerVersion = e.Version
 			return json.Unmarshal(e.Value, &l.register)
 		}
 	case ScaleOutKey:
-		if e.Value != nil && e.Version > l.hiresVer {
-			l.hires, l.hiresVer = ScaleOutRecord{}, e.Version
-			return json.Unmarshal(e.Value, &l.hires)
+		if e.Value != nil && e.Version > l.scaleOutVersion {
+			l.scaleOut, l.scaleOutVersion = ScaleOutRecord{}, e.Version
+			return json.Unmarshal(e.Value, &l.scaleOut)
 		}
 	case TokenKey:
-		if e.Version > l.tokenVer && e.Value != nil {
-			l.tokenVer = e.Version
+		if e.Version > l.tokenVersion && e.Value != nil {
+			l.tokenVersion = e.Version
 			return json.Unmarshal(e.Value, &l.token)
 		}
 	case LeaderKey:
 		if e.Value == nil {
-			l.leader, l.leaderVer = LeaderRecord{}, 0
+			l.leader, l.leaderVersion = LeaderRecord{}, 0
 			return nil
 		}
-		l.leaderVer = e.Version
+		l.leaderVersion = e.Version
 		return json.Unmarshal(e.Value, &l.leader)
 	}
 	return nil
@@ -146,25 +146,25 @@
 
 func (l *Ledger) applyJob(id wire.JobID, e Event) error {
 	j := l.jobs[id]
-	if o, short := l.past.over[id]; short {
+	if o, short := l.archived.finished[id]; short {
 		if e.Version < o.version || e.Version == o.version && e.Value != nil {
 			return nil
 		}
-		delete(l.past.over, id)
+		delete(l.archived.finished, id)
 		if e.Value == nil {
-			l.leaveGallery(id, o.gallery)
-			l.left(id, o.final())
+			l.unlinkGallery(id, o.gallery)
+			l.noteArchived(id, o.final())
 			return nil
 		}
 	}
-	if e.Value == nil && j != nil && e.Version >= j.chunks[0].Version {
+	if e.Value == nil && j != nil && e.Version >= j.ranges[0].Version {
 		l.dropJob(j)
 		return nil
 	}
 	if e.Value == nil && j == nil {
-		l.past.filter.Add(string(id)) // it went while the records were read
+		l.archived.filter.Add(string(id)) // it went while the records were read
 	}
-	if e.Value == nil || j != nil && e.Version <= j.chunks[0].Version {
+	if e.Value == nil || j != nil && e.Version <= j.ranges[0].Version {
 		return nil
 	}
 	var r jobRecord
@@ -176,104 +176,104 @@
 	}
 	if j == nil {
 		j = &Job{
-			ID:         id,
-			Spec:       r.Spec,
-			Accepted:   r.Accepted,
-			chunks:     map[int]*TaskRange{},
-			chunkTasks: cmp.Or(r.Range, l.limits.TasksPerRange()),
-			Need:       NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB),
-			Workflow:   r.Of,
+			ID:            id,
+			Spec:          r.Spec,
+			Accepted:      r.Accepted,
+			ranges:        map[int]*TaskRange{},
+			tasksPerRange: cmp.Or(r.Range, l.limits.TasksPerRange()),
+			Need:          NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB),
+			Workflow:      r.Workflow,
 		}
-		l.inGalleryOf(j, r.Gallery)
-		if w := l.workflows[r.Of]; w != nil && w.State == WorkflowCancelled {
+		l.linkGallery(j, r.Gallery)
+		if w := l.workflows[r.Workflow]; w != nil && w.State == WorkflowCancelled {
 			j.Cancelling = true
 		}
 		l.jobs[id] = j
 	}
 	if r.State == Cancelled && j.State != Cancelled {
-		l.cancelled = max(l.cancelled, e.Version)
-		l.cancels.add(cancelled{at: e.Version, job: id})
+		l.lastCancel = max(l.lastCancel, e.Version)
+		l.recentCancels.add(cancellation{revision: e.Version, job: id})
 	}
 	if j.Gallery != r.Gallery {
-		l.inGalleryOf(j, r.Gallery)
+		l.linkGallery(j, r.Gallery)
 	}
-	j.State, j.Stop, j.kept, j.Ended = r.State, r.Stop, r.Kept, r.Ended
-	l.countInGallery(j)
-	l.replace(j, 0, &TaskRange{Version: e.Version, chunkRecord: r.chunkRecord})
+	j.State, j.Stop, j.finalDone, j.Ended = r.State, r.Stop, r.FinalDone, r.Ended
+	l.updateGalleryCount(j)
+	l.replaceRange(j, 0, &TaskRange{Version: e.Version, taskRangeRecord: r.taskRangeRecord})
 	if j.State == Active {
 		l.active[id] = j
 	} else {
 		delete(l.active, id)
 	}
-	if j.Spec.Tasks > j.chunkTasks && len(l.orphans) > 0 {
-		for key, o := range l.orphans {
-			if oid, n, ok := splitChunkKey(strings.TrimPrefix(key, chunkPrefix)); ok && oid == id {
-				delete(l.orphans, key)
-				if err := l.applyChunk(j, n, o); err != nil {
+	if j.Spec.Tasks > j.tasksPerRange && len(l.orphanRanges) > 0 {
+		for key, o := range l.orphanRanges {
+			if oid, n, ok := parseTaskRangeKey(strings.TrimPrefix(key, taskRangePrefix)); ok && oid == id {
+				delete(l.orphanRanges, key)
+				if err := l.updateRange(j, n, o); err != nil {
 					return err
 				}
 			}
 		}
 	}
-	l.shorten(j)
+	l.compactFinished(j)
 	return nil
 }
 
-func (l *Ledger) applyChunk(j *Job, n int, e Event) error {
-	old := j.chunks[n]
+func (l *Ledger) updateRange(j *Job, n int, e Event) error {
+	old := j.ranges[n]
 	if e.Value == nil && old != nil && e.Version >= old.Version {
-		l.replace(j, n, &TaskRange{})
-		delete(j.chunks, n)
+		l.replaceRange(j, n, &TaskRange{})
+		delete(j.ranges, n)
 		return nil
 	}
 	if e.Value == nil || old != nil && e.Version <= old.Version {
 		return nil
 	}
 	c := &TaskRange{Version: e.Version}
-	if err := json.Unmarshal(e.Value, &c.chunkRecord); err != nil {
+	if err := json.Unmarshal(e.Value, &c.taskRangeRecord); err != nil {
 		return err
 	}
-	l.replace(j, n, c)
+	l.replaceRange(j, n, c)
 	return nil
 }
 
-// replace swaps a range and keeps every index true.
-func (l *Ledger) replace(j *Job, n int, c *TaskRange) {
+// replaceRange swaps a range and keeps every index true.
+func (l *Ledger) replaceRange(j *Job, n int, c *TaskRange) {
 	team := j.Spec.Team
-	if old := j.chunks[n]; old != nil {
-		j.Done -= old.done
-		j.Claimed -= old.held
-		l.usage[team] = l.usage[team].Add(j.Need, -old.held)
+	if old := j.ranges[n]; old != nil {
+		j.Done -= old.doneTasks
+		j.Claimed -= old.claimedTasks
+		l.teamUsage[team] = l.teamUsage[team].Add(j.Need, -old.claimedTasks)
 		var last wire.MachineID
 		for i := range old.Claims {
 			if m := old.Claims[i].Machine; m != last {
-				l.unhold(m, j, n)
+				l.removeClaims(m, j, n)
 				last = m
 			}
 		}
 	}
-	j.chunks[n] = c
-	c.done, c.held = c.doneCount(), c.claimed()
-	j.Done += c.done
-	j.Claimed += c.held
-	l.usage[team] = l.usage[team].Add(j.Need, c.held)
+	j.ranges[n] = c
+	c.doneTasks, c.claimedTasks = c.countDone(), c.countClaimed()
+	j.Done += c.doneTasks
+	j.Claimed += c.claimedTasks
+	l.teamUsage[team] = l.teamUsage[team].Add(j.Need, c.claimedTasks)
 	for _, cl := range c.Claims {
-		l.held[cl.Machine] = append(l.held[cl.Machine], HeldClaim{j, cl, n})
-		l.touched[cl.Machine] = struct{}{}
+		l.claimsByMachine[cl.Machine] = append(l.claimsByMachine[cl.Machine], HeldClaim{j, cl, n})
+		l.changedMachines[cl.Machine] = struct{}{}
 	}
 }
 
-func (l *Ledger) unhold(m wire.MachineID, j *Job, n int) {
-	l.touched[m] = struct{}{}
-	kept := l.held[m][:0]
-	for _, h := range l.held[m] {
-		if h.Job != j || h.chunk != n {
-			kept = append(kept, h)
+func (l *Ledger) removeClaims(m wire.MachineID, j *Job, n int) {
+	l.changedMachines[m] = struct{}{}
+	remaining := l.claimsByMachine[m][:0]
+	for _, h := range l.claimsByMachine[m] {
+		if h.Job != j || h.rangeIndex != n {
+			remaining = append(remaining, h)
 		}
 	}
-	if len(kept) == 0 {
-		delete(l.held, m)
+	if len(remaining) == 0 {
+		delete(l.claimsByMachine, m)
 		return
 	}
-	l.held[m] = kept
+	l.claimsByMachine[m] = remaining
 }
--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -16,12 +16,12 @@
 const (
 	ArchivePrefix = "mma1/"
 
-	finalPrefix     = ArchivePrefix + "j/"
-	finalFlowPrefix = ArchivePrefix + "w/"
-	finalBookPrefix = ArchivePrefix + "p/"
-	filterPrefix    = ArchivePrefix + "f/"
-	headPrefix      = Prefix + "g/"
-	partPrefix      = Prefix + "h/"
+	finalPrefix         = ArchivePrefix + "j/"
+	finalWorkflowPrefix = ArchivePrefix + "w/"
+	finalGalleryPrefix  = ArchivePrefix + "p/"
+	filterPrefix        = ArchivePrefix + "f/"
+	seriesHeadPrefix    = Prefix + "g/"
+	seriesPartPrefix    = Prefix + "h/"
 )
 
 // ImportKey is there while records are imported: until they are complete nobody serves.
@@ -65,8 +65,8 @@
 
 // IsFinalKey reports whether a key is that of an archived job or workflow.
 func IsFinalKey(key string) bool {
-	return strings.HasPrefix(key, finalPrefix) || strings.HasPrefix(key, finalFlowPrefix) ||
-		strings.HasPrefix(key, finalBookPrefix)
+	return strings.HasPrefix(key, finalPrefix) || strings.HasPrefix(key, finalWorkflowPrefix) ||
+		strings.HasPrefix(key, finalGalleryPrefix)
 }
 
 // FinalRecord is what is kept of a job for ever.
@@ -99,114 +99,114 @@
 
 func pageKey(p *archive.Page) string { return filterPrefix + p.Name() }
 
-// past is what a ledger knows of what is over.
-type past struct {
-	format    FormatRecord
-	formatVer wire.Revision
-	importing bool
-	filter    *archive.Filter
-	gone      *archive.TerminatedMachines
-	headVer   map[archive.Series]wire.Revision
-	partVer   map[archive.PartID]wire.Revision
-	moved     map[wire.JobID]FinalRecord // archived since last asked
+// archiveIndex is what a ledger knows of what is over.
+type archiveIndex struct {
+	format        FormatRecord
+	formatVersion wire.Revision
+	importing     bool
+	filter        *archive.Filter
+	terminated    *archive.TerminatedMachines
+	headVersions  map[archive.Series]wire.Revision
+	partVersions  map[archive.PartID]wire.Revision
+	newlyArchived map[wire.JobID]FinalRecord // archived since last asked
 	// over holds the jobs that are over and still on record, in the short form in which they
 	// weigh little: all but those of several ranges and of workflows, which stay whole.
-	over map[wire.JobID]overJob
+	finished map[wire.JobID]finishedJob
 }
 
-type overJob struct {
+type finishedJob struct {
 	version   wire.Revision
 	done      int32 // tasks
 	cancelled bool
 	gallery   wire.GalleryName
 }
 
-func (o overJob) final() FinalRecord {
+func (o finishedJob) final() FinalRecord {
 	if o.cancelled {
 		return FinalRecord{Cancelled, int(o.done)}
 	}
 	return FinalRecord{Done, int(o.done)}
 }
 
-func newPast() past {
-	return past{
-		filter:  new(archive.Filter),
-		gone:    archive.NewTerminatedMachines(),
-		headVer: map[archive.Series]wire.Revision{},
-		partVer: map[archive.PartID]wire.Revision{},
-		moved:   map[wire.JobID]FinalRecord{},
-		over:    map[wire.JobID]overJob{},
+func newArchiveIndex() archiveIndex {
+	return archiveIndex{
+		filter:        new(archive.Filter),
+		terminated:    archive.NewTerminatedMachines(),
+		headVersions:  map[archive.Series]wire.Revision{},
+		partVersions:  map[archive.PartID]wire.Revision{},
+		newlyArchived: map[wire.JobID]FinalRecord{},
+		finished:      map[wire.JobID]finishedJob{},
 	}
 }
 
 // Format returns the format of the records and its version. Without a record it is 1.
 func (l *Ledger) Format() (FormatRecord, wire.Revision) {
-	r := l.past.format
+	r := l.archived.format
 	r.Format = max(r.Format, OldestFormat)
-	return r, l.past.formatVer
+	return r, l.archived.formatVersion
 }
 
 // MayBeArchived reports whether a job that the ledger doesn't hold may be in the archive:
 // always if it is there at the ledger's revision, seldom otherwise. Whether that is known
 // depends on the page of the filter that the job is on; see PutPage.
-func (l *Ledger) MayBeArchived(id wire.JobID) (may, known bool) { return l.mayHold(string(id)) }
+func (l *Ledger) MayBeArchived(id wire.JobID) (may, known bool) { return l.filterMayHold(string(id)) }
 
-func (l *Ledger) mayHold(name string) (may, known bool) {
+func (l *Ledger) filterMayHold(name string) (may, known bool) {
 	if f, _ := l.Format(); f.Format < ArchiveFormat {
 		return false, true // nothing is moved before the format says so
 	}
-	p, _ := l.past.filter.Page(name)
+	p, _ := l.archived.filter.Page(name)
 	return p != nil && p.MayHold(name), p != nil
 }
 
 // FilterAdditions tells how much was archived as far as the ledger knows. It is to be asked before a
 // page is read, and given to PutPage with it.
-func (l *Ledger) FilterAdditions() uint64 { return l.past.filter.Added() }
+func (l *Ledger) FilterAdditions() uint64 { return l.archived.filter.Added() }
 
 // PutFilterPage takes over a page of the filter as the state service has it. From then on the ledger
 // keeps it up: it holds what the service's did and all that it sees leave the records. It must
 // be the ledger that was asked for Added, as another may have missed some of that.
 func (l *Ledger) PutFilterPage(p *archive.Page, version wire.Revision, since uint64) bool {
-	return l.past.filter.Put(p, uint64(version), since)
+	return l.archived.filter.Put(p, uint64(version), since)
 }
 
 // DropFilterPage forgets the page of the filter that a name is on.
 func (l *Ledger) DropFilterPage(name string) {
-	if p, _ := l.past.filter.Page(name); p != nil {
-		l.past.filter.Drop(p)
+	if p, _ := l.archived.filter.Page(name); p != nil {
+		l.archived.filter.Drop(p)
 	}
 }
 
 // FilterPageKnown reports whether the page of the filter that a name is on is known here.
 func (l *Ledger) FilterPageKnown(name string) bool {
-	p, _ := l.past.filter.Page(name)
+	p, _ := l.archived.filter.Page(name)
 	return p != nil
 }
 
 // FilterPage returns the page of the filter that a job is on, nil if it is not known here.
 func (l *Ledger) FilterPage(id wire.JobID) *archive.Page {
-	p, _ := l.past.filter.Page(string(id))
+	p, _ := l.archived.filter.Page(string(id))
 	return p
 }
 
 // CountTerminated is how many machines are gone and have no mark of their own any more.
-func (l *Ledger) CountTerminated() int { return l.past.gone.Count() }
+func (l *Ledger) CountTerminated() int { return l.archived.terminated.Count() }
 
 // CountFilterPages is how many pages of the filter are known here.
-func (l *Ledger) CountFilterPages() int { return l.past.filter.Pages() }
+func (l *Ledger) CountFilterPages() int { return l.archived.filter.Pages() }
 
 // ArchivedJobs calls f for every job that went into the archive since the last call.
 func (l *Ledger) ArchivedJobs(f func(wire.JobID, FinalRecord)) {
-	for id, r := range l.past.moved {
+	for id, r := range l.archived.newlyArchived {
 		f(id, r)
 	}
-	clear(l.past.moved)
+	clear(l.archived.newlyArchived)
 }
 
 // ArchivedState returns what is to be kept of a job that is over and still on record; ok is false for
 // any other.
 func (l *Ledger) ArchivedState(id wire.JobID) (r FinalRecord, ok bool) {
-	if o, ok := l.past.over[id]; ok {
+	if o, ok := l.archived.finished[id]; ok {
 		return o.final(), true
 	}
 	if j := l.jobs[id]; j != nil && j.State != Active {
@@ -216,12 +216,12 @@
 }
 
 // DoneTasks is how many of the job's tasks are done, also while its ranges go.
-func (j *Job) DoneTasks() int { return max(j.Done, j.kept) }
+func (j *Job) DoneTasks() int { return max(j.Done, j.finalDone) }
 
-// shorten puts a job into the short form if all that it can still be asked is how it ended.
-func (l *Ledger) shorten(j *Job) {
-	if j.State != Active && j.Claimed == 0 && j.Workflow == "" && j.Spec.Tasks <= j.chunkTasks {
-		l.past.over[j.ID] = overJob{j.chunks[0].Version, int32(j.DoneTasks()), j.State == Cancelled, j.Gallery}
+// compactFinished puts a job into the short form if all that it can still be asked is how it ended.
+func (l *Ledger) compactFinished(j *Job) {
+	if j.State != Active && j.Claimed == 0 && j.Workflow == "" && j.Spec.Tasks <= j.tasksPerRange {
+		l.archived.finished[j.ID] = finishedJob{j.ranges[0].Version, int32(j.DoneTasks()), j.State == Cancelled, j.Gallery}
 		delete(l.jobs, j.ID)
 	}
 }
@@ -229,7 +229,7 @@
 // Archivable reports whether a job is on record, over, and proven to run nowhere. Jobs of a
 // workflow that is not over are not: they are what the workflow is known by.
 func (l *Ledger) Archivable(id wire.JobID) bool {
-	if o, ok := l.past.over[id]; ok {
+	if o, ok := l.archived.finished[id]; ok {
 		return !l.galleryOpen(o.gallery)
 	}
 	j := l.jobs[id]
@@ -243,7 +243,7 @@
 // EachFinished calls f for every job that may be moved into the archive, with the revision of its
 // last change.
 func (l *Ledger) EachFinished(f func(wire.JobID, wire.Revision)) {
-	for id, o := range l.past.over {
+	for id, o := range l.archived.finished {
 		if l.galleryOpen(o.gallery) {
 			continue
 		}
@@ -251,7 +251,7 @@
 	}
 	for id, j := range l.jobs {
 		if l.active[id] == nil && l.Archivable(id) {
-			f(id, j.chunks[0].Version)
+			f(id, j.ranges[0].Version)
 		}
 	}
 }
@@ -261,30 +261,30 @@
 	for id := range l.jobs {
 		f(id)
 	}
-	for id := range l.past.over {
+	for id := range l.archived.finished {
 		f(id)
 	}
 }
 
-// applyPast takes over a change of the summary; mine is false for other keys.
-func (l *Ledger) applyPast(e Event) (mine bool, err error) {
-	p := &l.past
-	if rest, ok := strings.CutPrefix(e.Key, headPrefix); ok {
+// applyArchive takes over a change of the summary; mine is false for other keys.
+func (l *Ledger) applyArchive(e Event) (handled bool, err error) {
+	p := &l.archived
+	if rest, ok := strings.CutPrefix(e.Key, seriesHeadPrefix); ok {
 		s, err := archive.ParseSeries(rest)
-		if err != nil || e.Version < p.headVer[s] || e.Value == nil {
+		if err != nil || e.Version < p.headVersions[s] || e.Value == nil {
 			return true, err
 		}
 		var h archive.Head
 		if err := json.Unmarshal(e.Value, &h); err != nil {
 			return true, err
 		}
-		p.gone.SetHead(s, h)
-		p.headVer[s] = e.Version
+		p.terminated.SetHead(s, h)
+		p.headVersions[s] = e.Version
 		return true, nil
 	}
-	if rest, ok := strings.CutPrefix(e.Key, partPrefix); ok {
+	if rest, ok := strings.CutPrefix(e.Key, seriesPartPrefix); ok {
 		id, err := archive.ParsePartID(rest)
-		if err != nil || e.Version < p.partVer[id] {
+		if err != nil || e.Version < p.partVersions[id] {
 			return true, err
 		}
 		var s archive.MachineNumbers
@@ -293,10 +293,10 @@
 				return true, err
 			}
 		}
-		p.gone.SetPart(id, s)
-		p.partVer[id] = e.Version
+		p.terminated.SetPart(id, s)
+		p.partVersions[id] = e.Version
 		if e.Value == nil {
-			delete(p.partVer, id)
+			delete(p.partVersions, id)
 		}
 		return true, nil
 	}
@@ -305,59 +305,62 @@
 		return true, nil
 	}
 	if e.Key == FormatKey {
-		if e.Value == nil || e.Version <= p.formatVer {
+		if e.Value == nil || e.Version <= p.formatVersion {
 			return true, nil
 		}
-		p.formatVer = e.Version
+		p.formatVersion = e.Version
 		return true, json.Unmarshal(e.Value, &p.format)
 	}
 	return false, nil
 }
 
-// left notes that a job went into the archive.
-func (l *Ledger) left(id wire.JobID, r FinalRecord) {
-	l.past.moved[id] = r
-	l.past.filter.Add(string(id))
+// noteArchived notes that a job went into the archive.
+func (l *Ledger) noteArchived(id wire.JobID, r FinalRecord) {
+	l.archived.newlyArchived[id] = r
+	l.archived.filter.Add(string(id))
 }
 
 // dropJob takes a job out of the ledger that has gone into the archive.
 func (l *Ledger) dropJob(j *Job) {
-	l.leaveGallery(j.ID, j.Gallery)
+	l.unlinkGallery(j.ID, j.Gallery)
 	if r, over := l.ArchivedState(j.ID); over {
-		l.left(j.ID, r)
+		l.noteArchived(j.ID, r)
 	}
-	for n := range j.chunks {
-		l.replace(j, n, &TaskRange{})
+	for n := range j.ranges {
+		l.replaceRange(j, n, &TaskRange{})
 	}
 	delete(l.jobs, j.ID)
 	delete(l.active, j.ID)
 }
 
 // mayArchive: the records' format has an archive.
-func (d *Transaction) mayArchive() bool { f, _ := d.l.Format(); return f.Format >= ArchiveFormat }
+func (txn *Transaction) archiveEnabled() bool {
+	f, _ := txn.ledger.Format()
+	return f.Format >= ArchiveFormat
+}
 
-func (d *Transaction) del(key string) { d.put(key, deleted{}) }
+func (txn *Transaction) remove(key string) { txn.put(key, deletion{}) }
 
-// deleted stands for a key that a draft deletes.
-type deleted struct{}
+// deletion stands for a key that a draft deletes.
+type deletion struct{}
 
 // Archive moves jobs that are over into the archive: as many of them, which all belong to
 // one page of the filter, as the transaction takes. How many it took is told. Their records
 // go and their final states come in one transaction, so at every revision exactly one of the
 // two holds a job, and the filter holds every job that is archived.
-func (d *Transaction) Archive(ids []wire.JobID) (int, error) {
-	if !d.mayArchive() || len(ids) == 0 {
+func (txn *Transaction) Archive(ids []wire.JobID) (int, error) {
+	if !txn.archiveEnabled() || len(ids) == 0 {
 		return 0, ErrPreconditionFailed
 	}
 	most := 0
 	for changes := 1; most < len(ids); most++ {
-		changes += 1 + d.l.keysOf(ids[most])
-		if changes > d.most {
+		changes += 1 + txn.ledger.countKeys(ids[most])
+		if changes > txn.maxChanges {
 			break
 		}
 	}
 	for n := most; n > 0; n-- {
-		err := d.try(func() error { return d.archive(ids[:n]) })
+		err := txn.atomically(func() error { return txn.archiveJobs(ids[:n]) })
 		if err == nil {
 			return n, nil
 		}
@@ -368,87 +371,87 @@
 	return 0, ErrTransactionFull
 }
 
-// keysOf is how many keys a job's records take.
-func (l *Ledger) keysOf(id wire.JobID) int {
+// countKeys is how many keys a job's records take.
+func (l *Ledger) countKeys(id wire.JobID) int {
 	if j := l.jobs[id]; j != nil {
-		return len(j.chunks)
+		return len(j.ranges)
 	}
 	return 1
 }
 
-func (d *Transaction) archive(ids []wire.JobID) error {
-	page := d.l.FilterPage(ids[0])
+func (txn *Transaction) archiveJobs(ids []wire.JobID) error {
+	page := txn.ledger.FilterPage(ids[0])
 	if page == nil {
 		return ErrNoPage
 	}
 	var names []string
 	for _, id := range ids {
-		r, over := d.l.ArchivedState(id)
-		if !over || !d.l.Archivable(id) || !page.Covers(string(id)) {
+		r, over := txn.ledger.ArchivedState(id)
+		if !over || !txn.ledger.Archivable(id) || !page.Covers(string(id)) {
 			return ErrPreconditionFailed
 		}
-		if o, short := d.l.past.over[id]; short {
-			d.conds[jobKey(id)] = o.version
-			d.del(jobKey(id))
+		if o, short := txn.ledger.archived.finished[id]; short {
+			txn.conditions[jobKey(id)] = o.version
+			txn.remove(jobKey(id))
 		} else {
-			j := d.l.jobs[id]
-			for n := range j.chunks {
-				d.read(j, n)
-				d.del(chunkKey(id, n))
+			j := txn.ledger.jobs[id]
+			for n := range j.ranges {
+				txn.requireRange(j, n)
+				txn.remove(taskRangeKey(id, n))
 			}
 		}
-		d.conds[FinalKey(id)] = 0
-		d.put(FinalKey(id), r)
+		txn.conditions[FinalKey(id)] = 0
+		txn.put(FinalKey(id), r)
 		names = append(names, string(id))
 	}
-	return d.let(names...)
+	return txn.addToFilter(names...)
 }
 
-// let has the filter let names pass that are all on one page.
-func (d *Transaction) let(names ...string) error {
-	page, version := d.l.past.filter.Page(names[0])
+// addToFilter has the filter let names pass that are all on one page.
+func (txn *Transaction) addToFilter(names ...string) error {
+	page, version := txn.ledger.archived.filter.Page(names[0])
 	if page == nil {
 		return ErrNoPage
 	}
-	pages, same := page.With(names, d.l.limits.ValueBytes)
-	d.conds[pageKey(page)] = wire.Revision(version)
+	pages, same := page.With(names, txn.ledger.limits.ValueBytes)
+	txn.conditions[pageKey(page)] = wire.Revision(version)
 	if same {
 		return nil // only a page that is nearly full lets them all pass already
 	}
 	for _, p := range pages {
 		if p.High != page.High { // the one that keeps the name takes its place
-			d.conds[pageKey(p)] = 0
+			txn.conditions[pageKey(p)] = 0
 		}
-		d.put(pageKey(p), p)
+		txn.put(pageKey(p), p)
 	}
-	d.pages = pages
+	txn.filterPages = pages
 	return nil
 }
 
 // Committed tells the ledger that the transaction was committed at a revision: the pages of the
 // filter that it wrote are known then.
-func (d *Transaction) Committed(at wire.Revision) {
-	for _, p := range d.pages {
-		d.l.past.filter.Put(p, uint64(at), d.added)
+func (txn *Transaction) Committed(at wire.Revision) {
+	for _, p := range txn.filterPages {
+		txn.ledger.archived.filter.Put(p, uint64(at), txn.filterAdditions)
 	}
 }
 
 // DeleteTaskRanges takes ranges of a job that is over out of the records, as many as the transaction
 // takes, if there are too many of them to go with the job in one. How many of its tasks are
 // done is noted in the job's own record first.
-func (d *Transaction) DeleteTaskRanges(id wire.JobID) error {
-	j := d.l.jobs[id]
-	if !d.mayArchive() || j == nil || len(j.chunks) < 2 || !d.l.Archivable(id) {
+func (txn *Transaction) DeleteTaskRanges(id wire.JobID) error {
+	j := txn.ledger.jobs[id]
+	if !txn.archiveEnabled() || j == nil || len(j.ranges) < 2 || !txn.ledger.Archivable(id) {
 		return ErrPreconditionFailed
 	}
-	return d.try(func() error {
-		w := d.job(j)
-		w.kept = j.DoneTasks()
-		d.write(w, 0)
-		for n := range j.chunks {
-			if n > 0 && len(d.puts) < d.most {
-				d.read(j, n)
-				d.del(chunkKey(j.ID, n))
+	return txn.atomically(func() error {
+		update := txn.update(j)
+		update.finalDone = j.DoneTasks()
+		txn.putRange(update, 0)
+		for n := range j.ranges {
+			if n > 0 && len(txn.values) < txn.maxChanges {
+				txn.requireRange(j, n)
+				txn.remove(taskRangeKey(j.ID, n))
 			}
 		}
 		return nil
@@ -459,64 +462,64 @@
 // to the set of those that are. All are of one part. A start on one of them that lands late
 // fails, as its transaction is conditioned on the head of the machine's series, which is
 // written here.
-func (d *Transaction) CompactTerminated(id archive.PartID, names []wire.MachineID) error {
-	if !d.mayArchive() || len(names) == 0 {
+func (txn *Transaction) CompactTerminated(id archive.PartID, names []wire.MachineID) error {
+	if !txn.archiveEnabled() || len(names) == 0 {
 		return ErrPreconditionFailed
 	}
-	return d.try(func() error {
-		p := &d.l.past
+	return txn.atomically(func() error {
+		p := &txn.ledger.archived
 		var texts []string
 		for _, m := range names {
-			if of, ok := archive.PartOfMachine(string(m)); !ok || of != id || d.l.marks[m] != Terminated {
+			if of, ok := archive.PartOfMachine(string(m)); !ok || of != id || txn.ledger.phases[m] != Terminated {
 				return ErrPreconditionFailed
 			}
-			d.conds[machineKey(m)] = d.l.markVer[m]
-			d.del(machineKey(m))
+			txn.conditions[machineKey(m)] = txn.ledger.phaseVersions[m]
+			txn.remove(machineKey(m))
 			texts = append(texts, string(m))
 		}
-		head, part := p.gone.With(id, texts)
-		headKey, partKey := headPrefix+id.Series.String(), partPrefix+id.String()
-		d.conds[headKey] = p.headVer[id.Series]
-		d.conds[partKey] = p.partVer[id]
-		d.put(headKey, head)
+		head, part := p.terminated.With(id, texts)
+		headKey, partKey := seriesHeadPrefix+id.Series.String(), seriesPartPrefix+id.String()
+		txn.conditions[headKey] = p.headVersions[id.Series]
+		txn.conditions[partKey] = p.partVersions[id]
+		txn.put(headKey, head)
 		switch {
 		case part.Len() > 0:
-			d.put(partKey, part)
-		case p.partVer[id] != 0:
-			d.del(partKey)
+			txn.put(partKey, part)
+		case p.partVersions[id] != 0:
+			txn.remove(partKey)
 		}
 		return nil
 	})
 }
 
-// standing conditions the transaction on a machine not being marked, and not being gone.
-func (d *Transaction) standing(m wire.MachineID) {
-	d.conds[machineKey(m)] = 0 // no mark, ever
-	d.readSeries(m)
+// requireMachine conditions the transaction on a machine not being marked, and not being gone.
+func (txn *Transaction) requireMachine(m wire.MachineID) {
+	txn.conditions[machineKey(m)] = 0 // no mark, ever
+	txn.requireSeries(m)
 }
 
-func (d *Transaction) readSeries(m wire.MachineID) {
+func (txn *Transaction) requireSeries(m wire.MachineID) {
 	if s, _, ok := archive.SplitName(string(m)); ok {
-		d.conds[headPrefix+s.String()] = d.l.past.headVer[s]
+		txn.conditions[seriesHeadPrefix+s.String()] = txn.ledger.archived.headVersions[s]
 	}
 }
 
 // UpgradeFormat makes the newest format that all controllers read the records' own.
-func (d *Transaction) UpgradeFormat(to int, at wire.UnixMillis) error {
-	now, version := d.l.Format()
+func (txn *Transaction) UpgradeFormat(to int, at wire.UnixMillis) error {
+	now, version := txn.ledger.Format()
 	if to <= now.Format || to > NewestFormat {
 		return ErrPreconditionFailed
 	}
-	return d.try(func() error {
-		d.conds[FormatKey] = version
-		d.conds[TokenKey] = d.l.tokenVer
-		r := FormatRecord{to, at, d.l.token.Reads >= to, now.Era}
+	return txn.atomically(func() error {
+		txn.conditions[FormatKey] = version
+		txn.conditions[TokenKey] = txn.ledger.tokenVersion
+		r := FormatRecord{to, at, txn.ledger.token.Reads >= to, now.Era}
 		if now.Format >= ArchiveFormat {
 			// What lands late of a version before galleries is conditioned on the records that
 			// it writes: nothing waits for it, and the archive's wait is not begun anew.
 			r.At, r.Fresh = now.At, now.Fresh
 		}
-		d.put(FormatKey, r)
+		txn.put(FormatKey, r)
 		return nil
 	})
 }
@@ -524,7 +527,7 @@
 // CheckFormat returns an error that wraps ErrFormat if this version doesn't read the records,
 // or ErrImporting if they are not complete.
 func (l *Ledger) CheckFormat() error {
-	if l.past.importing {
+	if l.archived.importing {
 		return ErrImporting
 	}
 	if f, _ := l.Format(); f.Format > NewestFormat {
--- a/internal/state/ledger/cancels.go
+++ b/internal/state/ledger/cancellations.go
@@ -7,42 +7,42 @@
 	"maddermill/wire"
 )
 
-// mostCancels is how many of the newest cancellations a ledger can tell apart.
-const mostCancels = 512
+// maxCancellations is how many of the newest cancellations a ledger can tell apart.
+const maxCancellations = 512
 
-// cancels is the newest cancellations, by revision. It is complete above a revision.
-type cancels struct {
-	list  []cancelled
-	above wire.Revision
+// cancellationLog is the newest cancellations, by revision. It is complete above a revision.
+type cancellationLog struct {
+	entries       []cancellation
+	completeAfter wire.Revision
 }
 
-// cancelled is a job or a workflow, with all of its steps' jobs.
-type cancelled struct {
-	at   wire.Revision
-	job  wire.JobID
-	flow wire.WorkflowID
+// cancellation is a job or a workflow, with all of its steps' jobs.
+type cancellation struct {
+	revision wire.Revision
+	job      wire.JobID
+	workflow wire.WorkflowID
 }
 
 // add notes a cancellation. While records are read they come in any order.
-func (c *cancels) add(one cancelled) {
-	if one.at <= c.above {
+func (log *cancellationLog) add(one cancellation) {
+	if one.revision <= log.completeAfter {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(
-		c.list,
-		one.at,
-		func(x cancelled, at wire.Revision) int { return cmp.Compare(x.at, at+1) },
+		log.entries,
+		one.revision,
+		func(x cancellation, at wire.Revision) int { return cmp.Compare(x.revision, at+1) },
 	)
-	c.list = slices.Insert(c.list, i, one)
-	if over := len(c.list) - mostCancels; over > 0 {
-		c.incomplete(c.list[over-1].at)
+	log.entries = slices.Insert(log.entries, i, one)
+	if over := len(log.entries) - maxCancellations; over > 0 {
+		log.forgetUpTo(log.entries[over-1].revision)
 	}
 }
 
-// incomplete notes that more was cancelled at a revision than the list tells, or may have been.
-func (c *cancels) incomplete(at wire.Revision) {
-	c.above = max(c.above, at)
-	c.list = slices.DeleteFunc(c.list, func(x cancelled) bool { return x.at <= c.above })
+// forgetUpTo notes that more was cancelled at a revision than the list tells, or may have been.
+func (log *cancellationLog) forgetUpTo(at wire.Revision) {
+	log.completeAfter = max(log.completeAfter, at)
+	log.entries = slices.DeleteFunc(log.entries, func(x cancellation) bool { return x.revision <= log.completeAfter })
 }
 
 // Cancellations is what was cancelled after a revision: jobs, and workflows with all of their steps' jobs.
@@ -56,17 +56,17 @@
 
 // CancelledSince lists what is on record and was cancelled after a revision, false if not all of
 // it can be told. Jobs that have left the records since run nowhere.
-func (l *Ledger) CancelledSince(r wire.Revision) (c Cancellations, whole bool) {
-	for _, x := range l.cancels.list {
+func (l *Ledger) CancelledSince(r wire.Revision) (c Cancellations, complete bool) {
+	for _, x := range l.recentCancels.entries {
 		switch {
-		case x.at <= r:
-		case x.flow != "":
-			c.Workflows = append(c.Workflows, x.flow)
+		case x.revision <= r:
+		case x.workflow != "":
+			c.Workflows = append(c.Workflows, x.workflow)
 		default:
 			c.Jobs = append(c.Jobs, x.job)
 		}
 	}
-	return c, r >= l.cancels.above
+	return c, r >= l.recentCancels.completeAfter
 }
 
 // MarkCancelling notes that jobs are cancelled, as another controller's ledger has it, before this one does:
--- a/internal/state/ledger/cancels_test.go
+++ b/internal/state/ledger/cancellations_test.go
@@ -18,7 +18,7 @@
 		l := New(Limits{ValueBytes: 4096, TxnOps: 12})
 		all := map[wire.Revision]wire.JobID{}
 		newest := wire.Revision(0)
-		for i := range rng.IntN(3 * mostCancels) {
+		for i := range rng.IntN(3 * maxCancellations) {
 			at := wire.Revision(1 + rng.IntN(10_000))
 			if all[at] != "" {
 				continue
--- a/internal/state/ledger/galleries.go
+++ b/internal/state/ledger/galleries.go
@@ -22,7 +22,7 @@
 func galleryKey(n wire.GalleryName) string { return GalleryPrefix + string(n) }
 
 // FinalGalleryKey is where the record of a gallery that is over is kept for ever.
-func FinalGalleryKey(n wire.GalleryName) string { return finalBookPrefix + string(n) }
+func FinalGalleryKey(n wire.GalleryName) string { return finalGalleryPrefix + string(n) }
 
 // GalleryState is a gallery's durable state.
 type GalleryState string
@@ -36,8 +36,8 @@
 	GalleryWithdrawn GalleryState = "withdrawn"
 )
 
-// galleryMoves are the states that a gallery may go to from each.
-var galleryMoves = map[GalleryState][]GalleryState{
+// galleryTransitions are the states that a gallery may go to from each.
+var galleryTransitions = map[GalleryState][]GalleryState{
 	GalleryOpen:   {GalleryAtRisk, GalleryKept, GalleryBroken, GalleryWithdrawn},
 	GalleryAtRisk: {GalleryOpen, GalleryKept, GalleryBroken, GalleryWithdrawn},
 }
@@ -54,23 +54,23 @@
 func (l *Ledger) Register() int { return l.register.Revision }
 
 // UpgradeRegister puts a newer edition of the register in force.
-func (d *Transaction) UpgradeRegister(revision int) error {
-	if revision <= d.l.register.Revision || d.l.past.format.Format < GalleryFormat {
+func (txn *Transaction) UpgradeRegister(revision int) error {
+	if revision <= txn.ledger.register.Revision || txn.ledger.archived.format.Format < GalleryFormat {
 		return ErrPreconditionFailed
 	}
-	return d.try(func() error {
-		d.conds[RegisterKey] = d.l.registerVer
-		d.put(RegisterKey, registerRecord{revision})
+	return txn.atomically(func() error {
+		txn.conditions[RegisterKey] = txn.ledger.registerVersion
+		txn.put(RegisterKey, registerRecord{revision})
 		return nil
 	})
 }
 
-// under conditions a transaction on an edition of the register being in force.
-func (d *Transaction) under(revision int) error {
-	if d.l.register.Revision != revision {
+// requireRegister conditions a transaction on an edition of the register being in force.
+func (txn *Transaction) requireRegister(revision int) error {
+	if txn.ledger.register.Revision != revision {
 		return ErrPreconditionFailed
 	}
-	d.conds[RegisterKey] = d.l.registerVer
+	txn.conditions[RegisterKey] = txn.ledger.registerVersion
 	return nil
 }
 
@@ -103,8 +103,8 @@
 
 // Bounds of a gallery's record, so that it always fits a value.
 const (
-	mostPromises = 20
-	mostWhy      = 80 // bytes
+	maxPromises    = 20
+	maxReasonBytes = 80 // bytes
 )
 
 // ErrManyDates: a gallery's date was changed as often as its record holds.
@@ -116,10 +116,10 @@
 	Version wire.Revision
 	GalleryRecord
 	Count GalleryCount
-	jobs  map[wire.JobID]jobInGallery
+	jobs  map[wire.JobID]galleryJob
 }
 
-type jobInGallery struct {
+type galleryJob struct {
 	state JobState
 	ended wire.UnixMillis
 }
@@ -128,21 +128,21 @@
 func (g *Gallery) Date() wire.UnixMillis { return g.Promises[len(g.Promises)-1].Date }
 
 // Ended reports whether nothing will ever change of the gallery any more.
-func (g *Gallery) Ended() bool { return len(galleryMoves[g.State]) == 0 }
+func (g *Gallery) Ended() bool { return len(galleryTransitions[g.State]) == 0 }
 
 // HasJobs reports whether any of the gallery's jobs is on record.
 func (g *Gallery) HasJobs() bool { return len(g.jobs) > 0 }
 
-// wrong tells what is against a record's invariants, "" if nothing is.
-func (g *Gallery) wrong(valueBytes int) string {
+// check tells what is against a record's invariants, "" if nothing is.
+func (g *Gallery) check(valueBytes int) string {
 	b, err := json.Marshal(g.GalleryRecord)
-	_, open := galleryMoves[g.State]
+	_, open := galleryTransitions[g.State]
 	switch {
 	case err != nil:
 		return err.Error()
 	case g.Version == 0:
 		return "" // of jobs whose gallery is archived
-	case len(g.Promises) == 0 || len(g.Promises) > mostPromises:
+	case len(g.Promises) == 0 || len(g.Promises) > maxPromises:
 		return fmt.Sprintf("has %d dates", len(g.Promises))
 	case !open && !slices.Contains([]GalleryState{GalleryKept, GalleryBroken, GalleryWithdrawn}, g.State):
 		return fmt.Sprintf("state %q", g.State)
@@ -184,7 +184,7 @@
 func (l *Ledger) gallery(n wire.GalleryName) *Gallery {
 	g := l.galleries[n]
 	if g == nil {
-		g = &Gallery{Name: n, jobs: map[wire.JobID]jobInGallery{}}
+		g = &Gallery{Name: n, jobs: map[wire.JobID]galleryJob{}}
 		l.galleries[n] = g
 	}
 	return g
@@ -213,19 +213,19 @@
 	return nil
 }
 
-// inGalleryOf notes that a job is tied to a gallery. A tie is for ever.
-func (l *Ledger) inGalleryOf(j *Job, n wire.GalleryName) {
+// linkGallery notes that a job is tied to a gallery. A tie is for ever.
+func (l *Ledger) linkGallery(j *Job, n wire.GalleryName) {
 	if j.Gallery = n; n != "" {
 		g := l.gallery(n)
 		if _, known := g.jobs[j.ID]; !known {
-			g.jobs[j.ID] = jobInGallery{}
+			g.jobs[j.ID] = galleryJob{}
 			g.Count.Jobs++
 		}
 	}
 }
 
-// countInGallery brings the counts of a job's gallery up to the job's state.
-func (l *Ledger) countInGallery(j *Job) {
+// updateGalleryCount brings the counts of a job's gallery up to the job's state.
+func (l *Ledger) updateGalleryCount(j *Job) {
 	if j.Gallery == "" {
 		return
 	}
@@ -237,12 +237,12 @@
 	case j.State == Cancelled:
 		g.Count.Cancelled++
 	}
-	g.jobs[j.ID] = jobInGallery{j.State, j.Ended}
+	g.jobs[j.ID] = galleryJob{j.State, j.Ended}
 	g.Count.Ended = max(g.Count.Ended, j.Ended)
 }
 
-// leaveGallery notes that a job is no longer on record.
-func (l *Ledger) leaveGallery(id wire.JobID, n wire.GalleryName) {
+// unlinkGallery notes that a job is no longer on record.
+func (l *Ledger) unlinkGallery(id wire.JobID, n wire.GalleryName) {
 	g := l.galleries[n]
 	if n == "" || g == nil {
 		return
@@ -253,71 +253,71 @@
 }
 
 // SetTime tells a draft the time of day, for what notes when it came to be.
-func (d *Transaction) SetTime(now wire.UnixMillis) { d.now = now }
+func (txn *Transaction) SetTime(now wire.UnixMillis) { txn.now = now }
 
-// done makes a job done, and notes when if it is tied to a gallery.
-func (d *Transaction) done(w *draftJob) {
-	w.state = Done
-	if w.gallery != "" {
-		w.ended = d.now
+// completeJob makes a job done, and notes when if it is tied to a gallery.
+func (txn *Transaction) completeJob(update *jobUpdate) {
+	update.state = Done
+	if update.gallery != "" {
+		update.ended = txn.now
 	}
 }
 
-// tie ties a job that is tied to none to a gallery that is not over.
-func (d *Transaction) tie(w *draftJob, g *Gallery) bool {
-	if w.gallery != "" || g.Version == 0 || g.Ended() || d.l.past.format.Format < GalleryFormat {
+// assignGallery ties a job that is tied to none to a gallery that is not over.
+func (txn *Transaction) assignGallery(update *jobUpdate, g *Gallery) bool {
+	if update.gallery != "" || g.Version == 0 || g.Ended() || txn.ledger.archived.format.Format < GalleryFormat {
 		return false
 	}
-	w.gallery = g.Name
-	d.conds[galleryKey(g.Name)] = g.Version
+	update.gallery = g.Name
+	txn.conditions[galleryKey(g.Name)] = g.Version
 	return true
 }
 
 // SubmitToGallery accepts a job that isn't known yet and ties it to a gallery in the same step; nil
 // ties it to none. ErrStale: it is known, or the gallery is over.
-func (d *Transaction) SubmitToGallery(spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
-	return d.submit(spec, at, "", g)
+func (txn *Transaction) SubmitToGallery(spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
+	return txn.submit(spec, at, "", g)
 }
 
 // AssignGallery ties a job that was accepted before its gallery was known.
-func (d *Transaction) AssignGallery(j *Job, g *Gallery) error {
-	return d.try(func() error {
-		w := d.job(j)
-		if w.state != Active || !d.tie(w, g) {
+func (txn *Transaction) AssignGallery(j *Job, g *Gallery) error {
+	return txn.atomically(func() error {
+		update := txn.update(j)
+		if update.state != Active || !txn.assignGallery(update, g) {
 			return ErrPreconditionFailed
 		}
-		d.write(w, 0)
+		txn.putRange(update, 0)
 		return nil
 	})
 }
 
 // OpenGallery puts a gallery with its first promise on record. A name that was ever used is
 // never used again.
-func (d *Transaction) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
-	if !n.Valid() || d.l.Gallery(n) != nil || d.l.past.format.Format < GalleryFormat {
+func (txn *Transaction) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
+	if !n.Valid() || txn.ledger.Gallery(n) != nil || txn.ledger.archived.format.Format < GalleryFormat {
 		return ErrPreconditionFailed
 	}
-	if err := d.under(register); err != nil {
+	if err := txn.requireRegister(register); err != nil {
 		return err
 	}
-	return d.try(func() error {
-		d.conds[galleryKey(n)], d.conds[FinalGalleryKey(n)] = 0, 0
-		d.put(galleryKey(n), GalleryRecord{Team: team, Promises: []Promise{p.cut()}, Since: p.At, Register: register})
+	return txn.atomically(func() error {
+		txn.conditions[galleryKey(n)], txn.conditions[FinalGalleryKey(n)] = 0, 0
+		txn.put(galleryKey(n), GalleryRecord{Team: team, Promises: []Promise{p.truncated()}, Since: p.At, Register: register})
 		return nil
 	})
 }
 
-func (p Promise) cut() Promise {
-	p.Why = brief(p.Why)
+func (p Promise) truncated() Promise {
+	p.Why = truncateReason(p.Why)
 	return p
 }
 
-// brief cuts a reason to what it may take of a record, as it is written there.
-func brief(why string) string {
+// truncateReason cuts a reason to what it may take of a record, as it is written there.
+func truncateReason(why string) string {
 	why = strings.ToValidUTF8(why, "?")
 	for {
 		b, _ := json.Marshal(why)
-		if len(b) <= mostWhy+2 {
+		if len(b) <= maxReasonBytes+2 {
 			return why
 		}
 		_, last := utf8.DecodeLastRuneInString(why)
@@ -326,63 +326,63 @@
 }
 
 // ChangeDate adds a promise, as an edition of the register has it.
-func (d *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
+func (txn *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
 	switch {
 	case g.Ended() || p.Date == g.Date():
 		return ErrPreconditionFailed
-	case len(g.Promises) >= mostPromises:
+	case len(g.Promises) >= maxPromises:
 		return ErrManyDates
 	}
-	if err := d.under(register); err != nil {
+	if err := txn.requireRegister(register); err != nil {
 		return err
 	}
 	r := g.GalleryRecord
-	r.Promises = append(slices.Clone(r.Promises), p.cut())
+	r.Promises = append(slices.Clone(r.Promises), p.truncated())
 	r.Register = register
-	return d.writeGallery(g, r)
+	return txn.writeGallery(g, r)
 }
 
 // WithdrawGallery ends a gallery that an edition of the register no longer has.
-func (d *Transaction) WithdrawGallery(g *Gallery, why string, at wire.UnixMillis, register int) error {
-	if err := d.under(register); err != nil {
+func (txn *Transaction) WithdrawGallery(g *Gallery, why string, at wire.UnixMillis, register int) error {
+	if err := txn.requireRegister(register); err != nil {
 		return err
 	}
-	return d.MoveGallery(g, GalleryWithdrawn, why, at)
+	return txn.MoveGallery(g, GalleryWithdrawn, why, at)
 }
 
 // MoveGallery moves a gallery to another state. One that is over has its counts on record.
-func (d *Transaction) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
-	if !slices.Contains(galleryMoves[g.State], to) {
+func (txn *Transaction) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
+	if !slices.Contains(galleryTransitions[g.State], to) {
 		return ErrPreconditionFailed
 	}
 	r := g.GalleryRecord
-	r.State, r.Why, r.Since = to, brief(why), at
-	if len(galleryMoves[to]) == 0 {
+	r.State, r.Why, r.Since = to, truncateReason(why), at
+	if len(galleryTransitions[to]) == 0 {
 		count := g.Count
 		r.Jobs = &count
 	}
-	return d.writeGallery(g, r)
+	return txn.writeGallery(g, r)
 }
 
-func (d *Transaction) writeGallery(g *Gallery, r GalleryRecord) error {
-	return d.try(func() error {
-		d.conds[galleryKey(g.Name)] = g.Version
-		d.put(galleryKey(g.Name), r)
+func (txn *Transaction) writeGallery(g *Gallery, r GalleryRecord) error {
+	return txn.atomically(func() error {
+		txn.conditions[galleryKey(g.Name)] = g.Version
+		txn.put(galleryKey(g.Name), r)
 		return nil
 	})
 }
 
 // ArchiveGallery moves a gallery that is over, and none of whose jobs is on record, into the
 // archive.
-func (d *Transaction) ArchiveGallery(g *Gallery) error {
-	if !g.Ended() || g.HasJobs() || !d.mayArchive() {
+func (txn *Transaction) ArchiveGallery(g *Gallery) error {
+	if !g.Ended() || g.HasJobs() || !txn.archiveEnabled() {
 		return ErrPreconditionFailed
 	}
-	return d.try(func() error {
-		d.conds[galleryKey(g.Name)] = g.Version
-		d.del(galleryKey(g.Name))
-		d.conds[FinalGalleryKey(g.Name)] = 0
-		d.put(FinalGalleryKey(g.Name), g.GalleryRecord)
+	return txn.atomically(func() error {
+		txn.conditions[galleryKey(g.Name)] = g.Version
+		txn.remove(galleryKey(g.Name))
+		txn.conditions[FinalGalleryKey(g.Name)] = 0
+		txn.put(FinalGalleryKey(g.Name), g.GalleryRecord)
 		return nil
 	})
 }
--- a/internal/state/ledger/golden_test.go
+++ b/internal/state/ledger/golden_test.go
@@ -14,7 +14,7 @@
 		name  string
 		value any
 	}{
-		{"job", golden.Fill[jobRecord]()}, {"task_range", golden.Fill[chunkRecord]()},
+		{"job", golden.Fill[jobRecord]()}, {"task_range", golden.Fill[taskRangeRecord]()},
 		{"machine", golden.Fill[machineRecord]()}, {"team", golden.Fill[teamRecord]()},
 		{"token", golden.Fill[TokenRecord]()}, {"leader", golden.Fill[LeaderRecord]()},
 		{"scale_out_intent", golden.Fill[ScaleOutIntent]()}, {"scale_out", golden.Fill[ScaleOutRecord]()},
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -19,51 +19,51 @@
 	ControllerIndex, ControllerCount int                     // this controller's among all; 0 of 0: it is alone
 }
 
-// binds reports whether a team's limit is on something that a task needs.
-func (l *Limits) binds(t wire.Team, need Resources) bool {
-	limit := l.TeamMax[t]
+// caps reports whether a team's limit is on something that a task needs.
+func (limits *Limits) caps(t wire.Team, need Resources) bool {
+	limit := limits.TeamMax[t]
 	return limit.CPU > 0 && need.CPU > 0 || limit.GPU > 0 && need.GPU > 0
 }
 
-// claimBytes is what a claim takes of a value at the most, names included.
-const claimBytes = 96
+// maxClaimBytes is what a claim takes of a value at the most, names included.
+const maxClaimBytes = 96
 
-// specBytes is what a job's description takes of its record at the most.
-const specBytes = 1200
+// maxSpecBytes is what a job's description takes of its record at the most.
+const maxSpecBytes = 1200
 
 // TasksPerRange is how many tasks share a record: in the worst case each has a
 // claim of its own, and all must fit beside the job's description.
-func (l *Limits) TasksPerRange() int {
-	return min(400, max(4, (l.ValueBytes-specBytes)/claimBytes))
+func (limits *Limits) TasksPerRange() int {
+	return min(400, max(4, (limits.ValueBytes-maxSpecBytes)/maxClaimBytes))
 }
 
-// longRange is how many tasks of a large array share a record, at the most.
-const longRange = 256
+// maxLongRange is how many tasks of a large array share a record, at the most.
+const maxLongRange = 256
 
-// startsPerRange is how many starts a record of a large array must at least have room
+// minStartsPerRange is how many starts a record of a large array must at least have room
 // for, counted in machines that are filled with its tasks.
-const startsPerRange = 12
+const minStartsPerRange = 12
 
-// rangeFor is how many tasks of a job share a record; 0: so few that each may have a
+// longRangeTasks is how many tasks of a job share a record; 0: so few that each may have a
 // claim of its own. Tasks of a huge array end many at a time and its machines take many
 // at a time, so longer ranges save changes; but then only so many starts have room in a
 // record, which a claim that finds none respects. A gang's tasks must all find room.
-func (l *Ledger) rangeFor(s *wire.JobSpec) int {
+func (l *Ledger) longRangeTasks(s *wire.JobSpec) int {
 	if s.Shape != wire.Array {
 		return 0
 	}
 	// Where a type of machine takes but a few of them, a record would be full of starts with most
 	// of its tasks yet to begin, and the machines of that type idle.
 	need, each := NewResources(s.CPUs, s.GPUs, s.MemoryGB), 0
-	for _, f := range l.flavors {
+	for _, f := range l.machineTypes {
 		k := NewResources(f.CPUs, f.GPUs, f.MemoryGB).Times(need, s.Tasks)
 		if k > 0 && (each == 0 || k < each) && (s.Types == nil || slices.Contains(s.Types, f.Name)) {
 			each = k
 		}
 	}
-	n := min(longRange, startsPerRange*each)
+	n := min(maxLongRange, minStartsPerRange*each)
 	if usual := l.limits.TasksPerRange(); s.Tasks <= 2*usual || n < 2*usual ||
-		l.limits.ValueBytes < specBytes+n/6+startsPerRange*claimBytes+n*pairBytes/2 {
+		l.limits.ValueBytes < maxSpecBytes+n/6+minStartsPerRange*maxClaimBytes+n*maxPairBytes/2 {
 		return 0
 	}
 	return n
@@ -72,26 +72,26 @@
 // TaskRange is a range of a job's tasks as last seen.
 type TaskRange struct {
 	Version wire.Revision
-	chunkRecord
-	done, held int // tasks
+	taskRangeRecord
+	doneTasks, claimedTasks int // tasks
 }
 
-func (c *chunkRecord) isDone(i int) bool {
-	return i/8 < len(c.Done) && c.Done[i/8]&(1<<(i%8)) != 0
+func (r *taskRangeRecord) isDone(i int) bool {
+	return i/8 < len(r.Done) && r.Done[i/8]&(1<<(i%8)) != 0
 }
 
-func (c *chunkRecord) doneCount() int {
+func (r *taskRangeRecord) countDone() int {
 	n := 0
-	for _, b := range c.Done {
+	for _, b := range r.Done {
 		n += bits.OnesCount8(b)
 	}
 	return n
 }
 
-func (c *chunkRecord) claimed() int {
+func (r *taskRangeRecord) countClaimed() int {
 	n := 0
-	for i := range c.Claims {
-		n += c.Claims[i].Count
+	for i := range r.Claims {
+		n += r.Claims[i].Count
 	}
 	return n
 }
@@ -110,10 +110,10 @@
 	Ended      wire.UnixMillis  // when it was done, if it is tied
 	Workflow   wire.WorkflowID  // the workflow that it is a step of, "" if none
 	Cancelling bool             // that workflow is cancelled, so the job will be; or the job is, by another's ledger
-	chunks     map[int]*TaskRange
+	ranges     map[int]*TaskRange
 
-	chunkTasks int
-	kept       int // tasks done, as noted when the job is over and its ranges go
+	tasksPerRange int
+	finalDone     int // tasks done, as noted when the job is over and its ranges go
 }
 
 // Pending is the number of tasks that are neither done nor claimed.
@@ -137,17 +137,17 @@
 
 // TaskDone reports whether a task is on record as done.
 func (j *Job) TaskDone(t wire.TaskIndex) bool {
-	c := j.chunks[int(t)/j.chunkTasks]
-	return c != nil && c.isDone(int(t)%j.chunkTasks)
+	c := j.ranges[int(t)/j.tasksPerRange]
+	return c != nil && c.isDone(int(t)%j.tasksPerRange)
 }
 
 // Attempt is the last attempt given out to the job's first tasks; for a gang,
 // to all of them.
-func (j *Job) Attempt() wire.Attempt { return j.chunks[0].Attempt }
+func (j *Job) Attempt() wire.Attempt { return j.ranges[0].Attempt }
 
 // Claims calls f for every claim until it returns false.
 func (j *Job) Claims(f func(Claim) bool) {
-	for _, c := range j.chunks {
+	for _, c := range j.ranges {
 		for _, cl := range c.Claims {
 			if !f(cl) {
 				return
@@ -173,11 +173,11 @@
 type HeldClaim struct {
 	Job *Job
 	Claim
-	chunk int
+	rangeIndex int
 }
 
 // Range tells which range of the job's tasks the claim is in.
-func (h *HeldClaim) Range() int { return h.chunk }
+func (h *HeldClaim) Range() int { return h.rangeIndex }
 
 // Ledger is the mirror. It isn't safe for concurrent use.
 type Ledger struct {
@@ -186,35 +186,35 @@
 	jobs     map[wire.JobID]*Job
 	active   map[wire.JobID]*Job
 
-	galleries   map[wire.GalleryName]*Gallery
-	register    registerRecord
-	registerVer wire.Revision
-	orphans     map[string]Event // ranges that arrived before their job
-	held        map[wire.MachineID][]HeldClaim
-	usage       map[wire.Team]Resources
-	teamVer     map[wire.Team]wire.Revision
-	marks       map[wire.MachineID]MachinePhase
-	leaving     map[wire.MachineID]string   // marked, and not yet known to be gone
-	touched     map[wire.MachineID]struct{} // whose claims or marks changed since last asked
-	markVer     map[wire.MachineID]wire.Revision
-	members     map[wire.MemberID]json.RawMessage
-	flavors     map[wire.MachineTypeName]wire.MachineType
-
-	workflows map[wire.WorkflowID]*Workflow
-	past      past
-	policy    PolicyRecord
-	policyVer wire.Revision
-	modules   map[wire.ModuleHash]ModuleRecord
-
-	cancelled wire.Revision // of the newest cancellation, or later
-	cancels   cancels
-
-	hires     ScaleOutRecord
-	hiresVer  wire.Revision
-	token     TokenRecord
-	tokenVer  wire.Revision
-	leader    LeaderRecord
-	leaderVer wire.Revision
+	galleries       map[wire.GalleryName]*Gallery
+	register        registerRecord
+	registerVersion wire.Revision
+	orphanRanges    map[string]Event // ranges that arrived before their job
+	claimsByMachine map[wire.MachineID][]HeldClaim
+	teamUsage       map[wire.Team]Resources
+	teamVersions    map[wire.Team]wire.Revision
+	phases          map[wire.MachineID]MachinePhase
+	terminating     map[wire.MachineID]string   // marked, and not yet known to be gone
+	changedMachines map[wire.MachineID]struct{} // whose claims or marks changed since last asked
+	phaseVersions   map[wire.MachineID]wire.Revision
+	members         map[wire.MemberID]json.RawMessage
+	machineTypes    map[wire.MachineTypeName]wire.MachineType
+
+	workflows     map[wire.WorkflowID]*Workflow
+	archived      archiveIndex
+	policy        PolicyRecord
+	policyVersion wire.Revision
+	modules       map[wire.ModuleHash]ModuleRecord
+
+	lastCancel    wire.Revision // of the newest cancellation, or later
+	recentCancels cancellationLog
+
+	scaleOut        ScaleOutRecord
+	scaleOutVersion wire.Revision
+	token           TokenRecord
+	tokenVersion    wire.Revision
+	leader          LeaderRecord
+	leaderVersion   wire.Revision
 }
 
 // Event is one key as it now is.
@@ -227,23 +227,23 @@
 // New returns an empty ledger.
 func New(limits Limits) *Ledger {
 	return &Ledger{
-		limits:    limits,
-		jobs:      map[wire.JobID]*Job{},
-		active:    map[wire.JobID]*Job{},
-		galleries: map[wire.GalleryName]*Gallery{},
-		orphans:   map[string]Event{},
-		held:      map[wire.MachineID][]HeldClaim{},
-		usage:     map[wire.Team]Resources{},
-		teamVer:   map[wire.Team]wire.Revision{},
-		marks:     map[wire.MachineID]MachinePhase{},
-		leaving:   map[wire.MachineID]string{},
-		touched:   map[wire.MachineID]struct{}{},
-		markVer:   map[wire.MachineID]wire.Revision{},
-		members:   map[wire.MemberID]json.RawMessage{},
-		flavors:   map[wire.MachineTypeName]wire.MachineType{},
-		workflows: map[wire.WorkflowID]*Workflow{},
-		past:      newPast(),
-		modules:   map[wire.ModuleHash]ModuleRecord{},
+		limits:          limits,
+		jobs:            map[wire.JobID]*Job{},
+		active:          map[wire.JobID]*Job{},
+		galleries:       map[wire.GalleryName]*Gallery{},
+		orphanRanges:    map[string]Event{},
+		claimsByMachine: map[wire.MachineID][]HeldClaim{},
+		teamUsage:       map[wire.Team]Resources{},
+		teamVersions:    map[wire.Team]wire.Revision{},
+		phases:          map[wire.MachineID]MachinePhase{},
+		terminating:     map[wire.MachineID]string{},
+		changedMachines: map[wire.MachineID]struct{}{},
+		phaseVersions:   map[wire.MachineID]wire.Revision{},
+		members:         map[wire.MemberID]json.RawMessage{},
+		machineTypes:    map[wire.MachineTypeName]wire.MachineType{},
+		workflows:       map[wire.WorkflowID]*Workflow{},
+		archived:        newArchiveIndex(),
+		modules:         map[wire.ModuleHash]ModuleRecord{},
 	}
 }
 
@@ -264,24 +264,26 @@
 }
 
 // Counts returns the number of jobs known and of those active.
-func (l *Ledger) Counts() (known, active int) { return len(l.jobs) + len(l.past.over), len(l.active) }
+func (l *Ledger) Counts() (known, active int) {
+	return len(l.jobs) + len(l.archived.finished), len(l.active)
+}
 
 // ClaimsOn returns the claims on a machine. The slice must not be kept.
-func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.held[m] }
+func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.claimsByMachine[m] }
 
 // EachHolder calls f for every machine with claims.
 func (l *Ledger) EachHolder(f func(wire.MachineID, []HeldClaim)) {
-	for m, h := range l.held {
+	for m, h := range l.claimsByMachine {
 		f(m, h)
 	}
 }
 
 // Used returns what a team's claims take.
-func (l *Ledger) Used(t wire.Team) Resources { return l.usage[t] }
+func (l *Ledger) Used(t wire.Team) Resources { return l.teamUsage[t] }
 
 // MachinePhase returns a machine's mark, "" if it has none.
 func (l *Ledger) MachinePhase(m wire.MachineID) MachinePhase {
-	if k := l.marks[m]; k != "" || !l.past.gone.Has(string(m)) {
+	if k := l.phases[m]; k != "" || !l.archived.terminated.Has(string(m)) {
 		return k
 	}
 	return Terminated
@@ -289,20 +291,20 @@
 
 // MachinePhases calls f for every machine that has a mark of its own.
 func (l *Ledger) MachinePhases(f func(wire.MachineID, MachinePhase)) {
-	for m, k := range l.marks {
+	for m, k := range l.phases {
 		f(m, k)
 	}
 }
 
 // DecodeMachinePhase reads a machine's mark from its record as the state service has it, with the reason
 // that was given; false for records of something else.
-func DecodeMachinePhase(it wire.Item) (m wire.MachineID, mark MachinePhase, why string, ok bool) {
+func DecodeMachinePhase(it wire.Item) (m wire.MachineID, phase MachinePhase, reason string, ok bool) {
 	rest, ok := strings.CutPrefix(it.Key, machinePrefix)
 	var r machineRecord
 	if !ok || json.Unmarshal(it.Value, &r) != nil {
 		return "", "", "", false
 	}
-	return wire.MachineID(rest), r.Mark, r.Why, true
+	return wire.MachineID(rest), r.Phase, r.Reason, true
 }
 
 // MarksPrefix is what the keys of machines' marks begin with.
@@ -311,7 +313,7 @@
 // TerminatingMachines calls f for every machine on its way out that isn't known to be gone.
 // Marks of machines long gone are only walked to be swept.
 func (l *Ledger) TerminatingMachines(f func(wire.MachineID)) {
-	for m := range l.leaving {
+	for m := range l.terminating {
 		f(m)
 	}
 }
@@ -319,10 +321,10 @@
 // DrainChangedMachines calls f for every machine whose claims or mark have changed since the
 // last call.
 func (l *Ledger) DrainChangedMachines(f func(wire.MachineID)) {
-	for m := range l.touched {
+	for m := range l.changedMachines {
 		f(m)
 	}
-	clear(l.touched)
+	clear(l.changedMachines)
 }
 
 // Member returns what a controller last published.
@@ -333,7 +335,7 @@
 
 // Total is what a machine of a type has; nothing if the type is not known.
 func (l *Ledger) Total(t wire.MachineTypeName) Resources {
-	f := l.flavors[t]
+	f := l.machineTypes[t]
 	return NewResources(f.CPUs, f.GPUs, f.MemoryGB)
 }
 
@@ -350,27 +352,27 @@
 
 // MachineType returns a machine type as the leader has published it.
 func (l *Ledger) MachineType(t wire.MachineTypeName) (wire.MachineType, bool) {
-	f, ok := l.flavors[t]
+	f, ok := l.machineTypes[t]
 	return f, ok
 }
 
 // MachineTypes returns all machine types. The map must not be changed.
-func (l *Ledger) MachineTypes() map[wire.MachineTypeName]wire.MachineType { return l.flavors }
+func (l *Ledger) MachineTypes() map[wire.MachineTypeName]wire.MachineType { return l.machineTypes }
 
 // LastCancel is at or above the revision of every cancellation that the ledger
 // holds. A controller tells a user of one only when its ledger holds it.
-func (l *Ledger) LastCancel() wire.Revision { return l.cancelled }
+func (l *Ledger) LastCancel() wire.Revision { return l.lastCancel }
 
 // ScaleOutIntents returns the rentals that were asked for lately, and the version of their record.
 func (l *Ledger) ScaleOutIntents() ([]ScaleOutIntent, wire.Revision) {
-	return l.hires.Recent, l.hiresVer
+	return l.scaleOut.Recent, l.scaleOutVersion
 }
 
 // Token returns the token counter and its version.
-func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVer }
+func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVersion }
 
 // Leader returns the fleet's leader and the record's version; 0: there is none.
-func (l *Ledger) Leader() (LeaderRecord, wire.Revision) { return l.leader, l.leaderVer }
+func (l *Ledger) Leader() (LeaderRecord, wire.Revision) { return l.leader, l.leaderVersion }
 
 // Apply takes over one change. Changes may arrive twice, never out of order for
 // one key except through a second reading; older ones are passed over.
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -96,7 +96,7 @@
 }
 
 // Policy returns which policy is in use, and the record's version.
-func (l *Ledger) Policy() (PolicyRecord, wire.Revision) { return l.policy, l.policyVer }
+func (l *Ledger) Policy() (PolicyRecord, wire.Revision) { return l.policy, l.policyVersion }
 
 // Module returns a module's listing.
 func (l *Ledger) Module(h wire.ModuleHash) (ModuleRecord, bool) {
@@ -105,7 +105,7 @@
 }
 
 // applyPolicy takes over a change of the policies' records; mine is false for other keys.
-func (l *Ledger) applyPolicy(e Event) (mine bool, err error) {
+func (l *Ledger) applyPolicy(e Event) (handled bool, err error) {
 	if rest, ok := strings.CutPrefix(e.Key, modulePrefix); ok {
 		h := wire.ModuleHash(rest)
 		if e.Value == nil {
@@ -122,10 +122,10 @@
 	if e.Key != PolicyKey {
 		return false, nil
 	}
-	if e.Version <= l.policyVer {
+	if e.Version <= l.policyVersion {
 		return true, nil
 	}
-	l.policy, l.policyVer = PolicyRecord{}, e.Version
+	l.policy, l.policyVersion = PolicyRecord{}, e.Version
 	if e.Value == nil {
 		return true, nil
 	}
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -26,20 +26,20 @@
 	TokenKey    = Prefix + "token"
 	ScaleOutKey = Prefix + "hires"
 
-	jobPrefix     = Prefix + "j/"
-	chunkPrefix   = Prefix + "t/"
-	machinePrefix = Prefix + "m/"
-	teamPrefix    = Prefix + "u/"
-	memberPrefix  = Prefix + "n/"
-	flavorPrefix  = Prefix + "f/"
+	jobPrefix         = Prefix + "j/"
+	taskRangePrefix   = Prefix + "t/"
+	machinePrefix     = Prefix + "m/"
+	teamPrefix        = Prefix + "u/"
+	memberPrefix      = Prefix + "n/"
+	machineTypePrefix = Prefix + "f/"
 )
 
 func jobKey(id wire.JobID) string { return jobPrefix + string(id) }
-func chunkKey(id wire.JobID, n int) string {
+func taskRangeKey(id wire.JobID, n int) string {
 	if n == 0 {
 		return jobKey(id)
 	}
-	return fmt.Sprintf("%s%s/%d", chunkPrefix, id, n)
+	return fmt.Sprintf("%s%s/%d", taskRangePrefix, id, n)
 }
 func machineKey(id wire.MachineID) string { return machinePrefix + string(id) }
 func teamKey(t wire.Team) string          { return teamPrefix + strconv.Quote(string(t)) }
@@ -48,7 +48,9 @@
 func MemberKey(m wire.MemberID) string { return memberPrefix + string(m) }
 
 // MachineTypeKey is where the leader publishes a machine type.
-func MachineTypeKey(t wire.MachineTypeName) string { return flavorPrefix + strconv.Quote(string(t)) }
+func MachineTypeKey(t wire.MachineTypeName) string {
+	return machineTypePrefix + strconv.Quote(string(t))
+}
 
 // Resources are amounts in millionths, so that sums are exact.
 type Resources struct{ CPU, GPU, Memory int64 }
@@ -71,8 +73,8 @@
 }
 
 // Times returns how many o fit into r, at most max.
-func (r Resources) Times(o Resources, max int) int {
-	n := int64(max)
+func (r Resources) Times(o Resources, limit int) int {
+	n := int64(limit)
 	for _, p := range [][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
 		if p[1] > 0 {
 			n = min(n, p[0]/p[1])
@@ -116,12 +118,12 @@
 }
 
 // MarshalJSON writes the claims start by start.
-func (l claimList) MarshalJSON() ([]byte, error) {
+func (claims claimList) MarshalJSON() ([]byte, error) {
 	var starts [][]any
 	var of []*Claim
 next:
-	for i := range l {
-		c := &l[i]
+	for i := range claims {
+		c := &claims[i]
 		for k, o := range of {
 			if o.sameStart(c) {
 				starts[k] = append(starts[k], c.First, c.Count)
@@ -136,12 +138,12 @@
 
 // UnmarshalJSON reads what MarshalJSON wrote, and the form of earlier versions: an
 // array a claim, of first task, count, attempt, machine, zone, session and token.
-func (l *claimList) UnmarshalJSON(b []byte) error {
+func (claims *claimList) UnmarshalJSON(b []byte) error {
 	var starts [][]json.RawMessage
 	if err := json.Unmarshal(b, &starts); err != nil {
 		return err
 	}
-	*l = nil
+	*claims = nil
 	for _, s := range starts {
 		if len(s) < 7 || len(s)%2 == 0 {
 			return fmt.Errorf("ledger: claim of %d fields", len(s))
@@ -160,24 +162,24 @@
 			if err := errors.Join(json.Unmarshal(pairs[0], &c.First), json.Unmarshal(pairs[1], &c.Count)); err != nil {
 				return err
 			}
-			*l = append(*l, c)
+			*claims = append(*claims, c)
 		}
 	}
 	return nil
 }
 
-// pairBytes is what a piece of a claim takes of a value at the most.
-const pairBytes = 10
+// maxPairBytes is what a piece of a claim takes of a value at the most.
+const maxPairBytes = 10
 
 // worstBytes is what the claims take at the most, however their tasks end: a piece
 // falls into half as many as it has tasks.
-func (l claimList) worstBytes() int {
+func (claims claimList) worstBytes() int {
 	sum := 0
-	for i := range l {
-		if !slices.ContainsFunc(l[:i], func(o Claim) bool { return o.sameStart(&l[i]) }) {
-			sum += claimBytes
+	for i := range claims {
+		if !slices.ContainsFunc(claims[:i], func(o Claim) bool { return o.sameStart(&claims[i]) }) {
+			sum += maxClaimBytes
 		}
-		sum += (l[i].Count + 1) / 2 * pairBytes
+		sum += (claims[i].Count + 1) / 2 * maxPairBytes
 	}
 	return sum
 }
@@ -187,8 +189,8 @@
 	return t >= c.First && int(t-c.First) < c.Count
 }
 
-// chunkRecord is the durable part of a range of a job's tasks.
-type chunkRecord struct {
+// taskRangeRecord is the durable part of a range of a job's tasks.
+type taskRangeRecord struct {
 	Attempt wire.Attempt `json:"a,omitempty"` // last attempt given out
 	Done    []byte       `json:"d,omitempty"` // a bit a task
 	Claims  claimList    `json:"c,omitempty"`
@@ -196,17 +198,17 @@
 
 // jobRecord is a job; the first range of its tasks is kept in it.
 type jobRecord struct {
-	Spec     *wire.JobSpec   `json:"spec"`
-	Accepted wire.UnixMillis `json:"at"`
-	State    JobState        `json:"state,omitempty"`
-	Stop     wire.Attempt    `json:"stop,omitempty"`  // gangs up to this attempt are to stop
-	Range    int             `json:"range,omitempty"` // tasks a record; 0: as many as may each have a claim
-	Of       wire.WorkflowID `json:"of,omitempty"`    // the workflow that it is a step of
-	Kept     int             `json:"kept,omitempty"`  // tasks done, once the job is over and its ranges go
+	Spec      *wire.JobSpec   `json:"spec"`
+	Accepted  wire.UnixMillis `json:"at"`
+	State     JobState        `json:"state,omitempty"`
+	Stop      wire.Attempt    `json:"stop,omitempty"`  // gangs up to this attempt are to stop
+	Range     int             `json:"range,omitempty"` // tasks a record; 0: as many as may each have a claim
+	Workflow  wire.WorkflowID `json:"of,omitempty"`    // the workflow that it is a step of
+	FinalDone int             `json:"kept,omitempty"`  // tasks done, once the job is over and its ranges go
 
 	Gallery wire.GalleryName `json:"g,omitempty"` // that it is tied to
 	Ended   wire.UnixMillis  `json:"e,omitempty"` // when it was done, if it is tied
-	chunkRecord
+	taskRangeRecord
 }
 
 // MachinePhase is how far a machine is on its way out.
@@ -219,8 +221,8 @@
 )
 
 type machineRecord struct {
-	Mark MachinePhase `json:"s"`
-	Why  string       `json:"why,omitempty"`
+	Phase  MachinePhase `json:"s"`
+	Reason string       `json:"why,omitempty"`
 }
 
 type teamRecord struct {
@@ -267,7 +269,7 @@
 // HireBytes is about what a rental takes of the record.
 const HireBytes = 200
 
-func splitChunkKey(rest string) (wire.JobID, int, bool) {
+func parseTaskRangeKey(rest string) (wire.JobID, int, bool) {
 	id, n, ok := strings.Cut(rest, "/")
 	i, err := strconv.Atoi(n)
 	return wire.JobID(id), i, ok && err == nil && i > 0
--- /dev/null
+++ b/internal/state/ledger/transaction_releases.go
@@ -0,0 +1,107 @@
+package ledger
+
+import (
+	"slices"
+
+	"maddermill/wire"
+)
+
+// ReleaseTasks removes tasks' claim on proof that they are gone, and with done records that
+// they have completed. A claim other than the one proven gone is not touched; how many
+// there were is told. All tasks are of one range: those of a Held are.
+func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, done bool) (int, error) {
+	n := int(tasks[0]) / j.tasksPerRange
+	released := 0
+	err := txn.atomically(func() error {
+		update := txn.update(j)
+		c := update.taskRange(n)
+		for _, task := range tasks {
+			at := slices.IndexFunc(c.Claims, func(o Claim) bool { return o.Covers(task) && o.sameStart(&claim) })
+			if at < 0 || int(task)/j.tasksPerRange != n {
+				continue
+			}
+			c.Claims = removeTask(c.Claims, at, task)
+			released++
+			if done && j.Spec.Shape != wire.Service {
+				c.setDone(int(task) % j.tasksPerRange)
+			}
+		}
+		if released == 0 {
+			return ErrPreconditionFailed
+		}
+		txn.teamUsage[j.Spec.Team] = txn.teamUsage[j.Spec.Team].Add(j.Need, -released)
+		txn.putRange(update, n)
+		if done && update.state == Active && update.allDone() {
+			txn.completeJob(update)
+			txn.putRange(update, 0)
+		}
+		return nil
+	})
+	if err != nil {
+		return 0, err
+	}
+	return released, nil
+}
+
+// CompleteGang records that a gang of several tasks is done: its tasks complete together, so that one
+// that is done proves it of all of the attempt (PROTOCOL, "Gangs"), whoever holds their
+// machines. It takes one change where the tasks' exits by themselves may take one each. How many
+// claims went is told.
+func (txn *Transaction) CompleteGang(j *Job, attempt wire.Attempt) (released int, err error) {
+	err = txn.atomically(func() error {
+		released = 0
+		update := txn.update(j)
+		if update.state != Active || j.Spec.Shape != wire.Gang {
+			return ErrPreconditionFailed
+		}
+		for n := range j.ranges {
+			c := update.taskRange(n)
+			before := released
+			c.Claims = slices.DeleteFunc(slices.Clone(c.Claims), func(o Claim) bool {
+				if o.Attempt != attempt {
+					return false
+				}
+				for i := range o.Count {
+					c.setDone((int(o.First) + i) % j.tasksPerRange)
+				}
+				released += o.Count
+				return true
+			})
+			if released > before {
+				txn.putRange(update, n)
+			}
+		}
+		if released == 0 {
+			return ErrPreconditionFailed
+		}
+		txn.teamUsage[j.Spec.Team] = txn.teamUsage[j.Spec.Team].Add(j.Need, -released)
+		if update.allDone() {
+			txn.completeJob(update)
+			txn.putRange(update, 0)
+		}
+		return nil
+	})
+	return released, err
+}
+
+func (r *taskRangeRecord) setDone(i int) {
+	for len(r.Done) <= i/8 {
+		r.Done = append(r.Done, 0)
+	}
+	r.Done[i/8] |= 1 << (i % 8)
+}
+
+// removeTask takes one task out of the claim at index i, splitting it if need be.
+func removeTask(claims []Claim, i int, task wire.TaskIndex) []Claim {
+	c := claims[i]
+	left, right := c, c
+	left.Count = int(task - c.First)
+	right.First, right.Count = task+1, c.Count-left.Count-1
+	var parts []Claim
+	for _, p := range []Claim{left, right} {
+		if p.Count > 0 {
+			parts = append(parts, p)
+		}
+	}
+	return slices.Replace(claims, i, i+1, parts...)
+}
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -18,28 +18,28 @@
 // DocumentPrefix is where workflows' documents are kept.
 const DocumentPrefix = "mmd1/"
 
-// kinds are the kinds of records by their prefixes.
-var kinds = []struct{ prefix, kind string }{
+// recordKindNames are the kinds of records by their prefixes.
+var recordKindNames = []struct{ prefix, kind string }{
 	{jobPrefix, "jobs"},
-	{chunkPrefix, "ranges of jobs"},
+	{taskRangePrefix, "ranges of jobs"},
 	{machinePrefix, "marks of machines"},
 	{teamPrefix, "teams"},
 	{
 		memberPrefix,
 		"members",
 	},
-	{flavorPrefix, "machine types"},
+	{machineTypePrefix, "machine types"},
 	{workflowPrefix, "workflows"},
 	{GalleryPrefix, "galleries"},
-	{finalBookPrefix, "archived galleries"},
+	{finalGalleryPrefix, "archived galleries"},
 	{filterPrefix, "filter pages"},
 	{
-		headPrefix,
+		seriesHeadPrefix,
 		"series of gone machines",
 	},
-	{partPrefix, "parts of gone machines"},
+	{seriesPartPrefix, "parts of gone machines"},
 	{finalPrefix, "archived jobs"},
-	{finalFlowPrefix, "archived workflows"},
+	{finalWorkflowPrefix, "archived workflows"},
 	{
 		DocumentPrefix,
 		"documents",
@@ -57,7 +57,7 @@
 
 // RecordKind tells in words what a key is of; "" if it is of nothing that is known.
 func RecordKind(key string) string {
-	for _, k := range kinds {
+	for _, k := range recordKindNames {
 		if strings.HasPrefix(key, k.prefix) {
 			return k.kind
 		}
@@ -115,50 +115,50 @@
 			complain(key, "%v", err)
 		}
 	}
-	for key := range l.orphans {
+	for key := range l.orphanRanges {
 		complain(key, "its job is not on record")
 	}
 	for id, j := range l.jobs {
 		l.verifyJob(jobKey(id), j, complain)
 	}
 	// Of those in the short form nothing but the end is left to be wrong.
-	for id, o := range l.past.over {
+	for id, o := range l.archived.finished {
 		var r jobRecord
 		if json.Unmarshal(records[jobKey(id)].Value, &r) == nil && !o.cancelled && int(o.done) != r.Spec.Tasks {
 			complain(jobKey(id), "is done with %d of %d tasks", o.done, r.Spec.Tasks)
 		}
 	}
 	for name, g := range l.galleries {
-		if what := g.wrong(l.limits.ValueBytes); what != "" {
+		if what := g.check(l.limits.ValueBytes); what != "" {
 			complain(galleryKey(name), "%s", what)
 		}
 	}
-	for m := range l.marks {
-		if k := l.marks[m]; k != Terminating && k != Terminated {
+	for m := range l.phases {
+		if k := l.phases[m]; k != Terminating && k != Terminated {
 			complain(machineKey(m), "mark %q", k)
 		}
 	}
 	gone := map[archive.Series]int{}
-	for id := range l.past.partVer {
-		n, whole := l.past.gone.Part(id)
+	for id := range l.archived.partVersions {
+		n, whole := l.archived.terminated.Part(id)
 		gone[id.Series] += n
 		if whole {
-			complain(partPrefix+id.String(), "is also in its series as a whole")
+			complain(seriesPartPrefix+id.String(), "is also in its series as a whole")
 		}
 	}
-	for s := range l.past.headVer {
-		h := l.past.gone.Head(s)
+	for s := range l.archived.headVersions {
+		h := l.archived.terminated.Head(s)
 		if n := gone[s] + h.Whole.Len()*archive.Span; n != h.Gone {
-			complain(headPrefix+s.String(), "%d machines, and its parts have %d", h.Gone, n)
+			complain(seriesHeadPrefix+s.String(), "%d machines, and its parts have %d", h.Gone, n)
 		}
 	}
-	for id := range l.past.partVer {
-		if l.past.headVer[id.Series] == 0 {
-			complain(partPrefix+id.String(), "its series has no head")
+	for id := range l.archived.partVersions {
+		if l.archived.headVersions[id.Series] == 0 {
+			complain(seriesPartPrefix+id.String(), "its series has no head")
 		}
 	}
 	for team, limit := range limits.TeamMax {
-		used := l.usage[team]
+		used := l.teamUsage[team]
 		if limit.CPU > 0 && used.CPU > limit.CPU || limit.GPU > 0 && used.GPU > limit.GPU {
 			complain(
 				teamKey(team),
@@ -173,17 +173,17 @@
 }
 
 func (l *Ledger) verifyJob(key string, j *Job, complain func(key, format string, a ...any)) {
-	ranges := (j.Spec.Tasks + j.chunkTasks - 1) / j.chunkTasks
+	ranges := (j.Spec.Tasks + j.tasksPerRange - 1) / j.tasksPerRange
 	taken := make([]bool, j.Spec.Tasks)
 	claims, attempts, zones := 0, map[wire.Attempt]bool{}, map[wire.Zone]int{}
-	for n, c := range j.chunks {
-		at := chunkKey(j.ID, n)
+	for n, c := range j.ranges {
+		at := taskRangeKey(j.ID, n)
 		if n >= ranges {
 			complain(at, "range %d of %d", n, ranges)
 			continue
 		}
-		first, end := n*j.chunkTasks, min(j.Spec.Tasks, (n+1)*j.chunkTasks)
-		for i := end - first; i < 8*len(c.chunkRecord.Done); i++ {
+		first, end := n*j.tasksPerRange, min(j.Spec.Tasks, (n+1)*j.tasksPerRange)
+		for i := end - first; i < 8*len(c.taskRangeRecord.Done); i++ {
 			if c.isDone(i) {
 				complain(at, "task %d is done, and there is none", first+i)
 			}
--- a/internal/state/ledger/workflows.go
+++ b/internal/state/ledger/workflows.go
@@ -63,7 +63,7 @@
 	old := l.workflows[id]
 	if e.Value == nil && old != nil && e.Version >= old.Version {
 		delete(l.workflows, id)
-		l.past.filter.Add(WorkflowFilterName(id))
+		l.archived.filter.Add(WorkflowFilterName(id))
 		return nil
 	}
 	if e.Value == nil || old != nil && e.Version <= old.Version {
@@ -76,8 +76,8 @@
 	if w.State == WorkflowCancelled {
 		// Like a job's: whoever answers workers must know of it, and from now on no task of
 		// its steps starts and all are told to stop, before their jobs' own records say so.
-		l.cancelled = max(l.cancelled, e.Version)
-		l.cancels.add(cancelled{at: e.Version, flow: id})
+		l.lastCancel = max(l.lastCancel, e.Version)
+		l.recentCancels.add(cancellation{revision: e.Version, workflow: id})
 		for _, j := range l.active {
 			j.Cancelling = j.Cancelling || j.Workflow == id
 		}
@@ -92,78 +92,78 @@
 }
 
 // writeWorkflow puts a workflow's record in place of the one of a version; 0: there is none.
-func (d *Transaction) writeWorkflow(id wire.WorkflowID, at wire.Revision, r WorkflowRecord) error {
-	return d.try(func() error {
-		d.conds[workflowKey(id)] = at
-		d.put(workflowKey(id), r)
+func (txn *Transaction) writeWorkflow(id wire.WorkflowID, at wire.Revision, r WorkflowRecord) error {
+	return txn.atomically(func() error {
+		txn.conditions[workflowKey(id)] = at
+		txn.put(workflowKey(id), r)
 		return nil
 	})
 }
 
 // SubmitWorkflow accepts a workflow that isn't known yet, nor archived. Its documents are
 // written before.
-func (d *Transaction) SubmitWorkflow(id wire.WorkflowID, r WorkflowRecord) error {
-	if d.l.workflows[id] != nil {
+func (txn *Transaction) SubmitWorkflow(id wire.WorkflowID, r WorkflowRecord) error {
+	if txn.ledger.workflows[id] != nil {
 		return ErrPreconditionFailed
 	}
-	d.conds[FinalWorkflowKey(id)] = 0
-	return d.writeWorkflow(id, 0, r)
+	txn.conditions[FinalWorkflowKey(id)] = 0
+	return txn.writeWorkflow(id, 0, r)
 }
 
-// flowMoves are the states that a workflow may go to from each.
-var flowMoves = map[WorkflowState][]WorkflowState{
+// workflowTransitions are the states that a workflow may go to from each.
+var workflowTransitions = map[WorkflowState][]WorkflowState{
 	WorkflowActive: {WorkflowDone, WorkflowFailed, WorkflowCancelled},
 	WorkflowFailed: {WorkflowActive, WorkflowCancelled},
 }
 
 // EndWorkflow moves a workflow to a state, or leaves it in the one that it is in if it can't
 // go there: the answer tells. Only one that failed becomes active again.
-func (d *Transaction) EndWorkflow(w *Workflow, to WorkflowState, why string) (WorkflowState, error) {
-	if !slices.Contains(flowMoves[w.State], to) {
-		return w.State, nil
+func (txn *Transaction) EndWorkflow(update *Workflow, to WorkflowState, why string) (WorkflowState, error) {
+	if !slices.Contains(workflowTransitions[update.State], to) {
+		return update.State, nil
 	}
-	r := w.WorkflowRecord
+	r := update.WorkflowRecord
 	r.State, r.Why = to, why
 	if to == WorkflowActive {
 		r.Resumed++
 	}
-	return to, d.writeWorkflow(w.ID, w.Version, r)
+	return to, txn.writeWorkflow(update.ID, update.Version, r)
 }
 
 // DeleteWorkflow notes that no job of a cancelled workflow is active any more.
-func (d *Transaction) DeleteWorkflow(w *Workflow) error {
-	if w.State != WorkflowCancelled || w.Swept {
+func (txn *Transaction) DeleteWorkflow(update *Workflow) error {
+	if update.State != WorkflowCancelled || update.Swept {
 		return ErrPreconditionFailed
 	}
-	r := w.WorkflowRecord
+	r := update.WorkflowRecord
 	r.Swept = true
-	return d.writeWorkflow(w.ID, w.Version, r)
+	return txn.writeWorkflow(update.ID, update.Version, r)
 }
 
 // FinalWorkflowKey is where an archived workflow's record is kept.
-func FinalWorkflowKey(id wire.WorkflowID) string { return finalFlowPrefix + string(id) }
+func FinalWorkflowKey(id wire.WorkflowID) string { return finalWorkflowPrefix + string(id) }
 
 // WorkflowFilterName is a workflow's name in the filter, which no job has.
 func WorkflowFilterName(id wire.WorkflowID) string { return "workflow " + string(id) }
 
 // WorkflowMayBeArchived is MayBeArchived for a workflow.
 func (l *Ledger) WorkflowMayBeArchived(id wire.WorkflowID) (may, known bool) {
-	return l.mayHold(WorkflowFilterName(id))
+	return l.filterMayHold(WorkflowFilterName(id))
 }
 
 // ArchiveWorkflow moves a workflow that is over into the archive. Its record stays what it
 // is, and whoever looks at its steps finds their jobs in the archive, too.
-func (d *Transaction) ArchiveWorkflow(id wire.WorkflowID) error {
-	w := d.l.workflows[id]
-	if !d.mayArchive() || w == nil || !w.Ended() {
+func (txn *Transaction) ArchiveWorkflow(id wire.WorkflowID) error {
+	update := txn.ledger.workflows[id]
+	if !txn.archiveEnabled() || update == nil || !update.Ended() {
 		return ErrPreconditionFailed
 	}
-	return d.try(func() error {
-		d.conds[workflowKey(id)] = w.Version
-		d.del(workflowKey(id))
-		d.conds[FinalWorkflowKey(id)] = 0
-		d.put(FinalWorkflowKey(id), w.WorkflowRecord)
-		return d.let(WorkflowFilterName(id))
+	return txn.atomically(func() error {
+		txn.conditions[workflowKey(id)] = update.Version
+		txn.remove(workflowKey(id))
+		txn.conditions[FinalWorkflowKey(id)] = 0
+		txn.put(FinalWorkflowKey(id), update.WorkflowRecord)
+		return txn.addToFilter(WorkflowFilterName(id))
 	})
 }
 
@@ -171,10 +171,10 @@
 // that the workflow is active: a step must not be submitted after its workflow's
 // cancellation was told, however late the transaction lands.
 // It is tied to a gallery, if one is given.
-func (d *Transaction) SubmitStep(w *Workflow, spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
-	if w.State != WorkflowActive {
+func (txn *Transaction) SubmitStep(update *Workflow, spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
+	if update.State != WorkflowActive {
 		return ErrPreconditionFailed
 	}
-	d.conds[workflowKey(w.ID)] = w.Version
-	return d.submit(spec, at, w.ID, g)
+	txn.conditions[workflowKey(update.ID)] = update.Version
+	return txn.submit(spec, at, update.ID, g)
 }
