--- a/internal/state/backup/take.go
+++ b/internal/state/backup/take.go
@@ -204,8 +204,8 @@
 			add(ledger.Problem{Key: key, What: "a final state was deleted"})
 		case archived:
 			r.Archived++
-			if what := ledger.CheckArchived(id, value); what != "" {
-				add(ledger.Problem{Key: key, What: what})
+			if err := ledger.CheckArchived(id, value); err != nil {
+				add(ledger.Problem{Key: key, What: err.Error()})
 			}
 			if !passed(id) {
 				doubtful = append(doubtful, key)
--- /dev/null
+++ b/internal/state/ledger/apply_job.go
@@ -0,0 +1,223 @@
+package ledger
+
+import (
+	"cmp"
+	"encoding/json"
+	"strconv"
+	"strings"
+
+	"maddermill/wire"
+)
+
+// applyJob applies a change of a job's record, in which the first range of its tasks is.
+func (l *Ledger) applyJob(id wire.JobID, e Event) error {
+	if l.applyFinishedJob(id, e) {
+		return nil
+	}
+	j := l.jobs[id]
+	if e.Value == nil {
+		l.applyJobDeletion(id, j, e.Version)
+		return nil
+	}
+	if j != nil && e.Version <= j.ranges[0].Version {
+		return nil
+	}
+	var r jobRecord
+	if err := json.Unmarshal(e.Value, &r); err != nil {
+		return err
+	}
+	if r.Spec == nil {
+		return strconv.ErrSyntax
+	}
+	if j == nil {
+		j = l.addJob(id, &r)
+	}
+	if r.State == Cancelled && j.State != Cancelled {
+		l.lastCancel = max(l.lastCancel, e.Version)
+		l.recentCancels.add(cancellation{revision: e.Version, job: id})
+	}
+	if j.Gallery != r.Gallery {
+		l.linkGallery(j, r.Gallery)
+	}
+	j.State, j.Stop, j.finalDone, j.Ended = r.State, r.Stop, r.FinalDone, r.Ended
+	l.updateGalleryCount(j)
+	l.replaceRange(j, 0, &TaskRange{Version: e.Version, taskRangeRecord: r.taskRangeRecord})
+	if j.State == Active {
+		l.active[id] = j
+	} else {
+		delete(l.active, id)
+	}
+	if err := l.adoptOrphanRanges(j); err != nil {
+		return err
+	}
+	l.compactFinished(j)
+	return nil
+}
+
+// applyFinishedJob applies a change of a job that is kept in the short form. It reports whether nothing
+// is left to do: a newer record is still to be read, by which the job is whole again.
+func (l *Ledger) applyFinishedJob(id wire.JobID, e Event) (handled bool) {
+	o, short := l.archived.finished[id]
+	if !short {
+		return false
+	}
+	if e.Version < o.version || e.Version == o.version && e.Value != nil {
+		return true
+	}
+	delete(l.archived.finished, id)
+	if e.Value != nil {
+		return false
+	}
+	l.unlinkGallery(id, o.gallery)
+	l.noteArchived(id, o.final())
+	return true
+}
+
+// applyJobDeletion applies that a job's record was deleted, which only archiving does. j is the job, nil
+// if it is not known.
+func (l *Ledger) applyJobDeletion(id wire.JobID, j *Job, at wire.Revision) {
+	switch {
+	case j == nil:
+		l.archived.filter.Add(string(id)) // archived while the records were read
+	case at >= j.ranges[0].Version:
+		l.dropJob(j)
+	}
+}
+
+// addJob adds a job that was not known.
+func (l *Ledger) addJob(id wire.JobID, r *jobRecord) *Job {
+	j := &Job{
+		ID:            id,
+		Spec:          r.Spec,
+		Accepted:      r.Accepted,
+		ranges:        map[int]*TaskRange{},
+		tasksPerRange: cmp.Or(r.Range, l.limits.TasksPerRange()),
+		Need:          NewResources(r.Spec.CPUs, r.Spec.GPUs, r.Spec.MemoryGB),
+		Workflow:      r.Workflow,
+	}
+	l.linkGallery(j, r.Gallery)
+	if w := l.workflows[r.Workflow]; w != nil && w.State == WorkflowCancelled {
+		j.Cancelling = true
+	}
+	l.jobs[id] = j
+	return j
+}
+
+// adoptOrphanRanges applies the ranges of a job that arrived before the job.
+func (l *Ledger) adoptOrphanRanges(j *Job) error {
+	if j.Spec.Tasks <= j.tasksPerRange || len(l.orphanRanges) == 0 {
+		return nil
+	}
+	for key, o := range l.orphanRanges {
+		id, n, ok := parseTaskRangeKey(strings.TrimPrefix(key, taskRangePrefix))
+		if !ok || id != j.ID {
+			continue
+		}
+		delete(l.orphanRanges, key)
+		if err := l.updateRange(j, n, o); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// applyTaskRange applies a change of a range of a job's tasks, other than the first. It may arrive
+// before its job.
+func (l *Ledger) applyTaskRange(name string, e Event) error {
+	id, n, ok := parseTaskRangeKey(name)
+	if !ok {
+		return strconv.ErrSyntax
+	}
+	if j := l.jobs[id]; j != nil {
+		return l.updateRange(j, n, e)
+	}
+	if e.Value == nil {
+		delete(l.orphanRanges, e.Key)
+	} else {
+		l.orphanRanges[e.Key] = e
+	}
+	return nil
+}
+
+// updateRange applies a change of the n-th range of a job's tasks.
+func (l *Ledger) updateRange(j *Job, n int, e Event) error {
+	old := j.ranges[n]
+	if e.Value == nil && old != nil && e.Version >= old.Version {
+		l.replaceRange(j, n, &TaskRange{})
+		delete(j.ranges, n)
+		return nil
+	}
+	if e.Value == nil || old != nil && e.Version <= old.Version {
+		return nil
+	}
+	c := &TaskRange{Version: e.Version}
+	if err := json.Unmarshal(e.Value, &c.taskRangeRecord); err != nil {
+		return err
+	}
+	l.replaceRange(j, n, c)
+	return nil
+}
+
+// replaceRange replaces the n-th range of a job's tasks and updates every index: the job's counts, the
+// usage of its team and the claims of machines.
+func (l *Ledger) replaceRange(j *Job, n int, c *TaskRange) {
+	team := j.Spec.Team
+	if old := j.ranges[n]; old != nil {
+		j.Done -= old.doneTasks
+		j.Claimed -= old.claimedTasks
+		l.teamUsage[team] = l.teamUsage[team].Add(j.Need, -old.claimedTasks)
+		var last wire.MachineID
+		for i := range old.Claims {
+			if m := old.Claims[i].Machine; m != last {
+				l.removeClaims(m, j, n)
+				last = m
+			}
+		}
+	}
+	j.ranges[n] = c
+	c.doneTasks, c.claimedTasks = c.countDone(), c.countClaimed()
+	j.Done += c.doneTasks
+	j.Claimed += c.claimedTasks
+	l.teamUsage[team] = l.teamUsage[team].Add(j.Need, c.claimedTasks)
+	for _, cl := range c.Claims {
+		l.claimsByMachine[cl.Machine] = append(l.claimsByMachine[cl.Machine], HeldClaim{j, cl, n})
+		l.changedMachines[cl.Machine] = struct{}{}
+	}
+}
+
+// removeClaims removes the claims of a range of a job's tasks from a machine's.
+func (l *Ledger) removeClaims(m wire.MachineID, j *Job, n int) {
+	l.changedMachines[m] = struct{}{}
+	remaining := l.claimsByMachine[m][:0]
+	for _, h := range l.claimsByMachine[m] {
+		if h.Job != j || h.rangeIndex != n {
+			remaining = append(remaining, h)
+		}
+	}
+	if len(remaining) == 0 {
+		delete(l.claimsByMachine, m)
+		return
+	}
+	l.claimsByMachine[m] = remaining
+}
+
+// dropJob removes a job that was archived.
+func (l *Ledger) dropJob(j *Job) {
+	l.unlinkGallery(j.ID, j.Gallery)
+	if r, over := l.ArchivedState(j.ID); over {
+		l.noteArchived(j.ID, r)
+	}
+	for n := range j.ranges {
+		l.replaceRange(j, n, &TaskRange{})
+	}
+	delete(l.jobs, j.ID)
+	delete(l.active, j.ID)
+}
+
+// compactFinished replaces a job by its short form if only its end can still be asked for.
+func (l *Ledger) compactFinished(j *Job) {
+	if j.State != Active && j.Claimed == 0 && j.Workflow == "" && j.Spec.Tasks <= j.tasksPerRange {
+		l.archived.finished[j.ID] = finishedJob{j.ranges[0].Version, int32(j.DoneTasks()), j.State == Cancelled, j.Gallery}
+		delete(l.jobs, j.ID)
+	}
+}
--- /dev/null
+++ b/internal/state/ledger/job_update.go
@@ -0,0 +1,93 @@
+package ledger
+
+import (
+	"encoding/json"
+	"slices"
+
+	"maddermill/wire"
+)
+
+type jobUpdate struct {
+	job       *Job
+	state     JobState
+	stop      wire.Attempt
+	spec      *wire.JobSpec
+	accepted  wire.UnixMillis
+	longRange int // tasks that share a record, if more than Limits.TasksPerRange; else 0
+	finalDone int // tasks done of a job that is over
+
+	gallery wire.GalleryName
+	ended   wire.UnixMillis
+	ranges  map[int]*taskRangeRecord
+}
+
+// taskRange returns a copy of a range's record that may be changed.
+func (u *jobUpdate) taskRange(n int) *taskRangeRecord {
+	c := u.ranges[n]
+	if c == nil {
+		c = new(taskRangeRecord)
+		if old := u.job.ranges[n]; old != nil {
+			c.Attempt = old.Attempt
+			c.Done = slices.Clone(old.Done)
+			c.Claims = slices.Clone(old.Claims)
+		}
+		u.ranges[n] = c
+	}
+	return c
+}
+
+// MarshalJSON writes the job's record.
+func (u *jobUpdate) MarshalJSON() ([]byte, error) {
+	return json.Marshal(
+		jobRecord{
+			Spec:            u.spec,
+			Accepted:        u.accepted,
+			State:           u.state,
+			Stop:            u.stop,
+			Range:           u.longRange,
+			Workflow:        u.job.Workflow,
+			FinalDone:       u.finalDone,
+			Gallery:         u.gallery,
+			Ended:           u.ended,
+			taskRangeRecord: *u.taskRange(0),
+		},
+	)
+}
+
+func (u *jobUpdate) eachClaim(f func(*Claim)) {
+	for n, c := range u.job.ranges {
+		if u.ranges[n] == nil {
+			for i := range c.Claims {
+				f(&c.Claims[i])
+			}
+		}
+	}
+	for _, c := range u.ranges {
+		for i := range c.Claims {
+			f(&c.Claims[i])
+		}
+	}
+}
+
+func (u *jobUpdate) allDone() bool {
+	return u.spec.Shape != wire.Service && u.doneTasks() == u.spec.Tasks
+}
+
+// doneTasks is how many of the job's tasks are done.
+func (u *jobUpdate) doneTasks() int {
+	total := u.job.Done
+	for n, c := range u.ranges {
+		if old := u.job.ranges[n]; old != nil {
+			total -= old.doneTasks
+		}
+		total += c.countDone()
+	}
+	return total
+}
+
+// rangeTaken reports whether the n-th range has no pending task, by the counts of the ledger; a range
+// that the transaction has read is not known to be.
+func (u *jobUpdate) rangeTaken(n int) bool {
+	r := u.job.ranges[n]
+	return r != nil && u.ranges[n] == nil && r.doneTasks+r.claimedTasks >= u.job.rangeBounds(n).length
+}
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -1,28 +1,6 @@
 package ledger
 
-import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"strings"
-
-	"maddermill/wire"
-)
-
-// Keys of policies. A module's code is kept in pieces that nobody mirrors.
-const (
-	PolicyKey    = Prefix + "p"
-	modulePrefix = Prefix + "q/"
-	codePrefix   = "mmp1/"
-)
-
-// ModuleKey is where a module is listed.
-func ModuleKey(h wire.ModuleHash) string { return modulePrefix + string(h) }
-
-// CodeKey is where the n-th piece of a module's code is kept.
-func CodeKey(h wire.ModuleHash, n int) string {
-	return codePrefix + string(h) + "/" + fmt.Sprintf("%05d", n)
-}
+import "maddermill/wire"
 
 // ModuleRecord lists a module.
 type ModuleRecord struct {
@@ -42,13 +20,6 @@
 	Why  string          `json:"why,omitempty"`  // the last swap was not completed
 }
 
-// Errors of changes of policies.
-var (
-	ErrInUse            = errors.New("the module is in use, or about to be")
-	ErrNoPreviousPolicy = errors.New("nothing to go back to")
-	ErrSwapping         = errors.New("another change is under way")
-)
-
 // RequestSwap begins a change to a module, or makes the built-in policy ("") the one at once.
 func (r PolicyRecord) RequestSwap(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
 	switch {
@@ -103,31 +74,3 @@
 	m, ok := l.modules[h]
 	return m, ok
 }
-
-// applyPolicy takes over a change of the policies' records; mine is false for other keys.
-func (l *Ledger) applyPolicy(e Event) (handled bool, err error) {
-	if rest, ok := strings.CutPrefix(e.Key, modulePrefix); ok {
-		h := wire.ModuleHash(rest)
-		if e.Value == nil {
-			delete(l.modules, h)
-			return true, nil
-		}
-		var m ModuleRecord
-		if err := json.Unmarshal(e.Value, &m); err != nil {
-			return true, err
-		}
-		l.modules[h] = m
-		return true, nil
-	}
-	if e.Key != PolicyKey {
-		return false, nil
-	}
-	if e.Version <= l.policyVersion {
-		return true, nil
-	}
-	l.policy, l.policyVersion = PolicyRecord{}, e.Version
-	if e.Value == nil {
-		return true, nil
-	}
-	return true, json.Unmarshal(e.Value, &l.policy)
-}
--- a/internal/state/ledger/transaction.go
+++ b/internal/state/ledger/transaction.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"maps"
 	"slices"
 
@@ -10,20 +9,6 @@
 	"maddermill/wire"
 )
 
-// Errors of drafts.
-var (
-	// ErrFull: the change doesn't fit into this transaction any more.
-	ErrTransactionFull = errors.New("ledger: transaction full")
-	// ErrStale: what the change builds on is no longer so.
-	ErrPreconditionFailed = errors.New("ledger: no longer so")
-	// ErrTooLarge: the record would exceed what the state service takes.
-	ErrTooLarge = errors.New("ledger: record too large")
-)
-
-// conditionsPerChange is how many conditions the state service takes for each
-// change that a transaction may have.
-const conditionsPerChange = 4
-
 // Transaction collects changes to one transaction over the ledger as it is.
 type Transaction struct {
 	ledger          *Ledger
@@ -40,20 +25,6 @@
 	now             wire.UnixMillis // the time of day, if it was told
 }
 
-type jobUpdate struct {
-	job           *Job
-	state         JobState
-	stop          wire.Attempt
-	spec          *wire.JobSpec
-	accepted      wire.UnixMillis
-	tasksPerRange int // tasks a record; 0: the usual
-	finalDone     int // tasks done of a job that is over
-
-	gallery wire.GalleryName
-	ended   wire.UnixMillis
-	ranges  map[int]*taskRangeRecord
-}
-
 // NewTransaction starts an empty transaction.
 func (l *Ledger) NewTransaction() *Transaction { return l.NewTransactionOf(l.limits.TxnOps) }
 
@@ -95,28 +66,13 @@
 			ranges:    map[int]*taskRangeRecord{},
 		}
 		if j.tasksPerRange != txn.ledger.limits.TasksPerRange() {
-			update.tasksPerRange = j.tasksPerRange
+			update.longRange = j.tasksPerRange
 		}
 		txn.jobs[j.ID] = update
 	}
 	return update
 }
 
-// taskRange returns a copy of a range's record that may be changed.
-func (u *jobUpdate) taskRange(n int) *taskRangeRecord {
-	c := u.ranges[n]
-	if c == nil {
-		c = new(taskRangeRecord)
-		if old := u.job.ranges[n]; old != nil {
-			c.Attempt = old.Attempt
-			c.Done = slices.Clone(old.taskRangeRecord.Done)
-			c.Claims = slices.Clone(old.Claims)
-		}
-		u.ranges[n] = c
-	}
-	return c
-}
-
 // requireRange conditions the transaction on a range's record as the ledger has it.
 func (txn *Transaction) requireRange(j *Job, n int) {
 	var v wire.Revision
@@ -143,23 +99,10 @@
 	delete(txn.sizes, key)
 }
 
-// MarshalJSON writes the job's record.
-func (u *jobUpdate) MarshalJSON() ([]byte, error) {
-	return json.Marshal(
-		jobRecord{
-			Spec:            u.spec,
-			Accepted:        u.accepted,
-			State:           u.state,
-			Stop:            u.stop,
-			Range:           u.tasksPerRange,
-			Workflow:        u.job.Workflow,
-			FinalDone:       u.finalDone,
-			Gallery:         u.gallery,
-			Ended:           u.ended,
-			taskRangeRecord: *u.taskRange(0),
-		},
-	)
-}
+// deletion stands for a key that a draft deletes.
+type deletion struct{}
+
+func (txn *Transaction) remove(key string) { txn.put(key, deletion{}) }
 
 // atomically runs a change and undoes it when the transaction would grow too large.
 func (txn *Transaction) atomically(change func() error) error {
@@ -197,6 +140,10 @@
 	return &b
 }
 
+// conditionsPerChange is how many conditions the state service takes for each
+// change that a transaction may have.
+const conditionsPerChange = 4
+
 func (txn *Transaction) checkSize() error {
 	lim := &txn.ledger.limits
 	alone := len(txn.jobs)+len(txn.phases) <= 1
@@ -259,24 +206,3 @@
 	}
 	return request, nil
 }
-
-// SetMachinePhase moves a machine along its way out. by is the version of the leader's
-// record under which the leader acts. Why a machine leaves stays on record once it is gone.
-func (txn *Transaction) SetMachinePhase(m wire.MachineID, phase MachinePhase, reason string, leaderVersion wire.Revision) error {
-	return txn.atomically(func() error {
-		old := txn.ledger.MachinePhase(m)
-		order := func(k MachinePhase) int { return slices.Index([]MachinePhase{"", Terminating, Terminated}, k) }
-		if txn.ledger.leaderVersion != leaderVersion || order(phase) <= order(old) || phase == Terminated && old != Terminating {
-			return ErrPreconditionFailed
-		}
-		txn.phases[m] = phase
-		txn.conditions[LeaderKey] = leaderVersion
-		txn.conditions[machineKey(m)] = txn.ledger.phaseVersions[m]
-		txn.requireSeries(m)
-		if phase == Terminated && txn.ledger.terminating[m] != "" {
-			reason = txn.ledger.terminating[m]
-		}
-		txn.put(machineKey(m), machineRecord{phase, reason})
-		return nil
-	})
-}
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"hash/fnv"
 	"slices"
 
 	"maddermill/wire"
@@ -24,13 +23,6 @@
 		(s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
 
-// ZoneRoom returns how many more of the job's tasks may be claimed in a zone.
-func (j *Job) ZoneRoom(zone wire.Zone) int {
-	return zoneCapacity(j.Spec, zone, func(f func(*Claim)) {
-		j.Claims(func(c Claim) bool { f(&c); return true })
-	})
-}
-
 func zoneCapacity(s *wire.JobSpec, zone wire.Zone, each func(func(*Claim))) int {
 	room := s.Tasks
 	if !s.Spread && !s.OneZone {
@@ -53,24 +45,12 @@
 	return max(0, room-here)
 }
 
-func (u *jobUpdate) eachClaim(f func(*Claim)) {
-	for n, c := range u.job.ranges {
-		if u.ranges[n] == nil {
-			for i := range c.Claims {
-				f(&c.Claims[i])
-			}
-		}
-	}
-	for _, c := range u.ranges {
-		for i := range c.Claims {
-			f(&c.Claims[i])
-		}
-	}
-}
-
-// Claim claims up to count pending tasks of an array or service for a site and
-// returns how many it got. Tasks that rest, if it is given, are left out.
-func (txn *Transaction) Claim(j *Job, target ClaimTarget, count int, backedOff func(wire.TaskIndex) bool) (int, error) {
+// Claim claims up to count pending tasks of an array or service for a target and returns how many it
+// claimed. Tasks for which backedOff is true are left out; it may be nil. It returns
+// ErrPreconditionFailed if it claimed none.
+func (txn *Transaction) Claim(
+	j *Job, target ClaimTarget, count int, backedOff func(wire.TaskIndex) bool,
+) (int, error) {
 	claimed := 0
 	err := txn.atomically(func() error {
 		update := txn.update(j)
@@ -81,44 +61,30 @@
 			return err
 		}
 		count = min(count, zoneCapacity(j.Spec, target.Zone, update.eachClaim), txn.teamCapacity(j, count))
-		tasksPerRange := j.tasksPerRange
-		ranges := (j.Spec.Tasks + tasksPerRange - 1) / tasksPerRange
+		ranges := (j.Spec.Tasks + j.tasksPerRange - 1) / j.tasksPerRange
 		// Controllers begin at different ranges of a large job. Those that start tasks of it at the
 		// same time seldom write the same record, and starts and ends that one records together are
 		// in few.
 		first := txn.ledger.limits.firstRange(j.ID, ranges)
 		for k := 0; k < ranges && claimed < count; k++ {
 			n := (first + k) % ranges
-			if c := j.ranges[n]; c != nil && update.ranges[n] == nil && c.doneTasks+c.claimedTasks >= min(tasksPerRange, j.Spec.Tasks-n*tasksPerRange) {
+			if update.rangeTaken(n) {
 				continue
 			}
-			known := update.ranges[n]
-			c := update.taskRange(n)
-			free := pendingTasks(c, n, tasksPerRange, j.Spec.Tasks, count-claimed, backedOff)
-			free = free[:txn.recordCapacity(update, n, free, target)]
-			if len(free) == 0 {
-				if known == nil {
-					delete(update.ranges, n)
-				}
+			_, changed := update.ranges[n]
+			tasks := pendingTasks(update.taskRange(n), j.rangeBounds(n), count-claimed, backedOff)
+			tasks = tasks[:txn.recordCapacity(update, n, tasks)]
+			full := claimed > 0 && len(txn.values) >= txn.maxChanges-1 // the rest goes into a later transaction
+			if len(tasks) > 0 && !full {
+				txn.claimInRange(update, n, tasks, target)
+				claimed += len(tasks)
 				continue
 			}
-			if claimed > 0 && len(txn.values) >= txn.maxChanges-1 {
-				if known == nil {
-					delete(update.ranges, n)
-				}
-				break // the rest goes into a later transaction
+			if !changed {
+				delete(update.ranges, n)
 			}
-			c.Attempt++
-			appendClaims(c, free, c.Attempt, target)
-			claimed += len(free)
-			txn.putRange(update, n)
-			if n > 0 {
-				// Cancellation and zones are read from the job's own record;
-				// with a zone rule every start must also move it.
-				txn.requireRange(j, 0)
-				if j.Spec.OneZone || j.Spec.Spread {
-					txn.putRange(update, 0)
-				}
+			if len(tasks) > 0 {
+				break
 			}
 		}
 		if claimed == 0 {
@@ -133,47 +99,54 @@
 	return claimed, nil
 }
 
-// firstRange is the range of a job's that this controller claims tasks of first.
-func (limits *Limits) firstRange(id wire.JobID, ranges int) int {
-	if ranges == 1 {
-		return 0
+// claimInRange claims pending tasks of the n-th range, in ascending order, under a new attempt.
+func (txn *Transaction) claimInRange(update *jobUpdate, n int, tasks []wire.TaskIndex, target ClaimTarget) {
+	r, j := update.taskRange(n), update.job
+	r.Attempt++
+	appendClaims(r, tasks, r.Attempt, target)
+	txn.putRange(update, n)
+	if n == 0 {
+		return
+	}
+	// Cancellation and zones are read from the job's own record; with a zone rule every start must
+	// also rewrite it.
+	txn.requireRange(j, 0)
+	if j.Spec.OneZone || j.Spec.Spread {
+		txn.putRange(update, 0)
 	}
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return (int(h.Sum32()%uint32(ranges)) + ranges*limits.ControllerIndex/max(1, limits.ControllerCount)) % ranges
 }
 
-// recordCapacity is how many of the tasks, as one start, a range's record has room for however
-// its tasks end. A record that an exit would make too large could never be written.
-func (txn *Transaction) recordCapacity(update *jobUpdate, n int, tasks []wire.TaskIndex, site ClaimTarget) int {
-	if update.tasksPerRange == 0 || len(tasks) == 0 {
-		return len(tasks)
+// recordCapacity returns how many of the tasks, as one start, the record of the n-th range has room for
+// however its tasks end. A record that the end of a task would make too large could never be written.
+func (txn *Transaction) recordCapacity(update *jobUpdate, n int, tasks []wire.TaskIndex) int {
+	if update.longRange == 0 || len(tasks) == 0 {
+		return len(tasks) // each task has room for a claim of its own
 	}
-	c := update.taskRange(n)
-	size := 64 + update.tasksPerRange/6 + 8 // the rest of the record, done tasks among it
+	size := 64 + update.longRange/6 + 8 // the rest of the record, done tasks among it
 	if n == 0 {
 		size += maxSpecBytes
 	}
-	size += claimList(c.Claims).worstBytes() + maxClaimBytes
-	k := 0
+	size += update.taskRange(n).Claims.worstBytes() + maxClaimBytes
+	capacity := 0
 	for i := 0; i < len(tasks); {
 		end := i + 1
 		for end < len(tasks) && tasks[end] == tasks[end-1]+1 {
 			end++
 		}
+		// As much of this run of tasks as fits becomes one piece of the claim.
 		for piece := end - i; piece > 0; piece-- {
 			if size+(piece+1)/2*maxPairBytes <= txn.ledger.limits.ValueBytes {
 				size += (piece + 1) / 2 * maxPairBytes
-				k = i + piece
+				capacity = i + piece
 				break
 			}
 		}
-		if k < end {
+		if capacity < end {
 			break
 		}
 		i = end
 	}
-	return k
+	return capacity
 }
 
 // GangPart is one machine's part of a gang.
@@ -182,24 +155,23 @@
 	Count int
 }
 
-// ClaimGang claims every unfinished task of a gang at once, as a new attempt.
-// It refuses while any claim of an earlier attempt stands.
+// ClaimGang claims every task of a gang that is not done at once, as a new attempt. It refuses while any
+// claim of an earlier attempt is left, and unless the parts have room for exactly all tasks.
 func (txn *Transaction) ClaimGang(j *Job, parts []GangPart) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if j.Spec.Shape != wire.Gang {
 			return fmt.Errorf("ledger: %s is not a gang", j.ID)
 		}
-		standing := false
-		update.eachClaim(func(*Claim) { standing = true })
-		if standing {
+		claimed := false
+		update.eachClaim(func(*Claim) { claimed = true })
+		if claimed {
 			return ErrPreconditionFailed
 		}
-		size := j.tasksPerRange
 		attempt := update.taskRange(0).Attempt + 1
 		var remaining []wire.TaskIndex
-		for n := 0; n*size < j.Spec.Tasks; n++ {
-			remaining = append(remaining, pendingTasks(update.taskRange(n), n, size, j.Spec.Tasks, size, nil)...)
+		for n := 0; n*j.tasksPerRange < j.Spec.Tasks; n++ {
+			remaining = append(remaining, pendingTasks(update.taskRange(n), j.rangeBounds(n), j.tasksPerRange, nil)...)
 		}
 		total := len(remaining)
 		if total == 0 || txn.teamCapacity(j, total) < total {
@@ -207,24 +179,15 @@
 		}
 		update.taskRange(0).Attempt = attempt
 		txn.putRange(update, 0)
-		for _, p := range parts {
-			if err := txn.requireTarget(update, p.Site); err != nil {
+		for _, part := range parts {
+			if err := txn.requireTarget(update, part.Site); err != nil {
 				return err
 			}
-			if p.Count > len(remaining) || p.Count > zoneCapacity(j.Spec, p.Site.Zone, update.eachClaim) {
+			if part.Count > len(remaining) || part.Count > zoneCapacity(j.Spec, part.Site.Zone, update.eachClaim) {
 				return ErrPreconditionFailed
 			}
-			for i := 0; i < p.Count; {
-				n := int(remaining[i]) / size
-				k := i
-				for k < p.Count && int(remaining[k])/size == n {
-					k++
-				}
-				appendClaims(update.taskRange(n), remaining[i:k], attempt, p.Site)
-				txn.putRange(update, n)
-				i = k
-			}
-			remaining = remaining[p.Count:]
+			txn.claimGangPart(update, remaining[:part.Count], attempt, part.Site)
+			remaining = remaining[part.Count:]
 		}
 		if len(remaining) > 0 {
 			return ErrPreconditionFailed // all or none
@@ -234,6 +197,23 @@
 	})
 }
 
+// claimGangPart claims a gang's tasks, which are in ascending order, on one machine.
+func (txn *Transaction) claimGangPart(
+	update *jobUpdate, tasks []wire.TaskIndex, attempt wire.Attempt, target ClaimTarget,
+) {
+	size := update.job.tasksPerRange
+	for len(tasks) > 0 {
+		n := int(tasks[0]) / size
+		k := 1
+		for k < len(tasks) && int(tasks[k])/size == n {
+			k++
+		}
+		appendClaims(update.taskRange(n), tasks[:k], attempt, target)
+		txn.putRange(update, n)
+		tasks = tasks[k:]
+	}
+}
+
 // TakeOver puts what a gang's attempt claims on a machine under the token of who holds the machine
 // now, once the worker accepts no lower one: only under its own token may a controller have tasks
 // that gave up waiting wait on. Nothing is claimed by it, and none of its claims goes.
@@ -287,21 +267,25 @@
 	return nil
 }
 
-func pendingTasks(c *taskRangeRecord, n, tasksPerRange, tasks, limit int, backedOff func(wire.TaskIndex) bool) []wire.TaskIndex {
-	length := min(tasksPerRange, tasks-n*tasksPerRange)
-	taken := make([]bool, length)
-	for _, cl := range c.Claims {
-		for i := range cl.Count {
-			taken[int(cl.First)+i-n*tasksPerRange] = true
+// pendingTasks returns up to limit tasks of a range that are neither done nor claimed nor backed off, in
+// ascending order. backedOff may be nil.
+func pendingTasks(
+	r *taskRangeRecord, bounds rangeBounds, limit int, backedOff func(wire.TaskIndex) bool,
+) []wire.TaskIndex {
+	taken := make([]bool, bounds.length)
+	for _, c := range r.Claims {
+		for i := range c.Count {
+			taken[int(c.First)+i-bounds.first] = true
 		}
 	}
-	var free []wire.TaskIndex
-	for i := 0; i < length && len(free) < limit; i++ {
-		if t := wire.TaskIndex(n*tasksPerRange + i); !taken[i] && !c.isDone(i) && (backedOff == nil || !backedOff(t)) {
-			free = append(free, t)
+	var pending []wire.TaskIndex
+	for i := 0; i < bounds.length && len(pending) < limit; i++ {
+		task := wire.TaskIndex(bounds.first + i)
+		if !taken[i] && !r.isDone(i) && (backedOff == nil || !backedOff(task)) {
+			pending = append(pending, task)
 		}
 	}
-	return free
+	return pending
 }
 
 // appendClaims adds claims for tasks in ascending order, one a run.
--- a/internal/state/ledger/transaction_jobs.go
+++ b/internal/state/ledger/transaction_jobs.go
@@ -16,7 +16,7 @@
 
 func (txn *Transaction) submit(spec *wire.JobSpec, at wire.UnixMillis, of wire.WorkflowID, g *Gallery) error {
 	if _, over := txn.ledger.ArchivedState(spec.ID); over || txn.ledger.jobs[spec.ID] != nil {
-		return ErrPreconditionFailed
+		return refuse("submit job", spec.ID)
 	}
 	return txn.atomically(func() error {
 		if spec.Shape == wire.Gang && spec.Tasks > (txn.ledger.limits.TxnOps-1)*txn.ledger.limits.TasksPerRange() {
@@ -30,7 +30,7 @@
 		update := txn.update(j)
 		if g != nil {
 			if !txn.assignGallery(update, g) {
-				return ErrPreconditionFailed
+				return refuse("submit job", spec.ID)
 			}
 		}
 		txn.putRange(update, 0)
@@ -70,7 +70,7 @@
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if update.state != Active || update.stop >= upTo || upTo > update.taskRange(0).Attempt {
-			return ErrPreconditionFailed
+			return refuse("preempt gang", j.ID)
 		}
 		update.stop = upTo
 		txn.putRange(update, 0)
@@ -78,22 +78,6 @@
 	})
 }
 
-func (u *jobUpdate) allDone() bool {
-	return u.spec.Shape != wire.Service && u.doneTasks() == u.spec.Tasks
-}
-
-// doneTasks is how many of the job's tasks are done.
-func (u *jobUpdate) doneTasks() int {
-	total := u.job.Done
-	for n, c := range u.ranges {
-		if old := u.job.ranges[n]; old != nil {
-			total -= old.doneTasks
-		}
-		total += c.countDone()
-	}
-	return total
-}
-
 // CompleteJob makes a job done whose tasks all are. Two controllers that each record
 // the last task of a different range see the other's still open, and neither
 // ends the job: this does.
@@ -101,7 +85,7 @@
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if update.state != Active || !update.allDone() {
-			return ErrPreconditionFailed
+			return refuse("complete job", j.ID)
 		}
 		txn.completeJob(update)
 		txn.putRange(update, 0)
--- a/internal/state/ledger/transaction_quota.go
+++ b/internal/state/ledger/transaction_quota.go
@@ -1,8 +1,6 @@
 package ledger
 
-import (
-	"maddermill/wire"
-)
+import "maddermill/wire"
 
 // teamCapacity returns how many of the job's tasks, at most max, its team's limit
 // leaves room for.
--- a/internal/state/ledger/transaction_releases.go
+++ b/internal/state/ledger/transaction_releases.go
@@ -84,13 +84,6 @@
 	return released, err
 }
 
-func (r *taskRangeRecord) setDone(i int) {
-	for len(r.Done) <= i/8 {
-		r.Done = append(r.Done, 0)
-	}
-	r.Done[i/8] |= 1 << (i % 8)
-}
-
 // removeTask takes one task out of the claim at index i, splitting it if need be.
 func removeTask(claims []Claim, i int, task wire.TaskIndex) []Claim {
 	c := claims[i]
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -11,156 +12,119 @@
 	"maddermill/wire"
 )
 
-// AllPrefix is the part of the key space in which all that maddermill keeps is, mirrored or
-// not: records, archive and documents.
-const AllPrefix = "mm"
-
-// DocumentPrefix is where workflows' documents are kept.
-const DocumentPrefix = "mmd1/"
-
-// recordKindNames are the kinds of records by their prefixes.
-var recordKindNames = []struct{ prefix, kind string }{
-	{jobPrefix, "jobs"},
-	{taskRangePrefix, "ranges of jobs"},
-	{machinePrefix, "marks of machines"},
-	{teamPrefix, "teams"},
-	{
-		memberPrefix,
-		"members",
-	},
-	{machineTypePrefix, "machine types"},
-	{workflowPrefix, "workflows"},
-	{GalleryPrefix, "galleries"},
-	{finalGalleryPrefix, "archived galleries"},
-	{filterPrefix, "filter pages"},
-	{
-		seriesHeadPrefix,
-		"series of gone machines",
-	},
-	{seriesPartPrefix, "parts of gone machines"},
-	{finalPrefix, "archived jobs"},
-	{finalWorkflowPrefix, "archived workflows"},
-	{
-		DocumentPrefix,
-		"documents",
-	},
-	{LeaderKey, "leader"},
-	{TokenKey, "token"},
-	{ScaleOutKey, "rentals"},
-	{FormatKey, "format"},
-	{RegisterKey, "register of galleries"},
-	{modulePrefix, "modules"},
-	{codePrefix, "code of modules"},
-	{PolicyKey, "policy"},
-	{ImportKey, "import under way"},
-}
-
-// RecordKind tells in words what a key is of; "" if it is of nothing that is known.
-func RecordKind(key string) string {
-	for _, k := range recordKindNames {
-		if strings.HasPrefix(key, k.prefix) {
-			return k.kind
-		}
-	}
-	return ""
-}
-
-// Transient reports whether a key only says who serves at the moment. It is no part of an
-// export.
-func Transient(key string) bool {
-	return key == LeaderKey || key == ImportKey || strings.HasPrefix(key, memberPrefix)
-}
-
-// ArchivedJobID returns the job whose final state a key holds.
-func ArchivedJobID(key string) (wire.JobID, bool) {
-	id, ok := strings.CutPrefix(key, finalPrefix)
-	return wire.JobID(id), ok
-}
-
-// CheckArchived reports what is wrong with an archived job by itself, "" if nothing is.
-func CheckArchived(id wire.JobID, value json.RawMessage) string {
+// CheckArchived returns what is wrong with an archived job by itself, nil if nothing is.
+func CheckArchived(id wire.JobID, value json.RawMessage) error {
 	var r FinalRecord
 	switch err := json.Unmarshal(value, &r); {
 	case err != nil:
-		return err.Error()
+		return err
 	case !id.Valid():
-		return "is not an id of a job"
+		return errors.New("is not an id of a job")
 	case r.State != Done && r.State != Cancelled:
-		return fmt.Sprintf("state %q is not final", r.State)
+		return fmt.Errorf("state %q is not final", r.State)
 	case r.Done < 0:
-		return "has tasks done below 0"
+		return errors.New("has tasks done below 0")
 	}
-	return ""
+	return nil
 }
 
-// Problem is something in the records that must not be.
+// Problem is a violated invariant: the key of a record and what is wrong with it.
 type Problem struct{ Key, What string }
 
+// String returns the key and what is wrong.
 func (p Problem) String() string { return p.Key + ": " + p.What }
 
-// Verify reads mirrored records at one revision, by key, and lists all that is against their
-// invariants, in order of the keys. The ledger that it was read from is returned. With
-// limits, also what teams use is checked.
+// verifier collects the problems of a set of records.
+type verifier struct {
+	ledger   *Ledger // that all records were applied to
+	records  map[string]Event
+	problems []Problem
+}
+
+// Verify reads all records of one revision, by key, and returns every violated invariant in the order
+// of the keys, with the ledger that the records were read into. The usage of teams is checked
+// against the limits that are given.
 func Verify(records map[string]Event, limits Limits) (*Ledger, []Problem) {
-	l := New(limits)
-	var out []Problem
-	complain := func(key, format string, a ...any) {
-		out = append(out, Problem{key, fmt.Sprintf(format, a...)})
-	}
-	keys := slices.Sorted(maps.Keys(records))
-	for _, key := range keys {
-		if RecordKind(key) == "" {
-			complain(key, "is no key of this version")
-		} else if err := l.apply(records[key]); err != nil {
-			complain(key, "%v", err)
+	v := &verifier{ledger: New(limits), records: records}
+	v.applyAll()
+	for id, j := range v.ledger.jobs {
+		v.checkJob(jobKey(id), j)
+	}
+	v.checkFinished()
+	for name, g := range v.ledger.galleries {
+		if err := g.check(limits.ValueBytes); err != nil {
+			v.report(galleryKey(name), "%v", err)
 		}
 	}
-	for key := range l.orphanRanges {
-		complain(key, "its job is not on record")
-	}
-	for id, j := range l.jobs {
-		l.verifyJob(jobKey(id), j, complain)
-	}
-	// Of those in the short form nothing but the end is left to be wrong.
-	for id, o := range l.archived.finished {
-		var r jobRecord
-		if json.Unmarshal(records[jobKey(id)].Value, &r) == nil && !o.cancelled && int(o.done) != r.Spec.Tasks {
-			complain(jobKey(id), "is done with %d of %d tasks", o.done, r.Spec.Tasks)
+	for m, phase := range v.ledger.phases {
+		if phase != Terminating && phase != Terminated {
+			v.report(machineKey(m), "mark %q", phase)
 		}
 	}
-	for name, g := range l.galleries {
-		if what := g.check(l.limits.ValueBytes); what != "" {
-			complain(galleryKey(name), "%s", what)
+	v.checkSeries()
+	v.checkTeams()
+	slices.SortFunc(v.problems, func(a, b Problem) int { return strings.Compare(a.String(), b.String()) })
+	return v.ledger, v.problems
+}
+
+// report adds a problem of a record.
+func (v *verifier) report(key, format string, a ...any) {
+	v.problems = append(v.problems, Problem{key, fmt.Sprintf(format, a...)})
+}
+
+// applyAll reads the records in the order of their keys.
+func (v *verifier) applyAll() {
+	for _, key := range slices.Sorted(maps.Keys(v.records)) {
+		if RecordKind(key) == "" {
+			v.report(key, "is no key of this version")
+		} else if err := v.ledger.apply(v.records[key]); err != nil {
+			v.report(key, "%v", err)
 		}
 	}
-	for m := range l.phases {
-		if k := l.phases[m]; k != Terminating && k != Terminated {
-			complain(machineKey(m), "mark %q", k)
+	for key := range v.ledger.orphanRanges {
+		v.report(key, "its job is not on record")
+	}
+}
+
+// checkFinished checks the jobs that the ledger keeps in the short form, of which only the end is left
+// to be wrong.
+func (v *verifier) checkFinished() {
+	for id, o := range v.ledger.archived.finished {
+		var r jobRecord
+		if json.Unmarshal(v.records[jobKey(id)].Value, &r) == nil && !o.cancelled && int(o.done) != r.Spec.Tasks {
+			v.report(jobKey(id), "is done with %d of %d tasks", o.done, r.Spec.Tasks)
 		}
 	}
-	gone := map[archive.Series]int{}
-	for id := range l.archived.partVersions {
-		n, whole := l.archived.terminated.Part(id)
-		gone[id.Series] += n
+}
+
+// checkSeries checks that the heads of series agree with their parts.
+func (v *verifier) checkSeries() {
+	index := &v.ledger.archived
+	inParts := map[archive.Series]int{}
+	for id := range index.partVersions {
+		n, whole := index.terminated.Part(id)
+		inParts[id.Series] += n
 		if whole {
-			complain(seriesPartPrefix+id.String(), "is also in its series as a whole")
+			v.report(seriesPartPrefix+id.String(), "is also in its series as a whole")
 		}
-	}
-	for s := range l.archived.headVersions {
-		h := l.archived.terminated.Head(s)
-		if n := gone[s] + h.Whole.Len()*archive.Span; n != h.Gone {
-			complain(seriesHeadPrefix+s.String(), "%d machines, and its parts have %d", h.Gone, n)
+		if index.headVersions[id.Series] == 0 {
+			v.report(seriesPartPrefix+id.String(), "its series has no head")
 		}
 	}
-	for id := range l.archived.partVersions {
-		if l.archived.headVersions[id.Series] == 0 {
-			complain(seriesPartPrefix+id.String(), "its series has no head")
+	for s := range index.headVersions {
+		h := index.terminated.Head(s)
+		if n := inParts[s] + h.Whole.Len()*archive.Span; n != h.Gone {
+			v.report(seriesHeadPrefix+s.String(), "%d machines, and its parts have %d", h.Gone, n)
 		}
 	}
-	for team, limit := range limits.TeamMax {
-		used := l.teamUsage[team]
+}
+
+// checkTeams checks that no team uses more than its limit.
+func (v *verifier) checkTeams() {
+	for team, limit := range v.ledger.limits.TeamMax {
+		used := v.ledger.teamUsage[team]
 		if limit.CPU > 0 && used.CPU > limit.CPU || limit.GPU > 0 && used.GPU > limit.GPU {
-			complain(
+			v.report(
 				teamKey(team),
 				"its tasks use %g cores and %g accelerators, over its limit",
 				float64(used.CPU)/1e6,
@@ -168,72 +132,83 @@
 			)
 		}
 	}
-	slices.SortFunc(out, func(a, b Problem) int { return strings.Compare(a.String(), b.String()) })
-	return l, out
 }
 
-func (l *Ledger) verifyJob(key string, j *Job, complain func(key, format string, a ...any)) {
+// jobClaims is what the claims of all ranges of a job come to.
+type jobClaims struct {
+	claimed  []bool // by task
+	attempts map[wire.Attempt]bool
+	zones    map[wire.Zone]int // claimed tasks
+}
+
+// checkJob checks a job that the ledger keeps whole.
+func (v *verifier) checkJob(key string, j *Job) {
 	ranges := (j.Spec.Tasks + j.tasksPerRange - 1) / j.tasksPerRange
-	taken := make([]bool, j.Spec.Tasks)
-	claims, attempts, zones := 0, map[wire.Attempt]bool{}, map[wire.Zone]int{}
-	for n, c := range j.ranges {
-		at := taskRangeKey(j.ID, n)
+	all := &jobClaims{make([]bool, j.Spec.Tasks), map[wire.Attempt]bool{}, map[wire.Zone]int{}}
+	for n, r := range j.ranges {
 		if n >= ranges {
-			complain(at, "range %d of %d", n, ranges)
+			v.report(taskRangeKey(j.ID, n), "range %d of %d", n, ranges)
 			continue
 		}
-		first, end := n*j.tasksPerRange, min(j.Spec.Tasks, (n+1)*j.tasksPerRange)
-		for i := end - first; i < 8*len(c.taskRangeRecord.Done); i++ {
-			if c.isDone(i) {
-				complain(at, "task %d is done, and there is none", first+i)
-			}
-		}
-		for _, cl := range c.Claims {
-			if int(cl.First) < first || cl.Count < 1 || int(cl.First)+cl.Count > end {
-				complain(at, "claim of tasks %d to %d on %s is not of this range", cl.First, int(cl.First)+cl.Count-1, cl.Machine)
-				continue
-			}
-			claims++
-			attempts[cl.Attempt] = true
-			zones[cl.Zone] += cl.Count
-			if cl.Attempt > c.Attempt {
-				complain(at, "claim on %s is of attempt %d, and %d is the last", cl.Machine, cl.Attempt, c.Attempt)
-			}
-			if cl.Token > l.token.Last {
-				complain(at, "claim on %s is under token %d, and %d is the last", cl.Machine, cl.Token, l.token.Last)
-			}
-			for i := range cl.Count {
-				t := int(cl.First) + i
-				if taken[t] {
-					complain(at, "task %d is claimed twice", t)
-				}
-				if c.isDone(t - first) {
-					complain(at, "task %d is claimed and done", t)
-				}
-				taken[t] = true
-			}
-		}
+		v.checkRange(j, n, r, all)
 	}
 	switch {
 	case j.State != Active && j.State != Done && j.State != Cancelled:
-		complain(key, "state %q", j.State)
+		v.report(key, "state %q", j.State)
 	case j.State == Done && j.DoneTasks() != j.Spec.Tasks:
-		complain(key, "is done with %d of %d tasks", j.DoneTasks(), j.Spec.Tasks)
+		v.report(key, "is done with %d of %d tasks", j.DoneTasks(), j.Spec.Tasks)
 	case j.Stop > j.Attempt():
-		complain(key, "is to stop at attempt %d, and %d is the last", j.Stop, j.Attempt())
+		v.report(key, "is to stop at attempt %d, and %d is the last", j.Stop, j.Attempt())
 	}
-	if j.Spec.Shape == wire.Gang && len(attempts) > 1 {
-		complain(key, "a gang with claims of %d attempts", len(attempts))
+	if j.Spec.Shape == wire.Gang && len(all.attempts) > 1 {
+		v.report(key, "a gang with claims of %d attempts", len(all.attempts))
 	}
-	if j.Spec.OneZone && len(zones) > 1 {
-		complain(key, "must be in one zone and is in %d", len(zones))
+	if j.Spec.OneZone && len(all.zones) > 1 {
+		v.report(key, "must be in one zone and is in %d", len(all.zones))
 	}
-	for z, n := range zones {
+	for z, n := range all.zones {
 		if j.Spec.Spread && n > (j.Spec.Tasks+1)/2 {
-			complain(key, "%d of %d tasks are in zone %s", n, j.Spec.Tasks, z)
+			v.report(key, "%d of %d tasks are in zone %s", n, j.Spec.Tasks, z)
 		}
 	}
-	if w := l.workflows[j.Workflow]; w == nil && j.Workflow != "" && j.State == Active {
-		complain(key, "is a step of %s, which is not on record", j.Workflow)
+	if w := v.ledger.workflows[j.Workflow]; w == nil && j.Workflow != "" && j.State == Active {
+		v.report(key, "is a step of %s, which is not on record", j.Workflow)
+	}
+}
+
+// checkRange checks a range of a job's tasks and adds its claims to those of the job.
+func (v *verifier) checkRange(j *Job, n int, r *TaskRange, all *jobClaims) {
+	key := taskRangeKey(j.ID, n)
+	first, end := n*j.tasksPerRange, min(j.Spec.Tasks, (n+1)*j.tasksPerRange)
+	for i := end - first; i < 8*len(r.Done); i++ {
+		if r.isDone(i) {
+			v.report(key, "task %d is done, and there is none", first+i)
+		}
+	}
+	for _, c := range r.Claims {
+		if int(c.First) < first || c.Count < 1 || int(c.First)+c.Count > end {
+			v.report(
+				key, "claim of tasks %d to %d on %s is not of this range", c.First, int(c.First)+c.Count-1, c.Machine,
+			)
+			continue
+		}
+		all.attempts[c.Attempt] = true
+		all.zones[c.Zone] += c.Count
+		if c.Attempt > r.Attempt {
+			v.report(key, "claim on %s is of attempt %d, and %d is the last", c.Machine, c.Attempt, r.Attempt)
+		}
+		if c.Token > v.ledger.token.Last {
+			v.report(key, "claim on %s is under token %d, and %d is the last", c.Machine, c.Token, v.ledger.token.Last)
+		}
+		for i := range c.Count {
+			task := int(c.First) + i
+			if all.claimed[task] {
+				v.report(key, "task %d is claimed twice", task)
+			}
+			if r.isDone(task - first) {
+				v.report(key, "task %d is claimed and done", task)
+			}
+			all.claimed[task] = true
+		}
 	}
 }
