--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -5,13 +5,13 @@
 	"maddermill/wire"
 )
 
-// FinalRecord is what is kept of a job for ever.
+// FinalRecord is the record of an archived job. It is never changed nor deleted.
 type FinalRecord struct {
 	State JobState `json:"s"`
-	Done  int      `json:"n,omitempty"` // tasks
+	Done  int      `json:"n,omitempty"` // tasks done
 }
 
-// Status is what users are told.
+// Status returns the status that the API shows.
 func (r FinalRecord) Status(id wire.JobID) wire.JobStatus {
 	done, running := r.Done, 0
 	st := wire.JobStatus{ID: id, Status: wire.Done, Done: &done, Running: &running}
@@ -21,28 +21,30 @@
 	return st
 }
 
-// archiveIndex is what a ledger knows of what is over.
+// archiveIndex is what a ledger knows of finished jobs, of the archive and of terminated machines.
 type archiveIndex struct {
-	format        FormatRecord
+	format        FormatRecord // zero: there is no record; see Format
 	formatVersion wire.Revision
-	importing     bool
-	filter        *archive.Filter
+	importing     bool            // an import is not complete
+	filter        *archive.Filter // the pages that are known
 	terminated    *archive.TerminatedMachines
 	headVersions  map[archive.Series]wire.Revision
 	partVersions  map[archive.PartID]wire.Revision
-	newlyArchived map[wire.JobID]FinalRecord // archived since last asked
-	// over holds the jobs that are over and still on record, in the short form in which they
-	// weigh little: all but those of several ranges and of workflows, which stay whole.
+	newlyArchived map[wire.JobID]FinalRecord // see ArchivedJobs
+	// finished has the finished jobs that are still on record, in a short form that takes little
+	// memory: all but those of several ranges, with claims, or of workflows, which stay in Ledger.jobs.
 	finished map[wire.JobID]finishedJob
 }
 
+// finishedJob is a finished job in the short form.
 type finishedJob struct {
-	version   wire.Revision
-	done      int32 // tasks
+	version   wire.Revision // of its record
+	done      int32         // tasks done
 	cancelled bool
 	gallery   wire.GalleryName
 }
 
+// final returns the record that the archive keeps of it.
 func (o finishedJob) final() FinalRecord {
 	if o.cancelled {
 		return FinalRecord{Cancelled, int(o.done)}
@@ -50,6 +52,7 @@
 	return FinalRecord{Done, int(o.done)}
 }
 
+// newArchiveIndex returns an empty index.
 func newArchiveIndex() archiveIndex {
 	return archiveIndex{
 		filter:        new(archive.Filter),
@@ -61,7 +64,7 @@
 	}
 }
 
-// ArchivedJobs calls f for every job that went into the archive since the last call.
+// ArchivedJobs calls f for every job that was seen to be archived since the last call.
 func (l *Ledger) ArchivedJobs(f func(wire.JobID, FinalRecord)) {
 	for id, r := range l.archived.newlyArchived {
 		f(id, r)
@@ -69,8 +72,8 @@
 	clear(l.archived.newlyArchived)
 }
 
-// ArchivedState returns what is to be kept of a job that is over and still on record; ok is false for
-// any other.
+// ArchivedState returns the record that the archive will keep of a finished job that is still on record;
+// ok is false for any other job.
 func (l *Ledger) ArchivedState(id wire.JobID) (r FinalRecord, ok bool) {
 	if o, ok := l.archived.finished[id]; ok {
 		return o.final(), true
@@ -81,8 +84,8 @@
 	return r, false
 }
 
-// Archivable reports whether a job is on record, over, and proven to run nowhere. Jobs of a
-// workflow that is not over are not: they are what the workflow is known by.
+// Archivable reports whether a job is on record, finished, and proven to run nowhere. Jobs of a workflow
+// or gallery that has not ended are not archivable: its state follows from them.
 func (l *Ledger) Archivable(id wire.JobID) bool {
 	if o, ok := l.archived.finished[id]; ok {
 		return !l.galleryOpen(o.gallery)
@@ -95,8 +98,7 @@
 	return w == nil || w.Ended()
 }
 
-// EachFinished calls f for every job that may be moved into the archive, with the revision of its
-// last change.
+// EachFinished calls f for every archivable job, with the revision of its last change.
 func (l *Ledger) EachFinished(f func(wire.JobID, wire.Revision)) {
 	for id, o := range l.archived.finished {
 		if l.galleryOpen(o.gallery) {
@@ -121,7 +123,7 @@
 	}
 }
 
-// noteArchived notes that a job went into the archive.
+// noteArchived notes that a job was archived, also in the pages of the filter that are known.
 func (l *Ledger) noteArchived(id wire.JobID, r FinalRecord) {
 	l.archived.newlyArchived[id] = r
 	l.archived.filter.Add(string(id))
--- a/internal/state/ledger/batch.go
+++ b/internal/state/ledger/batch.go
@@ -2,20 +2,21 @@
 
 import "maddermill/wire"
 
-// Batch gathers new values into transactions within the limits of a state service. They are for
-// keys that nobody reads before all are there, since they land one transaction after the other.
+// Batch writes new values in transactions within the limits of the store. It is for keys that nobody reads
+// before all are there, since the transactions are committed one after the other.
 type Batch struct {
 	Limits Limits
-	Commit func([]wire.Change) error // writes some of them
+	Commit func([]wire.Change) error // commits one transaction
 
 	changes []wire.Change
 	bytes   int
 }
 
-// keyBytes is about what a key takes of a transaction besides its value, twice with a condition.
+// keyBytes is about how many bytes a change takes of a transaction besides its value: its key, and once
+// more in a condition.
 const keyBytes = 280
 
-// Put adds a value. Those before are written if it doesn't fit beside them.
+// Put adds a value. The values before it are committed first if it doesn't fit beside them.
 func (b *Batch) Put(key string, value []byte) error {
 	n := len(value) + keyBytes
 	if len(b.changes) == b.Limits.TxnOps || b.bytes+n > b.Limits.TxnBytes {
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// Flush writes what is left.
+// Flush commits the values that are left.
 func (b *Batch) Flush() error {
 	if len(b.changes) == 0 {
 		return nil
--- a/internal/state/ledger/cancellations.go
+++ b/internal/state/ledger/cancellations.go
@@ -7,23 +7,24 @@
 	"maddermill/wire"
 )
 
-// maxCancellations is how many of the newest cancellations a ledger can tell apart.
+// maxCancellations is how many of the newest cancellations a ledger keeps.
 const maxCancellations = 512
 
-// cancellationLog is the newest cancellations, by revision. It is complete above a revision.
+// cancellationLog has the newest cancellations in the order of their revisions. It has all those after
+// completeAfter.
 type cancellationLog struct {
 	entries       []cancellation
 	completeAfter wire.Revision
 }
 
-// cancellation is a job or a workflow, with all of its steps' jobs.
+// cancellation is that of a job, or of a workflow with the jobs of all its steps.
 type cancellation struct {
 	revision wire.Revision
-	job      wire.JobID
-	workflow wire.WorkflowID
+	job      wire.JobID      // "" if it is a workflow's
+	workflow wire.WorkflowID // "" if it is a job's
 }
 
-// add notes a cancellation. While records are read they come in any order.
+// add adds a cancellation. Cancellations come in any order while the records are read.
 func (log *cancellationLog) add(one cancellation) {
 	if one.revision <= log.completeAfter {
 		return
@@ -39,23 +40,24 @@
 	}
 }
 
-// forgetUpTo notes that more was cancelled at a revision than the list tells, or may have been.
+// forgetUpTo removes the cancellations up to a revision.
 func (log *cancellationLog) forgetUpTo(at wire.Revision) {
 	log.completeAfter = max(log.completeAfter, at)
 	log.entries = slices.DeleteFunc(log.entries, func(x cancellation) bool { return x.revision <= log.completeAfter })
 }
 
-// Cancellations is what was cancelled after a revision: jobs, and workflows with all of their steps' jobs.
+// Cancellations are the jobs that were cancelled after a revision, and the workflows, each with the jobs of
+// all its steps.
 type Cancellations struct {
 	Jobs      []wire.JobID
 	Workflows []wire.WorkflowID
 }
 
-// Len is how many entries it has.
+// Len returns how many entries it has.
 func (c *Cancellations) Len() int { return len(c.Jobs) + len(c.Workflows) }
 
-// CancelledSince lists what is on record and was cancelled after a revision, false if not all of
-// it can be told. Jobs that have left the records since run nowhere.
+// CancelledSince returns what was cancelled after a revision and is on record. complete is false if there
+// may be more. Jobs that were archived since run nowhere.
 func (l *Ledger) CancelledSince(r wire.Revision) (c Cancellations, complete bool) {
 	for _, x := range l.recentCancels.entries {
 		switch {
@@ -69,9 +71,9 @@
 	return c, r >= l.recentCancels.completeAfter
 }
 
-// MarkCancelling notes that jobs are cancelled, as another controller's ledger has it, before this one does:
-// nothing of them starts any more, and all of it is to stop. Their end goes on record with their own
-// cancellation.
+// MarkCancelling marks jobs that are cancelled according to the ledger of another controller, which is
+// ahead of this one: none of their tasks starts any more, and those that run are to stop. The state of
+// the jobs changes only when their own records arrive.
 func (l *Ledger) MarkCancelling(c Cancellations) {
 	for _, id := range c.Jobs {
 		if j := l.active[id]; j != nil {
--- a/internal/state/ledger/claim.go
+++ b/internal/state/ledger/claim.go
@@ -9,8 +9,8 @@
 	"maddermill/wire"
 )
 
-// Claim says that tasks [First, First+Count) may be on a machine. It is written
-// before any of them is started there and goes only when all are proven gone.
+// Claim says that tasks [First, First+Count) may run on a machine. It is written before any of them is
+// started there, and a task leaves it only on proof that it no longer runs (DESIGN, "Safety", 2 and 5).
 type Claim struct {
 	First   wire.TaskIndex
 	Count   int
@@ -18,47 +18,48 @@
 	Machine wire.MachineID
 	Zone    wire.Zone
 	Session wire.AgentEpoch
-	Token   wire.FencingToken
+	Token   wire.FencingToken // of the controller that held the machine
 }
 
-// claimList is a range's claims as they are written: values are small at some places,
-// and tasks of one start end in any order. What one start holds is one array, of
-// attempt, machine, zone, session, token and then pairs of first task and count, so
-// that a claim that has fallen into pieces costs a pair for each and not its names.
+// claimList is the claims of a range of tasks as they are encoded. The pieces of one start are one array:
+// attempt, machine, zone, session, token, and then a first task and a count for each piece. Some stores
+// take only small values, and the tasks of one start end in any order: this way a claim that falls
+// into pieces takes a pair for each of them and its names once.
 type claimList []Claim
 
-// sameStart reports whether two claims are pieces of one.
+// sameStart reports whether two claims are pieces of one start.
 func (c *Claim) sameStart(o *Claim) bool {
 	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Session == o.Session &&
 		c.Token == o.Token
 }
 
-// Covers reports whether a task is one of the claim's.
+// Covers reports whether the claim has a task.
 func (c *Claim) Covers(t wire.TaskIndex) bool {
 	return t >= c.First && int(t-c.First) < c.Count
 }
 
-// MarshalJSON writes the claims start by start.
+// MarshalJSON encodes the claims start by start, in the order of their first pieces.
 func (claims claimList) MarshalJSON() ([]byte, error) {
 	var starts [][]any
-	var of []*Claim
+	var firsts []*Claim // a claim of each of starts
 next:
 	for i := range claims {
 		c := &claims[i]
-		for k, o := range of {
+		for k, o := range firsts {
 			if o.sameStart(c) {
 				starts[k] = append(starts[k], c.First, c.Count)
 				continue next
 			}
 		}
-		of = append(of, c)
+		firsts = append(firsts, c)
 		starts = append(starts, []any{c.Attempt, c.Machine, c.Zone, c.Session, c.Token, c.First, c.Count})
 	}
 	return json.Marshal(starts)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote, and the form of earlier versions: an
-// array a claim, of first task, count, attempt, machine, zone, session and token.
+// UnmarshalJSON decodes what MarshalJSON encoded, and the form of earlier versions: an array for each claim,
+// of first task, count, attempt, machine, zone, session and token. The second field tells them apart:
+// it is a string only in the new form.
 func (claims *claimList) UnmarshalJSON(b []byte) error {
 	var starts [][]json.RawMessage
 	if err := json.Unmarshal(b, &starts); err != nil {
@@ -89,11 +90,8 @@
 	return nil
 }
 
-// maxPairBytes is what a piece of a claim takes of a value at the most.
-const maxPairBytes = 10
-
-// worstBytes is what the claims take at the most, however their tasks end: a piece
-// falls into half as many as it has tasks.
+// worstBytes returns how many bytes the claims may come to take, however their tasks end: a piece falls into
+// at most half as many as it has tasks.
 func (claims claimList) worstBytes() int {
 	sum := 0
 	for i := range claims {
--- a/internal/state/ledger/errors.go
+++ b/internal/state/ledger/errors.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// Errors of transitions. The transaction is as it was before the call that returned one.
+// Errors of transitions. The call that returned one added no change to the
+// transaction.
 var (
 	// ErrTransactionFull says that the change does not fit into this transaction any more; it may
 	// fit into a later one.
--- a/internal/state/ledger/format.go
+++ b/internal/state/ledger/format.go
@@ -7,36 +7,36 @@
 	"maddermill/wire"
 )
 
-// The formats of records that this version reads and writes. Format 1 has no archive.
+// The formats of records that this version reads and writes.
 const (
 	OldestFormat  = 1
-	ArchiveFormat = 2
-	GalleryFormat = 3 // jobs may be tied to galleries
+	ArchiveFormat = 2 // finished jobs and workflows are archived
+	GalleryFormat = 3 // jobs may belong to galleries
 	NewestFormat  = GalleryFormat
 )
 
-// FormatRecord tells which format the records are of. It only ever rises, once every
-// controller says that it reads the new one.
+// FormatRecord is the format of the records. It only rises, once every controller reads the new one.
 type FormatRecord struct {
 	Format int             `json:"n"`
-	At     wire.UnixMillis `json:"at"`
-	// Fresh: no controller that doesn't read the format had ever served here, so none of its
-	// transactions can land late.
+	At     wire.UnixMillis `json:"at"` // when the format rose to one with an archive
+	// Fresh says that every controller that ever served these records reads the format, so that no
+	// late transaction of an older version has to be waited for.
 	Fresh bool `json:"fresh,omitempty"`
-	// Era tells the names of rentals made here from those made before the records were
-	// imported: revisions start anew then, and the cloud remembers names for ever.
+	// Era is part of the names of scale-out requests. It differs from that before an import: revisions
+	// start again then, and the cloud remembers names for ever.
 	Era string `json:"era,omitempty"`
 }
 
-// Format returns the format of the records and its version. Without a record it is 1.
+// Format returns the format of the records and the version of its record. Without a record it is
+// OldestFormat at version 0.
 func (l *Ledger) Format() (FormatRecord, wire.Revision) {
 	r := l.archived.format
 	r.Format = max(r.Format, OldestFormat)
 	return r, l.archived.formatVersion
 }
 
-// CheckFormat returns an error that wraps ErrFormat if this version doesn't read the records,
-// or ErrImporting if they are not complete.
+// CheckFormat returns an error that wraps ErrNewerFormat if this version doesn't read the records, or
+// ErrImporting if they are not complete.
 func (l *Ledger) CheckFormat() error {
 	if l.archived.importing {
 		return ErrImporting
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// UpgradeFormat makes the newest format that all controllers read the records' own.
+// UpgradeFormat raises the format. The caller has made sure that every controller reads it.
 func (txn *Transaction) UpgradeFormat(to int, at wire.UnixMillis) error {
 	now, version := txn.ledger.Format()
 	if to <= now.Format || to > NewestFormat {
@@ -58,8 +58,8 @@
 		txn.conditions[TokenKey] = txn.ledger.tokenVersion
 		r := FormatRecord{to, at, txn.ledger.token.Reads >= to, now.Era}
 		if now.Format >= ArchiveFormat {
-			// What lands late of a version before galleries is conditioned on the records that
-			// it writes: nothing waits for it, and the archive's wait is not begun anew.
+			// A late transaction of a version before galleries is conditioned on the records that it
+			// writes: nothing has to wait for it, and the archive's wait does not start again.
 			r.At, r.Fresh = now.At, now.Fresh
 		}
 		txn.put(FormatKey, r)
@@ -67,7 +67,7 @@
 	})
 }
 
-// mayArchive: the records' format has an archive.
+// archiveEnabled reports whether the format of the records has an archive.
 func (txn *Transaction) archiveEnabled() bool {
 	f, _ := txn.ledger.Format()
 	return f.Format >= ArchiveFormat
--- a/internal/state/ledger/gallery.go
+++ b/internal/state/ledger/gallery.go
@@ -9,10 +9,11 @@
 	"maddermill/wire"
 )
 
-// GalleryState is a gallery's durable state.
+// GalleryState is the durable state of a gallery: a group of jobs with one promised date
+// (docs/promises.md).
 type GalleryState string
 
-// The durable states. Kept, broken and withdrawn are for ever.
+// The durable states of galleries. Kept, broken and withdrawn are final.
 const (
 	GalleryOpen      GalleryState = ""
 	GalleryAtRisk    GalleryState = "at risk"
@@ -21,39 +22,42 @@
 	GalleryWithdrawn GalleryState = "withdrawn"
 )
 
-// galleryTransitions are the states that a gallery may go to from each.
+// galleryTransitions are the legal transitions. Final states have none.
 var galleryTransitions = map[GalleryState][]GalleryState{
 	GalleryOpen:   {GalleryAtRisk, GalleryKept, GalleryBroken, GalleryWithdrawn},
 	GalleryAtRisk: {GalleryOpen, GalleryKept, GalleryBroken, GalleryWithdrawn},
 }
 
+// registerRecord is the newest edition of the operators' register that was acted on. Controllers with an
+// older edition must not act on it.
 type registerRecord struct {
 	Revision int `json:"n"`
 }
 
-// Register is the newest edition of the register that was acted on; 0: none.
+// Register returns the newest edition of the register that was acted on, 0 if none was.
 func (l *Ledger) Register() int { return l.register.Revision }
 
-// Promise is a date as it was promised, or changed to, at a time, and why.
+// Promise is a promised date, when it was promised, and why it was changed.
 type Promise struct {
 	At   wire.UnixMillis `json:"at"`
 	Date wire.UnixMillis `json:"date"`
 	Why  string          `json:"why,omitempty"`
 }
 
-// GalleryRecord is the durable part of a gallery. Dates are never overwritten: the last of the
-// promises is in force.
+// GalleryRecord is the record of a gallery. Promises are only added: the last one is in force. Which jobs
+// belong to the gallery is in the jobs' records, so that adding a job takes no change of this one and
+// a gallery may have any number of jobs. They stay on record until the gallery has ended.
 type GalleryRecord struct {
 	Team     wire.Team       `json:"team"`
 	Promises []Promise       `json:"dates"`
 	State    GalleryState    `json:"state,omitempty"`
-	Why      string          `json:"why,omitempty"`  // it is in that state
-	Since    wire.UnixMillis `json:"since"`          // it is in that state
-	Register int             `json:"reg"`            // the newest register that had a say
-	Jobs     *GalleryCount   `json:"jobs,omitempty"` // once it is over
+	Why      string          `json:"why,omitempty"`  // the reason of the state
+	Since    wire.UnixMillis `json:"since"`          // when it came to the state
+	Register int             `json:"reg"`            // the edition of the register that last changed it
+	Jobs     *GalleryCount   `json:"jobs,omitempty"` // once it has ended
 }
 
-// GalleryCount is what there is of a gallery's jobs.
+// GalleryCount counts the jobs of a gallery.
 type GalleryCount struct {
 	Jobs      int             `json:"n"`
 	Done      int             `json:"done,omitempty"`
@@ -64,27 +68,22 @@
 // Bounds of a gallery's record, so that it always fits a value.
 const (
 	maxPromises    = 20
-	maxReasonBytes = 80 // bytes
+	maxReasonBytes = 80 // of a reason as JSON
 )
 
-// Gallery is a gallery as last seen. Its counts are of the jobs on record.
+// Gallery is a gallery as last seen, with the jobs of it that are on record.
 type Gallery struct {
 	Name    wire.GalleryName
-	Version wire.Revision
+	Version wire.Revision // 0: the gallery itself is not on record
 	GalleryRecord
 	Count GalleryCount
-	jobs  map[wire.JobID]galleryJob
+	jobs  map[wire.JobID]JobState
 }
 
-type galleryJob struct {
-	state JobState
-	ended wire.UnixMillis
-}
-
-// Date is the promised date in force.
+// Date returns the promised date in force.
 func (g *Gallery) Date() wire.UnixMillis { return g.Promises[len(g.Promises)-1].Date }
 
-// Ended reports whether nothing will ever change of the gallery any more.
+// Ended reports whether the gallery is in a final state.
 func (g *Gallery) Ended() bool { return len(galleryTransitions[g.State]) == 0 }
 
 // HasJobs reports whether any of the gallery's jobs is on record.
@@ -98,7 +97,7 @@
 	case err != nil:
 		return err
 	case g.Version == 0:
-		return nil // of jobs whose gallery is archived
+		return nil // only jobs of it are on record
 	case len(g.Promises) == 0 || len(g.Promises) > maxPromises:
 		return fmt.Errorf("has %d dates", len(g.Promises))
 	case !open && !slices.Contains([]GalleryState{GalleryKept, GalleryBroken, GalleryWithdrawn}, g.State):
--- a/internal/state/ledger/gallery_index.go
+++ b/internal/state/ledger/gallery_index.go
@@ -7,7 +7,7 @@
 	"maddermill/wire"
 )
 
-// Gallery returns a gallery on record, or nil.
+// Gallery returns a gallery, nil if it is not on record.
 func (l *Ledger) Gallery(n wire.GalleryName) *Gallery {
 	if g := l.galleries[n]; g != nil && g.Version != 0 {
 		return g
@@ -24,7 +24,7 @@
 	}
 }
 
-// galleryOpen reports whether a gallery is on record and not over.
+// galleryOpen reports whether a gallery is on record and has not ended. "" is no gallery.
 func (l *Ledger) galleryOpen(n wire.GalleryName) bool {
 	if n == "" {
 		return false
@@ -33,16 +33,17 @@
 	return g != nil && !g.Ended()
 }
 
-// gallery returns a gallery to be written on, known or not.
+// gallery returns the entry of a gallery in the index, which it adds if there is none.
 func (l *Ledger) gallery(n wire.GalleryName) *Gallery {
 	g := l.galleries[n]
 	if g == nil {
-		g = &Gallery{Name: n, jobs: map[wire.JobID]galleryJob{}}
+		g = &Gallery{Name: n, jobs: map[wire.JobID]JobState{}}
 		l.galleries[n] = g
 	}
 	return g
 }
 
+// applyGallery applies a change of a gallery's record.
 func (l *Ledger) applyGallery(n wire.GalleryName, e Event) error {
 	g := l.gallery(n)
 	switch {
@@ -66,35 +67,36 @@
 	return nil
 }
 
-// linkGallery notes that a job is tied to a gallery. A tie is for ever.
+// linkGallery adds a job to a gallery, "" for none. A job never leaves its gallery.
 func (l *Ledger) linkGallery(j *Job, n wire.GalleryName) {
 	if j.Gallery = n; n != "" {
 		g := l.gallery(n)
 		if _, known := g.jobs[j.ID]; !known {
-			g.jobs[j.ID] = galleryJob{}
+			g.jobs[j.ID] = Active
 			g.Count.Jobs++
 		}
 	}
 }
 
-// updateGalleryCount brings the counts of a job's gallery up to the job's state.
+// updateGalleryCount updates the counts of a job's gallery to the job's state.
 func (l *Ledger) updateGalleryCount(j *Job) {
 	if j.Gallery == "" {
 		return
 	}
 	g := l.gallery(j.Gallery)
-	switch old := g.jobs[j.ID].state; {
-	case j.State == old:
-	case j.State == Done:
-		g.Count.Done++
-	case j.State == Cancelled:
-		g.Count.Cancelled++
+	if j.State != g.jobs[j.ID] {
+		switch j.State {
+		case Done:
+			g.Count.Done++
+		case Cancelled:
+			g.Count.Cancelled++
+		}
 	}
-	g.jobs[j.ID] = galleryJob{j.State, j.Ended}
+	g.jobs[j.ID] = j.State
 	g.Count.Ended = max(g.Count.Ended, j.Ended)
 }
 
-// unlinkGallery notes that a job is no longer on record.
+// unlinkGallery notes that a job of a gallery is no longer on record. The counts keep it.
 func (l *Ledger) unlinkGallery(id wire.JobID, n wire.GalleryName) {
 	g := l.galleries[n]
 	if n == "" || g == nil {
--- a/internal/state/ledger/job.go
+++ b/internal/state/ledger/job.go
@@ -6,27 +6,30 @@
 	"maddermill/wire"
 )
 
-// Job is a job as last seen.
+// Job is a job as last seen. Callers read it and must not change it.
 type Job struct {
-	ID         wire.JobID
-	Spec       *wire.JobSpec
-	Need       Resources // of one task
-	Accepted   wire.UnixMillis
-	State      JobState
-	Stop       wire.Attempt
-	Done       int              // tasks done
-	Claimed    int              // tasks claimed
-	Gallery    wire.GalleryName // that it is tied to, "" if none
-	Ended      wire.UnixMillis  // when it was done, if it is tied
-	Workflow   wire.WorkflowID  // the workflow that it is a step of, "" if none
-	Cancelling bool             // that workflow is cancelled, so the job will be; or the job is, by another's ledger
-	ranges     map[int]*TaskRange
-
-	tasksPerRange int
-	finalDone     int // tasks done, as noted when the job is over and its ranges go
+	ID       wire.JobID
+	Spec     *wire.JobSpec
+	Need     Resources // of one task
+	Accepted wire.UnixMillis
+	State    JobState
+	Stop     wire.Attempt     // of a gang: its attempts up to this one are to stop (preemption)
+	Done     int              // tasks done
+	Claimed  int              // tasks claimed
+	Gallery  wire.GalleryName // that it belongs to, "" if none
+	Ended    wire.UnixMillis  // when it was done, if it belongs to a gallery
+	Workflow wire.WorkflowID  // that it is a step of, "" if none
+	// Cancelling says that the job will be cancelled: its workflow is, or the job is by the ledger of
+	// another controller. Nothing of it starts any more.
+	Cancelling bool
+
+	ranges        map[int]*TaskRange // the ranges on record by number; range 0 is always there
+	tasksPerRange int                // tasks that share a record
+	finalDone     int                // tasks done of a finished job whose ranges are being deleted
 }
 
-// Pending is the number of tasks that are neither done nor claimed.
+// Pending returns the number of tasks that may be claimed: neither done nor claimed, 0 if the job is over
+// or cancelling.
 func (j *Job) Pending() int {
 	if j.State != Active || j.Cancelling {
 		return 0
@@ -34,7 +37,7 @@
 	return j.Spec.Tasks - j.Done - j.Claimed
 }
 
-// GangSize is how many of the job's tasks must start together.
+// GangSize returns how many of the job's tasks must start together.
 func (j *Job) GangSize() int {
 	if j.Spec.Shape != wire.Gang {
 		return 1
@@ -42,10 +45,12 @@
 	return j.Spec.Tasks - j.Done
 }
 
-// RunsWholeMachines reports whether every task is claimed or done: of a gang, that its attempt has all its tasks.
+// RunsWholeMachines reports whether every task is claimed or done. Of a gang it says that the current
+// attempt has all of its tasks.
 func (j *Job) RunsWholeMachines() bool { return j.Done+j.Claimed == j.Spec.Tasks }
 
-// BestEffort reports whether a job only takes what others leave, also of the budget of changes.
+// BestEffort reports whether a job only uses the capacity that others leave: of machines, and of the
+// budget of changes to the store.
 func (j *Job) BestEffort() bool { return j.Spec.Priority == wire.BestEffort }
 
 // TaskDone reports whether a task is on record as done.
@@ -54,14 +59,14 @@
 	return c != nil && c.isDone(int(t)%j.tasksPerRange)
 }
 
-// DoneTasks is how many of the job's tasks are done, also while its ranges go.
+// DoneTasks returns how many of the job's tasks are done, also while its ranges are being deleted.
 func (j *Job) DoneTasks() int { return max(j.Done, j.finalDone) }
 
-// Attempt is the last attempt given out to the job's first tasks; for a gang,
-// to all of them.
+// Attempt returns the last attempt number given out in the job's first range; for a gang it is that of
+// all tasks.
 func (j *Job) Attempt() wire.Attempt { return j.ranges[0].Attempt }
 
-// Claims calls f for every claim until it returns false.
+// Claims calls f for every claim, in no order, until it returns false.
 func (j *Job) Claims(f func(Claim) bool) {
 	for _, c := range j.ranges {
 		for _, cl := range c.Claims {
@@ -72,7 +77,7 @@
 	}
 }
 
-// Status is what users are told.
+// Status returns the status that the API shows.
 func (j *Job) Status() wire.Status {
 	switch {
 	case j.State == Cancelled:
@@ -92,17 +97,20 @@
 	})
 }
 
-// TaskRange is a range of a job's tasks as last seen.
+// TaskRange is a range of a job's tasks, which share a record, as last seen.
 type TaskRange struct {
 	Version wire.Revision
 	taskRangeRecord
-	doneTasks, claimedTasks int // tasks
+	doneTasks    int
+	claimedTasks int
 }
 
+// isDone reports whether the i-th task of the range is done.
 func (r *taskRangeRecord) isDone(i int) bool {
 	return i/8 < len(r.Done) && r.Done[i/8]&(1<<(i%8)) != 0
 }
 
+// setDone records the i-th task of the range as done.
 func (r *taskRangeRecord) setDone(i int) {
 	for len(r.Done) <= i/8 {
 		r.Done = append(r.Done, 0)
@@ -110,6 +118,7 @@
 	r.Done[i/8] |= 1 << (i % 8)
 }
 
+// countDone returns how many tasks are done.
 func (r *taskRangeRecord) countDone() int {
 	n := 0
 	for _, b := range r.Done {
@@ -118,6 +127,7 @@
 	return n
 }
 
+// countClaimed returns how many tasks are claimed.
 func (r *taskRangeRecord) countClaimed() int {
 	n := 0
 	for i := range r.Claims {
@@ -135,12 +145,12 @@
 	return rangeBounds{first, min(j.tasksPerRange, j.Spec.Tasks-first)}
 }
 
-// HeldClaim is a claim seen from its machine.
+// HeldClaim is a claim as indexed by its machine.
 type HeldClaim struct {
 	Job *Job
 	Claim
 	rangeIndex int
 }
 
-// Range tells which range of the job's tasks the claim is in.
+// Range returns the number of the task range that the claim is in.
 func (h *HeldClaim) Range() int { return h.rangeIndex }
--- a/internal/state/ledger/job_update.go
+++ b/internal/state/ledger/job_update.go
@@ -7,21 +7,22 @@
 	"maddermill/wire"
 )
 
+// jobUpdate is a job as a transaction leaves it. It is the value of the job's record.
 type jobUpdate struct {
 	job       *Job
 	state     JobState
 	stop      wire.Attempt
 	spec      *wire.JobSpec
 	accepted  wire.UnixMillis
-	longRange int // tasks that share a record, if more than Limits.TasksPerRange; else 0
-	finalDone int // tasks done of a job that is over
+	longRange int // tasks that share a record; 0 if they are Limits.TasksPerRange
+	finalDone int // see Job
 
 	gallery wire.GalleryName
 	ended   wire.UnixMillis
-	ranges  map[int]*taskRangeRecord
+	ranges  map[int]*taskRangeRecord // copies of those read so far; the others are as in job
 }
 
-// taskRange returns a copy of a range's record that may be changed.
+// taskRange returns the copy of the n-th range's record, which may be changed.
 func (u *jobUpdate) taskRange(n int) *taskRangeRecord {
 	c := u.ranges[n]
 	if c == nil {
@@ -36,7 +37,7 @@
 	return c
 }
 
-// MarshalJSON writes the job's record.
+// MarshalJSON encodes the job's record.
 func (u *jobUpdate) MarshalJSON() ([]byte, error) {
 	return json.Marshal(
 		jobRecord{
@@ -54,6 +55,7 @@
 	)
 }
 
+// eachClaim calls f for every claim, in no order. f must not change the claim.
 func (u *jobUpdate) eachClaim(f func(*Claim)) {
 	for n, c := range u.job.ranges {
 		if u.ranges[n] == nil {
@@ -69,11 +71,12 @@
 	}
 }
 
+// allDone reports whether the job has no task left to run. A service always has.
 func (u *jobUpdate) allDone() bool {
 	return u.spec.Shape != wire.Service && u.doneTasks() == u.spec.Tasks
 }
 
-// doneTasks is how many of the job's tasks are done.
+// doneTasks returns how many of the job's tasks are done.
 func (u *jobUpdate) doneTasks() int {
 	total := u.job.Done
 	for n, c := range u.ranges {
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -6,36 +6,40 @@
 	"maddermill/wire"
 )
 
-// Ledger is the mirror. It isn't safe for concurrent use.
+// Ledger is the in-memory copy of the replicated records, with the indices that are read from it. It is
+// not safe for concurrent use.
 type Ledger struct {
 	limits   Limits
-	revision wire.Revision
-	jobs     map[wire.JobID]*Job
-	active   map[wire.JobID]*Job
+	revision wire.Revision // that all changes are applied up to
 
-	galleries       map[wire.GalleryName]*Gallery
-	register        registerRecord
-	registerVersion wire.Revision
-	orphanRanges    map[string]Event // ranges that arrived before their job
+	jobs            map[wire.JobID]*Job // on record, but for those in archived.finished
+	active          map[wire.JobID]*Job // of jobs, neither done nor cancelled
+	orphanRanges    map[string]Event    // task ranges that arrived before their job, by key
 	claimsByMachine map[wire.MachineID][]HeldClaim
-	teamUsage       map[wire.Team]Resources
-	teamVersions    map[wire.Team]wire.Revision
-	phases          map[wire.MachineID]MachinePhase
-	terminating     map[wire.MachineID]string   // marked, and not yet known to be gone
-	changedMachines map[wire.MachineID]struct{} // whose claims or marks changed since last asked
+	archived        archiveIndex
+
+	teamUsage    map[wire.Team]Resources     // the sum of the claims
+	teamVersions map[wire.Team]wire.Revision // of the record that starts of a limited team rewrite
+
+	phases          map[wire.MachineID]MachinePhase // of machines with a record of their own
 	phaseVersions   map[wire.MachineID]wire.Revision
-	members         map[wire.MemberID]json.RawMessage
+	terminating     map[wire.MachineID]string   // terminating and not yet terminated, with the reason
+	changedMachines map[wire.MachineID]struct{} // whose claims or phase changed; see DrainChangedMachines
 	machineTypes    map[wire.MachineTypeName]wire.MachineType
 
+	galleries       map[wire.GalleryName]*Gallery // also those of which only jobs are on record, at version 0
+	register        registerRecord
+	registerVersion wire.Revision
+
 	workflows     map[wire.WorkflowID]*Workflow
-	archived      archiveIndex
 	policy        PolicyRecord
 	policyVersion wire.Revision
 	modules       map[wire.ModuleHash]ModuleRecord
 
-	lastCancel    wire.Revision // of the newest cancellation, or later
+	lastCancel    wire.Revision // at or above that of the newest cancellation
 	recentCancels cancellationLog
 
+	members         map[wire.MemberID]json.RawMessage
 	scaleOut        ScaleOutRecord
 	scaleOutVersion wire.Revision
 	token           TokenRecord
@@ -44,10 +48,10 @@
 	leaderVersion   wire.Revision
 }
 
-// Event is one key as it now is.
+// Event is the state of one key after a change.
 type Event struct {
 	Key     string
-	Value   json.RawMessage // nil: deleted
+	Value   json.RawMessage // nil: it was deleted
 	Version wire.Revision
 }
 
@@ -74,13 +78,13 @@
 	}
 }
 
-// Revision is how far the ledger has caught up.
+// Revision returns the revision up to which all changes are applied.
 func (l *Ledger) Revision() wire.Revision { return l.revision }
 
 // AdvanceRevision notes that all changes up to r have been applied.
 func (l *Ledger) AdvanceRevision(r wire.Revision) { l.revision = max(l.revision, r) }
 
-// Job returns a job, or nil. Of a job that is over, Over may be all that there is.
+// Job returns a job, nil if it is not on record. Of a finished job ArchivedState may be all that there is.
 func (l *Ledger) Job(id wire.JobID) *Job { return l.jobs[id] }
 
 // EachActive calls f for every job that is neither done nor cancelled.
@@ -90,12 +94,12 @@
 	}
 }
 
-// Counts returns the number of jobs known and of those active.
+// Counts returns the number of jobs on record and of those active.
 func (l *Ledger) Counts() (known, active int) {
 	return len(l.jobs) + len(l.archived.finished), len(l.active)
 }
 
-// ClaimsOn returns the claims on a machine. The slice must not be kept.
+// ClaimsOn returns the claims on a machine. The slice is valid until the next change of the ledger.
 func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.claimsByMachine[m] }
 
 // EachHolder calls f for every machine with claims.
@@ -105,17 +109,17 @@
 	}
 }
 
-// Used returns what a team's claims take.
+// Used returns the sum of a team's claims.
 func (l *Ledger) Used(t wire.Team) Resources { return l.teamUsage[t] }
 
-// Member returns what a controller last published.
+// Member returns the status that a controller last published, nil if none.
 func (l *Ledger) Member(m wire.MemberID) json.RawMessage { return l.members[m] }
 
-// LastCancel is at or above the revision of every cancellation that the ledger
-// holds. A controller tells a user of one only when its ledger holds it.
+// LastCancel returns a revision at or above that of every cancellation in the ledger. A controller
+// confirms a cancellation to a user only once it is in its ledger (DESIGN, "Safety", 1).
 func (l *Ledger) LastCancel() wire.Revision { return l.lastCancel }
 
-// ScaleOutIntents returns the rentals that were asked for lately, and the version of their record.
+// ScaleOutIntents returns the recent scale-out requests, and the version of their record.
 func (l *Ledger) ScaleOutIntents() ([]ScaleOutIntent, wire.Revision) {
 	return l.scaleOut.Recent, l.scaleOutVersion
 }
@@ -123,5 +127,5 @@
 // Token returns the token counter and its version.
 func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVersion }
 
-// Leader returns the fleet's leader and the record's version; 0: there is none.
+// Leader returns the leader's record and its version, 0 if there is no leader.
 func (l *Ledger) Leader() (LeaderRecord, wire.Revision) { return l.leader, l.leaderVersion }
--- a/internal/state/ledger/limits.go
+++ b/internal/state/ledger/limits.go
@@ -7,54 +7,58 @@
 	"maddermill/wire"
 )
 
-// Limits are what the state service takes, and the rules of teams.
+// Limits are the limits of the key-value store and of teams, and this controller's place among all.
 type Limits struct {
-	ValueBytes                       int
-	TxnOps                           int
-	TxnBytes                         int
-	TeamMax                          map[wire.Team]Resources // capped teams only; 0 in an amount: none
-	ControllerIndex, ControllerCount int                     // this controller's among all; 0 of 0: it is alone
+	ValueBytes int                     // the largest value that the store takes
+	TxnOps     int                     // the most changes in a transaction
+	TxnBytes   int                     // the largest transaction
+	TeamMax    map[wire.Team]Resources // of the teams that have a limit; an amount of 0 is unlimited
+
+	ControllerIndex int // 0 to ControllerCount-1
+	ControllerCount int // 0: there is only this one
 }
 
-// caps reports whether a team's limit is on something that a task needs.
+// caps reports whether a team's limit is on a resource that a task needs.
 func (limits *Limits) caps(t wire.Team, need Resources) bool {
 	limit := limits.TeamMax[t]
 	return limit.CPU > 0 && need.CPU > 0 || limit.GPU > 0 && need.GPU > 0
 }
 
-// maxClaimBytes is what a claim takes of a value at the most, names included.
-const maxClaimBytes = 96
+// The most bytes that parts of a record take as JSON.
+const (
+	maxClaimBytes = 96   // a claim, names included
+	maxSpecBytes  = 1200 // a job's specification
+	maxPairBytes  = 10   // a further piece of a claim: first task and count
+)
 
-// maxSpecBytes is what a job's description takes of its record at the most.
-const maxSpecBytes = 1200
+// Bounds of the ranges of a large array.
+const (
+	maxLongRange = 256 // tasks that share a record, at the most
+	// minStartsPerRange is how many starts a record must at least have room for, counted in machines
+	// that are filled with the array's tasks.
+	minStartsPerRange = 12
+)
 
-// TasksPerRange is how many tasks share a record: in the worst case each has a
-// claim of its own, and all must fit beside the job's description.
+// TasksPerRange returns how many tasks usually share a record: in the worst case each has a claim of its
+// own, and all must fit beside the job's specification.
 func (limits *Limits) TasksPerRange() int {
 	return min(400, max(4, (limits.ValueBytes-maxSpecBytes)/maxClaimBytes))
 }
 
-// maxLongRange is how many tasks of a large array share a record, at the most.
-const maxLongRange = 256
-
-// minStartsPerRange is how many starts a record of a large array must at least have room
-// for, counted in machines that are filled with its tasks.
-const minStartsPerRange = 12
-
-// longRangeTasks is how many tasks of a job share a record; 0: so few that each may have a
-// claim of its own. Tasks of a huge array end many at a time and its machines take many
-// at a time, so longer ranges save changes; but then only so many starts have room in a
-// record, which a claim that finds none respects. A gang's tasks must all find room.
+// longRangeTasks returns how many tasks of a huge array share a record, 0 for any other job. They start
+// and end many at a time, so that longer ranges save changes; but a record then has room for a
+// limited number of starts, which Claim respects. A gang's tasks must all find room at once, so that
+// a gang has the usual ranges.
 func (l *Ledger) longRangeTasks(s *wire.JobSpec) int {
 	if s.Shape != wire.Array {
 		return 0
 	}
-	// Where a type of machine takes but a few of them, a record would be full of starts with most
-	// of its tasks yet to begin, and the machines of that type idle.
+	// Where a machine type takes only a few of them, a record would be full of starts with most of its
+	// tasks still pending, and the machines of that type idle. So the smallest type counts.
 	need, each := NewResources(s.CPUs, s.GPUs, s.MemoryGB), 0
-	for _, f := range l.machineTypes {
-		k := NewResources(f.CPUs, f.GPUs, f.MemoryGB).Times(need, s.Tasks)
-		if k > 0 && (each == 0 || k < each) && (s.Types == nil || slices.Contains(s.Types, f.Name)) {
+	for _, t := range l.machineTypes {
+		k := NewResources(t.CPUs, t.GPUs, t.MemoryGB).Times(need, s.Tasks)
+		if k > 0 && (each == 0 || k < each) && (s.Types == nil || slices.Contains(s.Types, t.Name)) {
 			each = k
 		}
 	}
@@ -66,12 +70,12 @@
 	return n
 }
 
-// firstRange is the range of a job's that this controller claims tasks of first.
+// firstRange returns the range of a job of which this controller claims tasks first.
 func (limits *Limits) firstRange(id wire.JobID, ranges int) int {
 	if ranges == 1 {
 		return 0
 	}
 	h := fnv.New32a()
-	h.Write([]byte(id))
+	_, _ = h.Write([]byte(id)) // a hash never returns an error
 	return (int(h.Sum32()%uint32(ranges)) + ranges*limits.ControllerIndex/max(1, limits.ControllerCount)) % ranges
 }
--- a/internal/state/ledger/machines.go
+++ b/internal/state/ledger/machines.go
@@ -7,23 +7,23 @@
 	"maddermill/wire"
 )
 
-// MachinePhase returns a machine's mark, "" if it has none.
+// MachinePhase returns a machine's phase, "" if it is in service.
 func (l *Ledger) MachinePhase(m wire.MachineID) MachinePhase {
-	if k := l.phases[m]; k != "" || !l.archived.terminated.Has(string(m)) {
-		return k
+	if phase := l.phases[m]; phase != "" || !l.archived.terminated.Has(string(m)) {
+		return phase
 	}
 	return Terminated
 }
 
-// MachinePhases calls f for every machine that has a mark of its own.
+// MachinePhases calls f for every machine whose phase has a record of its own.
 func (l *Ledger) MachinePhases(f func(wire.MachineID, MachinePhase)) {
-	for m, k := range l.phases {
-		f(m, k)
+	for m, phase := range l.phases {
+		f(m, phase)
 	}
 }
 
-// DecodeMachinePhase reads a machine's mark from its record as the state service has it, with the reason
-// that was given; false for records of something else.
+// DecodeMachinePhase decodes the record of a machine's phase as read from the store: the machine, its phase
+// and the reason of its termination. ok is false for any other record.
 func DecodeMachinePhase(it wire.Item) (m wire.MachineID, phase MachinePhase, reason string, ok bool) {
 	rest, ok := strings.CutPrefix(it.Key, machinePrefix)
 	var r machineRecord
@@ -33,16 +33,14 @@
 	return wire.MachineID(rest), r.Phase, r.Reason, true
 }
 
-// TerminatingMachines calls f for every machine on its way out that isn't known to be gone.
-// Marks of machines long gone are only walked to be swept.
+// TerminatingMachines calls f for every machine that is terminating and not yet terminated.
 func (l *Ledger) TerminatingMachines(f func(wire.MachineID)) {
 	for m := range l.terminating {
 		f(m)
 	}
 }
 
-// DrainChangedMachines calls f for every machine whose claims or mark have changed since the
-// last call.
+// DrainChangedMachines calls f for every machine whose claims or phase changed since the last call.
 func (l *Ledger) DrainChangedMachines(f func(wire.MachineID)) {
 	for m := range l.changedMachines {
 		f(m)
@@ -50,16 +48,17 @@
 	clear(l.changedMachines)
 }
 
-// CountTerminated is how many machines are gone and have no mark of their own any more.
+// CountTerminated returns how many terminated machines were compacted into their series.
 func (l *Ledger) CountTerminated() int { return l.archived.terminated.Count() }
 
-// Total is what a machine of a type has; nothing if the type is not known.
+// Total returns the resources of a machine of a type, none if the type is not known.
 func (l *Ledger) Total(t wire.MachineTypeName) Resources {
-	f := l.machineTypes[t]
-	return NewResources(f.CPUs, f.GPUs, f.MemoryGB)
+	machineType := l.machineTypes[t]
+	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// Free is what claims leave of a machine in its session.
+// Free returns the resources of a machine that no claim takes. Claims of earlier sessions don't count:
+// their tasks ended with the session.
 func (l *Ledger) Free(s ClaimTarget) Resources {
 	free := l.Total(s.Type)
 	for _, h := range l.ClaimsOn(s.Machine) {
@@ -70,10 +69,10 @@
 	return free
 }
 
-// MachineType returns a machine type as the leader has published it.
+// MachineType returns a machine type as the leader published it.
 func (l *Ledger) MachineType(t wire.MachineTypeName) (wire.MachineType, bool) {
-	f, ok := l.machineTypes[t]
-	return f, ok
+	machineType, ok := l.machineTypes[t]
+	return machineType, ok
 }
 
 // MachineTypes returns all machine types. The map must not be changed.
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -2,25 +2,26 @@
 
 import "maddermill/wire"
 
-// ModuleRecord lists a module.
+// ModuleRecord is the listing of a module.
 type ModuleRecord struct {
 	Name      string          `json:"name"`
 	Bytes     int             `json:"bytes"` // of its code
-	Pieces    int             `json:"n"`
-	At        wire.UnixMillis `json:"at"` // loaded
+	Pieces    int             `json:"n"`     // of its code, see CodeKey
+	At        wire.UnixMillis `json:"at"`    // when it was loaded
 	Signature []byte          `json:"sig,omitempty"`
 }
 
-// PolicyRecord tells which policy all controllers use.
+// PolicyRecord says which policy module all controllers use. Its methods return the record after a change.
 type PolicyRecord struct {
 	Use  wire.ModuleHash `json:"use,omitempty"`  // "": the built-in one
-	Last wire.ModuleHash `json:"last,omitempty"` // the one before, for going back
+	Last wire.ModuleHash `json:"last,omitempty"` // the one before, for a rollback
 	Next wire.ModuleHash `json:"next,omitempty"` // to be used once every controller has it
 	At   wire.UnixMillis `json:"at,omitempty"`   // when Next was asked for, or the last change
-	Why  string          `json:"why,omitempty"`  // the last swap was not completed
+	Why  string          `json:"why,omitempty"`  // the reason why the last swap was not completed
 }
 
-// RequestSwap begins a change to a module, or makes the built-in policy ("") the one at once.
+// RequestSwap starts a swap to a module, or returns to the built-in policy ("") at once. It returns
+// ErrSwapping if another swap is not complete.
 func (r PolicyRecord) RequestSwap(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
 	switch {
 	case h == "":
@@ -35,7 +36,8 @@
 	return r, nil
 }
 
-// Rollback begins a change to the policy before.
+// Rollback gives up the swap that is not complete, or else starts one to the policy before. It returns
+// ErrNoPreviousPolicy if there is none.
 func (r PolicyRecord) Rollback(now wire.UnixMillis) (PolicyRecord, error) {
 	if r.Next != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: "given up by an operator"}, nil
@@ -46,7 +48,7 @@
 	return r.RequestSwap(r.Last, now)
 }
 
-// EndSwap completes the change under way, or gives it up with a reason.
+// EndSwap completes the swap, or gives it up for a reason; "" completes it.
 func (r PolicyRecord) EndSwap(why string, now wire.UnixMillis) PolicyRecord {
 	if why != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: why}
@@ -54,8 +56,8 @@
 	return PolicyRecord{Use: r.Next, Last: r.Use, At: now}
 }
 
-// RemoveModule returns the record when a module is removed that is not in use nor about to be; there
-// is no going back to it then.
+// RemoveModule returns the record after a module is removed, to which there is no rollback any more. It
+// returns ErrInUse if the module is in use or about to be.
 func (r PolicyRecord) RemoveModule(h wire.ModuleHash) (PolicyRecord, error) {
 	if h == r.Use || h == r.Next {
 		return r, ErrInUse
@@ -66,10 +68,10 @@
 	return r, nil
 }
 
-// Policy returns which policy is in use, and the record's version.
+// Policy returns the policy record and its version, 0 if there is none.
 func (l *Ledger) Policy() (PolicyRecord, wire.Revision) { return l.policy, l.policyVersion }
 
-// Module returns a module's listing.
+// Module returns a module's listing, false if there is none.
 func (l *Ledger) Module(h wire.ModuleHash) (ModuleRecord, bool) {
 	m, ok := l.modules[h]
 	return m, ok
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -2,66 +2,70 @@
 
 import "maddermill/wire"
 
-// JobState is a job's durable state.
+// JobState is the durable state of a job.
 type JobState string
 
-// The durable states: a job is active until it is done or cancelled, for ever.
+// The durable states of jobs. Done and cancelled are final.
 const (
 	Active    JobState = ""
 	Cancelled JobState = "cancelled"
 	Done      JobState = "done"
 )
 
-// taskRangeRecord is the durable part of a range of a job's tasks.
+// taskRangeRecord is the record of a range of a job's tasks.
 type taskRangeRecord struct {
-	Attempt wire.Attempt `json:"a,omitempty"` // last attempt given out
-	Done    []byte       `json:"d,omitempty"` // a bit a task
+	Attempt wire.Attempt `json:"a,omitempty"` // last attempt number given out
+	Done    []byte       `json:"d,omitempty"` // a bit for each task that is done
 	Claims  claimList    `json:"c,omitempty"`
 }
 
-// jobRecord is a job; the first range of its tasks is kept in it.
+// jobRecord is the record of a job. The first range of its tasks is part of it.
 type jobRecord struct {
 	Spec      *wire.JobSpec   `json:"spec"`
 	Accepted  wire.UnixMillis `json:"at"`
 	State     JobState        `json:"state,omitempty"`
-	Stop      wire.Attempt    `json:"stop,omitempty"`  // gangs up to this attempt are to stop
-	Range     int             `json:"range,omitempty"` // tasks a record; 0: as many as may each have a claim
-	Workflow  wire.WorkflowID `json:"of,omitempty"`    // the workflow that it is a step of
-	FinalDone int             `json:"kept,omitempty"`  // tasks done, once the job is over and its ranges go
+	Stop      wire.Attempt    `json:"stop,omitempty"`  // attempts of a gang up to this one are to stop
+	Range     int             `json:"range,omitempty"` // tasks that share a record; 0: Limits.TasksPerRange
+	Workflow  wire.WorkflowID `json:"of,omitempty"`    // that it is a step of
+	FinalDone int             `json:"kept,omitempty"`  // tasks done, once the ranges are being deleted
 
-	Gallery wire.GalleryName `json:"g,omitempty"` // that it is tied to
-	Ended   wire.UnixMillis  `json:"e,omitempty"` // when it was done, if it is tied
+	Gallery wire.GalleryName `json:"g,omitempty"` // that it belongs to
+	Ended   wire.UnixMillis  `json:"e,omitempty"` // when it was done, if it belongs to one
 	taskRangeRecord
 }
 
-// MachinePhase is how far a machine is on its way out.
+// MachinePhase is how far the termination of a machine has come; "" while it is in service.
 type MachinePhase string
 
-// The marks of machines that leave. There is no way back.
+// The phases of machines. They only advance.
 const (
-	Terminating MachinePhase = "leaving" // being returned, tasks or not
-	Terminated  MachinePhase = "gone"    // the cloud has confirmed
+	Terminating MachinePhase = "leaving" // it takes no new task and is being returned
+	Terminated  MachinePhase = "gone"    // the cloud has confirmed its return: none of its tasks runs
 )
 
+// machineRecord is the record of a machine's phase.
 type machineRecord struct {
 	Phase  MachinePhase `json:"s"`
 	Reason string       `json:"why,omitempty"`
 }
 
+// teamRecord is rewritten by every start of a limited team, which makes starts conflict; its content
+// has no meaning.
 type teamRecord struct {
-	By wire.FencingToken `json:"by"`
+	By wire.FencingToken `json:"by"` // of the controller that started
 }
 
-// TokenRecord is the counter that tokens are taken from.
+// TokenRecord is the counter of fencing tokens.
 type TokenRecord struct {
 	Last wire.FencingToken `json:"n"`
-	By   wire.MemberID     `json:"by"`
-	// Reads is the newest format that everyone who ever took a token reads. Versions that
-	// know of one format only leave it out.
+	By   wire.MemberID     `json:"by"` // that took it
+	// Reads is the newest format that every controller reads that ever took a token. Versions that
+	// know only one format leave it out.
 	Reads int `json:"r,omitempty"`
 }
 
-// Next is the record with which a controller takes a token that reads formats up to reads.
+// Next returns the record with which a controller takes the token last. reads is the newest format that
+// the controller reads.
 func (r TokenRecord) Next(last wire.FencingToken, by wire.MemberID, reads int) TokenRecord {
 	n := TokenRecord{Last: last, By: by, Reads: min(r.Reads, reads)}
 	if r.Last == 0 {
@@ -70,24 +74,24 @@
 	return n
 }
 
-// LeaderRecord names the fleet's leader.
+// LeaderRecord names the leader of the fleet and the token of its term.
 type LeaderRecord struct {
 	Member wire.MemberID     `json:"by"`
 	Token  wire.FencingToken `json:"token"`
 }
 
-// ScaleOutIntent is a rental that a leader asks the cloud for. The cloud answers a
-// repeated request as it did the first, so whoever reads this can ask what came of it.
+// ScaleOutIntent is a scale-out request that a leader makes. The cloud answers a repeated request as it
+// answered the first, so that a later leader learns the outcome by repeating it.
 type ScaleOutIntent struct {
 	wire.ScaleOutRequest
 	At wire.UnixMillis `json:"at"`
 }
 
-// ScaleOutRecord holds the rentals that the cloud's list may not show yet. It is
-// written before the cloud is asked.
+// ScaleOutRecord has the requests whose machines the cloud's list may not show yet. It is written before
+// the cloud is asked.
 type ScaleOutRecord struct {
 	Recent []ScaleOutIntent `json:"recent"`
 }
 
-// HireBytes is about what a rental takes of the record.
+// HireBytes is about how many bytes an intent takes of the record.
 const HireBytes = 200
--- a/internal/state/ledger/transaction.go
+++ b/internal/state/ledger/transaction.go
@@ -9,26 +9,29 @@
 	"maddermill/wire"
 )
 
-// Transaction collects changes to one transaction over the ledger as it is.
+// Transaction is a compare-and-swap on the store: changed records, and the versions of all records that
+// the changes were decided from. Its methods add transitions; one that returns an error adds no change.
+// It refers to the ledger as it is and must be completed before the ledger changes.
 type Transaction struct {
-	ledger          *Ledger
-	jobs            map[wire.JobID]*jobUpdate
-	phases          map[wire.MachineID]MachinePhase
-	teamUsage       map[wire.Team]Resources // difference to the ledger
-	conditions      map[string]wire.Revision
-	values          map[string]any
-	keyOrder        []string
-	sizes           map[string]int  // of the values, once known; what is written anew is measured anew
-	maxChanges      int             // changes
-	filterPages     []*archive.Page // of the filter, that are written,
-	filterAdditions uint64          // and what was archived before
-	now             wire.UnixMillis // the time of day, if it was told
+	ledger     *Ledger
+	jobs       map[wire.JobID]*jobUpdate
+	phases     map[wire.MachineID]MachinePhase // that it sets
+	teamUsage  map[wire.Team]Resources         // the difference to the ledger's
+	conditions map[string]wire.Revision        // by key; 0: the key must not exist
+	values     map[string]any                  // by key; a deletion deletes it
+	keyOrder   []string                        // of values, in the order in which they were first put
+	sizes      map[string]int                  // bytes of the values that were measured since they were put
+	maxChanges int                             // at most Limits.TxnOps
+	now        wire.UnixMillis                 // see SetTime
+
+	filterPages     []*archive.Page // that it writes
+	filterAdditions uint64          // the ledger's, when the transaction was started
 }
 
 // NewTransaction starts an empty transaction.
 func (l *Ledger) NewTransaction() *Transaction { return l.NewTransactionOf(l.limits.TxnOps) }
 
-// NewTransactionOf starts an empty transaction of at most so many changes.
+// NewTransactionOf starts an empty transaction of at most this many changes.
 func (l *Ledger) NewTransactionOf(changes int) *Transaction {
 	return &Transaction{
 		ledger:          l,
@@ -43,14 +46,15 @@
 	}
 }
 
-// Limit leaves room for no more than so many changes, or as many as there are.
+// Limit lowers the number of changes that the transaction may have, to no less than it has.
 func (txn *Transaction) Limit(changes int) {
 	txn.maxChanges = max(len(txn.values), min(txn.maxChanges, changes))
 }
 
-// RemainingChanges is how many changes the transaction may have.
+// RemainingChanges returns how many changes the transaction may have, with those that it has.
 func (txn *Transaction) RemainingChanges() int { return txn.maxChanges }
 
+// update returns the job as the transaction leaves it.
 func (txn *Transaction) update(j *Job) *jobUpdate {
 	update := txn.jobs[j.ID]
 	if update == nil {
@@ -73,7 +77,7 @@
 	return update
 }
 
-// requireRange conditions the transaction on a range's record as the ledger has it.
+// requireRange adds the condition that the record of a range is as in the ledger.
 func (txn *Transaction) requireRange(j *Job, n int) {
 	var v wire.Revision
 	if c := j.ranges[n]; c != nil {
@@ -82,6 +86,7 @@
 	txn.conditions[taskRangeKey(j.ID, n)] = v
 }
 
+// putRange writes the record of a range, on the condition that it is as in the ledger.
 func (txn *Transaction) putRange(update *jobUpdate, n int) {
 	txn.requireRange(update.job, n)
 	var v any = update.taskRange(n)
@@ -91,6 +96,7 @@
 	txn.put(taskRangeKey(update.job.ID, n), v)
 }
 
+// put writes a record.
 func (txn *Transaction) put(key string, v any) {
 	if _, ok := txn.values[key]; !ok {
 		txn.keyOrder = append(txn.keyOrder, key)
@@ -99,12 +105,13 @@
 	delete(txn.sizes, key)
 }
 
-// deletion stands for a key that a draft deletes.
+// deletion is the value of a key that the transaction deletes.
 type deletion struct{}
 
+// remove deletes a record.
 func (txn *Transaction) remove(key string) { txn.put(key, deletion{}) }
 
-// atomically runs a change and undoes it when the transaction would grow too large.
+// atomically runs a change and undoes it if it returns an error or makes the transaction too large.
 func (txn *Transaction) atomically(change func() error) error {
 	before := txn.clone()
 	err := change()
@@ -117,6 +124,7 @@
 	return err
 }
 
+// clone returns a copy to which the transaction can be reset.
 func (txn *Transaction) clone() *Transaction {
 	b := *txn
 	b.phases, b.teamUsage, b.conditions = maps.Clone(txn.phases), maps.Clone(txn.teamUsage), maps.Clone(txn.conditions)
@@ -140,14 +148,20 @@
 	return &b
 }
 
-// conditionsPerChange is how many conditions the state service takes for each
-// change that a transaction may have.
-const conditionsPerChange = 4
+const (
+	// conditionsPerChange is how many conditions the store takes for each change that a transaction
+	// may have.
+	conditionsPerChange = 4
+	// conditionBytes is about how many bytes a condition takes of a transaction.
+	conditionBytes = 64
+)
 
+// checkSize returns ErrTransactionFull if the transaction exceeds a limit, ErrTooLarge if it would also do
+// so with its last change alone.
 func (txn *Transaction) checkSize() error {
-	lim := &txn.ledger.limits
+	limits := &txn.ledger.limits
 	alone := len(txn.jobs)+len(txn.phases) <= 1
-	if len(txn.values) > lim.TxnOps || len(txn.conditions) > conditionsPerChange*lim.TxnOps {
+	if len(txn.values) > limits.TxnOps || len(txn.conditions) > conditionsPerChange*limits.TxnOps {
 		if alone {
 			return ErrTooLarge
 		}
@@ -156,7 +170,7 @@
 	if len(txn.values) > txn.maxChanges {
 		return ErrTransactionFull
 	}
-	total := 64 * len(txn.conditions)
+	total := conditionBytes * len(txn.conditions)
 	for key, v := range txn.values {
 		size, known := txn.sizes[key]
 		if !known {
@@ -167,12 +181,12 @@
 			size = len(b)
 			txn.sizes[key] = size
 		}
-		if size > lim.ValueBytes {
+		if size > limits.ValueBytes {
 			return ErrTooLarge
 		}
-		total += size + 280
+		total += size + keyBytes
 	}
-	if total > lim.TxnBytes {
+	if total > limits.TxnBytes {
 		if alone {
 			return ErrTooLarge
 		}
@@ -181,7 +195,8 @@
 	return nil
 }
 
-// Request returns the transaction.
+// Request returns the transaction as the store takes it: conditions by key, changes in the order in
+// which they were added.
 func (txn *Transaction) Request() (wire.Txn, error) {
 	var request wire.Txn
 	for k, v := range txn.conditions {
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -7,29 +7,31 @@
 	"maddermill/wire"
 )
 
-// ClaimTarget is the machine that a start is claimed on.
+// ClaimTarget is the machine on which tasks are claimed, as the controller that holds it knows it.
 type ClaimTarget struct {
 	Machine wire.MachineID
 	Type    wire.MachineTypeName
 	Zone    wire.Zone
 	Spot    bool
-	Session wire.AgentEpoch
-	Token   wire.FencingToken // of the controller that holds the machine
+	Session wire.AgentEpoch   // the incarnation of its worker
+	Token   wire.FencingToken // under which the controller holds the machine
 }
 
-// Allowed reports whether the job may run on a machine at all.
+// Allowed reports whether a job may run on a machine of a type, in a zone, spot or not.
 func Allowed(s *wire.JobSpec, typ wire.MachineTypeName, zone wire.Zone, spot bool) bool {
 	return (s.Types == nil || slices.Contains(s.Types, typ)) &&
 		(s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
 
+// zoneCapacity returns how many more tasks of a job may be claimed in a zone. each calls its argument for
+// every claim of the job. A job that must spread has at most half of its tasks, rounded up, in a zone.
 func zoneCapacity(s *wire.JobSpec, zone wire.Zone, each func(func(*Claim))) int {
-	room := s.Tasks
+	capacity := s.Tasks
 	if !s.Spread && !s.OneZone {
-		return room // the claims of a huge array are not walked for nothing
+		return capacity // without a rule for zones the claims, of which there may be many, are not read
 	}
 	if s.Spread {
-		room = (s.Tasks + 1) / 2
+		capacity = (s.Tasks + 1) / 2
 	}
 	here, elsewhere := 0, 0
 	each(func(c *Claim) {
@@ -42,7 +44,7 @@
 	if s.OneZone && elsewhere > 0 {
 		return 0
 	}
-	return max(0, room-here)
+	return max(0, capacity-here)
 }
 
 // Claim claims up to count pending tasks of an array or service for a target and returns how many it
@@ -149,7 +151,7 @@
 	return capacity
 }
 
-// GangPart is one machine's part of a gang.
+// GangPart is the number of a gang's tasks on one machine.
 type GangPart struct {
 	Site  ClaimTarget
 	Count int
@@ -214,9 +216,9 @@
 	}
 }
 
-// TakeOver puts what a gang's attempt claims on a machine under the token of who holds the machine
-// now, once the worker accepts no lower one: only under its own token may a controller have tasks
-// that gave up waiting wait on. Nothing is claimed by it, and none of its claims goes.
+// TakeOver puts the claims of a gang's attempt on a machine under the token of the controller that holds
+// the machine now. The worker must accept no lower token any more. Only under its own token may a
+// controller let tasks rejoin that gave up waiting for the others. No task is claimed or released.
 func (txn *Transaction) TakeOver(j *Job, attempt wire.Attempt, target ClaimTarget) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
@@ -226,13 +228,13 @@
 		if err := txn.requireTarget(update, target); err != nil {
 			return err
 		}
-		// One that has lost a member is to begin anew; that, and its stop, any range may tell.
+		// A gang that has lost a member must start again, and any range may show that it has.
 		for n := range j.ranges {
 			txn.requireRange(j, n)
 		}
-		whole := update.doneTasks()
-		update.eachClaim(func(c *Claim) { whole += c.Count })
-		if whole != j.Spec.Tasks {
+		accounted := update.doneTasks()
+		update.eachClaim(func(c *Claim) { accounted += c.Count })
+		if accounted != j.Spec.Tasks {
 			return ErrPreconditionFailed
 		}
 		taken := false
@@ -256,6 +258,8 @@
 	})
 }
 
+// requireTarget returns ErrPreconditionFailed unless a job may start on a machine, and adds the condition
+// that the machine is in no phase.
 func (txn *Transaction) requireTarget(update *jobUpdate, target ClaimTarget) error {
 	if update.state != Active || !Allowed(update.spec, target.Type, target.Zone, target.Spot) {
 		return ErrPreconditionFailed
@@ -288,13 +292,21 @@
 	return pending
 }
 
-// appendClaims adds claims for tasks in ascending order, one a run.
-func appendClaims(c *taskRangeRecord, tasks []wire.TaskIndex, a wire.Attempt, s ClaimTarget) {
+// appendClaims adds claims for tasks, which are in ascending order: one for each run of them.
+func appendClaims(r *taskRangeRecord, tasks []wire.TaskIndex, attempt wire.Attempt, target ClaimTarget) {
 	for i, t := range tasks {
 		if i > 0 && tasks[i-1] == t-1 {
-			c.Claims[len(c.Claims)-1].Count++
+			r.Claims[len(r.Claims)-1].Count++
 			continue
 		}
-		c.Claims = append(c.Claims, Claim{t, 1, a, s.Machine, s.Zone, s.Session, s.Token})
+		r.Claims = append(r.Claims, Claim{
+			First:   t,
+			Count:   1,
+			Attempt: attempt,
+			Machine: target.Machine,
+			Zone:    target.Zone,
+			Session: target.Session,
+			Token:   target.Token,
+		})
 	}
 }
--- a/internal/state/ledger/transaction_galleries.go
+++ b/internal/state/ledger/transaction_galleries.go
@@ -10,7 +10,7 @@
 	"maddermill/wire"
 )
 
-// UpgradeRegister puts a newer edition of the register in force.
+// UpgradeRegister puts a newer edition of the operators' register in force.
 func (txn *Transaction) UpgradeRegister(revision int) error {
 	if revision <= txn.ledger.register.Revision || txn.ledger.archived.format.Format < GalleryFormat {
 		return refuse("upgrade register", strconv.Itoa(revision))
@@ -22,7 +22,7 @@
 	})
 }
 
-// requireRegister conditions a transaction on an edition of the register being in force.
+// requireRegister adds the condition that an edition of the register is in force.
 func (txn *Transaction) requireRegister(revision int) error {
 	if txn.ledger.register.Revision != revision {
 		return refuse("require register", strconv.Itoa(revision))
@@ -31,10 +31,10 @@
 	return nil
 }
 
-// SetTime tells a draft the time of day, for what notes when it came to be.
+// SetTime sets the time that transitions record.
 func (txn *Transaction) SetTime(now wire.UnixMillis) { txn.now = now }
 
-// completeJob makes a job done, and notes when if it is tied to a gallery.
+// completeJob makes a job done, and records when if it belongs to a gallery.
 func (txn *Transaction) completeJob(update *jobUpdate) {
 	update.state = Done
 	if update.gallery != "" {
@@ -42,7 +42,7 @@
 	}
 }
 
-// assignGallery ties a job that is tied to none to a gallery that is not over.
+// assignGallery adds a job that belongs to no gallery to one that has not ended, and reports whether it did.
 func (txn *Transaction) assignGallery(update *jobUpdate, g *Gallery) bool {
 	if update.gallery != "" || g.Version == 0 || g.Ended() || txn.ledger.archived.format.Format < GalleryFormat {
 		return false
@@ -52,13 +52,13 @@
 	return true
 }
 
-// SubmitToGallery accepts a job that isn't known yet and ties it to a gallery in the same step; nil
-// ties it to none. ErrStale: it is known, or the gallery is over.
+// SubmitToGallery is Submit for a job of a gallery, nil for none. It returns ErrPreconditionFailed also if
+// the gallery has ended.
 func (txn *Transaction) SubmitToGallery(spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
 	return txn.submit(spec, at, "", g)
 }
 
-// AssignGallery ties a job that was accepted before its gallery was known.
+// AssignGallery adds a job to a gallery that was not known when the job was accepted.
 func (txn *Transaction) AssignGallery(j *Job, g *Gallery) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
@@ -70,8 +70,8 @@
 	})
 }
 
-// OpenGallery puts a gallery with its first promise on record. A name that was ever used is
-// never used again.
+// OpenGallery adds a gallery with its first promise, as an edition of the register has it. A name is never
+// used twice.
 func (txn *Transaction) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
 	if !n.Valid() || txn.ledger.Gallery(n) != nil || txn.ledger.archived.format.Format < GalleryFormat {
 		return refuse("open gallery", n)
@@ -86,16 +86,17 @@
 	})
 }
 
+// truncated returns the promise with a reason that fits its record.
 func (p Promise) truncated() Promise {
 	p.Why = truncateReason(p.Why)
 	return p
 }
 
-// truncateReason cuts a reason to what it may take of a record, as it is written there.
+// truncateReason cuts a reason so that it takes at most maxReasonBytes as JSON.
 func truncateReason(why string) string {
 	why = strings.ToValidUTF8(why, "?")
 	for {
-		b, _ := json.Marshal(why)
+		b, _ := json.Marshal(why) // a string never fails
 		if len(b) <= maxReasonBytes+2 {
 			return why
 		}
@@ -104,7 +105,8 @@
 	}
 }
 
-// ChangeDate adds a promise, as an edition of the register has it.
+// ChangeDate adds a promise with another date, as an edition of the register has it. It returns
+// ErrManyDates if the record has no room for another.
 func (txn *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
 	switch {
 	case g.Ended() || p.Date == g.Date():
@@ -129,7 +131,7 @@
 	return txn.MoveGallery(g, GalleryWithdrawn, why, at)
 }
 
-// MoveGallery moves a gallery to another state. One that is over has its counts on record.
+// MoveGallery moves a gallery to another state. In a final state its record has the counts of its jobs.
 func (txn *Transaction) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
 	if !slices.Contains(galleryTransitions[g.State], to) {
 		return refuse("move gallery", g.Name)
@@ -143,6 +145,7 @@
 	return txn.writeGallery(g, r)
 }
 
+// writeGallery replaces the record of a gallery.
 func (txn *Transaction) writeGallery(g *Gallery, r GalleryRecord) error {
 	return txn.atomically(func() error {
 		txn.conditions[galleryKey(g.Name)] = g.Version
--- a/internal/state/ledger/transaction_machines.go
+++ b/internal/state/ledger/transaction_machines.go
@@ -7,14 +7,19 @@
 	"maddermill/wire"
 )
 
+// phaseOrder is the order in which a machine goes through the phases, none left out.
+var phaseOrder = []MachinePhase{"", Terminating, Terminated}
+
 // SetMachinePhase advances a machine to Terminating, or from there to Terminated. leaderVersion is the
 // version of the leader's record under which the caller leads, and is a condition. The reason that
 // was given for Terminating is kept for Terminated.
-func (txn *Transaction) SetMachinePhase(m wire.MachineID, phase MachinePhase, reason string, leaderVersion wire.Revision) error {
+func (txn *Transaction) SetMachinePhase(
+	m wire.MachineID, phase MachinePhase, reason string, leaderVersion wire.Revision,
+) error {
 	return txn.atomically(func() error {
 		old := txn.ledger.MachinePhase(m)
-		order := func(k MachinePhase) int { return slices.Index([]MachinePhase{"", Terminating, Terminated}, k) }
-		if txn.ledger.leaderVersion != leaderVersion || order(phase) <= order(old) || phase == Terminated && old != Terminating {
+		advances := slices.Index(phaseOrder, phase) > slices.Index(phaseOrder, old)
+		if txn.ledger.leaderVersion != leaderVersion || !advances || phase == Terminated && old != Terminating {
 			return refuse("set machine phase "+string(phase), m)
 		}
 		txn.phases[m] = phase
--- a/internal/state/ledger/transaction_releases.go
+++ b/internal/state/ledger/transaction_releases.go
@@ -6,9 +6,10 @@
 	"maddermill/wire"
 )
 
-// ReleaseTasks removes tasks' claim on proof that they are gone, and with done records that
-// they have completed. A claim other than the one proven gone is not touched; how many
-// there were is told. All tasks are of one range: those of a Held are.
+// ReleaseTasks removes tasks from the claim under which they were started, on proof that they no longer run,
+// and returns how many it removed. With done it records that they completed. Claims of other starts are
+// not touched. All tasks are of one range, as those of a HeldClaim are. The job is done with its last
+// task. It returns ErrPreconditionFailed, not wrapped, if no task is under the claim.
 func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, done bool) (int, error) {
 	n := int(tasks[0]) / j.tasksPerRange
 	released := 0
@@ -43,10 +44,9 @@
 	return released, nil
 }
 
-// CompleteGang records that a gang of several tasks is done: its tasks complete together, so that one
-// that is done proves it of all of the attempt (PROTOCOL, "Gangs"), whoever holds their
-// machines. It takes one change where the tasks' exits by themselves may take one each. How many
-// claims went is told.
+// CompleteGang records that all tasks of a gang's attempt are done, and returns how many it released: they
+// complete together, so that one that is done proves it of all (PROTOCOL, "Gangs"), whichever
+// controllers hold their machines. It takes one change a range, where ReleaseTasks may take one a task.
 func (txn *Transaction) CompleteGang(j *Job, attempt wire.Attempt) (released int, err error) {
 	err = txn.atomically(func() error {
 		released = 0
@@ -84,7 +84,7 @@
 	return released, err
 }
 
-// removeTask takes one task out of the claim at index i, splitting it if need be.
+// removeTask removes a task from the claim at index i, which falls into up to two pieces.
 func removeTask(claims []Claim, i int, task wire.TaskIndex) []Claim {
 	c := claims[i]
 	left, right := c, c
--- a/internal/state/ledger/transaction_workflows.go
+++ b/internal/state/ledger/transaction_workflows.go
@@ -6,7 +6,7 @@
 	"maddermill/wire"
 )
 
-// writeWorkflow puts a workflow's record in place of the one of a version; 0: there is none.
+// writeWorkflow replaces the record of a workflow at a version; 0: there must be none.
 func (txn *Transaction) writeWorkflow(id wire.WorkflowID, at wire.Revision, r WorkflowRecord) error {
 	return txn.atomically(func() error {
 		txn.conditions[workflowKey(id)] = at
@@ -15,8 +15,8 @@
 	})
 }
 
-// SubmitWorkflow accepts a workflow that isn't known yet, nor archived. Its documents are
-// written before.
+// SubmitWorkflow accepts a workflow. It returns ErrPreconditionFailed if it is on record; that it is not
+// archived either is a condition. Its documents were written before.
 func (txn *Transaction) SubmitWorkflow(id wire.WorkflowID, r WorkflowRecord) error {
 	if txn.ledger.workflows[id] != nil {
 		return refuse("submit workflow", id)
@@ -25,8 +25,8 @@
 	return txn.writeWorkflow(id, 0, r)
 }
 
-// EndWorkflow moves a workflow to a state, or leaves it in the one that it is in if it can't
-// go there: the answer tells. Only one that failed becomes active again.
+// EndWorkflow moves a workflow to a state if that is a legal transition, and returns the state that it is
+// then in. A failed workflow that becomes active again counts as resumed.
 func (txn *Transaction) EndWorkflow(workflow *Workflow, to WorkflowState, why string) (WorkflowState, error) {
 	if !slices.Contains(workflowTransitions[workflow.State], to) {
 		return workflow.State, nil
@@ -39,7 +39,7 @@
 	return to, txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
-// DeleteWorkflow notes that no job of a cancelled workflow is active any more.
+// DeleteWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow.
 func (txn *Transaction) DeleteWorkflow(workflow *Workflow) error {
 	if workflow.State != WorkflowCancelled || workflow.Swept {
 		return refuse("delete workflow", workflow.ID)
@@ -49,10 +49,9 @@
 	return txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
-// SubmitStep accepts a job that isn't known yet as a step of a workflow, on the condition
-// that the workflow is active: a step must not be submitted after its workflow's
-// cancellation was told, however late the transaction lands.
-// It is tied to a gallery, if one is given.
+// SubmitStep is Submit for a step of a workflow, and of a gallery, nil for none. That the workflow is active
+// is a condition: no step is accepted after its workflow's cancellation was confirmed, however late
+// the transaction is committed.
 func (txn *Transaction) SubmitStep(workflow *Workflow, spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
 	if workflow.State != WorkflowActive {
 		return refuse("submit step", spec.ID)
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -152,6 +152,15 @@
 		}
 		v.checkRange(j, n, r, all)
 	}
+	v.checkJobState(key, j)
+	v.checkJobClaims(key, j, all)
+	if w := v.ledger.workflows[j.Workflow]; w == nil && j.Workflow != "" && j.State == Active {
+		v.report(key, "is a step of %s, which is not on record", j.Workflow)
+	}
+}
+
+// checkJobState checks a job's own record against its ranges.
+func (v *verifier) checkJobState(key string, j *Job) {
 	switch {
 	case j.State != Active && j.State != Done && j.State != Cancelled:
 		v.report(key, "state %q", j.State)
@@ -160,6 +169,10 @@
 	case j.Stop > j.Attempt():
 		v.report(key, "is to stop at attempt %d, and %d is the last", j.Stop, j.Attempt())
 	}
+}
+
+// checkJobClaims checks the rules that hold for all claims of a job together.
+func (v *verifier) checkJobClaims(key string, j *Job, all *jobClaims) {
 	if j.Spec.Shape == wire.Gang && len(all.attempts) > 1 {
 		v.report(key, "a gang with claims of %d attempts", len(all.attempts))
 	}
@@ -171,9 +184,6 @@
 			v.report(key, "%d of %d tasks are in zone %s", n, j.Spec.Tasks, z)
 		}
 	}
-	if w := v.ledger.workflows[j.Workflow]; w == nil && j.Workflow != "" && j.State == Active {
-		v.report(key, "is a step of %s, which is not on record", j.Workflow)
-	}
 }
 
 // checkRange checks a range of a job's tasks and adds its claims to those of the job.
--- a/internal/state/ledger/workflow.go
+++ b/internal/state/ledger/workflow.go
@@ -6,11 +6,11 @@
 	"maddermill/wire"
 )
 
-// WorkflowState is a workflow's durable state.
+// WorkflowState is the durable state of a workflow.
 type WorkflowState string
 
-// The durable states of workflows. One that failed may be resumed, which makes it active
-// again; done and cancelled are for ever.
+// The durable states of workflows. Done and cancelled are final; a failed workflow becomes active again
+// when it is resumed.
 const (
 	WorkflowActive    WorkflowState = ""
 	WorkflowFailed    WorkflowState = "failed"
@@ -18,15 +18,15 @@
 	WorkflowCancelled WorkflowState = "cancelled"
 )
 
-// WorkflowRecord is the durable part of a workflow. Which of its steps are done follows
-// from the steps' jobs, whose ids follow from the workflow's and the step's.
+// WorkflowRecord is the record of a workflow. Which of its steps are done follows from their jobs, whose ids
+// follow from those of the workflow and the step.
 type WorkflowRecord struct {
 	Spec     *wire.WorkflowSpec `json:"spec"` // without documents and inputs
-	Hash     string             `json:"doc"`  // of documents and inputs
-	Pieces   int                `json:"n"`    // that they are kept in
+	Hash     string             `json:"doc"`  // of documents and inputs: the name of their pieces
+	Pieces   int                `json:"n"`    // of documents, see DocumentKey
 	Accepted wire.UnixMillis    `json:"at"`
 	State    WorkflowState      `json:"state,omitempty"`
-	Why      string             `json:"why,omitempty"`
+	Why      string             `json:"why,omitempty"`     // the reason of the state
 	Resumed  int                `json:"resumed,omitempty"` // times
 	Swept    bool               `json:"swept,omitempty"`   // cancelled, and none of its steps' jobs is active
 }
@@ -38,16 +38,17 @@
 	WorkflowRecord
 }
 
-// Workflow returns a workflow, or nil.
+// Workflow returns a workflow, nil if it is not on record.
 func (l *Ledger) Workflow(id wire.WorkflowID) *Workflow { return l.workflows[id] }
 
-// EachWorkflow calls f for every workflow.
+// EachWorkflow calls f for every workflow on record.
 func (l *Ledger) EachWorkflow(f func(*Workflow)) {
 	for _, w := range l.workflows {
 		f(w)
 	}
 }
 
+// applyWorkflow applies a change of a workflow's record.
 func (l *Ledger) applyWorkflow(id wire.WorkflowID, e Event) error {
 	old := l.workflows[id]
 	if e.Value == nil && old != nil && e.Version >= old.Version {
@@ -63,8 +64,8 @@
 		return err
 	}
 	if w.State == WorkflowCancelled {
-		// Like a job's: whoever answers workers must know of it, and from now on no task of
-		// its steps starts and all are told to stop, before their jobs' own records say so.
+		// As with a job's cancellation, no task of its steps starts from now on and all are stopped,
+		// before the records of their jobs say so.
 		l.lastCancel = max(l.lastCancel, e.Version)
 		l.recentCancels.add(cancellation{revision: e.Version, workflow: id})
 		for _, j := range l.active {
@@ -75,12 +76,12 @@
 	return nil
 }
 
-// Ended reports whether nothing will ever come of the workflow any more.
+// Ended reports whether the workflow and all of its jobs are over for good.
 func (w *Workflow) Ended() bool {
 	return w.State == WorkflowDone || w.State == WorkflowCancelled && w.Swept
 }
 
-// workflowTransitions are the states that a workflow may go to from each.
+// workflowTransitions are the legal transitions. Final states have none.
 var workflowTransitions = map[WorkflowState][]WorkflowState{
 	WorkflowActive: {WorkflowDone, WorkflowFailed, WorkflowCancelled},
 	WorkflowFailed: {WorkflowActive, WorkflowCancelled},
