--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -65,7 +65,7 @@
 				continue
 			} // else one by one: more may be on record than fits the batch
 		}
-		switch _, er := d.ReleaseTasks(j, g.claim, tasks[g], g.done); er {
+		switch _, er := d.ReleaseTasks(j, g.claim, tasks[g], ledger.TaskEnd(g.done)); er {
 		case nil:
 			err = nil
 			if !g.done && j.Spec.Shape == wire.Gang && j.Spec.Tasks > 1 && j.State == ledger.Active {
--- a/internal/state/ledger/claims_test.go
+++ b/internal/state/ledger/claims_test.go
@@ -26,7 +26,7 @@
 		f.run(t, func(txn *ledger.Transaction) error {
 			var claim ledger.Claim
 			j.Claims(func(c ledger.Claim) bool { claim = c; return false })
-			_, err := txn.ReleaseTasks(j, claim, []wire.TaskIndex{claim.First}, true)
+			_, err := txn.ReleaseTasks(j, claim, []wire.TaskIndex{claim.First}, ledger.TaskCompleted)
 			return err
 		})
 	}
@@ -99,7 +99,7 @@
 			if !c.Covers(index) {
 				return true
 			}
-			_, err := txn.ReleaseTasks(j, c, []wire.TaskIndex{index}, true)
+			_, err := txn.ReleaseTasks(j, c, []wire.TaskIndex{index}, ledger.TaskCompleted)
 			if err != nil && !errors.Is(err, ledger.ErrPreconditionFailed) {
 				t.Fatal(err)
 			}
@@ -184,7 +184,7 @@
 	}
 	for of, list := range ended {
 		txn := f.ledger.NewTransaction()
-		if n, err := txn.ReleaseTasks(j, of.claim, list, rng.IntN(20) > 0); err != nil || n != len(list) {
+		if n, err := txn.ReleaseTasks(j, of.claim, list, ledger.TaskEnd(rng.IntN(20) > 0)); err != nil || n != len(list) {
 			t.Fatalf("got %d of %d tasks released: %v", n, len(list), err)
 		}
 		f.commit(t, txn)
--- a/internal/state/ledger/errors_test.go
+++ b/internal/state/ledger/errors_test.go
@@ -73,7 +73,7 @@
 	if err != ledger.ErrPreconditionFailed { //nolint:errorlint // the sentinel itself is tested
 		t.Errorf("claim: got %v, want %v", err, ledger.ErrPreconditionFailed)
 	}
-	_, err = txn.ReleaseTasks(j, ledger.Claim{Machine: "host-2"}, []wire.TaskIndex{0}, true)
+	_, err = txn.ReleaseTasks(j, ledger.Claim{Machine: "host-2"}, []wire.TaskIndex{0}, ledger.TaskCompleted)
 	if err != ledger.ErrPreconditionFailed { //nolint:errorlint // the sentinel itself is tested
 		t.Errorf("release: got %v, want %v", err, ledger.ErrPreconditionFailed)
 	}
--- a/internal/state/ledger/history_test.go
+++ b/internal/state/ledger/history_test.go
@@ -300,7 +300,7 @@
 func (h *history) release(txn *ledger.Transaction, j *ledger.Job) {
 	j.Claims(func(c ledger.Claim) bool {
 		task := c.First + wire.TaskIndex(h.rng.IntN(c.Count))
-		if _, err := txn.ReleaseTasks(j, c, []wire.TaskIndex{task}, h.rng.IntN(2) == 0); err == nil {
+		if _, err := txn.ReleaseTasks(j, c, []wire.TaskIndex{task}, ledger.TaskEnd(h.rng.IntN(2) == 0)); err == nil {
 			h.prove(j, c, task)
 		}
 		return h.rng.IntN(2) == 0
--- a/internal/state/ledger/transaction_releases.go
+++ b/internal/state/ledger/transaction_releases.go
@@ -6,11 +6,20 @@
 	"maddermill/wire"
 )
 
+// TaskEnd is how tasks ended.
+type TaskEnd bool
+
+// The ends of tasks.
+const (
+	TaskStopped   TaskEnd = false // failed, preempted or lost: they are pending again
+	TaskCompleted TaskEnd = true
+)
+
 // ReleaseTasks removes tasks from the claim under which they were started, on proof that they no longer run,
-// and returns how many it removed. With done it records that they completed. Claims of other starts are
-// not touched. All tasks are of one range, as those of a HeldClaim are. The job is done with its last
+// and returns how many it removed. Those that completed are recorded as done, but a service's, which
+// start again. Claims of other starts are not touched. All tasks are of one range, as those of a HeldClaim are. The job is done with its last
 // task. It returns ErrPreconditionFailed, not wrapped, if no task is under the claim.
-func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, done bool) (int, error) {
+func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, end TaskEnd) (int, error) {
 	n := int(tasks[0]) / j.tasksPerRange
 	released := 0
 	err := txn.atomically(func() error {
@@ -23,7 +32,7 @@
 			}
 			c.Claims = removeTask(c.Claims, at, task)
 			released++
-			if done && j.Spec.Shape != wire.Service {
+			if end == TaskCompleted && j.Spec.Shape != wire.Service {
 				c.setDone(int(task) % j.tasksPerRange)
 			}
 		}
@@ -32,7 +41,7 @@
 		}
 		txn.teamUsage[j.Spec.Team] = txn.teamUsage[j.Spec.Team].Add(j.Need, -released)
 		txn.putRange(update, n)
-		if done && update.state == Active && update.allDone() {
+		if end == TaskCompleted && update.state == Active && update.allDone() {
 			txn.completeJob(update)
 			txn.putRange(update, 0)
 		}
