--- a/internal/state/ledger/apply_job.go
+++ b/internal/state/ledger/apply_job.go
@@ -57,19 +57,19 @@
 // applyFinishedJob applies a change of a job that is kept in the short form. It reports whether nothing
 // is left to do: a newer record is still to be read, by which the job is whole again.
 func (l *Ledger) applyFinishedJob(id wire.JobID, e Event) (handled bool) {
-	o, short := l.archived.finished[id]
+	finished, short := l.archived.finished[id]
 	if !short {
 		return false
 	}
-	if e.Version < o.version || e.Version == o.version && e.Value != nil {
+	if e.Version < finished.version || e.Version == finished.version && e.Value != nil {
 		return true
 	}
 	delete(l.archived.finished, id)
 	if e.Value != nil {
 		return false
 	}
-	l.unlinkGallery(id, o.gallery)
-	l.noteArchived(id, o.final())
+	l.unlinkGallery(id, finished.gallery)
+	l.noteArchived(id, finished.final())
 	return true
 }
 
@@ -150,17 +150,17 @@
 	if e.Value == nil || old != nil && e.Version <= old.Version {
 		return nil
 	}
-	c := &TaskRange{Version: e.Version}
-	if err := json.Unmarshal(e.Value, &c.taskRangeRecord); err != nil {
+	r := &TaskRange{Version: e.Version}
+	if err := json.Unmarshal(e.Value, &r.taskRangeRecord); err != nil {
 		return err
 	}
-	l.replaceRange(j, n, c)
+	l.replaceRange(j, n, r)
 	return nil
 }
 
 // replaceRange replaces the n-th range of a job's tasks and updates every index: the job's counts, the
 // usage of its team and the claims of machines.
-func (l *Ledger) replaceRange(j *Job, n int, c *TaskRange) {
+func (l *Ledger) replaceRange(j *Job, n int, r *TaskRange) {
 	team := j.Spec.Team
 	if old := j.ranges[n]; old != nil {
 		j.Done -= old.doneTasks
@@ -174,12 +174,12 @@
 			}
 		}
 	}
-	j.ranges[n] = c
-	c.doneTasks, c.claimedTasks = c.countDone(), c.countClaimed()
-	j.Done += c.doneTasks
-	j.Claimed += c.claimedTasks
-	l.teamUsage[team] = l.teamUsage[team].Add(j.Need, c.claimedTasks)
-	for _, cl := range c.Claims {
+	j.ranges[n] = r
+	r.doneTasks, r.claimedTasks = r.countDone(), r.countClaimed()
+	j.Done += r.doneTasks
+	j.Claimed += r.claimedTasks
+	l.teamUsage[team] = l.teamUsage[team].Add(j.Need, r.claimedTasks)
+	for _, cl := range r.Claims {
 		l.claimsByMachine[cl.Machine] = append(l.claimsByMachine[cl.Machine], HeldClaim{j, cl, n})
 		l.changedMachines[cl.Machine] = struct{}{}
 	}
@@ -217,7 +217,12 @@
 // compactFinished replaces a job by its short form if only its end can still be asked for.
 func (l *Ledger) compactFinished(j *Job) {
 	if j.State != Active && j.Claimed == 0 && j.Workflow == "" && j.Spec.Tasks <= j.tasksPerRange {
-		l.archived.finished[j.ID] = finishedJob{j.ranges[0].Version, int32(j.DoneTasks()), j.State == Cancelled, j.Gallery}
+		l.archived.finished[j.ID] = finishedJob{
+			version:   j.ranges[0].Version,
+			done:      int32(j.DoneTasks()),
+			cancelled: j.State == Cancelled,
+			gallery:   j.Gallery,
+		}
 		delete(l.jobs, j.ID)
 	}
 }
--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -45,11 +45,11 @@
 }
 
 // final returns the record that the archive keeps of it.
-func (o finishedJob) final() FinalRecord {
-	if o.cancelled {
-		return FinalRecord{Cancelled, int(o.done)}
+func (j finishedJob) final() FinalRecord {
+	if j.cancelled {
+		return FinalRecord{State: Cancelled, Done: int(j.done)}
 	}
-	return FinalRecord{Done, int(o.done)}
+	return FinalRecord{State: Done, Done: int(j.done)}
 }
 
 // newArchiveIndex returns an empty index.
@@ -75,8 +75,8 @@
 // ArchivedState returns the record that the archive will keep of a finished job that is still on record;
 // ok is false for any other job.
 func (l *Ledger) ArchivedState(id wire.JobID) (r FinalRecord, ok bool) {
-	if o, ok := l.archived.finished[id]; ok {
-		return o.final(), true
+	if finished, ok := l.archived.finished[id]; ok {
+		return finished.final(), true
 	}
 	if j := l.jobs[id]; j != nil && j.State != Active {
 		return FinalRecord{j.State, j.DoneTasks()}, true
@@ -87,8 +87,8 @@
 // Archivable reports whether a job is on record, finished, and proven to run nowhere. Jobs of a workflow
 // or gallery that has not ended are not archivable: its state follows from them.
 func (l *Ledger) Archivable(id wire.JobID) bool {
-	if o, ok := l.archived.finished[id]; ok {
-		return !l.galleryOpen(o.gallery)
+	if finished, ok := l.archived.finished[id]; ok {
+		return !l.galleryOpen(finished.gallery)
 	}
 	j := l.jobs[id]
 	if j == nil || l.galleryOpen(j.Gallery) || j.State == Active || j.Claimed > 0 {
@@ -100,11 +100,11 @@
 
 // EachFinished calls f for every archivable job, with the revision of its last change.
 func (l *Ledger) EachFinished(f func(wire.JobID, wire.Revision)) {
-	for id, o := range l.archived.finished {
-		if l.galleryOpen(o.gallery) {
+	for id, finished := range l.archived.finished {
+		if l.galleryOpen(finished.gallery) {
 			continue
 		}
-		f(id, o.version)
+		f(id, finished.version)
 	}
 	for id, j := range l.jobs {
 		if l.active[id] == nil && l.Archivable(id) {
--- a/internal/state/ledger/format.go
+++ b/internal/state/ledger/format.go
@@ -49,18 +49,18 @@
 
 // UpgradeFormat raises the format. The caller has made sure that every controller reads it.
 func (txn *Transaction) UpgradeFormat(to int, at wire.UnixMillis) error {
-	now, version := txn.ledger.Format()
-	if to <= now.Format || to > NewestFormat {
+	current, version := txn.ledger.Format()
+	if to <= current.Format || to > NewestFormat {
 		return refuse("upgrade format", strconv.Itoa(to))
 	}
 	return txn.atomically(func() error {
 		txn.conditions[FormatKey] = version
 		txn.conditions[TokenKey] = txn.ledger.tokenVersion
-		r := FormatRecord{to, at, txn.ledger.token.Reads >= to, now.Era}
-		if now.Format >= ArchiveFormat {
+		r := FormatRecord{Format: to, At: at, Fresh: txn.ledger.token.Reads >= to, Era: current.Era}
+		if current.Format >= ArchiveFormat {
 			// A late transaction of a version before galleries is conditioned on the records that it
 			// writes: nothing has to wait for it, and the archive's wait does not start again.
-			r.At, r.Fresh = now.At, now.Fresh
+			r.At, r.Fresh = current.At, current.Fresh
 		}
 		txn.put(FormatKey, r)
 		return nil
--- a/internal/state/ledger/job.go
+++ b/internal/state/ledger/job.go
@@ -55,8 +55,8 @@
 
 // TaskDone reports whether a task is on record as done.
 func (j *Job) TaskDone(t wire.TaskIndex) bool {
-	c := j.ranges[int(t)/j.tasksPerRange]
-	return c != nil && c.isDone(int(t)%j.tasksPerRange)
+	r := j.ranges[int(t)/j.tasksPerRange]
+	return r != nil && r.isDone(int(t)%j.tasksPerRange)
 }
 
 // DoneTasks returns how many of the job's tasks are done, also while its ranges are being deleted.
@@ -68,8 +68,8 @@
 
 // Claims calls f for every claim, in no order, until it returns false.
 func (j *Job) Claims(f func(Claim) bool) {
-	for _, c := range j.ranges {
-		for _, cl := range c.Claims {
+	for _, r := range j.ranges {
+		for _, cl := range r.Claims {
 			if !f(cl) {
 				return
 			}
--- a/internal/state/ledger/job_update.go
+++ b/internal/state/ledger/job_update.go
@@ -24,17 +24,17 @@
 
 // taskRange returns the copy of the n-th range's record, which may be changed.
 func (u *jobUpdate) taskRange(n int) *taskRangeRecord {
-	c := u.ranges[n]
-	if c == nil {
-		c = new(taskRangeRecord)
+	r := u.ranges[n]
+	if r == nil {
+		r = new(taskRangeRecord)
 		if old := u.job.ranges[n]; old != nil {
-			c.Attempt = old.Attempt
-			c.Done = slices.Clone(old.Done)
-			c.Claims = slices.Clone(old.Claims)
+			r.Attempt = old.Attempt
+			r.Done = slices.Clone(old.Done)
+			r.Claims = slices.Clone(old.Claims)
 		}
-		u.ranges[n] = c
+		u.ranges[n] = r
 	}
-	return c
+	return r
 }
 
 // MarshalJSON encodes the job's record.
@@ -57,16 +57,16 @@
 
 // eachClaim calls f for every claim, in no order. f must not change the claim.
 func (u *jobUpdate) eachClaim(f func(*Claim)) {
-	for n, c := range u.job.ranges {
+	for n, r := range u.job.ranges {
 		if u.ranges[n] == nil {
-			for i := range c.Claims {
-				f(&c.Claims[i])
+			for i := range r.Claims {
+				f(&r.Claims[i])
 			}
 		}
 	}
-	for _, c := range u.ranges {
-		for i := range c.Claims {
-			f(&c.Claims[i])
+	for _, r := range u.ranges {
+		for i := range r.Claims {
+			f(&r.Claims[i])
 		}
 	}
 }
@@ -79,11 +79,11 @@
 // doneTasks returns how many of the job's tasks are done.
 func (u *jobUpdate) doneTasks() int {
 	total := u.job.Done
-	for n, c := range u.ranges {
+	for n, r := range u.ranges {
 		if old := u.job.ranges[n]; old != nil {
 			total -= old.doneTasks
 		}
-		total += c.countDone()
+		total += r.countDone()
 	}
 	return total
 }
--- a/internal/state/ledger/transaction.go
+++ b/internal/state/ledger/transaction.go
@@ -80,8 +80,8 @@
 // requireRange adds the condition that the record of a range is as in the ledger.
 func (txn *Transaction) requireRange(j *Job, n int) {
 	var v wire.Revision
-	if c := j.ranges[n]; c != nil {
-		v = c.Version
+	if r := j.ranges[n]; r != nil {
+		v = r.Version
 	}
 	txn.conditions[taskRangeKey(j.ID, n)] = v
 }
@@ -126,26 +126,29 @@
 
 // clone returns a copy to which the transaction can be reset.
 func (txn *Transaction) clone() *Transaction {
-	b := *txn
-	b.phases, b.teamUsage, b.conditions = maps.Clone(txn.phases), maps.Clone(txn.teamUsage), maps.Clone(txn.conditions)
-	b.keyOrder, b.sizes = slices.Clone(txn.keyOrder), maps.Clone(txn.sizes)
-	b.jobs = make(map[wire.JobID]*jobUpdate, len(txn.jobs))
-	b.values = maps.Clone(txn.values)
+	saved := *txn
+	saved.phases = maps.Clone(txn.phases)
+	saved.teamUsage = maps.Clone(txn.teamUsage)
+	saved.conditions = maps.Clone(txn.conditions)
+	saved.values = maps.Clone(txn.values)
+	saved.keyOrder = slices.Clone(txn.keyOrder)
+	saved.sizes = maps.Clone(txn.sizes)
+	saved.jobs = make(map[wire.JobID]*jobUpdate, len(txn.jobs))
 	for id, update := range txn.jobs {
-		k := *update
-		k.ranges = make(map[int]*taskRangeRecord, len(update.ranges))
-		for n, c := range update.ranges {
-			k.ranges[n] = &taskRangeRecord{c.Attempt, slices.Clone(c.Done), slices.Clone(c.Claims)}
-			if n > 0 && b.values[taskRangeKey(id, n)] != nil {
-				b.values[taskRangeKey(id, n)] = k.ranges[n]
+		savedUpdate := *update
+		savedUpdate.ranges = make(map[int]*taskRangeRecord, len(update.ranges))
+		for n, r := range update.ranges {
+			savedUpdate.ranges[n] = &taskRangeRecord{r.Attempt, slices.Clone(r.Done), slices.Clone(r.Claims)}
+			if n > 0 && saved.values[taskRangeKey(id, n)] != nil {
+				saved.values[taskRangeKey(id, n)] = savedUpdate.ranges[n]
 			}
 		}
-		b.jobs[id] = &k
-		if b.values[jobKey(id)] != nil {
-			b.values[jobKey(id)] = &k
+		saved.jobs[id] = &savedUpdate
+		if saved.values[jobKey(id)] != nil {
+			saved.values[jobKey(id)] = &savedUpdate
 		}
 	}
-	return &b
+	return &saved
 }
 
 const (
--- a/internal/state/ledger/transaction_archive.go
+++ b/internal/state/ledger/transaction_archive.go
@@ -51,12 +51,12 @@
 	}
 	var names []string
 	for _, id := range ids {
-		r, over := txn.ledger.ArchivedState(id)
+		final, over := txn.ledger.ArchivedState(id)
 		if !over || !txn.ledger.Archivable(id) || !page.Covers(string(id)) {
 			return refuse("archive job", id)
 		}
-		if o, short := txn.ledger.archived.finished[id]; short {
-			txn.conditions[jobKey(id)] = o.version
+		if finished, short := txn.ledger.archived.finished[id]; short {
+			txn.conditions[jobKey(id)] = finished.version
 			txn.remove(jobKey(id))
 		} else {
 			j := txn.ledger.jobs[id]
@@ -66,7 +66,7 @@
 			}
 		}
 		txn.conditions[FinalKey(id)] = 0
-		txn.put(FinalKey(id), r)
+		txn.put(FinalKey(id), final)
 		names = append(names, string(id))
 	}
 	return txn.addToFilter(names...)
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -239,17 +239,10 @@
 		}
 		taken := false
 		for n := range j.ranges {
-			moved := false
-			for i := range update.taskRange(n).Claims {
-				o := &update.taskRange(n).Claims[i]
-				if o.Attempt == attempt && o.Machine == target.Machine && o.Session == target.Session && o.Token < target.Token {
-					o.Token, moved = target.Token, true
-				}
-			}
-			if moved {
+			if takeOverClaims(update.taskRange(n), attempt, target) {
 				txn.putRange(update, n)
+				taken = true
 			}
-			taken = taken || moved
 		}
 		if !taken {
 			return ErrPreconditionFailed
@@ -258,6 +251,19 @@
 	})
 }
 
+// takeOverClaims puts the claims of an attempt on a machine in its session under the token of target where
+// they are under a lower one, and reports whether there were any.
+func takeOverClaims(r *taskRangeRecord, attempt wire.Attempt, target ClaimTarget) (changed bool) {
+	for i := range r.Claims {
+		claim := &r.Claims[i]
+		here := claim.Machine == target.Machine && claim.Session == target.Session
+		if here && claim.Attempt == attempt && claim.Token < target.Token {
+			claim.Token, changed = target.Token, true
+		}
+	}
+	return changed
+}
+
 // requireTarget returns ErrPreconditionFailed unless a job may start on a machine, and adds the condition
 // that the machine is in no phase.
 func (txn *Transaction) requireTarget(update *jobUpdate, target ClaimTarget) error {
--- a/internal/state/ledger/transaction_releases.go
+++ b/internal/state/ledger/transaction_releases.go
@@ -16,24 +16,25 @@
 )
 
 // ReleaseTasks removes tasks from the claim under which they were started, on proof that they no longer run,
-// and returns how many it removed. Those that completed are recorded as done, but a service's, which
-// start again. Claims of other starts are not touched. All tasks are of one range, as those of a HeldClaim are. The job is done with its last
-// task. It returns ErrPreconditionFailed, not wrapped, if no task is under the claim.
+// and returns how many it removed. Completed tasks are recorded as done, except those of a service, which
+// start again; the job is done with its last task. Claims of other starts are not touched. All tasks
+// must be of one range, as those of a HeldClaim are. It returns ErrPreconditionFailed, not wrapped, if
+// none of the tasks is under the claim.
 func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, end TaskEnd) (int, error) {
 	n := int(tasks[0]) / j.tasksPerRange
 	released := 0
 	err := txn.atomically(func() error {
 		update := txn.update(j)
-		c := update.taskRange(n)
+		r := update.taskRange(n)
 		for _, task := range tasks {
-			at := slices.IndexFunc(c.Claims, func(o Claim) bool { return o.Covers(task) && o.sameStart(&claim) })
+			at := slices.IndexFunc(r.Claims, func(o Claim) bool { return o.Covers(task) && o.sameStart(&claim) })
 			if at < 0 || int(task)/j.tasksPerRange != n {
 				continue
 			}
-			c.Claims = removeTask(c.Claims, at, task)
+			r.Claims = removeTask(r.Claims, at, task)
 			released++
 			if end == TaskCompleted && j.Spec.Shape != wire.Service {
-				c.setDone(int(task) % j.tasksPerRange)
+				r.setDone(int(task) % j.tasksPerRange)
 			}
 		}
 		if released == 0 {
@@ -64,16 +65,16 @@
 			return ErrPreconditionFailed
 		}
 		for n := range j.ranges {
-			c := update.taskRange(n)
+			r := update.taskRange(n)
 			before := released
-			c.Claims = slices.DeleteFunc(slices.Clone(c.Claims), func(o Claim) bool {
-				if o.Attempt != attempt {
+			r.Claims = slices.DeleteFunc(slices.Clone(r.Claims), func(claim Claim) bool {
+				if claim.Attempt != attempt {
 					return false
 				}
-				for i := range o.Count {
-					c.setDone((int(o.First) + i) % j.tasksPerRange)
+				for i := range claim.Count {
+					r.setDone((int(claim.First) + i) % j.tasksPerRange)
 				}
-				released += o.Count
+				released += claim.Count
 				return true
 			})
 			if released > before {
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -89,10 +89,13 @@
 // checkFinished checks the jobs that the ledger keeps in the short form, of which only the end is left
 // to be wrong.
 func (v *verifier) checkFinished() {
-	for id, o := range v.ledger.archived.finished {
+	for id, finished := range v.ledger.archived.finished {
 		var r jobRecord
-		if json.Unmarshal(v.records[jobKey(id)].Value, &r) == nil && !o.cancelled && int(o.done) != r.Spec.Tasks {
-			v.report(jobKey(id), "is done with %d of %d tasks", o.done, r.Spec.Tasks)
+		if finished.cancelled || json.Unmarshal(v.records[jobKey(id)].Value, &r) != nil {
+			continue
+		}
+		if int(finished.done) != r.Spec.Tasks {
+			v.report(jobKey(id), "is done with %d of %d tasks", finished.done, r.Spec.Tasks)
 		}
 	}
 }
