--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -89,7 +89,7 @@
 		}
 		// Else task by task: the whole gang may be more than fits into the transaction.
 	}
-	if _, err := txn.ReleaseTasks(job, group.claim, tasks, group.done); err != nil {
+	if _, err := txn.ReleaseTasks(job, group.claim, tasks, ledger.TaskEnd(group.done)); err != nil {
 		return err
 	}
 	if !group.done && inGang && job.State == ledger.Active {
--- a/internal/state/backup/verify.go
+++ b/internal/state/backup/verify.go
@@ -122,8 +122,8 @@
 		return
 	}
 	v.report.Archived++
-	if what := ledger.CheckArchived(id, value); what != "" {
-		v.add(ledger.Problem{Key: key, What: what})
+	if err := ledger.CheckArchived(id, value); err != nil {
+		v.add(ledger.Problem{Key: key, What: err.Error()})
 	}
 	if !v.filter.passes(id) {
 		v.notPassed = append(v.notPassed, key)
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -1,55 +1,27 @@
 package ledger
 
-import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"strings"
+import "maddermill/wire"
 
-	"maddermill/wire"
-)
-
-// Keys of policies. A module's code is kept in pieces that nobody mirrors.
-const (
-	PolicyKey    = Prefix + "p"
-	modulePrefix = Prefix + "q/"
-	codePrefix   = "mmp1/"
-)
-
-// ModuleKey is where a module is listed.
-func ModuleKey(h wire.ModuleHash) string { return modulePrefix + string(h) }
-
-// CodeKey is where the n-th piece of a module's code is kept.
-func CodeKey(h wire.ModuleHash, n int) string {
-	return codePrefix + string(h) + "/" + fmt.Sprintf("%05d", n)
-}
-
-// ModuleRecord lists a module.
+// ModuleRecord is the listing of a module.
 type ModuleRecord struct {
 	Name      string          `json:"name"`
 	Bytes     int             `json:"bytes"` // of its code
-	Pieces    int             `json:"n"`
-	At        wire.UnixMillis `json:"at"` // loaded
+	Pieces    int             `json:"n"`     // of its code, see CodeKey
+	At        wire.UnixMillis `json:"at"`    // when it was loaded
 	Signature []byte          `json:"sig,omitempty"`
 }
 
-// PolicyRecord tells which policy all controllers use.
+// PolicyRecord says which policy module all controllers use. Its methods return the record after a change.
 type PolicyRecord struct {
 	Use  wire.ModuleHash `json:"use,omitempty"`  // "": the built-in one
-	Last wire.ModuleHash `json:"last,omitempty"` // the one before, for going back
+	Last wire.ModuleHash `json:"last,omitempty"` // the one before, for a rollback
 	Next wire.ModuleHash `json:"next,omitempty"` // to be used once every controller has it
 	At   wire.UnixMillis `json:"at,omitempty"`   // when Next was asked for, or the last change
-	Why  string          `json:"why,omitempty"`  // the last swap was not completed
+	Why  string          `json:"why,omitempty"`  // the reason why the last swap was not completed
 }
 
-// Errors of changes of policies.
-var (
-	ErrInUse            = errors.New("the module is in use, or about to be")
-	ErrNoPreviousPolicy = errors.New("nothing to go back to")
-	ErrSwapping         = errors.New("another change is under way")
-)
-
-// RequestSwap begins a change to a module, or makes the built-in policy ("") the one at once.
+// RequestSwap starts a swap to a module, or returns to the built-in policy ("") at once. It returns
+// ErrSwapping if another swap is not complete.
 func (r PolicyRecord) RequestSwap(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
 	switch {
 	case h == "":
@@ -64,7 +36,8 @@
 	return r, nil
 }
 
-// Rollback begins a change to the policy before.
+// Rollback gives up the swap that is not complete, or else starts one to the policy before. It returns
+// ErrNoPreviousPolicy if there is none.
 func (r PolicyRecord) Rollback(now wire.UnixMillis) (PolicyRecord, error) {
 	if r.Next != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: "given up by an operator"}, nil
@@ -75,7 +48,7 @@
 	return r.RequestSwap(r.Last, now)
 }
 
-// EndSwap completes the change under way, or gives it up with a reason.
+// EndSwap completes the swap, or gives it up for a reason; "" completes it.
 func (r PolicyRecord) EndSwap(why string, now wire.UnixMillis) PolicyRecord {
 	if why != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: why}
@@ -83,8 +56,8 @@
 	return PolicyRecord{Use: r.Next, Last: r.Use, At: now}
 }
 
-// RemoveModule returns the record when a module is removed that is not in use nor about to be; there
-// is no going back to it then.
+// RemoveModule returns the record after a module is removed, to which there is no rollback any more. It
+// returns ErrInUse if the module is in use or about to be.
 func (r PolicyRecord) RemoveModule(h wire.ModuleHash) (PolicyRecord, error) {
 	if h == r.Use || h == r.Next {
 		return r, ErrInUse
@@ -95,39 +68,11 @@
 	return r, nil
 }
 
-// Policy returns which policy is in use, and the record's version.
-func (l *Ledger) Policy() (PolicyRecord, wire.Revision) { return l.policy, l.policyVer }
+// Policy returns the policy record and its version, 0 if there is none.
+func (l *Ledger) Policy() (PolicyRecord, wire.Revision) { return l.policy, l.policyVersion }
 
-// Module returns a module's listing.
+// Module returns a module's listing, false if there is none.
 func (l *Ledger) Module(h wire.ModuleHash) (ModuleRecord, bool) {
 	m, ok := l.modules[h]
 	return m, ok
 }
-
-// applyPolicy takes over a change of the policies' records; mine is false for other keys.
-func (l *Ledger) applyPolicy(e Event) (mine bool, err error) {
-	if rest, ok := strings.CutPrefix(e.Key, modulePrefix); ok {
-		h := wire.ModuleHash(rest)
-		if e.Value == nil {
-			delete(l.modules, h)
-			return true, nil
-		}
-		var m ModuleRecord
-		if err := json.Unmarshal(e.Value, &m); err != nil {
-			return true, err
-		}
-		l.modules[h] = m
-		return true, nil
-	}
-	if e.Key != PolicyKey {
-		return false, nil
-	}
-	if e.Version <= l.policyVer {
-		return true, nil
-	}
-	l.policy, l.policyVer = PolicyRecord{}, e.Version
-	if e.Value == nil {
-		return true, nil
-	}
-	return true, json.Unmarshal(e.Value, &l.policy)
-}
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -1,242 +1,71 @@
-// Package ledger mirrors the durable records of the state service and holds
-// their legal transitions. The rules that users measure live here: a Draft
-// refuses what would break one, and its transaction is conditioned on every
-// record that the decision was read from.
 package ledger
 
-import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"math"
-	"slices"
-	"strconv"
-	"strings"
+import "maddermill/wire"
 
-	"maddermill/wire"
-)
-
-// Prefix is the part of the key space that belongs to maddermill. The version
-// of the layout is in it.
-const Prefix = "mm1/"
-
-// Keys of the durable records.
-const (
-	LeaderKey   = Prefix + "leader"
-	TokenKey    = Prefix + "token"
-	ScaleOutKey = Prefix + "hires"
-
-	jobPrefix     = Prefix + "j/"
-	chunkPrefix   = Prefix + "t/"
-	machinePrefix = Prefix + "m/"
-	teamPrefix    = Prefix + "u/"
-	memberPrefix  = Prefix + "n/"
-	flavorPrefix  = Prefix + "f/"
-)
-
-func jobKey(id wire.JobID) string { return jobPrefix + string(id) }
-func chunkKey(id wire.JobID, n int) string {
-	if n == 0 {
-		return jobKey(id)
-	}
-	return fmt.Sprintf("%s%s/%d", chunkPrefix, id, n)
-}
-func machineKey(id wire.MachineID) string { return machinePrefix + string(id) }
-func teamKey(t wire.Team) string          { return teamPrefix + strconv.Quote(string(t)) }
-
-// MemberKey is where a controller publishes its picture.
-func MemberKey(m wire.MemberID) string { return memberPrefix + string(m) }
-
-// MachineTypeKey is where the leader publishes a machine type.
-func MachineTypeKey(t wire.MachineTypeName) string { return flavorPrefix + strconv.Quote(string(t)) }
-
-// Resources are amounts in millionths, so that sums are exact.
-type Resources struct{ CPU, GPU, Memory int64 }
-
-// NewResources converts from the protocol's decimals.
-func NewResources(cpus, gpus, memory float64) Resources {
-	m := func(v float64) int64 { return int64(math.Round(v * 1e6)) }
-	return Resources{m(cpus), m(gpus), m(memory)}
-}
-
-// Add returns r + n·o.
-func (r Resources) Add(o Resources, n int) Resources {
-	k := int64(n)
-	return Resources{r.CPU + k*o.CPU, r.GPU + k*o.GPU, r.Memory + k*o.Memory}
-}
-
-// Fits reports whether o fits into r.
-func (r Resources) Fits(o Resources) bool {
-	return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Memory <= r.Memory
-}
-
-// Times returns how many o fit into r, at most max.
-func (r Resources) Times(o Resources, max int) int {
-	n := int64(max)
-	for _, p := range [][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
-		if p[1] > 0 {
-			n = min(n, p[0]/p[1])
-		}
-	}
-	return int(n)
-}
-
-// JobState is a job's durable state.
+// JobState is the durable state of a job.
 type JobState string
 
-// The durable states: a job is active until it is done or cancelled, for ever.
+// The durable states of jobs. Done and cancelled are final.
 const (
 	Active    JobState = ""
 	Cancelled JobState = "cancelled"
 	Done      JobState = "done"
 )
 
-// Claim says that tasks [First, First+Count) may be on a machine. It is written
-// before any of them is started there and goes only when all are proven gone.
-type Claim struct {
-	First   wire.TaskIndex
-	Count   int
-	Attempt wire.Attempt
-	Machine wire.MachineID
-	Zone    wire.Zone
-	Session wire.AgentEpoch
-	Token   wire.FencingToken
-}
-
-// claimList is a range's claims as they are written: values are small at some places,
-// and tasks of one start end in any order. What one start holds is one array, of
-// attempt, machine, zone, session, token and then pairs of first task and count, so
-// that a claim that has fallen into pieces costs a pair for each and not its names.
-type claimList []Claim
-
-// sameStart reports whether two claims are pieces of one.
-func (c *Claim) sameStart(o *Claim) bool {
-	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Session == o.Session &&
-		c.Token == o.Token
-}
-
-// MarshalJSON writes the claims start by start.
-func (l claimList) MarshalJSON() ([]byte, error) {
-	var starts [][]any
-	var of []*Claim
-next:
-	for i := range l {
-		c := &l[i]
-		for k, o := range of {
-			if o.sameStart(c) {
-				starts[k] = append(starts[k], c.First, c.Count)
-				continue next
-			}
-		}
-		of = append(of, c)
-		starts = append(starts, []any{c.Attempt, c.Machine, c.Zone, c.Session, c.Token, c.First, c.Count})
-	}
-	return json.Marshal(starts)
-}
-
-// UnmarshalJSON reads what MarshalJSON wrote, and the form of earlier versions: an
-// array a claim, of first task, count, attempt, machine, zone, session and token.
-func (l *claimList) UnmarshalJSON(b []byte) error {
-	var starts [][]json.RawMessage
-	if err := json.Unmarshal(b, &starts); err != nil {
-		return err
-	}
-	*l = nil
-	for _, s := range starts {
-		if len(s) < 7 || len(s)%2 == 0 {
-			return fmt.Errorf("ledger: claim of %d fields", len(s))
-		}
-		var c Claim
-		names, pairs := s[:5], s[5:]
-		if s[1][0] != '"' {
-			names, pairs = s[2:], s[:2]
-		}
-		for i, f := range []any{&c.Attempt, &c.Machine, &c.Zone, &c.Session, &c.Token} {
-			if err := json.Unmarshal(names[i], f); err != nil {
-				return err
-			}
-		}
-		for ; len(pairs) > 0; pairs = pairs[2:] {
-			if err := errors.Join(json.Unmarshal(pairs[0], &c.First), json.Unmarshal(pairs[1], &c.Count)); err != nil {
-				return err
-			}
-			*l = append(*l, c)
-		}
-	}
-	return nil
-}
-
-// pairBytes is what a piece of a claim takes of a value at the most.
-const pairBytes = 10
-
-// worstBytes is what the claims take at the most, however their tasks end: a piece
-// falls into half as many as it has tasks.
-func (l claimList) worstBytes() int {
-	sum := 0
-	for i := range l {
-		if !slices.ContainsFunc(l[:i], func(o Claim) bool { return o.sameStart(&l[i]) }) {
-			sum += claimBytes
-		}
-		sum += (l[i].Count + 1) / 2 * pairBytes
-	}
-	return sum
-}
-
-// Covers reports whether a task is one of the claim's.
-func (c *Claim) Covers(t wire.TaskIndex) bool {
-	return t >= c.First && int(t-c.First) < c.Count
-}
-
-// chunkRecord is the durable part of a range of a job's tasks.
-type chunkRecord struct {
-	Attempt wire.Attempt `json:"a,omitempty"` // last attempt given out
-	Done    []byte       `json:"d,omitempty"` // a bit a task
+// taskRangeRecord is the record of a range of a job's tasks.
+type taskRangeRecord struct {
+	Attempt wire.Attempt `json:"a,omitempty"` // last attempt number given out
+	Done    []byte       `json:"d,omitempty"` // a bit for each task that is done
 	Claims  claimList    `json:"c,omitempty"`
 }
 
-// jobRecord is a job; the first range of its tasks is kept in it.
+// jobRecord is the record of a job. The first range of its tasks is part of it.
 type jobRecord struct {
-	Spec     *wire.JobSpec   `json:"spec"`
-	Accepted wire.UnixMillis `json:"at"`
-	State    JobState        `json:"state,omitempty"`
-	Stop     wire.Attempt    `json:"stop,omitempty"`  // gangs up to this attempt are to stop
-	Range    int             `json:"range,omitempty"` // tasks a record; 0: as many as may each have a claim
-	Of       wire.WorkflowID `json:"of,omitempty"`    // the workflow that it is a step of
-	Kept     int             `json:"kept,omitempty"`  // tasks done, once the job is over and its ranges go
+	Spec      *wire.JobSpec   `json:"spec"`
+	Accepted  wire.UnixMillis `json:"at"`
+	State     JobState        `json:"state,omitempty"`
+	Stop      wire.Attempt    `json:"stop,omitempty"`  // attempts of a gang up to this one are to stop
+	Range     int             `json:"range,omitempty"` // tasks that share a record; 0: Limits.TasksPerRange
+	Workflow  wire.WorkflowID `json:"of,omitempty"`    // that it is a step of
+	FinalDone int             `json:"kept,omitempty"`  // tasks done, once the ranges are being deleted
 
-	Gallery wire.GalleryName `json:"g,omitempty"` // that it is tied to
-	Ended   wire.UnixMillis  `json:"e,omitempty"` // when it was done, if it is tied
-	chunkRecord
+	Gallery wire.GalleryName `json:"g,omitempty"` // that it belongs to
+	Ended   wire.UnixMillis  `json:"e,omitempty"` // when it was done, if it belongs to one
+	taskRangeRecord
 }
 
-// MachinePhase is how far a machine is on its way out.
+// MachinePhase is how far the termination of a machine has come; "" while it is in service.
 type MachinePhase string
 
-// The marks of machines that leave. There is no way back.
+// The phases of machines. They only advance.
 const (
-	Terminating MachinePhase = "leaving" // being returned, tasks or not
-	Terminated  MachinePhase = "gone"    // the cloud has confirmed
+	Terminating MachinePhase = "leaving" // it takes no new task and is being returned
+	Terminated  MachinePhase = "gone"    // the cloud has confirmed its return: none of its tasks runs
 )
 
+// machineRecord is the record of a machine's phase.
 type machineRecord struct {
-	Mark MachinePhase `json:"s"`
-	Why  string       `json:"why,omitempty"`
+	Phase  MachinePhase `json:"s"`
+	Reason string       `json:"why,omitempty"`
 }
 
+// teamRecord is rewritten by every start of a limited team, which makes starts conflict; its content
+// has no meaning.
 type teamRecord struct {
-	By wire.FencingToken `json:"by"`
+	By wire.FencingToken `json:"by"` // of the controller that started
 }
 
-// TokenRecord is the counter that tokens are taken from.
+// TokenRecord is the counter of fencing tokens.
 type TokenRecord struct {
 	Last wire.FencingToken `json:"n"`
-	By   wire.MemberID     `json:"by"`
-	// Reads is the newest format that everyone who ever took a token reads. Versions that
-	// know of one format only leave it out.
+	By   wire.MemberID     `json:"by"` // that took it
+	// Reads is the newest format that every controller reads that ever took a token. Versions that
+	// know only one format leave it out.
 	Reads int `json:"r,omitempty"`
 }
 
-// Next is the record with which a controller takes a token that reads formats up to reads.
+// Next returns the record with which a controller takes the token last. reads is the newest format that
+// the controller reads.
 func (r TokenRecord) Next(last wire.FencingToken, by wire.MemberID, reads int) TokenRecord {
 	n := TokenRecord{Last: last, By: by, Reads: min(r.Reads, reads)}
 	if r.Last == 0 {
@@ -245,30 +74,24 @@
 	return n
 }
 
-// LeaderRecord names the fleet's leader.
+// LeaderRecord names the leader of the fleet and the token of its term.
 type LeaderRecord struct {
 	Member wire.MemberID     `json:"by"`
 	Token  wire.FencingToken `json:"token"`
 }
 
-// ScaleOutIntent is a rental that a leader asks the cloud for. The cloud answers a
-// repeated request as it did the first, so whoever reads this can ask what came of it.
+// ScaleOutIntent is a scale-out request that a leader makes. The cloud answers a repeated request as it
+// answered the first, so that a later leader learns the outcome by repeating it.
 type ScaleOutIntent struct {
 	wire.ScaleOutRequest
 	At wire.UnixMillis `json:"at"`
 }
 
-// ScaleOutRecord holds the rentals that the cloud's list may not show yet. It is
-// written before the cloud is asked.
+// ScaleOutRecord has the requests whose machines the cloud's list may not show yet. It is written before
+// the cloud is asked.
 type ScaleOutRecord struct {
 	Recent []ScaleOutIntent `json:"recent"`
 }
 
-// HireBytes is about what a rental takes of the record.
+// HireBytes is about how many bytes an intent takes of the record.
 const HireBytes = 200
-
-func splitChunkKey(rest string) (wire.JobID, int, bool) {
-	id, n, ok := strings.Cut(rest, "/")
-	i, err := strconv.Atoi(n)
-	return wire.JobID(id), i, ok && err == nil && i > 0
-}
