--- a/internal/scheduler/placement/gangs.go
+++ b/internal/scheduler/placement/gangs.go
@@ -2,8 +2,7 @@
 
 import (
 	"cmp"
-	"maps"
-	"slices"
+	"time"
 
 	"maddermill/internal/state/ledger"
 	"maddermill/wire"
@@ -15,229 +14,238 @@
 	Parts []ledger.GangPart
 }
 
-// PlaceGangs places the gangs of several tasks, in policy order and each whole or not
-// at all, over all machines. As on the path of single tasks, of the gangs of one
-// priority and standing those that need no fetch go before those that do. What is
-// given to one is taken from the view.
-func PlaceGangs(v *Snapshot) []GangStart {
-	var out []GangStart
-	var roomy []*Machine // with room for a task of the least of the gangs
-	taken := map[wire.Team]ledger.Resources{}
-	fetches := map[wire.MachineID]wire.Image{} // that this pass begins
-	try := func(e *Entry, worst int) bool {
-		j := e.Job
-		if need := j.GangSize(); v.TeamRoom(j, taken[j.Spec.Team].Add(e.Ahead, 1), need) < need {
-			return true // its team's limit, not room, is in the way
-		}
-		if roomy == nil {
-			roomy = v.roomyForGangs()
-		}
-		placed, rank := v.gang(e, roomy, fetches)
-		if placed == nil || rank > worst {
-			return placed == nil
-		}
-		if !e.keeps { // else it is ahead of the others already
-			taken[j.Spec.Team] = taken[j.Spec.Team].Add(j.Need, j.GangSize())
-		}
-		for _, p := range placed {
-			m := v.Machine(p.Site.Machine)
-			m.Free = m.Free.Add(j.Need, -p.Count)
-			if m.Images.rank(j.Spec.Image) == rankAbsent {
-				fetches[m.ID] = j.Spec.Image
-			}
-		}
-		out = append(out, GangStart{e, placed})
-		return true
-	}
-	for first, end := 0, 0; first < len(v.Queue); first = end {
-		var absent []*Entry
-		for end = first; end < len(v.Queue) && v.Queue[end].class(&v.Queue[first]) == 0; end++ {
-			v.Examined++
-			e := &v.Queue[end]
-			if e.Job.GangSize() > 1 && startsWhole(e) && !v.Now.Before(e.Retry) && !try(e, rankUnderway) {
-				absent = append(absent, e)
-			}
+// gangPass is the state of one call of PlaceGangs.
+type gangPass struct {
+	s         *Snapshot
+	roomy     []*Machine                     // machines with room for some gang; nil until needed
+	teamTaken map[wire.Team]ledger.Resources // given by this pass and not yet in the records
+	fetches   map[wire.MachineID]wire.Image  // fetches that this pass begins
+	starts    []GangStart
+}
+
+// PlaceGangs places the gangs of several tasks, in policy order and each whole or not at all, over
+// all machines. As in PlaceOnMachine, the gangs of one group that need no fetch go before those
+// that do. The room that a gang is given is taken from the machines of the snapshot.
+func PlaceGangs(s *Snapshot) []GangStart {
+	p := gangPass{s: s, teamTaken: map[wire.Team]ledger.Resources{}, fetches: map[wire.MachineID]wire.Image{}}
+	for first := 0; first < len(s.Queue); {
+		first = p.placeGroup(first)
+	}
+	return p.starts
+}
+
+// placeGroup places the gangs of the group that begins at index first of the queue. It returns the
+// index after the group.
+func (p *gangPass) placeGroup(first int) int {
+	queue := p.s.Queue
+	var absent []*Entry // could be placed, but only with a fetch
+	end := first
+	for ; end < len(queue) && queue[end].compareGroup(&queue[first]) == 0; end++ {
+		p.s.Examined++
+		if e := &queue[end]; e.wholeGang(p.s.Now) && !p.try(e, rankFetching) {
+			absent = append(absent, e)
 		}
-		for _, e := range absent {
-			try(e, rankBusy)
+	}
+	for _, e := range absent {
+		p.try(e, rankBusy)
+	}
+	return end
+}
+
+// try starts a gang if it can be placed on machines of at most the rank worst. It returns false if
+// the gang can be placed only on machines of a higher rank.
+func (p *gangPass) try(e *Entry, worst int) bool {
+	s, j := p.s, e.Job
+	if need := j.GangSize(); s.TeamRoom(j, p.teamTaken[j.Spec.Team].Add(e.Ahead, 1), need) < need {
+		return true // the team's limit, and not room, keeps it from starting
+	}
+	if p.roomy == nil {
+		p.roomy = s.roomyForGangs()
+	}
+	placed := s.placeGang(e, p.roomy, p.fetches)
+	if placed.parts == nil || placed.rank > worst {
+		return placed.parts == nil
+	}
+	if !e.reservesLimit { // else it is counted in Ahead of the others already
+		p.teamTaken[j.Spec.Team] = p.teamTaken[j.Spec.Team].Add(j.Need, j.GangSize())
+	}
+	for _, part := range placed.parts {
+		m := s.Machine(part.Site.Machine)
+		m.Free = m.Free.Add(j.Need, -part.Count)
+		if m.Images.rank(j.Spec.Image) == rankAbsent {
+			p.fetches[m.ID] = j.Spec.Image
 		}
 	}
-	return out
+	p.starts = append(p.starts, GangStart{e, placed.parts})
+	return true
 }
 
-// startsWhole reports whether all of a gang's unfinished tasks wait: while an earlier
-// attempt is still on its machines they can't.
+// startsWhole reports whether all of a gang's unfinished tasks wait: while an earlier attempt is
+// still on its machines the gang can't start.
 func startsWhole(e *Entry) bool { return e.Job.Claimed == 0 && e.pending() == e.Job.GangSize() }
 
-// Reserve notes where the gangs that there is room for now will be placed. Without
-// it lower jobs take that room task by task, with the first report, and a gang finds
-// none until many machines happen to be free at once.
-func (v *Snapshot) Reserve() {
-	free := make(map[wire.MachineID]ledger.Resources, len(v.Machines))
-	v.Reserved, v.reserved = map[wire.MachineID]map[wire.JobID]int{}, map[wire.JobID]bool{}
-	for _, g := range PlaceGangs(v) {
-		v.reserved[g.Entry.Job.ID] = true
+// wholeGang reports whether an entry is a gang of several tasks that could start now.
+func (e *Entry) wholeGang(now time.Time) bool {
+	return e.Job.GangSize() > 1 && startsWhole(e) && !now.Before(e.Retry)
+}
+
+// Reserve reserves, in Reserved, the places of the gangs that there is room for now, until
+// PlaceGangs starts them. Without it lower jobs would take that room task by task, with the first
+// heartbeat, and a gang would find none until many machines happened to be free at once.
+func (s *Snapshot) Reserve() {
+	placed := make(map[wire.MachineID]ledger.Resources, len(s.Machines))
+	s.Reserved, s.gangsWithRoom = map[wire.MachineID]map[wire.JobID]int{}, map[wire.JobID]bool{}
+	for _, g := range PlaceGangs(s) {
+		s.gangsWithRoom[g.Entry.Job.ID] = true
 		for _, p := range g.Parts {
-			m := v.Machine(p.Site.Machine)
-			free[m.ID] = free[m.ID].Add(g.Entry.Job.Need, p.Count)
-			if v.Reserved[m.ID] == nil {
-				v.Reserved[m.ID] = map[wire.JobID]int{}
+			m := s.Machine(p.Site.Machine)
+			placed[m.ID] = placed[m.ID].Add(g.Entry.Job.Need, p.Count)
+			if s.Reserved[m.ID] == nil {
+				s.Reserved[m.ID] = map[wire.JobID]int{}
 			}
-			v.Reserved[m.ID][g.Entry.Job.ID] += p.Count
+			s.Reserved[m.ID][g.Entry.Job.ID] += p.Count
 		}
 	}
-	for id, r := range free {
-		m := v.Machine(id)
+	for id, r := range placed { // it stays free until the gangs start
+		m := s.Machine(id)
 		m.Free = m.Free.Add(r, 1)
 	}
 }
 
-// roomyForGangs lists the usable machines with room for a task of some gang that
-// waits, so that each gang only looks at those.
-func (v *Snapshot) roomyForGangs() []*Machine {
-	const most = 1 << 60
-	least := ledger.Resources{CPU: most, GPU: most, Memory: most}
-	for i := range v.Queue {
-		if j := v.Queue[i].Job; j.GangSize() > 1 && j.Claimed == 0 {
-			least = ledger.Resources{
-				CPU:    min(least.CPU, j.Need.CPU),
-				GPU:    min(least.GPU, j.Need.GPU),
-				Memory: min(least.Memory, j.Need.Memory),
-			}
+// roomyForGangs lists the usable machines with room for a task of the smallest waiting gang, so
+// that each gang examines only those.
+func (s *Snapshot) roomyForGangs() []*Machine {
+	least := unboundedNeed
+	for i := range s.Queue {
+		if j := s.Queue[i].Job; j.GangSize() > 1 && j.Claimed == 0 {
+			least = minResources(least, j.Need)
 		}
 	}
 	roomy := []*Machine{}
-	for _, m := range v.Machines {
-		v.Examined++
+	for _, m := range s.Machines {
+		s.Examined++
 		if m.Usable && m.Free.Fits(least) {
-			m.Images.Fetches(v.Now, v.Limits.FetchAssumed)
+			m.Images.Fetches(s.Now, s.Limits.FetchAssumed)
 			roomy = append(roomy, m)
 		}
 	}
-	v.rank(roomy)
+	s.rankMachines(roomy)
 	return roomy
 }
 
-// overdue puts machines whose next report should have come after all others: one that has stopped
+// gangOption is a machine with room for some of a gang's tasks.
+type gangOption struct {
+	m    *Machine
+	room int   // tasks
+	rank int   // of the gang's image there, see Images.rank
+	left int64 // see fit
+}
+
+// compareGangOptions orders machines for gangs: those whose heartbeat is not overdue, nearest to
+// the image, spot, best filled, with the most room.
+func compareGangOptions(a, b gangOption) int {
+	return cmp.Or(
+		cmp.Compare(overdueLast(a.m), overdueLast(b.m)),
+		cmp.Compare(a.rank, b.rank),
+		cmp.Compare(onDemandLast(a.m), onDemandLast(b.m)),
+		cmp.Compare(a.left, b.left),
+		cmp.Compare(b.room, a.room),
+		cmp.Compare(a.m.ID, b.m.ID),
+	)
+}
+
+// overdueLast puts machines whose next heartbeat is overdue after all others: one that has stopped
 // costs a whole gang its start.
-func overdue(m *Machine) int {
+func overdueLast(m *Machine) int {
 	if m.Overdue {
 		return 1
 	}
 	return 0
 }
 
-// rankBusy is the rank of an image on a machine that would have to fetch it while
-// it fetches another: the two share the rate.
-const rankBusy = rankAbsent + 1
+// onDemandLast puts spot machines, which not all work may use, before others.
+func onDemandLast(m *Machine) int {
+	if m.Spot {
+		return 0
+	}
+	return 1
+}
+
+// gangPlacement is a choice of machines for a whole gang.
+type gangPlacement struct {
+	parts []ledger.GangPart // nil: there is no room
+	// rank is the highest of the machines: the one furthest from the image decides when the gang runs.
+	rank int
+}
 
-// gang places one gang. Its tasks start together, so the machine furthest from
-// having the image decides when: of the zones that it may be in, the one goes first
-// where that one is nearest; how near is told. Machines that report in time and are nearest to the image go first, among them cheap
-// ones, which not all work may use, and then those that the gang fills best.
-func (v *Snapshot) gang(
-	e *Entry,
-	roomy []*Machine,
-	fetches map[wire.MachineID]wire.Image,
-) (best []ledger.GangPart, bestRank int) {
+// placeGang places one gang on the machines in roomy, with the lowest rank that it can have: of
+// the zones that it may be in, it takes the one whose furthest machine is nearest to the image.
+// fetches are those that are decided and not yet known to the machines.
+func (s *Snapshot) placeGang(e *Entry, roomy []*Machine, fetches map[wire.MachineID]wire.Image) gangPlacement {
 	j := e.Job
 	need := j.GangSize()
-	found := nearest[gangOption]{most: need, order: func(a, b gangOption) int {
-		return cmp.Or(
-			cmp.Compare(overdue(a.m), overdue(b.m)),
-			cmp.Compare(a.rank, b.rank),
-			cmp.Compare(own(a.m), own(b.m)),
-			cmp.Compare(a.left, b.left),
-			cmp.Compare(b.room, a.room),
-			cmp.Compare(a.m.ID, b.m.ID),
-		)
-	}}
+	byZone := zoneOptions[gangOption]{perZone: need, compare: compareGangOptions}
 	var all []gangOption // with a topology
 	total := 0
 	for _, m := range roomy {
-		v.Examined++
+		s.Examined++
 		room := m.Free.Times(j.Need, need)
-		if room == 0 || !v.open(e, m) {
+		if room == 0 || !s.open(e, m) {
 			continue
 		}
 		free := m.Free.Add(j.Need, -room)
-		o := gangOption{m, room, m.Images.rank(j.Spec.Image), v.fit(m, free)}
-		if begun, also := fetches[m.ID]; o.rank == rankAbsent && (also || len(m.Images.fetching) > 0) {
-			if o.rank = rankBusy; begun == j.Spec.Image {
-				o.rank = rankUnderway
-			}
-		}
-		if v.Tree != nil {
+		o := gangOption{m, room, rankWithFetches(m, j.Spec.Image, fetches), s.fit(m, free)}
+		if s.Tree != nil {
 			all = append(all, o)
 		} else {
-			found.add(m.Zone, o)
+			byZone.add(m.Zone, o)
 		}
 		total += room
 	}
-	if total < need {
-		return nil, 0
-	}
-	if v.Tree != nil {
-		return v.closest(e, all)
+	switch {
+	case total < need:
+		return gangPlacement{}
+	case s.Tree != nil:
+		return s.packGang(e, all)
 	}
-	for _, options := range found.places(j.Spec.OneZone) {
-		left, rank := need, 0
-		taken := map[wire.Zone]int{}
-		var out []ledger.GangPart
-		for _, o := range options {
-			n := min(o.room, left)
-			if j.Spec.Spread {
-				n = min(n, (j.Spec.Tasks+1)/2-taken[o.m.Zone])
-			}
-			if n <= 0 {
-				continue
-			}
-			taken[o.m.Zone] += n
-			left -= n
-			rank = max(rank, o.rank)
-			out = append(out, ledger.GangPart{Site: o.m.ClaimTarget(), Count: n})
-		}
-		if left == 0 && (best == nil || rank < bestRank) {
-			best, bestRank = out, rank
+	var best gangPlacement
+	for _, options := range byZone.lists(j.Spec.OneZone) {
+		if p := allotGang(j, options); p.parts != nil && (best.parts == nil || p.rank < best.rank) {
+			best = p
 		}
 	}
-	return best, bestRank
-}
-
-// nearest keeps the first few options of each zone in an order. A gang needs no more
-// machines of a zone than it has tasks, so the rest need not be sorted.
-type nearest[T any] struct {
-	most  int // of a zone
-	order func(a, b T) int
-	zones map[wire.Zone][]T
+	return best
 }
 
-func (f *nearest[T]) add(z wire.Zone, o T) {
-	if f.zones == nil {
-		f.zones = map[wire.Zone][]T{}
+// rankWithFetches returns the rank of an image on a machine, with the fetches that the pass begins.
+func rankWithFetches(m *Machine, image wire.Image, fetches map[wire.MachineID]wire.Image) int {
+	rank := m.Images.rank(image)
+	if rank != rankAbsent {
+		return rank
 	}
-	list := f.zones[z]
-	if len(list) == f.most {
-		if f.order(o, list[len(list)-1]) >= 0 {
-			return
-		}
-		list = list[:len(list)-1]
+	begun, ok := fetches[m.ID]
+	switch {
+	case !ok && len(m.Images.fetching) == 0:
+		return rankAbsent
+	case begun == image:
+		return rankFetching
 	}
-	at, _ := slices.BinarySearchFunc(list, o, f.order)
-	f.zones[z] = slices.Insert(list, at, o)
+	return rankBusy
 }
 
-// places lists the options in order: of each zone by itself, or of all together.
-func (f *nearest[T]) places(oneZone bool) [][]T {
-	var out [][]T
-	var all []T
-	for _, z := range slices.Sorted(maps.Keys(f.zones)) {
-		out = append(out, f.zones[z])
-		all = append(all, f.zones[z]...)
+// allotGang gives a gang's tasks to machines in their order; the result has no parts if they have
+// no room for all of them.
+func allotGang(j *ledger.Job, options []gangOption) gangPlacement {
+	tasks := newAllotment(j)
+	var p gangPlacement
+	for _, o := range options {
+		if n := tasks.take(o.m.Zone, o.room); n > 0 {
+			p.rank = max(p.rank, o.rank)
+			p.parts = append(p.parts, ledger.GangPart{Site: o.m.ClaimTarget(), Count: n})
+		}
 	}
-	if oneZone {
-		return out
+	if tasks.left > 0 {
+		return gangPlacement{}
 	}
-	slices.SortFunc(all, f.order)
-	return [][]T{all}
+	return p
 }
--- a/internal/scheduler/placement/images.go
+++ b/internal/scheduler/placement/images.go
@@ -8,14 +8,14 @@
 	"maddermill/wire"
 )
 
-// Images is the estimate of one machine's image cache, least recently used
-// first, and of the fetches under way there.
+// Images is the estimate of one machine's image cache and of the fetches that run there.
 type Images struct {
-	capacity float64
-	cached   []cachedImage
-	fetching map[wire.Image]time.Time // when last known to be under way
+	capacity float64                  // GB
+	cached   []cachedImage            // least recently used first
+	fetching map[wire.Image]time.Time // when each fetch was last known to run
 }
 
+// cachedImage is an image in a cache.
 type cachedImage struct {
 	name wire.Image
 	gb   float64
@@ -26,67 +26,73 @@
 	return &Images{capacity: capacityGB, fetching: map[wire.Image]time.Time{}}
 }
 
-// Has reports whether the image is believed to be cached.
-func (c *Images) Has(name wire.Image) bool {
-	return slices.ContainsFunc(c.cached, func(i cachedImage) bool { return i.name == name })
+// Has reports whether the image is cached, as far as is known.
+func (i *Images) Has(name wire.Image) bool {
+	return slices.ContainsFunc(i.cached, func(c cachedImage) bool { return c.name == name })
 }
 
-// Use notes that a task with the image is past its fetch.
-func (c *Images) Use(name wire.Image, gb float64) {
-	delete(c.fetching, name)
-	c.cached = slices.DeleteFunc(c.cached, func(i cachedImage) bool { return i.name == name })
-	c.cached = append(c.cached, cachedImage{name, gb})
+// Use records that a task with an image of gb gigabytes is past its fetch: the image is cached, as
+// the most recently used, and the least recently used are dropped beyond the capacity.
+func (i *Images) Use(name wire.Image, gb float64) {
+	delete(i.fetching, name)
+	i.cached = slices.DeleteFunc(i.cached, func(c cachedImage) bool { return c.name == name })
+	i.cached = append(i.cached, cachedImage{name, gb})
 	sum := 0.0
-	for _, i := range c.cached {
-		sum += i.gb
+	for _, c := range i.cached {
+		sum += c.gb
 	}
-	for sum > c.capacity && len(c.cached) > 1 {
-		sum -= c.cached[0].gb
-		c.cached = c.cached[1:]
+	for sum > i.capacity && len(i.cached) > 1 {
+		sum -= i.cached[0].gb
+		i.cached = i.cached[1:]
 	}
 }
 
-// StartFetch notes that the image is being fetched.
-func (c *Images) StartFetch(name wire.Image, now time.Time) { c.fetching[name] = now }
+// StartFetch records that the image is being fetched.
+func (i *Images) StartFetch(name wire.Image, now time.Time) { i.fetching[name] = now }
 
-// IsFetching reports whether the image is being fetched, as far as known.
-func (c *Images) IsFetching(name wire.Image) bool { _, ok := c.fetching[name]; return ok }
+// IsFetching reports whether the image is being fetched, as far as is known.
+func (i *Images) IsFetching(name wire.Image) bool {
+	_, ok := i.fetching[name]
+	return ok
+}
 
 // ListFetching lists the images being fetched.
-func (c *Images) ListFetching() []wire.Image { return slices.Sorted(maps.Keys(c.fetching)) }
+func (i *Images) ListFetching() []wire.Image { return slices.Sorted(maps.Keys(i.fetching)) }
 
-// Ranks of images on a machine.
+// Ranks of an image on a machine: the lower, the sooner a task with the image can run there.
 const (
-	rankCached = iota
-	rankUnderway
-	rankAbsent
+	rankCached   = iota
+	rankFetching // the machine is fetching the image
+	rankAbsent   // the machine has to fetch it
+	rankBusy     // the machine has to fetch it beside another, which shares the rate; only of gangs
 )
 
-func (c *Images) rank(name wire.Image) int {
+// rank returns the rank of an image: rankCached, rankFetching or rankAbsent.
+func (i *Images) rank(name wire.Image) int {
 	switch {
-	case c.Has(name):
+	case i.Has(name):
 		return rankCached
-	case c.IsFetching(name):
-		return rankUnderway
+	case i.IsFetching(name):
+		return rankFetching
 	}
 	return rankAbsent
 }
 
-// Fetches counts the fetches under way after dropping marks older than age.
-func (c *Images) Fetches(now time.Time, age time.Duration) int {
-	for name, since := range c.fetching {
+// Fetches forgets the fetches last known to run longer than age ago and counts the others.
+func (i *Images) Fetches(now time.Time, age time.Duration) int {
+	for name, since := range i.fetching {
 		if now.Sub(since) > age {
-			delete(c.fetching, name)
+			delete(i.fetching, name)
 		}
 	}
-	return len(c.fetching)
+	return len(i.fetching)
 }
 
 // Names lists the cached images, most recently used last.
-func (c *Images) Names() []wire.Image {
-	names := make([]wire.Image, len(c.cached))
-	for i, im := range c.cached {
-		names[i] = im.name
+func (i *Images) Names() []wire.Image {
+	names := make([]wire.Image, len(i.cached))
+	for k, c := range i.cached {
+		names[k] = c.name
 	}
 	return names
 }
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -8,43 +8,45 @@
 	"maddermill/wire"
 )
 
-// Limits of placement, from the settings.
+// Limits are the bounds of placement, from the settings.
 type Limits struct {
-	ColdStarts   int           // fetches in flight at a controller's machines
-	FetchAssumed time.Duration // how long a start counts as fetching unseen
-	ReserveAfter time.Duration // how long a gang heads the order before room is kept
-	Starts       int           // jobs that a machine is given tasks of at once, 0: no bound
+	ColdStarts   int           // image fetches in flight at one controller's machines
+	FetchAssumed time.Duration // how long a start counts as fetching before a heartbeat confirms it
+	ReserveAfter time.Duration // how long a gang waits before room is reserved for it
+	Starts       int           // jobs that one call of PlaceOnMachine starts tasks of; 0: no bound
 	DeferCold    time.Duration // how long a task waits for a machine that caches its image
 }
 
-// Machine is a machine as placement sees it.
+// Machine is the state of a machine that decisions are made from.
 type Machine struct {
 	ID      wire.MachineID
 	Type    wire.MachineTypeName
 	Zone    wire.Zone
 	Spot    bool
+	Block   topology.Block // where it is, if a topology is declared
 	Session wire.AgentEpoch
-	Token   wire.FencingToken // the holding controller's
+	Token   wire.FencingToken // of the controller that the machine reports to
+
 	Total   ledger.Resources
 	Free    ledger.Resources
+	Busy    []ExpectedRelease // what its claims take
 	Images  *Images
+	FetchGB float64 // image fetch rate in GB a second; 0: unknown
+
 	Usable  bool // may be given tasks
 	Owned   bool // reports to this controller
-	Busy    []ExpectedRelease
-	FetchGB float64        // a second
-	Block   topology.Block // where it is, if a topology is declared
-	Slow    bool           // its tasks take longer than others'
-	Overdue bool           // its next report should have come: it may have stopped
-	Faulty  bool           // it is judged to fail tasks that others would not
+	Slow    bool // its tasks take longer than others'
+	Overdue bool // its next heartbeat should have arrived: it may have stopped
+	Faulty  bool // judged to fail tasks that would succeed elsewhere
 }
 
-// ExpectedRelease is room that tasks take, and until when as far as can be foreseen.
+// ExpectedRelease is room that claimed tasks take and when they are expected to release it.
 type ExpectedRelease struct {
 	Until time.Time
 	Room  ledger.Resources
 }
 
-// ClaimTarget is the machine as claims name it.
+// ClaimTarget returns the machine in the form that claims name it by.
 func (m *Machine) ClaimTarget() ledger.ClaimTarget {
 	return ledger.ClaimTarget{
 		Machine: m.ID,
--- /dev/null
+++ b/internal/scheduler/placement/queue_order.go
@@ -0,0 +1,99 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"maddermill/internal/state/ledger"
+	"maddermill/policy"
+	"maddermill/wire"
+)
+
+// Order sorts entries by the built-in job policy (policy.Builtin): priority, work within its team's
+// guarantee before work over it, overdue jobs first, then the latest start for an objective that
+// can still be met, then the fewest tasks that must start together, as the same room serves more
+// such jobs, then the time of submission. Crash-looping jobs come after all others.
+func Order(entries []Entry) { OrderBy(entries, time.Time{}, policy.Builtin) }
+
+// OrderBy sorts entries by a policy. decide gets all of them, sorted by group and id, and returns
+// their indexes in the policy's order, which must keep groups apart.
+func OrderBy(entries []Entry, now time.Time, decide func(*policy.Pass) []uint32) {
+	slices.SortFunc(entries, func(a, b Entry) int {
+		return cmp.Or(cmp.Compare(a.group(), b.group()), cmp.Compare(a.Job.ID, b.Job.ID))
+	})
+	in := slices.Clone(entries)
+	for i, n := range decide(policyPass(in, now)) {
+		entries[i] = in[n]
+	}
+}
+
+// JobOf returns a job's description in the form that policies get.
+func JobOf(s *wire.JobSpec, need ledger.Resources, accepted wire.UnixMillis) policy.Job {
+	j := policy.Job{
+		Due:      policy.Never,
+		Accepted: int64(accepted),
+		Tasks:    uint32(s.Tasks),
+		Pending:  uint32(s.Tasks),
+		Together: 1,
+		CPU:      need.CPU,
+		GPU:      need.GPU,
+		Memory:   need.Memory,
+	}
+	if s.Shape == wire.Gang {
+		j.Together = uint32(s.Tasks)
+	}
+	if s.Deadline != nil {
+		j.Due = s.Deadline.Duration().Milliseconds()
+	}
+	for bit, set := range [...]bool{false, s.Shape == wire.Gang, s.Shape == wire.Service, s.Spot, s.OneZone, s.Spread} {
+		if set {
+			j.Flags |= 1 << bit // in the order of the policy flags; the first is not a property of the job
+		}
+	}
+	return j
+}
+
+// policyPass returns entries, sorted by group and id, in the form that policies get.
+func policyPass(entries []Entry, now time.Time) *policy.Pass {
+	p := &policy.Pass{Now: now.UnixMilli(), Jobs: make([]policy.Job, len(entries))}
+	var names policy.Namer
+	for i := range entries {
+		e := &entries[i]
+		s := e.Job.Spec
+		j := JobOf(s, e.Job.Need, e.Job.Accepted)
+		j.Group = e.group()
+		j.Waiting, j.Expected = e.Waiting.Milliseconds(), e.Expected.Milliseconds()
+		j.Pending, j.Running = uint32(e.pending()), uint32(e.Job.Claimed)
+		j.Together = uint32(max(0, e.Job.GangSize()))
+		j.Team = names.Number(string(s.Team)) // the numbers depend on the order of these calls
+		j.Class = names.Number(string(s.Class))
+		j.Image = names.Number(string(s.Image))
+		j.StartBy = policy.Never
+		if !e.LatestStart.IsZero() {
+			j.StartBy = e.LatestStart.UnixMilli()
+		}
+		if e.OverGuarantee {
+			j.Flags |= policy.Beyond
+		}
+		p.Jobs[i] = j
+	}
+	p.Names = names.Names
+	return p
+}
+
+// onDemandFirst returns the queue in the order of a machine that is not spot: within a group, work
+// that may not run on spot machines goes first.
+func onDemandFirst(queue []Entry) []Entry {
+	out := slices.Clone(queue)
+	spot := func(e *Entry) int {
+		if e.Job.Spec.Spot {
+			return 1
+		}
+		return 0
+	}
+	slices.SortStableFunc(out, func(a, b Entry) int {
+		return cmp.Or(a.compareGroup(&b), cmp.Compare(spot(&a), spot(&b)))
+	})
+	return out
+}
