--- /dev/null
+++ b/internal/scheduler/latest_start.go
@@ -0,0 +1,94 @@
+package scheduler
+
+import (
+	"time"
+
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// startBounds say how urgent a job's start is.
+type startBounds struct {
+	// latest is when the tasks must start for the job to meet the strictest of its objectives that
+	// can still be met, or to begin within the bound on waiting; zero: neither applies.
+	latest time.Time
+	// overdue says that the bound on waiting leaves no more time.
+	overdue bool
+	// almostOverdue says that promised claims may be preempted for the job (placement.Victim).
+	almostOverdue bool
+}
+
+// startBounds returns how urgent a job's start is at now.
+func (s *Scheduler) startBounds(e *placement.Entry, now time.Time) startBounds {
+	j := e.Job
+	latest := s.latestForObjectives(j, e.OverGuarantee, e.Expected, now)
+	// A date that can't be kept any more makes nothing urgent.
+	if date, ok := s.deadlines.LatestStart(j); ok && date.After(now) && (latest.IsZero() || date.Before(latest)) {
+		latest = date
+	}
+	bound := s.set.Operators.WaitBound
+	if bound <= 0 {
+		return startBounds{latest: latest}
+	}
+	machineType, _ := s.records().MachineType(s.firstType(j))
+	forBound := placement.LatestStart(j.Accepted.Time(), bound, j.Spec.ImageGB, machineType.FetchGBps)
+	overdue := !e.CrashLooping && !now.Before(forBound)
+	if overdue || latest.IsZero() || forBound.Before(latest) {
+		latest = forBound
+	}
+	return startBounds{
+		latest:        latest,
+		overdue:       overdue,
+		almostOverdue: overdue && j.Attempt() == 0 && placement.AlmostOverdue(forBound, bound, now),
+	}
+}
+
+// latestForObjectives returns when the job's tasks must start for it to meet the strictest of its
+// objectives that can still be met; the zero time if none can. expected is how long a task runs,
+// to which a margin is added.
+func (s *Scheduler) latestForObjectives(
+	j *ledger.Job,
+	overGuarantee bool,
+	expected time.Duration,
+	now time.Time,
+) time.Time {
+	accepted := j.Accepted.Time()
+	var earliest time.Time
+	consider := func(t time.Time) {
+		if t.After(now) && (earliest.IsZero() || t.Before(earliest)) {
+			earliest = t
+		}
+	}
+	for _, o := range s.set.Cluster.Objectives {
+		if o.Class != "" && o.Class != j.Spec.Class {
+			continue
+		}
+		within := o.Within.Duration()
+		switch o.Kind {
+		case "wait":
+			consider(accepted.Add(within))
+		case "guarantee":
+			if !overGuarantee {
+				consider(accepted.Add(within))
+			}
+		case "finished":
+			consider(accepted.Add(within - expected*3/2))
+		}
+	}
+	if j.Spec.Deadline != nil {
+		consider(accepted.Add(j.Spec.Deadline.Duration() - expected*5/4))
+	}
+	return earliest
+}
+
+// firstType returns a machine type that the job may run on; "" if there is none.
+func (s *Scheduler) firstType(j *ledger.Job) wire.MachineTypeName {
+	if len(j.Spec.Types) > 0 {
+		return j.Spec.Types[0]
+	}
+	for name := range s.records().MachineTypes() {
+		return name
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/scheduler/queue.go
@@ -0,0 +1,95 @@
+package scheduler
+
+import (
+	"time"
+
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/settings"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// queue returns the jobs with pending tasks in policy order. It also drops what is remembered of
+// jobs, claims and machines that are gone.
+func (s *Scheduler) queue(now time.Time) []placement.Entry {
+	entries := s.pendingJobs(now)
+	s.prune(now)
+	s.deadlines.Reconcile(now)
+	s.markOverGuarantee(entries)
+	for i := range entries {
+		e := &entries[i]
+		e.Expected = s.runTimes.Expected(e.Job)
+		start := s.startBounds(e, now)
+		e.LatestStart, e.Overdue, e.AlmostOverdue = start.latest, start.overdue, start.almostOverdue
+		e.Plain = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.records().MachineTypes())
+	}
+	placement.OrderBy(entries, now, s.policies.Decide(s.records(), now))
+	return entries
+}
+
+// pendingJobs returns an entry for each active job with pending tasks.
+func (s *Scheduler) pendingJobs(now time.Time) []placement.Entry {
+	var entries []placement.Entry
+	s.records().EachActive(func(j *ledger.Job) {
+		state := s.job(j.ID)
+		retry := s.failures.RetryState(j, now)
+		if j.Pending() == 0 {
+			state.pendingSince = time.Time{}
+			return
+		}
+		if state.pendingSince.IsZero() {
+			state.pendingSince = now
+		}
+		entries = append(entries, placement.Entry{
+			Job:           j,
+			Retry:         retry.Retry,
+			Waiting:       now.Sub(state.pendingSince),
+			StartsPlanned: &state.startsPlanned,
+			BackedOff:     retry.BackedOff,
+			Avoid:         retry.Avoid,
+			CrashLooping:  retry.CrashLooping,
+		})
+	})
+	return entries
+}
+
+// prune drops what is remembered of jobs and claims that have ended and of machines that are gone.
+func (s *Scheduler) prune(now time.Time) {
+	for id := range s.jobs {
+		if j := s.records().Job(id); j == nil || j.State != ledger.Active {
+			delete(s.jobs, id)
+		}
+	}
+	s.failures.Prune(s.records(), now)
+	s.runTimes.Prune(s.records())
+	for _, id := range s.registry.Forget(s.records(), now) {
+		s.failures.ForgetMachine(id)
+	}
+}
+
+// markOverGuarantee marks the jobs that do not fit into their team's guarantee together with the
+// team's claims and its jobs before them.
+func (s *Scheduler) markOverGuarantee(entries []placement.Entry) {
+	sum := map[wire.Team]ledger.Resources{}
+	s.records().EachActive(func(j *ledger.Job) {
+		sum[j.Spec.Team] = sum[j.Spec.Team].Add(j.Need, j.Claimed)
+	})
+	placement.Order(entries)
+	for i := range entries {
+		e := &entries[i]
+		t := s.set.FindTeam(e.Job.Spec.Team)
+		if t == nil {
+			continue
+		}
+		used := sum[t.Name].Add(e.Job.Need, e.Job.Pending())
+		if e.OverGuarantee = OverGuarantee(t, used); !e.OverGuarantee {
+			sum[t.Name] = used
+		}
+	}
+}
+
+// OverGuarantee reports whether a team that uses so much exceeds its guarantee.
+func OverGuarantee(t *settings.Team, used ledger.Resources) bool {
+	limit := ledger.NewResources(t.CPUs, t.GPUs, 0)
+	return t.CPUs == 0 && t.GPUs == 0 || t.CPUs > 0 && used.CPU > limit.CPU || t.GPUs > 0 && used.GPU > limit.GPU
+}
