--- a/internal/scheduler/placement/accelerators_test.go
+++ b/internal/scheduler/placement/accelerators_test.go
@@ -9,11 +9,11 @@
 	"maddermill/wire"
 )
 
-// TestPlainWorkLeavesAccelerators: work that needs no accelerator leaves idle machines with some to
-// gangs, takes those that are beyond a reserve, and is not kept from them where there are no others.
-// Before, such tasks sat on every machine that a gang could have had.
-func TestPlainWorkLeavesAccelerators(t *testing.T) {
-	flavors := map[wire.MachineTypeName]wire.MachineType{
+// TestWorkWithoutAcceleratorsLeavesReserve: work that needs no accelerator leaves idle machines with some to
+// gangs, takes those beyond the reserve, and may use them all where there are no others. Without the
+// reserve such tasks take every machine that a gang could use.
+func TestWorkWithoutAcceleratorsLeavesReserve(t *testing.T) {
+	machineTypes := map[wire.MachineTypeName]wire.MachineType{
 		"gpu": {Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 32, Zones: []wire.Zone{"a"}},
 	}
 	spec := &wire.JobSpec{ID: "wk-000001", Shape: wire.Array, Tasks: 1000, CPUs: 4, Image: "img"}
@@ -22,30 +22,29 @@
 		ledger.Event{
 			Key:     "mm1/j/wk-000001",
 			Version: 1,
-			Value: []byte(
-				`{"spec":{"id":"wk-000001","pieces":1000,"shape":"array","urgency":"normal","cores":4,"bundle":"img"},"at":1,"a":1}`,
-			),
+			Value: []byte(`{"spec":{"id":"wk-000001","pieces":1000,"shape":"array","urgency":"normal",` +
+				`"cores":4,"bundle":"img"},"at":1,"a":1}`),
 		},
 	)
 	j := l.Job(spec.ID)
-	if RunsWithoutAccelerator(j, flavors) {
-		t.Fatal("kept from accelerators though there is no other machine")
+	if RunsWithoutAccelerator(j, machineTypes) {
+		t.Fatal("a job with no other machine type leaves accelerators to others")
 	}
-	flavors["cpu"] = wire.MachineType{Name: "cpu", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a"}}
+	machineTypes["cpu"] = wire.MachineType{Name: "cpu", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a"}}
 	for _, tc := range []struct {
-		plain    bool
-		idle     int
-		given    int // machines
-		all, cpu int
+		without  bool // the work needs no accelerator
+		idle     int  // machines with accelerators
+		given    int  // machines
+		all, cpu int  // machines with accelerators, and without
 	}{{true, 12, 9, 12, 0}, {true, 3, 0, 12, 0}, {false, 12, 12, 12, 0}, {true, 3, 2, 12, 2}} {
 		v := &Snapshot{
 			Now:      time.Now(),
-			Queue:    []Entry{{Job: j, Plain: tc.plain && RunsWithoutAccelerator(j, flavors)}},
+			Queue:    []Entry{{Job: j, Plain: tc.without && RunsWithoutAccelerator(j, machineTypes)}},
 			Limits:   Limits{Starts: 48, ColdStarts: 100, FetchAssumed: time.Minute},
 			TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
 		}
 		machine := func(i int, typ wire.MachineTypeName, busy bool) {
-			f := flavors[typ]
+			f := machineTypes[typ]
 			m := &Machine{
 				ID:     wire.MachineID(fmt.Sprint(typ, i)),
 				Type:   typ,
@@ -73,7 +72,7 @@
 			}
 		}
 		if given != tc.given {
-			t.Errorf("%+v: %d machines are given work", tc, given)
+			t.Errorf("%+v: %d machines are given work, want %d", tc, given, tc.given)
 		}
 	}
 }
--- a/internal/scheduler/placement/cost_test.go
+++ b/internal/scheduler/placement/cost_test.go
@@ -11,10 +11,12 @@
 	"maddermill/wire"
 )
 
-// crowd is a deployment where all machines but a few are full and every job waits.
-func crowd(t *testing.T, machines, waiting int) (*placement.Snapshot, *ledger.Ledger) {
+// fullCluster returns a snapshot where all machines but one in a hundred are full and every job waits,
+// and its records.
+func fullCluster(t *testing.T, machines, waiting int) (*placement.Snapshot, *ledger.Ledger) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(5, 6))
-	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
+	l := newLedger()
 	v := &placement.Snapshot{
 		Now:      start,
 		TeamRoom: l.RemainingTeamQuota,
@@ -38,13 +40,8 @@
 		if i%2 == 0 {
 			s.Shape, s.Priority, s.Tasks, s.GPUs = wire.Gang, wire.High, 2<<rng.IntN(3), 2
 		}
-		d := l.NewTransaction()
-		if err := d.Submit(s, wire.UnixMillis(i)); err != nil {
-			t.Fatal(err)
-		}
-		txn, _ := d.Request()
-		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
-		v.Queue = append(v.Queue, placement.Entry{Job: l.Job(s.ID), LatestStart: start.Add(1e9)})
+		j := submitAt(t, l, s, wire.UnixMillis(i))
+		v.Queue = append(v.Queue, placement.Entry{Job: j, LatestStart: start.Add(1e9)})
 	}
 	placement.Order(v.Queue)
 	for i := range machines {
@@ -69,24 +66,23 @@
 	return v, l
 }
 
-// TestCostFollowsWhatChanges: at a thousand machines and as many jobs, a report of a
-// full machine costs nothing, one with room a look at what may take it, and the
-// leader's passes look at the machines with room and not at all of them for each job.
-// Counts are compared, not times. A walk of every machine for every report or of
-// every machine for every job once took a controller's whole quota.
+// TestCostFollowsWhatChanges: at a thousand machines and as many jobs, the heartbeat of a full machine
+// examines nothing, one of a machine with room only what may take the room, and the leader's passes
+// examine the machines with room and not all of them for each job. Counts are compared, not times.
+// Examining every machine for each heartbeat, or for each job, took a controller's whole quota.
 func TestCostFollowsWhatChanges(t *testing.T) {
 	const machines, waiting = 1000, 1000
-	v, l := crowd(t, machines, waiting)
-	looked := func(f func()) int {
+	v, l := fullCluster(t, machines, waiting)
+	examined := func(f func()) int {
 		before := v.Examined
 		f()
 		return v.Examined - before
 	}
-	placement.PlaceOnMachine(v, v.Machines[100]) // makes the indexes
+	placement.PlaceOnMachine(v, v.Machines[100]) // builds the indexes
 	full, roomy := 0, 0
 	for _, m := range v.Machines {
 		free := m.Free
-		n := looked(func() { placement.PlaceOnMachine(v, v.UpdateMachine(m)) })
+		n := examined(func() { placement.PlaceOnMachine(v, v.UpdateMachine(m)) })
 		if free == m.Total {
 			roomy += n
 		} else {
@@ -94,13 +90,13 @@
 		}
 	}
 	if full != 0 {
-		t.Errorf("reports of full machines looked at %d entries and machines", full)
+		t.Errorf("heartbeats of full machines examined %d entries and machines", full)
 	}
 	if most := machines / 100 * 4 * waiting; roomy == 0 || roomy > most {
-		t.Errorf("%d reports with room looked at %d, more than %d", machines/100, roomy, most)
+		t.Errorf("%d heartbeats with room examined %d, more than %d", machines/100, roomy, most)
 	}
-	if n := looked(func() { placement.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
-		t.Errorf("placing gangs looked at %d", n)
+	if n := examined(func() { placement.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
+		t.Errorf("placing gangs examined %d", n)
 	}
 	in := &autoscale.Input{
 		Now:           start,
@@ -120,6 +116,6 @@
 	}
 	autoscale.ComputePlan(in)
 	if most := waiting * machines / 100; in.MachinesExamined == 0 || in.MachinesExamined > most {
-		t.Errorf("a plan looked at %d machines, more than %d", in.MachinesExamined, most)
+		t.Errorf("a plan examined %d machines, more than %d", in.MachinesExamined, most)
 	}
 }
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -11,33 +11,36 @@
 	"maddermill/wire"
 )
 
-// mill is a plain simulation of a fleet that never grows: each second all machines report and
-// the leader places gangs, and tasks end when they do.
-type mill struct {
+// simulation is a cluster that never grows: each second all machines report and the leader places
+// gangs, and tasks end after their run time.
+type simulation struct {
 	t        *testing.T
 	l        *ledger.Ledger
-	bound    time.Duration
+	bound    time.Duration // on waiting; 0: none
 	now      time.Time
 	machines []*placement.Machine
-	at       map[string]time.Time // when attempts were first seen to run
-	queue    []*job
+	started  map[string]time.Time // when attempts were first seen to run
+	queue    []*simulatedJob
 	version  wire.Revision
-	next     int
-	begun    map[wire.Class][]time.Duration
+	next     int                            // the number of the next job
+	waits    map[wire.Class][]time.Duration // of the jobs all of whose tasks have begun
 }
 
-type job struct {
+// simulatedJob is a job and how long its tasks run.
+type simulatedJob struct {
 	id  wire.JobID
 	run time.Duration
 }
 
-func newMill(t *testing.T, machines int, bound time.Duration) *mill {
-	s := &mill{
-		t:     t,
-		bound: bound,
-		now:   start,
-		at:    map[string]time.Time{},
-		begun: map[wire.Class][]time.Duration{},
+// newSimulation returns a cluster of so many empty machines in two zones.
+func newSimulation(t *testing.T, machines int, bound time.Duration) *simulation {
+	t.Helper()
+	s := &simulation{
+		t:       t,
+		bound:   bound,
+		now:     start,
+		started: map[string]time.Time{},
+		waits:   map[wire.Class][]time.Duration{},
 		l: ledger.New(
 			ledger.Limits{
 				ValueBytes: 1 << 20,
@@ -72,15 +75,17 @@
 	return s
 }
 
-func (s *mill) apply(e ledger.Event) {
+// apply applies an event to the records.
+func (s *simulation) apply(e ledger.Event) {
 	s.version++
 	e.Version = s.version
 	s.l.Apply(e)
 }
 
-func (s *mill) commit(draft func(d *ledger.Transaction) error) bool {
+// commit applies a transaction, and reports whether prepare accepted it.
+func (s *simulation) commit(prepare func(d *ledger.Transaction) error) bool {
 	d := s.l.NewTransaction()
-	if draft(d) != nil {
+	if prepare(d) != nil {
 		return false
 	}
 	txn, err := d.Request()
@@ -94,7 +99,8 @@
 	return true
 }
 
-func (s *mill) submit(spec wire.JobSpec, run time.Duration) {
+// submit adds a job whose tasks run so long.
+func (s *simulation) submit(spec wire.JobSpec, run time.Duration) {
 	spec.ID = wire.JobID(fmt.Sprintf("wk-%06d", s.next))
 	spec.Priority, spec.Image, spec.ImageGB = wire.Normal, "i", 5
 	if spec.Team == "" {
@@ -102,30 +108,58 @@
 	}
 	s.next++
 	s.commit(func(d *ledger.Transaction) error { return d.Submit(&spec, wire.UnixMillis(s.now.UnixMilli())) })
-	s.queue = append(s.queue, &job{spec.ID, run})
+	s.queue = append(s.queue, &simulatedJob{spec.ID, run})
 }
 
-// second lets one pass.
-func (s *mill) second() {
+// step lets a second pass.
+func (s *simulation) step() {
 	s.now = s.now.Add(time.Second)
-	var over []ledger.HeldClaim
+	s.endTasks()
+	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.RemainingTeamQuota, Queue: s.pending(), Machines: s.machines,
+		Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
+	placement.Order(v.Queue)
+	s.updateMachines()
+	v.HeadReservations = placement.ReserveForHead(v, nil)
+	v.Reserve()
+	if s.bound > 0 {
+		v.GangReservations = placement.ReserveForOverdueGangs(v)
+		v.ReserveTeamLimits()
+	}
+	for _, m := range s.machines { // heartbeats come before the leader's pass
+		for _, st := range placement.PlaceOnMachine(v, m) {
+			s.start(st, m)
+		}
+	}
+	for _, g := range placement.PlaceGangs(v) {
+		if s.commit(func(d *ledger.Transaction) error { return d.ClaimGang(g.Entry.Job, g.Parts) }) {
+			s.recordWait(g.Entry.Job)
+		}
+	}
+}
+
+// endTasks releases the claims whose run time is over.
+func (s *simulation) endTasks() {
+	var ended []ledger.HeldClaim
 	for _, m := range s.machines {
 		for _, h := range s.l.ClaimsOn(m.ID) {
 			run := s.runOf(h.Job.ID)
 			if at := s.since(h); !s.now.Before(at.Add(run)) {
-				over = append(over, h)
+				ended = append(ended, h)
 			}
 		}
 	}
-	for _, h := range over {
+	for _, h := range ended {
 		var tasks []wire.TaskIndex
 		for i := range h.Count {
 			tasks = append(tasks, h.First+wire.TaskIndex(i))
 		}
 		s.commit(func(d *ledger.Transaction) error { _, err := d.ReleaseTasks(h.Job, h.Claim, tasks, true); return err })
 	}
-	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.RemainingTeamQuota, Machines: s.machines,
-		Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
+}
+
+// pending drops the jobs that have ended and returns entries for those with pending tasks.
+func (s *simulation) pending() []placement.Entry {
+	var entries []placement.Entry
 	left := s.queue[:0]
 	for _, q := range s.queue {
 		j := s.l.Job(q.id)
@@ -133,73 +167,68 @@
 			continue
 		}
 		left = append(left, q)
-		if j.Pending() == 0 {
-			continue
-		}
-		e := placement.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), Expected: q.run}
-		if aim := j.Accepted.Time().Add(60 * time.Second); aim.After(s.now) {
-			e.LatestStart = aim
+		if j.Pending() > 0 {
+			entries = append(entries, s.entry(j, q.run))
 		}
-		if s.bound > 0 {
-			latest := placement.LatestStart(j.Accepted.Time(), s.bound, j.Spec.ImageGB, 0.25)
-			if e.Overdue = !s.now.Before(latest); e.Overdue || e.LatestStart.IsZero() {
-				e.LatestStart = latest
-			}
-		}
-		v.Queue = append(v.Queue, e)
 	}
 	s.queue = left
-	placement.Order(v.Queue)
-	for _, m := range s.machines {
-		m.Free, m.Busy = s.l.Free(m.ClaimTarget()), nil
-		for _, h := range s.l.ClaimsOn(m.ID) {
-			m.Busy = append(
-				m.Busy,
-				placement.ExpectedRelease{
-					Until: s.since(h).Add(s.runOf(h.Job.ID)),
-					Room:  ledger.Resources{}.Add(h.Job.Need, h.Count),
-				},
-			)
-		}
+	return entries
+}
+
+// entry returns the entry of a job with an objective of a minute's wait.
+func (s *simulation) entry(j *ledger.Job, run time.Duration) placement.Entry {
+	e := placement.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), Expected: run}
+	if objective := j.Accepted.Time().Add(60 * time.Second); objective.After(s.now) {
+		e.LatestStart = objective
 	}
-	v.HeadReservations = placement.ReserveForHead(v, nil)
-	v.Reserve()
 	if s.bound > 0 {
-		v.GangReservations = placement.ReserveForOverdueGangs(v)
-		v.ReserveTeamLimits()
+		latest := placement.LatestStart(j.Accepted.Time(), s.bound, j.Spec.ImageGB, 0.25)
+		if e.Overdue = !s.now.Before(latest); e.Overdue || e.LatestStart.IsZero() {
+			e.LatestStart = latest
+		}
 	}
-	for _, m := range s.machines { // reports come before the leader's pass
-		for _, st := range placement.PlaceOnMachine(v, m) {
-			p := ledger.GangPart{Site: m.ClaimTarget(), Count: st.Count}
-			if s.commit(func(d *ledger.Transaction) error {
-				if st.Job.Spec.Shape == wire.Gang {
-					return d.ClaimGang(st.Job, []ledger.GangPart{p})
-				}
-				_, err := d.Claim(st.Job, p.Site, p.Count, nil)
-				return err
-			}) {
-				s.mark(st.Job)
-			}
-			m.Free = s.l.Free(m.ClaimTarget())
+	return e
+}
+
+// updateMachines sets the machines' room by the records.
+func (s *simulation) updateMachines() {
+	for _, m := range s.machines {
+		m.Free, m.Busy = s.l.Free(m.ClaimTarget()), nil
+		for _, h := range s.l.ClaimsOn(m.ID) {
+			m.Busy = append(m.Busy, placement.ExpectedRelease{
+				Until: s.since(h).Add(s.runOf(h.Job.ID)),
+				Room:  ledger.Resources{}.Add(h.Job.Need, h.Count),
+			})
 		}
 	}
-	for _, g := range placement.PlaceGangs(v) {
-		if s.commit(func(d *ledger.Transaction) error { return d.ClaimGang(g.Entry.Job, g.Parts) }) {
-			s.mark(g.Entry.Job)
+}
+
+// start claims tasks on a machine.
+func (s *simulation) start(st placement.Start, m *placement.Machine) {
+	p := ledger.GangPart{Site: m.ClaimTarget(), Count: st.Count}
+	if s.commit(func(d *ledger.Transaction) error {
+		if st.Job.Spec.Shape == wire.Gang {
+			return d.ClaimGang(st.Job, []ledger.GangPart{p})
 		}
+		_, err := d.Claim(st.Job, p.Site, p.Count, nil)
+		return err
+	}) {
+		s.recordWait(st.Job)
 	}
+	m.Free = s.l.Free(m.ClaimTarget())
 }
 
-// since is when a claim was first seen.
-func (s *mill) since(h ledger.HeldClaim) time.Time {
+// since returns when a claim was first seen.
+func (s *simulation) since(h ledger.HeldClaim) time.Time {
 	k := fmt.Sprint(h.Job.ID, h.Attempt)
-	if _, ok := s.at[k]; !ok {
-		s.at[k] = s.now
+	if _, ok := s.started[k]; !ok {
+		s.started[k] = s.now
 	}
-	return s.at[k]
+	return s.started[k]
 }
 
-func (s *mill) runOf(id wire.JobID) time.Duration {
+// runOf returns how long a job's tasks run.
+func (s *simulation) runOf(id wire.JobID) time.Duration {
 	for _, q := range s.queue {
 		if q.id == id {
 			return q.run
@@ -208,71 +237,104 @@
 	return 0
 }
 
-// mark notes when the last of a job's tasks began.
-func (s *mill) mark(j *ledger.Job) {
+// recordWait records how long a job waited once the last of its tasks begins.
+func (s *simulation) recordWait(j *ledger.Job) {
 	if j.Pending() == 0 {
-		s.begun[j.Spec.Class] = append(s.begun[j.Spec.Class], s.now.Sub(j.Accepted.Time()))
+		s.waits[j.Spec.Class] = append(s.waits[j.Spec.Class], s.now.Sub(j.Accepted.Time()))
+	}
+}
+
+// largeJobsCase is large work under smaller work of the same priority.
+type largeJobsCase struct {
+	name         string
+	large, small wire.JobSpec
+	starves      bool // without the bound on waiting
+}
+
+// largeWaits is how long the large jobs of a case waited.
+type largeWaits struct {
+	longest time.Duration
+	unbegun int // jobs that have not begun in the end
+}
+
+// exceeds reports whether a job waited longer than the bound.
+func (w largeWaits) exceeds(bound time.Duration) bool { return w.unbegun > 0 || w.longest > bound }
+
+// run simulates the case for 700 seconds with two large jobs and a bound on waiting, if it is not 0.
+func (tc *largeJobsCase) run(t *testing.T, bound time.Duration) largeWaits {
+	t.Helper()
+	s := newSimulation(t, 20, bound)
+	rng := rand.New(rand.NewPCG(3, 9))
+	// Small work comes for a tenth more than there is room for.
+	room := 20.0 * 2 / tc.small.GPUs / 40
+	if tc.small.Team == "capped" {
+		room = 20 / tc.small.GPUs / 40
+	}
+	for i := range 700 {
+		for n := room * 1.1; n > 0; n-- {
+			if rng.Float64() < n {
+				small := tc.small
+				small.Class = "small"
+				s.submit(small, time.Duration(20+rng.IntN(40))*time.Second)
+			}
+		}
+		if i == 60 || i == 200 {
+			large := tc.large
+			large.Class = "large"
+			s.submit(large, 60*time.Second)
+		}
+		s.step()
+	}
+	w := largeWaits{unbegun: 2 - len(s.waits["large"])}
+	for _, d := range s.waits["large"] {
+		w.longest = max(w.longest, d)
 	}
+	return w
 }
 
 // TestTheLargestBeginsWithinTheBound: under smaller work of the same priority that alone would
-// fill the fleet, the largest jobs begin within the bound on waiting: gangs of eight whole
-// machines, gangs in one zone, arrays that would take half of the fleet, a gang of a team whose
-// other jobs alone use all of its limit. Without the bound each kind waits far longer or for
-// ever: once their aims were missed they came behind every newcomer.
+// fill the cluster, the largest jobs begin within the bound on waiting: gangs of eight whole
+// machines, gangs in one zone, arrays that would take half of the cluster, a gang of a team whose
+// other jobs alone use all of its limit. Without the bound each kind waits far longer or for ever,
+// as once their objectives are missed they come behind every newcomer.
 func TestTheLargestBeginsWithinTheBound(t *testing.T) {
 	const bound = 240 * time.Second
-	for _, tc := range []struct {
-		name    string
-		large   wire.JobSpec
-		small   wire.JobSpec
-		starves bool // without the bound
-	}{
-		{"eight whole machines", wire.JobSpec{Shape: wire.Gang, Tasks: 8, GPUs: 2}, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2}, true},
-		{"four in one zone", wire.JobSpec{Shape: wire.Gang, Tasks: 4, GPUs: 2, OneZone: true}, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 1}, true},
-		{"an array of half the fleet", wire.JobSpec{Shape: wire.Array, Tasks: 20, GPUs: 1}, wire.JobSpec{Shape: wire.Array, Tasks: 1, GPUs: 1}, true},
-		{"a team at its limit", wire.JobSpec{Shape: wire.Gang, Tasks: 8, GPUs: 2, Team: "capped"}, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2, Team: "capped"}, true},
+	for _, tc := range []largeJobsCase{
+		{
+			name:    "eight whole machines",
+			large:   wire.JobSpec{Shape: wire.Gang, Tasks: 8, GPUs: 2},
+			small:   wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2},
+			starves: true,
+		},
+		{
+			name:    "four in one zone",
+			large:   wire.JobSpec{Shape: wire.Gang, Tasks: 4, GPUs: 2, OneZone: true},
+			small:   wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 1},
+			starves: true,
+		},
+		{
+			name:    "an array of half the cluster",
+			large:   wire.JobSpec{Shape: wire.Array, Tasks: 20, GPUs: 1},
+			small:   wire.JobSpec{Shape: wire.Array, Tasks: 1, GPUs: 1},
+			starves: true,
+		},
+		{
+			name:    "a team at its limit",
+			large:   wire.JobSpec{Shape: wire.Gang, Tasks: 8, GPUs: 2, Team: "capped"},
+			small:   wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2, Team: "capped"},
+			starves: true,
+		},
 	} {
-		longest := map[bool]time.Duration{}
-		unbegun := map[bool]int{}
-		for _, bounded := range []bool{true, false} {
-			s := newMill(t, 20, 0)
-			if bounded {
-				s.bound = bound
+		t.Run(tc.name, func(t *testing.T) {
+			with, without := tc.run(t, bound), tc.run(t, 0)
+			t.Logf("the large wait %v at the most with the bound (%d not begun), %v without (%d not begun after 500 s)",
+				with.longest, with.unbegun, without.longest, without.unbegun)
+			if with.exceeds(bound) {
+				t.Errorf("waited %v, %d not begun; want at most %v", with.longest, with.unbegun, bound)
 			}
-			rng := rand.New(rand.NewPCG(3, 9))
-			for i := range 700 {
-				// Small work for a tenth more than there is room for.
-				room := 20.0 * 2 / tc.small.GPUs / 40
-				if tc.small.Team == "capped" {
-					room = 20 / tc.small.GPUs / 40
-				}
-				for n := room * 1.1; n > 0; n-- {
-					if rng.Float64() < n {
-						small := tc.small
-						small.Class = "small"
-						s.submit(small, time.Duration(20+rng.IntN(40))*time.Second)
-					}
-				}
-				if i == 60 || i == 200 {
-					large := tc.large
-					large.Class = "large"
-					s.submit(large, 60*time.Second)
-				}
-				s.second()
+			if without.exceeds(bound) != tc.starves {
+				t.Errorf("without the bound %v, %d not begun: the case shows nothing", without.longest, without.unbegun)
 			}
-			for _, d := range s.begun["large"] {
-				longest[bounded] = max(longest[bounded], d)
-			}
-			unbegun[bounded] = 2 - len(s.begun["large"])
-		}
-		t.Logf("%s: the large wait %v at the most with the bound (%d not begun), %v without (%d not begun after 500 s)",
-			tc.name, longest[true], unbegun[true], longest[false], unbegun[false])
-		if unbegun[true] > 0 || longest[true] > bound {
-			t.Errorf("%s: waited %v, %d not begun", tc.name, longest[true], unbegun[true])
-		}
-		if starved := unbegun[false] > 0 || longest[false] > bound; starved != tc.starves {
-			t.Errorf("%s: without the bound %v, %d not begun: the case shows nothing", tc.name, longest[false], unbegun[false])
-		}
+		})
 	}
 }
--- a/internal/scheduler/placement/queue_order.go
+++ b/internal/scheduler/placement/queue_order.go
@@ -17,7 +17,7 @@
 func Order(entries []Entry) { OrderBy(entries, time.Time{}, policy.Builtin) }
 
 // OrderBy sorts entries by a policy. decide gets all of them, sorted by group and id, and returns
-// their indexes in the policy's order, which must keep groups apart.
+// their indexes in the policy's order, which must not mix groups.
 func OrderBy(entries []Entry, now time.Time, decide func(*policy.Pass) []uint32) {
 	slices.SortFunc(entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.group(), b.group()), cmp.Compare(a.Job.ID, b.Job.ID))
--- /dev/null
+++ b/internal/scheduler/placement/single_tasks_test.go
@@ -0,0 +1,61 @@
+package placement_test
+
+import (
+	"maps"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"maddermill/internal/scheduler/placement"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/model"
+	"maddermill/wire"
+)
+
+// TestPathAgainstModel compares PlaceOnMachine with the model, which places task by task without
+// indexes, on random queues and machines.
+func TestPathAgainstModel(t *testing.T) {
+	nonEmpty, reserved := 0, 0
+	for seed := uint64(1); seed <= 3000; seed++ {
+		rng := rand.New(rand.NewPCG(seed, 3))
+		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000,
+			TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(5, 3, 0)}})
+		v := &placement.Snapshot{
+			Now:              start,
+			Queue:            jobs(t, rng, l, 1+rng.IntN(8)),
+			TeamRoom:         l.RemainingTeamQuota,
+			FetchesInFlight:  rng.IntN(3),
+			Limits:           placement.Limits{ColdStarts: 2, FetchAssumed: time.Minute, DeferCold: 9 * time.Second},
+			HeadReservations: map[wire.MachineID]wire.JobID{},
+		}
+		for i := range 3 {
+			v.Machines = append(v.Machines, machine(rng, i))
+		}
+		if rng.IntN(3) == 0 {
+			v.HeadReservations[v.Machines[rng.IntN(3)].ID] = v.Queue[0].Job.ID
+		}
+		v.Reserve()
+		if len(v.Reserved) > 0 {
+			reserved++
+		}
+		v.ReserveTeamLimits()
+		if rng.IntN(3) == 0 {
+			v.ReserveMachine(v.Machines[rng.IntN(3)].ID, v.Queue[rng.IntN(len(v.Queue))].Job.ID)
+		}
+		m := v.Machines[0]
+		want := model.OnRoom(v, m)
+		got := map[wire.JobID]int{}
+		for _, s := range placement.PlaceOnMachine(v, m) {
+			got[s.Job.ID] += s.Count
+		}
+		if !maps.Equal(got, want) {
+			t.Fatalf("seed %d: placed %v, the model %v", seed, got, want)
+		}
+		if len(got) > 0 {
+			nonEmpty++
+		}
+	}
+	if nonEmpty < 500 || reserved < 200 {
+		t.Errorf("only %d of 3000 cases place anything, %d reserve", nonEmpty, reserved)
+	}
+}
--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -15,9 +15,9 @@
 	"maddermill/wire"
 )
 
-// racks is a topology of two zones with two switches of two racks each, and its racks.
-func racks(t testing.TB, settings string) (*topology.Tree, []topology.Block) {
-	t.Helper()
+// racks returns a topology of two zones with two switches of two racks each, and its racks.
+func racks(tb testing.TB, settings string) (*topology.Tree, []topology.Block) {
+	tb.Helper()
 	var b strings.Builder
 	b.WriteString(
 		settings + ` level { name: "zone" cost: 16 } level { name: "switch" cost: 4 } level { name: "rack" cost: 1 }`,
@@ -25,22 +25,14 @@
 	for z := range 2 {
 		fmt.Fprintf(&b, " block { name: \"%c\"", 'a'+z)
 		for s := range 2 {
-			fmt.Fprintf(
-				&b,
-				" block { name: \"s%d-%d\" block { name: \"r%d-%d-0\" } block { name: \"r%d-%d-1\" } }",
-				z,
-				s,
-				z,
-				s,
-				z,
-				s,
-			)
+			fmt.Fprintf(&b, " block { name: \"s%[1]d-%[2]d\" block { name: \"r%[1]d-%[2]d-0\" }", z, s)
+			fmt.Fprintf(&b, " block { name: \"r%d-%d-1\" } }", z, s)
 		}
 		b.WriteString(" }")
 	}
 	tree, err := topology.Parse([]byte(b.String()), []wire.Zone{"a", "b"})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	var out []topology.Block
 	for _, x := range tree.Blocks() {
@@ -51,18 +43,12 @@
 	return tree, out
 }
 
-func submit(t testing.TB, l *ledger.Ledger, s *wire.JobSpec) *ledger.Job {
-	t.Helper()
-	d := l.NewTransaction()
-	if err := d.Submit(s, 1); err != nil {
-		t.Fatal(err)
-	}
-	txn, _ := d.Request()
-	known, _ := l.Counts()
-	l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(known + 1)})
-	return l.Job(s.ID)
+// largeLedger returns empty records with limits that large gangs fit in.
+func largeLedger() *ledger.Ledger {
+	return ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
 }
 
+// gangSpec returns the description of a gang of so many tasks.
 func gangSpec(id, tasks int) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID:       wire.JobID(fmt.Sprintf("wk-%06d", id)),
@@ -77,8 +63,9 @@
 	}
 }
 
-// hall is a view of machines, eight a rack, of two tasks each.
-func hall(
+// rackSnapshot returns a snapshot of machines, eight a rack, with room for two tasks each. The part
+// full of them is used in part or in full.
+func rackSnapshot(
 	tree *topology.Tree,
 	l *ledger.Ledger,
 	blocks []topology.Block,
@@ -114,6 +101,7 @@
 	return v
 }
 
+// costOf returns what a gang costs where it was placed.
 func costOf(v *placement.Snapshot, g placement.GangStart) topology.Cost {
 	var on []topology.Block
 	var counts []int
@@ -128,14 +116,14 @@
 func TestGangsSitClose(t *testing.T) {
 	tree, blocks := racks(t, "closer_wait_s: 0")
 	rng := rand.New(rand.NewPCG(4, 4))
-	var near, plain topology.Cost
+	var near, without topology.Cost
 	placed := [2]int{}
 	for range 60 {
 		seed := rng.Uint64()
 		for i, with := range []bool{true, false} {
-			l := ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
+			l := largeLedger()
 			r := rand.New(rand.NewPCG(seed, 1))
-			v := hall(tree, l, blocks, r, 0.6)
+			v := rackSnapshot(tree, l, blocks, r, 0.6)
 			for id := range 6 {
 				v.Queue = append(v.Queue, placement.Entry{Job: submit(t, l, gangSpec(id, 2+r.IntN(7)))})
 			}
@@ -149,29 +137,28 @@
 				if with {
 					near += costOf(v, g)
 				} else {
-					plain += costOf(v, g)
+					without += costOf(v, g)
 				}
 			}
 		}
 	}
-	t.Logf(
-		"%d gangs placed with a topology, %d without; cost %.3f of theirs",
-		placed[0],
-		placed[1],
-		float64(near)/float64(plain),
-	)
-	if placed[0] < placed[1] || near*2 > plain {
-		t.Errorf("%d gangs at a cost of %d, without topology %d at %d", placed[0], near, placed[1], plain)
+	t.Logf("%d gangs placed with a topology, %d without; cost %.3f of theirs",
+		placed[0], placed[1], float64(near)/float64(without))
+	if placed[0] < placed[1] || near*2 > without {
+		t.Errorf("%d gangs at a cost of %d, without topology %d at %d", placed[0], near, placed[1], without)
 	}
 }
 
 // TestImageOrClosenessFirst: with images first a gang goes where its image is, however far
 // apart, and with closeness first where it sits close; either way it is placed.
 func TestImageOrClosenessFirst(t *testing.T) {
-	for setting, close := range map[string]bool{"first: IMAGE closer_wait_s: 0": false, "first: CLOSENESS closer_wait_s: 0": true} {
+	for setting, close := range map[string]bool{
+		"first: IMAGE closer_wait_s: 0":     false,
+		"first: CLOSENESS closer_wait_s: 0": true,
+	} {
 		tree, blocks := racks(t, setting)
-		l := ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
-		v := hall(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
+		l := largeLedger()
+		v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 		for i, m := range v.Machines {
 			if i%8 == 0 {
 				m.Images.Use("i", 1) // one a rack
@@ -202,8 +189,8 @@
 		waiting time.Duration
 		placed  bool
 	}{{4, 0, false}, {4, 4 * time.Second, false}, {4, 5 * time.Second, true}, {16, 0, false}, {128, 0, true}} {
-		l := ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
-		v := hall(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
+		l := largeLedger()
+		v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 		if tc.tasks < 128 {
 			for i, m := range v.Machines {
 				if i%4 > 0 {
@@ -230,19 +217,23 @@
 	}
 }
 
-// TestSingleTasksLeaveRacksWhole: an empty machine among empty ones is left to gangs while a
+// TestSingleTasksLeaveEmptyRacksToGangs: an empty machine among empty ones is left to gangs while a
 // partly used one will do, but not for long, and not if none will do.
-func TestSingleTasksLeaveRacksWhole(t *testing.T) {
+func TestSingleTasksLeaveEmptyRacksToGangs(t *testing.T) {
 	tree, blocks := racks(t, "")
 	for _, tc := range []struct {
 		name    string
-		broken  bool
+		partly  bool // one machine is partly used
 		waiting time.Duration
 		starts  int
-	}{{"a used machine elsewhere", true, 0, 0}, {"waited long enough", true, time.Minute, 1}, {"all are whole", false, 0, 1}} {
-		l := ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
-		v := hall(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
-		if tc.broken {
+	}{
+		{"a used machine elsewhere", true, 0, 0},
+		{"waited long enough", true, time.Minute, 1},
+		{"all are empty", false, 0, 1},
+	} {
+		l := largeLedger()
+		v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
+		if tc.partly {
 			v.Machines[60].Free = ledger.NewResources(4, 0, 16)
 		}
 		s := gangSpec(1, 1)
@@ -251,7 +242,7 @@
 		if got := placement.PlaceOnMachine(v, v.Machines[0]); len(got) != tc.starts {
 			t.Errorf("%s: %d starts on an empty machine", tc.name, len(got))
 		}
-		if tc.broken {
+		if tc.partly {
 			if got := placement.PlaceOnMachine(v, v.Machines[60]); len(got) != 1 {
 				t.Errorf("%s: %d starts on the used machine", tc.name, len(got))
 			}
@@ -259,12 +250,12 @@
 	}
 }
 
-// TestRoomIsMadeClose: where room for a gang must be made, it is made where the gang sits
-// closest among machines that cost no more to empty than those chosen without a topology.
-func TestRoomIsMadeClose(t *testing.T) {
+// TestPreemptionPacksGangsClosely: machines are emptied for a gang where its tasks are closest
+// together, among machines that cost no more to empty than those chosen without a topology.
+func TestPreemptionPacksGangsClosely(t *testing.T) {
 	tree, blocks := racks(t, "")
-	l := ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
-	v := hall(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
+	l := largeLedger()
+	v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 	low := gangSpec(9, 1)
 	low.Shape, low.Priority, low.Checkpoint, low.Save = wire.Array, wire.BestEffort, 5, 1
 	lower := submit(t, l, low)
@@ -293,15 +284,15 @@
 	}
 }
 
-// TestPreferredMachines: among machines that are equally near to its image a gang goes where a
+// TestPolicyRanksMachines: among machines that are equally near to its image a gang goes where a
 // policy says, with a topology or without, and never further from its image for that. A policy
 // that says nothing changes nothing.
-func TestPreferredMachines(t *testing.T) {
+func TestPolicyRanksMachines(t *testing.T) {
 	tree, blocks := racks(t, "closer_wait_s: 0 first: IMAGE")
 	for _, with := range []*topology.Tree{nil, tree} {
 		on := func(prefer func(*policy.Machines) []uint32) string {
-			l := ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
-			v := hall(tree, l, blocks[:1], rand.New(rand.NewPCG(1, 1)), 0)
+			l := largeLedger()
+			v := rackSnapshot(tree, l, blocks[:1], rand.New(rand.NewPCG(1, 1)), 0)
 			v.Tree, v.Prefer = with, prefer
 			for _, i := range []int{2, 3, 5, 6} {
 				v.Machines[i].Images.Use("i", 1)
@@ -324,13 +315,9 @@
 		if got := on(byName); got != "host-0-5 host-0-6" {
 			t.Errorf("topology %v: on %s", with != nil, got)
 		}
-		if got, plain := on(
-			func(*policy.Machines) []uint32 { return nil },
-		), on(
-			nil,
-		); got != plain ||
-			plain != "host-0-2 host-0-3" {
-			t.Errorf("topology %v: on %s, without a policy on %s", with != nil, got, plain)
+		silent := on(func(*policy.Machines) []uint32 { return nil })
+		if without := on(nil); silent != without || without != "host-0-2 host-0-3" {
+			t.Errorf("topology %v: on %s, without a policy on %s", with != nil, silent, without)
 		}
 	}
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -10,16 +10,16 @@
 	"maddermill/wire"
 )
 
-// TestEmptyingIsAskedOfTheHolder: a holder empties a machine that the fleet's leader asks
-// for, once, and keeps the room; what another asks for, or what was asked for before a
-// standstill, is passed over.
+// TestEmptyingIsAskedOfTheHolder: the controller that a machine reports to empties it, once, when the
+// leader asks, and reserves the room; a request of another controller, or one that was made before a
+// process pause, is ignored.
 func TestEmptyingIsAskedOfTheHolder(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
-		name  string
-		from  wire.MemberID
-		asked time.Time
-		kept  bool
+		name     string
+		from     wire.MemberID
+		asked    time.Time
+		reserved bool
 	}{
 		{"by the leader", "m-1", now, true},
 		{"by another", "m-2", now, false},
@@ -48,9 +48,9 @@
 				time.Now(),
 			)
 		}
-		kept := p.Scheduler.Snapshot(time.Now()).HeadReservations
-		if job, ok := kept["host-1"]; ok != tc.kept || ok && job != j.ID || len(kept) > 1 {
-			t.Errorf("%s: kept %v for %q", tc.name, ok, job)
+		reserved := p.Scheduler.Snapshot(time.Now()).HeadReservations
+		if job, ok := reserved["host-1"]; ok != tc.reserved || ok && job != j.ID || len(reserved) > 1 {
+			t.Errorf("%s: reserved %v for %q, want %v for %q", tc.name, ok, job, tc.reserved, j.ID)
 		}
 	}
 }
--- a/internal/scheduler/quarantine_test.go
+++ b/internal/scheduler/quarantine_test.go
@@ -12,18 +12,18 @@
 	"maddermill/wire"
 )
 
-// TestTooManyFaultyAreNotBelieved: a machine that is judged faulty gets no work; when more of a
-// type's machines in a zone are than may be, all of them do, since that says more of the
-// judgement than of the machines.
-func TestTooManyFaultyAreNotBelieved(t *testing.T) {
+// TestQuarantineIsLimited: a machine that is judged faulty gets no work; when more of a type's machines
+// in a zone are judged so than the settings allow, all of them do, as then the judgement is more
+// likely wrong than the machines.
+func TestQuarantineIsLimited(t *testing.T) {
 	for _, faulty := range []int{1, 2, 3} {
 		p := controllertest.New(t, 0)
 		p.Set.Operators.Quarantine = settings.Quarantine{On: true, Most: 0.1}
 		p.Failures.EnableQuarantine(quarantine.DefaultPriors)
 		now := time.Now()
-		led := p.Cache.Records()
+		records := p.Cache.Records()
 		p.Cache.SetForTest(1, now)
-		led.Apply(
+		records.Apply(
 			ledger.Event{
 				Key:     ledger.MachineTypeKey("g2"),
 				Version: 1,
@@ -37,7 +37,7 @@
 		}
 		at := now.Add(-time.Hour)
 		for n := range 200 { // each job fails on the faulty machines and is done elsewhere
-			j := controllertest.AddJob(led, n, wire.Array, 1)
+			j := controllertest.AddJob(records, n, wire.Array, 1)
 			at = at.Add(10 * time.Second)
 			for i := range faulty {
 				p.Failures.Failed(j, 0, name(i), "", at)
@@ -45,7 +45,7 @@
 			for i := range 4 {
 				p.Failures.Completed(j, 0, name(faulty+(4*n+i)%(20-faulty)), "", 0, at)
 			}
-			p.Failures.Faulty(led, name(0), at)
+			p.Failures.Faulty(records, name(0), at)
 		}
 		p.Scheduler.Snapshot(now)
 		p.Scheduler.InvalidateSnapshot()
--- a/internal/scheduler/snapshot_test.go
+++ b/internal/scheduler/snapshot_test.go
@@ -1,15 +1,16 @@
 package scheduler_test
 
 import (
-	"maddermill/internal/testing/controllertest"
 	"testing"
 	"time"
+
+	"maddermill/internal/testing/controllertest"
 )
 
-// TestPassesKeepToTheirShare: a pass over all machines that takes long is made less often,
-// so that it takes no more than its part of the controller's share, but never too rarely
-// for placement; one of usual length is made each second.
-func TestPassesKeepToTheirShare(t *testing.T) {
+// TestSnapshotIntervalFollowsQuota: a snapshot that takes long to take is taken less often, so that
+// it uses no more than its part of the controller's share of a processor, but never too rarely for
+// placement; one of usual duration is taken each second.
+func TestSnapshotIntervalFollowsQuota(t *testing.T) {
 	for _, tc := range []struct {
 		share      float64
 		took, want time.Duration
@@ -22,7 +23,7 @@
 		p := controllertest.New(t, 0)
 		p.Set.Cluster.Quota.CPUShare = tc.share
 		if got := p.Scheduler.SnapshotInterval(tc.took).Truncate(time.Millisecond); got != tc.want {
-			t.Errorf("share %v, a pass of %v: the next after %v, want %v", tc.share, tc.took, got, tc.want)
+			t.Errorf("share %v, %v to take: the next after %v, want %v", tc.share, tc.took, got, tc.want)
 		}
 	}
 }
