--- a/internal/scheduler/latest_start.go
+++ b/internal/scheduler/latest_start.go
@@ -44,9 +44,16 @@
 	}
 }
 
+// The kinds of objectives, as the settings name them.
+const (
+	objectiveWait      = "wait"      // jobs of a class start in time
+	objectiveGuarantee = "guarantee" // jobs within their team's guarantee start in time
+	objectiveFinished  = "finished"  // jobs of a class end in time
+)
+
 // latestForObjectives returns when the job's tasks must start for it to meet the strictest of its
-// objectives that can still be met; the zero time if none can. expected is how long a task runs,
-// to which a margin is added.
+// objectives that can still be met; the zero time if none can. expected is how long a task runs; as
+// a margin it is taken half longer for an objective, and a quarter longer for a deadline.
 func (s *Scheduler) latestForObjectives(
 	j *ledger.Job,
 	overGuarantee bool,
@@ -66,13 +73,13 @@
 		}
 		within := o.Within.Duration()
 		switch o.Kind {
-		case "wait":
+		case objectiveWait:
 			consider(accepted.Add(within))
-		case "guarantee":
+		case objectiveGuarantee:
 			if !overGuarantee {
 				consider(accepted.Add(within))
 			}
-		case "finished":
+		case objectiveFinished:
 			consider(accepted.Add(within - expected*3/2))
 		}
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -170,8 +170,8 @@
 func (s *Scheduler) canRestart(j *ledger.Job, now time.Time) bool {
 	team := s.set.FindTeam(j.Spec.Team)
 	for _, o := range s.set.Cluster.Objectives {
-		if o.Kind == "wait" && o.Class == j.Spec.Class ||
-			o.Kind == "guarantee" && team != nil && (team.CPUs > 0 || team.GPUs > 0) {
+		if o.Kind == objectiveWait && o.Class == j.Spec.Class ||
+			o.Kind == objectiveGuarantee && team != nil && (team.CPUs > 0 || team.GPUs > 0) {
 			return false // its start is what its users wait for
 		}
 	}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -19,6 +19,10 @@
 // snapshotShare is the part of a controller's share of a processor that taking snapshots may use.
 const snapshotShare = 0.25
 
+// deferColdHeartbeats is for how many heartbeat intervals a task waits for a machine that caches its
+// image.
+const deferColdHeartbeats = 3
+
 // SnapshotInterval returns how long a snapshot serves that took so long to take. In a cluster of ten
 // thousand machines snapshots would otherwise use all of a small share of a processor.
 func (s *Scheduler) SnapshotInterval(took time.Duration) time.Duration {
@@ -64,7 +68,7 @@
 			ColdStarts:   s.set.Operators.ColdStarts,
 			FetchAssumed: s.set.Operators.FetchMark,
 			ReserveAfter: s.set.Operators.WithholdAfter,
-			DeferCold:    3 * s.set.Cluster.Workers.Report.Duration(),
+			DeferCold:    deferColdHeartbeats * s.set.Cluster.Workers.Report.Duration(),
 		},
 	}
 	if s.set.Operators.Preempt {
