--- /dev/null
+++ b/internal/controller/components.go
@@ -0,0 +1,138 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"maddermill/internal/leader"
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/settings"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/supervise"
+	"maddermill/internal/transport"
+)
+
+const (
+	// maxSilence is after what time without an answer of a peer or of the state service a
+	// component reports a health problem.
+	maxSilence = 10 * time.Second
+	// probeInterval is the time between two probes of a peer.
+	probeInterval = time.Second
+	// connectionsPerPeer and spareConnections bound the connections to the mesh.
+	connectionsPerPeer, spareConnections = 8, 16
+)
+
+// Run runs the controller's components until ctx ends or one of them fails.
+func (c *Controller) Run(ctx context.Context, dialer *transport.Dialer, cloud leader.Cloud) error {
+	c.registerComponents(cloud)
+	c.Components.Add(c.meshComponent())
+	for _, p := range c.set.Peers {
+		c.Components.Add(c.peerComponent(dialer, p))
+	}
+	return c.Components.Run(ctx)
+}
+
+// meshComponent answers the probes of peers.
+func (c *Controller) meshComponent() supervise.Component {
+	connections := connectionsPerPeer*len(c.set.Peers) + spareConnections
+	return supervise.Component{Name: "mesh", Run: func(ctx context.Context) error {
+		return transport.Serve(ctx, c.set.MeshAddr, connections, func(_ context.Context, conn *transport.Conn) {
+			peer.Serve(conn, c.answerProbe)
+		})
+	}}
+}
+
+// peerComponent probes a peer.
+func (c *Controller) peerComponent(dialer *transport.Dialer, p settings.Peer) supervise.Component {
+	return supervise.Component{
+		Name: "peer " + string(p.Member),
+		Run: func(ctx context.Context) error {
+			probe := func() peer.Status { return c.probe(p.Member) }
+			peer.Ask(ctx, dialer, p.Addr, probe, probeInterval, c.mergeAnswer)
+			return ctx.Err()
+		},
+		Amiss: func(now time.Time) string {
+			answer := c.membership.Peer(p.Member)
+			switch {
+			case answer == nil:
+				return "was never heard"
+			case now.Sub(answer.AsOf) > maxSilence:
+				return fmt.Sprintf("not heard for %v", now.Sub(answer.AsOf).Round(time.Second))
+			}
+			return ""
+		},
+	}
+}
+
+// registerComponents adds all components but the mesh and the probes of peers: those that need no
+// network of their own.
+func (c *Controller) registerComponents(cloud leader.Cloud) {
+	c.Components.Add(
+		supervise.Component{Name: "attention", Run: c.membership.DetectPauses},
+		supervise.Component{Name: "mirror", Run: c.cache.Watch, Amiss: c.loadProblem},
+		supervise.Component{Name: "contact", Run: c.cache.ServeReadIndex, Amiss: c.syncProblem},
+		supervise.Component{Name: "tokens", Run: c.cache.AcquireTokens, Amiss: c.tokenProblem},
+		supervise.Component{Name: "writer", Run: c.committer.Run, Amiss: c.committer.HealthProblem},
+		supervise.Component{Name: "completions", Run: c.recorder.Run},
+		supervise.Component{Name: "sweeper", Run: c.Heartbeats.RemoveSilentWorkers},
+		supervise.Component{Name: "publisher", Run: func(ctx context.Context) error {
+			return c.membership.Publish(ctx, c.store, c.publishedStatus)
+		}},
+		supervise.Component{Name: "reader of publications", Run: func(ctx context.Context) error {
+			return c.membership.ReadPublished(ctx, c.cache)
+		}},
+		supervise.Component{Name: "preemption", Run: c.scheduler.Preempt},
+		supervise.Component{Name: "places", Run: c.TopologyTracker.Watch},
+		supervise.Component{Name: "workflows", Run: c.Workflows.Run},
+		supervise.Component{Name: "archive", Run: c.archiver.Run},
+		supervise.Component{Name: "promises", Run: c.Deadlines.Run},
+		supervise.Component{Name: "policies", Run: c.policies.Run, Amiss: c.policyProblem},
+		supervise.Component{Name: "leader", Run: func(ctx context.Context) error {
+			return c.leader.Run(ctx, cloud)
+		}},
+	)
+}
+
+// loadProblem returns the health problem of the watch cache; "": none.
+func (c *Controller) loadProblem(time.Time) (problem string) {
+	c.cache.Read(func(*ledger.Ledger) {
+		if !c.cache.Loaded() {
+			problem = "the records are yet to be read"
+		}
+	})
+	return problem
+}
+
+// syncProblem returns the health problem of the sync with the state service; "": none.
+func (c *Controller) syncProblem(now time.Time) (problem string) {
+	c.cache.Read(func(*ledger.Ledger) {
+		syncedAt := c.cache.SyncedAt()
+		if syncedAt.IsZero() {
+			problem = "the state service was never reached"
+		} else if age := now.Sub(syncedAt); age > maxSilence {
+			problem = fmt.Sprintf("the state service was last reached %v ago", age.Round(time.Second))
+		}
+	})
+	return problem
+}
+
+// tokenProblem returns the health problem of the fencing token; "": none.
+func (c *Controller) tokenProblem(time.Time) (problem string) {
+	c.cache.Read(func(*ledger.Ledger) {
+		if c.cache.Token() == 0 {
+			problem = "no token is taken yet"
+		}
+	})
+	return problem
+}
+
+// policyProblem returns the health problem of the policy module in use; "": none.
+func (c *Controller) policyProblem(now time.Time) (problem string) {
+	c.cache.Read(func(l *ledger.Ledger) {
+		if c.policies.Suspended(l, now) {
+			problem = "the module in use is suspended"
+		}
+	})
+	return problem
+}
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -35,7 +35,7 @@
 		c.cache.SetForTest(0, old)
 		c.cache.Records().AdvanceRevision(7)
 		for _, a := range tc.peers {
-			c.heardPeer(a)
+			c.mergeAnswer(a)
 		}
 		got, ok := c.membership.CancellationsConfirmedUntil(7, now)
 		if !ok {
@@ -56,7 +56,7 @@
 		ids := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
 		a := listing(answerOf("m-1", time.Now(), 90, true, 0), 0, true)
 		a.Status.CancelledJobs, a.Status.CancelledWorkflows = ids[:2], []wire.WorkflowID{"wf-000001"}
-		c.heardPeer(a)
+		c.mergeAnswer(a)
 		ctx, cancel := context.WithCancel(t.Context())
 		add := func(id wire.JobID, more string) {
 			value := fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":1},"at":1%s}`, id, more)
@@ -101,7 +101,7 @@
 	if !c.Healthy() {
 		t.Error("not healthy while it reads the records and nobody else is known to be better off")
 	}
-	c.heardPeer(answerOf("m-1", now, 0, true, 100*time.Millisecond))
+	c.mergeAnswer(answerOf("m-1", now, 0, true, 100*time.Millisecond))
 	if c.Healthy() {
 		t.Error("healthy before the ledger was read, beside one that is in touch")
 	}
@@ -114,11 +114,11 @@
 		t.Error("not healthy in touch with the state service")
 	}
 	c.cache.SetForTest(c.cache.Token(), now.Add(-10*time.Second))
-	c.heardPeer(answerOf("m-1", now, 0, true, 10*time.Second))
+	c.mergeAnswer(answerOf("m-1", now, 0, true, 10*time.Second))
 	if !c.Healthy() {
 		t.Error("not healthy in an outage that all share")
 	}
-	c.heardPeer(answerOf("m-2", now, 0, true, 100*time.Millisecond))
+	c.mergeAnswer(answerOf("m-2", now, 0, true, 100*time.Millisecond))
 	if c.Healthy() {
 		t.Error("healthy while only this controller is refused")
 	}
@@ -146,7 +146,7 @@
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
 	}
-	c.heardPeer(answerOf("m-1", time.Now(), 0, true, 100*time.Millisecond))
+	c.mergeAnswer(answerOf("m-1", time.Now(), 0, true, 100*time.Millisecond))
 	r.Sequence = 2
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
 		t.Errorf("%d %q with a peer in touch", a.Status, a.Redirect.ReportTo)
--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,353 @@
+// Package controller assembles a controller process from its parts.
+//
+// [New] constructs every part and hands it the others that it may use, layer by layer:
+//
+//   - state: the watch cache of the records in the state service, the committer that batches
+//     transactions, the archiver and the policy modules kept there;
+//   - membership: the status of the other controllers and the log of completed tasks that is
+//     shared with them;
+//   - scheduling: run-time estimates, crash-loop and fault detection, topology, deadlines and
+//     the scheduler;
+//   - servers: the APIs for workers' heartbeats and for users' jobs;
+//   - leader: the loop that adjusts the fleet, and the runner of workflows.
+//
+// [Controller.Run] registers the components (the long-running loops) of the parts and runs them
+// until the context ends or one of them fails. The other files of the package connect the parts
+// where one must not import another: adapters.go implements the interfaces that parts declare,
+// status.go exchanges member status with peers, gauges.go exports metrics, and health.go answers
+// health checks.
+//
+// The package holds no state of its own besides the parts. All of them rebuild what they know from
+// the records and from one round of heartbeats after a restart.
+//
+// Locking: the lock of the watch cache (Cache.Read, Cache.Lock) comes first. A part may take its
+// own lock under it, so no part may take the cache's lock while it holds a lock that is also taken
+// under it. docs/ARCHITECTURE.md lists the packages and who may import whom.
+package controller
+
+import (
+	"crypto/ed25519"
+	"log/slog"
+	"time"
+
+	"maddermill/internal/leader"
+	"maddermill/internal/membership"
+	"maddermill/internal/membership/completion"
+	"maddermill/internal/metrics"
+	"maddermill/internal/plugin"
+	"maddermill/internal/plugin/policymanager"
+	"maddermill/internal/scheduler"
+	"maddermill/internal/scheduler/crashloop"
+	"maddermill/internal/scheduler/deadlinetracker"
+	"maddermill/internal/scheduler/estimate"
+	"maddermill/internal/scheduler/quarantine"
+	"maddermill/internal/scheduler/topologytracker"
+	"maddermill/internal/server"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/settings"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/committer"
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/state/watchcache"
+	"maddermill/internal/supervise"
+	"maddermill/internal/workflow/runner"
+	"maddermill/policy"
+	"maddermill/wire"
+)
+
+// completionMemoryDivisor is the part of a controller's memory that the log of completions may
+// take: one in so many.
+const completionMemoryDivisor = 50
+
+// Controller is one of the controllers of a deployment. The exported parts are those that the
+// process serves (APIs, metrics) or switches on by its flags.
+type Controller struct {
+	Stats           *metrics.Set
+	Components      supervise.Group
+	Jobs            *server.JobServer
+	Heartbeats      *server.HeartbeatServer
+	Workflows       *runner.Runner
+	TopologyTracker *topologytracker.Tracker
+	Deadlines       *deadlinetracker.Tracker
+
+	set   *settings.Settings
+	store kvstore.Store
+	log   *slog.Logger
+	boot  time.Time // when the process started
+
+	// State.
+	cache     *watchcache.Cache
+	committer *committer.Committer
+	archiver  *archiver.Archiver
+	policies  *policymanager.Manager
+
+	// Membership.
+	membership  *membership.Membership
+	completions *completion.Log
+	exchange    *completion.Exchange
+	registry    *reconcile.Registry
+	recorder    *reconcile.Recorder
+
+	// Scheduling.
+	runTimes     *estimate.RunTimes
+	spotReclaims *estimate.SpotReclaims
+	failures     *crashloop.Tracker
+	scheduler    *scheduler.Scheduler
+
+	leader *leader.Leader
+}
+
+// New returns a controller that has read no records and runs no component yet.
+func New(set *settings.Settings, store kvstore.Store, log *slog.Logger) *Controller {
+	c := &Controller{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
+	c.newState()
+	c.newMembership()
+	c.newFailureTracking()
+	c.newCompletions()
+	c.newPoliciesAndArchiver()
+	c.newScheduling()
+	c.newServers()
+	c.newLeader()
+	c.newWorkflows()
+	c.registerGauges()
+	return c
+}
+
+// newState makes the cache of the records and the committer that changes them.
+func (c *Controller) newState() {
+	service, count := c.set.Cluster.State, float64(c.set.Cluster.Count)
+	c.cache = watchcache.New(
+		watchcache.Options{
+			Member:   c.set.Member,
+			Limits:   Limits(c.set),
+			Requests: service.RPS / count,
+			Reads:    archiver.SupportedFormat(c.set.Operators.FormatUpTo),
+		},
+		c.store,
+		cacheFollower{c},
+		c.Stats,
+		c.log,
+	)
+	c.committer = committer.New(
+		committer.Options{Changes: service.WriteRPS / count, TxnOps: service.TxnOps},
+		c.cache,
+		c.store,
+		c.Stats,
+		c.log,
+	)
+}
+
+// newMembership makes the view of the other controllers.
+func (c *Controller) newMembership() {
+	c.membership = membership.New(membershipOptions(c.set), c.Stats, c.log)
+}
+
+// newFailureTracking makes the estimates of run times and spot reclaims, and the detection of
+// crash loops and faulty machines, which uses them.
+func (c *Controller) newFailureTracking() {
+	c.runTimes = estimate.NewRunTimes(c.membership)
+	c.spotReclaims = &estimate.SpotReclaims{}
+	c.failures = crashloop.New(c.runTimes, c.Stats, c.log)
+	if q := c.set.Operators.Quarantine; q.On {
+		c.failures.EnableQuarantine(quarantine.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
+	}
+}
+
+// newCompletions makes the log of completed tasks, its exchange with peers, the registry of the
+// workers that report here and the recorder that commits what they completed.
+func (c *Controller) newCompletions() {
+	c.completions = completion.New(completion.Capacity(c.set.MemoryBytes() / completionMemoryDivisor))
+	c.exchange = completion.NewExchange(c.completions, c.boot, membershipOptions(c.set).Others)
+	c.registry = reconcile.NewRegistry(c.membership, c.completions)
+	c.recorder = reconcile.NewRecorder(c.completions, c.cache, c.committer, Limits(c.set), c.Stats, c.log)
+}
+
+// newPoliciesAndArchiver makes the manager of policy modules and the archiver of finished jobs.
+func (c *Controller) newPoliciesAndArchiver() {
+	c.policies = policymanager.New(host{c}, c.store, c.set.Member, c.Stats, c.log)
+	c.archiver = archiver.New(host{c}, c.store, archiverOptions(c.set), c.Stats, c.log)
+}
+
+// newScheduling makes the topology, the deadlines and the scheduler.
+func (c *Controller) newScheduling() {
+	c.TopologyTracker = topologytracker.New(
+		c.set,
+		c.cache,
+		c.membership,
+		c.registry,
+		c.failures,
+		func() { c.scheduler.InvalidateSnapshot() }, // the scheduler is made below
+		c.Stats,
+		c.log,
+	)
+	c.Deadlines = deadlinetracker.New(
+		c.set,
+		deadlinetracker.Parts{
+			Cache:      c.cache,
+			Committer:  c.committer,
+			RunTimes:   c.runTimes,
+			Membership: c.membership,
+			Registry:   c.registry,
+		},
+		c.Stats,
+		c.log,
+	)
+	c.scheduler = scheduler.New(
+		c.set,
+		scheduler.Parts{
+			Cache:        c.cache,
+			Membership:   c.membership,
+			Registry:     c.registry,
+			Failures:     c.failures,
+			RunTimes:     c.runTimes,
+			SpotReclaims: c.spotReclaims,
+			Topology:     c.TopologyTracker,
+			Policies:     c.policies,
+			Deadlines:    c.Deadlines,
+		},
+		c.Stats,
+		c.log,
+	)
+}
+
+// newServers makes the servers of workers' heartbeats and of users' jobs.
+func (c *Controller) newServers() {
+	c.Heartbeats = server.NewHeartbeatServer(
+		c.set,
+		server.HeartbeatServerParts{
+			Cache:       c.cache,
+			Committer:   c.committer,
+			Membership:  c.membership,
+			Registry:    c.registry,
+			Failures:    c.failures,
+			Topology:    c.TopologyTracker,
+			Scheduler:   c.scheduler,
+			Completions: c.completions,
+			Exchange:    c.exchange,
+		},
+		c.Stats,
+		c.log,
+	)
+	c.Jobs = server.NewJobServer(
+		c.set,
+		server.JobServerParts{
+			Cache:     c.cache,
+			Committer: c.committer,
+			Policies:  c.policies,
+			Archiver:  c.archiver,
+			Deadlines: c.Deadlines,
+		},
+		c.Stats,
+		c.log,
+	)
+}
+
+// newLeader makes the loop that adjusts the fleet while this controller leads.
+func (c *Controller) newLeader() {
+	c.leader = leader.New(
+		c.set,
+		c.store,
+		leader.Parts{
+			Cache:        c.cache,
+			Committer:    c.committer,
+			Membership:   c.membership,
+			Registry:     c.registry,
+			Failures:     c.failures,
+			SpotReclaims: c.spotReclaims,
+			Scheduler:    c.scheduler,
+			Policies:     c.policies,
+			Completions:  c.completions,
+		},
+		c.Stats,
+		c.log,
+	)
+}
+
+// newWorkflows makes the runner of workflows, which submits their steps to the job server.
+func (c *Controller) newWorkflows() {
+	c.Workflows = runner.New(
+		c.set,
+		c.store,
+		runner.Parts{
+			Cache:      c.cache,
+			Committer:  c.committer,
+			Membership: c.membership,
+			Failures:   c.failures,
+			Scheduler:  c.scheduler,
+			Jobs:       c.Jobs,
+			Archiver:   c.archiver,
+			Deadlines:  c.Deadlines,
+		},
+		c.Stats,
+		c.log,
+	)
+}
+
+// Limits returns the limits of a deployment's state service and of its teams.
+func Limits(set *settings.Settings) ledger.Limits {
+	limits := ledger.Limits{
+		ValueBytes:      set.ValueBytes(),
+		TxnOps:          set.Cluster.State.TxnOps,
+		TxnBytes:        kvstore.TxnBytes,
+		TeamMax:         map[wire.Team]ledger.Resources{},
+		ControllerCount: 1 + len(set.Peers),
+	}
+	for _, peer := range set.Peers {
+		if peer.Member < set.Member {
+			limits.ControllerIndex++
+		}
+	}
+	for _, team := range set.Cluster.Teams {
+		if team.Capped() {
+			limits.TeamMax[team.Name] = ledger.NewResources(team.CPUsMax, team.GPUsMax, 0)
+		}
+	}
+	return limits
+}
+
+// membershipOptions returns the options of the view of the other controllers.
+func membershipOptions(set *settings.Settings) membership.Options {
+	options := membership.Options{
+		Self:       set.Member,
+		Count:      set.Cluster.Count,
+		Contact:    settings.StartContact,
+		ValueBytes: set.ValueBytes(),
+	}
+	for _, peer := range set.Peers {
+		options.Others = append(options.Others, peer.Member)
+	}
+	return options
+}
+
+// archiverOptions returns the options of the archiver of finished jobs.
+func archiverOptions(set *settings.Settings) archiver.Options {
+	operators, service := set.Operators, set.Cluster.State
+	return archiver.Options{
+		Archive:    operators.Archive,
+		Kept:       operators.KeptJobs,
+		Settle:     operators.Settle,
+		FormatUpTo: operators.FormatUpTo,
+		TxnOps:     service.TxnOps,
+		Requests:   service.RPS / float64(set.Cluster.Count),
+		Changes:    service.WriteRPS,
+	}
+}
+
+// SetPlugins switches policy modules on, before Run. If keys are given, only modules signed by one
+// of them are accepted. The initial module is used where no policy was ever chosen.
+func (c *Controller) SetPlugins(
+	keys []ed25519.PublicKey,
+	bounds plugin.Bounds,
+	starve time.Duration,
+	initial policymanager.Initial,
+) {
+	c.policies.Set(func(o *policymanager.Options) {
+		o.On, o.Keys, o.Bounds, o.Starve, o.Initial, o.Limits = true, keys, bounds, starve, initial, Limits(c.set)
+	})
+}
+
+// RecordPasses calls f with every scheduling pass over the queue. f must not retain the pass.
+func (c *Controller) RecordPasses(f func(*policy.Pass)) {
+	c.policies.Set(func(o *policymanager.Options) { o.Record = f })
+}
--- a/internal/controller/core_test.go
+++ b/internal/controller/controller_test.go
@@ -3,13 +3,14 @@
 import (
 	"io"
 	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/internal/testing/emulator"
 	"maddermill/wire"
-	"testing"
-	"testing/synctest"
-	"time"
 )
 
 func quietCore(t testing.TB, member int) *Controller {
--- a/internal/controller/first_test.go
+++ b/internal/controller/first_test.go
@@ -60,7 +60,7 @@
 				ctx, cancel := context.WithCancel(b.Context())
 				began, used := time.Now(), cpuUsed()
 				c := New(testSettings(b, 0), link, slog.New(slog.DiscardHandler))
-				c.register(fullCloud{[]wire.MachineType{flavor}})
+				c.registerComponents(fullCloud{[]wire.MachineType{flavor}})
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Components.Run(ctx) })
 				for _, r := range f.Reports {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -177,7 +177,7 @@
 		c.set.Operators.IdleBoots = 1000
 	}
 	if h.past {
-		opt := pastOptions(c.set)
+		opt := archiverOptions(c.set)
 		opt.Kept, opt.SweepAfter, opt.Settle = 0, 1, h.settle()
 		c.archiver = archiver.New(host{c}, c.store, opt, c.Stats, c.log)
 	}
@@ -194,7 +194,7 @@
 	h.mu.Lock()
 	h.cores[i], h.lives[i], h.stop[i] = c, ctx, cancel
 	h.mu.Unlock()
-	c.register(frozenCloud{h.cloud, h.links[i], func(step string) { h.step(i, step) }})
+	c.registerComponents(frozenCloud{h.cloud, h.links[i], func(step string) { h.step(i, step) }})
 	h.group.Go(func() { _ = c.Components.Run(ctx) })
 	h.group.Go(func() {
 		for ctx.Err() == nil {
@@ -207,7 +207,7 @@
 				if o != i && p != nil && !cut && h.links[i].Frozen() <= 0 && h.links[o].Frozen() <= 0 {
 					asked := time.Now()
 					wait.For(ctx, 3*time.Millisecond)
-					c.heardPeer(peer.Answer{Status: p.statusFor(c.questionTo(p.set.Member)), AsOf: asked})
+					c.mergeAnswer(peer.Answer{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
 				}
 			}
 		}
--- a/internal/controller/places_test.go
+++ b/internal/controller/places_test.go
@@ -179,7 +179,7 @@
 			p.Machines = append(p.Machines, peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1})
 		}
 	})
-	c.heardPeer(peer.Answer{Status: p, AsOf: now})
+	c.mergeAnswer(peer.Answer{Status: p, AsOf: now})
 	pass := func(seconds int) (down bool) {
 		for range seconds {
 			now = now.Add(time.Second)
--- /dev/null
+++ b/internal/controller/status.go
@@ -0,0 +1,171 @@
+package controller
+
+import (
+	"math"
+	"time"
+
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/server/reconcile"
+	"maddermill/internal/settings"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+const (
+	// maxSharedCancellations is how many cancellations one status lists at most.
+	maxSharedCancellations = 400
+	// maxHeartbeatAge is how long after its last heartbeat a worker is still listed to peers.
+	maxHeartbeatAge = 2 * time.Minute
+)
+
+// Topology returns the declared topology with its machines and the gangs on them, as this
+// controller sees them, and false if none is declared.
+func (c *Controller) Topology(now time.Time) (wire.TopologyView, bool) {
+	return c.TopologyTracker.Topology(now, c.scheduler.Snapshot)
+}
+
+// Judgements returns the verdicts on the machines that report here, with the evidence, and false
+// if quarantine by evidence is switched off.
+func (c *Controller) Judgements() (judgements []wire.Judgement, enabled bool) {
+	c.cache.Read(func(*ledger.Ledger) {
+		var machines []wire.MachineID
+		c.registry.Each(func(w *reconcile.Worker) { machines = append(machines, w.ID) })
+		judgements, enabled = c.failures.Judgements(machines), c.failures.QuarantineEnabled()
+	})
+	return judgements, enabled
+}
+
+// answerProbe returns the status of this controller for a peer that probes it, with the
+// cancellations since the peer's revision and the completions that it asks for.
+func (c *Controller) answerProbe(probe peer.Status) peer.Status {
+	c.membership.ObserveProbe(probe.Member, time.Now())
+	status := c.status()
+	c.cache.Read(func(l *ledger.Ledger) {
+		c.exchange.Answer(probe, &status, time.Now())
+		if status.Cancelled <= probe.Revision {
+			return
+		}
+		// The records may have advanced since the status was made. It must list every
+		// cancellation up to the revision that it confirms, so both are read here.
+		missing, complete := l.CancelledSince(probe.Revision)
+		status.Since, status.Cancelled = probe.Revision, l.LastCancel()
+		if missing.Len() <= maxSharedCancellations {
+			status.CancelledJobs, status.CancelledWorkflows = missing.Jobs, missing.Workflows
+			status.CancellationsComplete = complete
+		}
+	})
+	return status
+}
+
+// probe returns what this controller sends when it probes a peer: its revision, and the
+// completions that it asks the peer for.
+func (c *Controller) probe(member wire.MemberID) peer.Status {
+	probe := peer.Status{Member: c.set.Member}
+	c.cache.Read(func(l *ledger.Ledger) {
+		probe.Revision = l.Revision()
+		c.exchange.Request(member, &probe)
+	})
+	return probe
+}
+
+// publishedStatus returns the status for peers that the mesh does not reach, which find it in the
+// state service, and false before the records are loaded.
+func (c *Controller) publishedStatus() (status peer.Status, ok bool) {
+	if !c.Jobs.Loaded() {
+		return status, false
+	}
+	return c.status(), true
+}
+
+// status returns the status of this controller that is shared with peers.
+func (c *Controller) status() peer.Status {
+	c.cache.Lock()
+	defer c.cache.Unlock()
+	records, now := c.cache.Records(), time.Now()
+	status := peer.Status{
+		Version:   peer.Version,
+		Member:    c.set.Member,
+		Boot:      c.boot.UnixMilli(),
+		Revision:  records.Revision(),
+		Cancelled: records.LastCancel(),
+		ContactMS: math.MaxInt32,
+		Loaded:    c.cache.Loaded(),
+		MaxFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo),
+	}
+	if syncedAt := c.cache.SyncedAt(); !syncedAt.IsZero() {
+		status.ContactMS = now.Sub(syncedAt).Milliseconds()
+	}
+	status.Failures = c.failures.FailuresToShare(now)
+	status.Classes = c.runTimes.Classes()
+	status.Modules = c.policies.Modules(records)
+	status.Suspects = c.failures.SuspectsToShare(now)
+	status.PreemptionReservations = c.scheduler.PreemptionReservations(now)
+	status.GangPartitions = c.TopologyTracker.Partitions(now)
+	status.GangReservations = c.scheduler.GangReservations(now)
+	status.RegisterEdition = c.Deadlines.RegisterEdition()
+	c.registry.Each(func(w *reconcile.Worker) {
+		if now.Sub(w.LastHeartbeat) <= maxHeartbeatAge {
+			status.Machines = append(status.Machines, c.machineStatus(records, w, now))
+		}
+	})
+	return status
+}
+
+// machineStatus returns the status of a machine whose worker reports here. It must be called under
+// the cache's lock, inside of registry.Each.
+func (c *Controller) machineStatus(records *ledger.Ledger, w *reconcile.Worker, now time.Time) peer.Machine {
+	machine := peer.Machine{
+		ID:            w.ID,
+		Type:          w.Type,
+		Zone:          w.Zone,
+		Spot:          w.Spot,
+		Session:       w.Session,
+		Token:         w.CommandToken,
+		Endpoint:      c.TopologyTracker.EndpointOf(w),
+		AgeMS:         now.Sub(w.LastHeartbeat).Milliseconds(),
+		Usable:        c.scheduler.Usable(w, now),
+		Faulty:        c.failures.Faulty(records, w.ID, now),
+		Slow:          c.failures.Slow(w.ID),
+		UnreachableMS: w.UnreachableFor(now).Milliseconds(),
+	}
+	if machine.Faulty {
+		machine.QuarantineReason = c.failures.QuarantineReason(w.ID)
+	}
+	if !w.ReclaimAt.IsZero() {
+		machine.ReclaimMS = max(1, w.ReclaimAt.Sub(now).Milliseconds())
+	}
+	if images := c.registry.KnownImages(w); images != nil {
+		images.Fetches(now, c.set.Operators.FetchMark)
+		machine.Images, machine.Fetching = images.Names(), images.ListFetching()
+	}
+	return machine
+}
+
+// cancellations returns the cancellations that a peer's status lists.
+func cancellations(status *peer.Status) ledger.Cancellations {
+	return ledger.Cancellations{Jobs: status.CancelledJobs, Workflows: status.CancelledWorkflows}
+}
+
+// mergeAnswer merges a peer's answer to a probe into the parts that use it.
+func (c *Controller) mergeAnswer(answer peer.Answer) {
+	status, asOf := &answer.Status, answer.AsOf
+	c.cache.Read(func(l *ledger.Ledger) {
+		l.MarkCancelling(cancellations(status))
+		now := time.Now()
+		c.exchange.Merge(
+			status,
+			c.Heartbeats.CompletionUnrecorded,
+			!c.cache.SyncedWithin(now, settings.StartContact),
+			now,
+		)
+		// After MarkCancelling: from here on the peer may confirm that these records know all
+		// cancellations.
+		c.membership.ObserveStatus(*status, asOf)
+		c.failures.MergeSuspects(l, status.Suspects, asOf)
+		c.failures.MergeFailures(status.Failures)
+		c.TopologyTracker.MergePartitions(status.GangPartitions, asOf)
+		c.scheduler.ObservePreemptionReservations(status.Member, status.PreemptionReservations, asOf, time.Now())
+		c.scheduler.ObserveGangReservations(status.Member, status.GangReservations, asOf, time.Now())
+	})
+}
--- a/internal/controller/waits_test.go
+++ b/internal/controller/waits_test.go
@@ -69,7 +69,7 @@
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
-	c.register(fullCloud{[]wire.MachineType{flavor}})
+	c.registerComponents(fullCloud{[]wire.MachineType{flavor}})
 	running.Go(func() { _ = c.Components.Run(ctx) })
 	every := func(period time.Duration, first time.Duration, do func()) {
 		running.Go(func() {
@@ -82,8 +82,8 @@
 		})
 	}
 	for _, s := range f.Peers {
-		every(time.Second, 0, func() { c.heardPeer(peer.Answer{Status: s, AsOf: time.Now()}) })
-		every(time.Second, 500*time.Millisecond, func() { _, _ = cbor.Marshal(c.statusFor(s)) })
+		every(time.Second, 0, func() { c.mergeAnswer(peer.Answer{Status: s, AsOf: time.Now()}) })
+		every(time.Second, 500*time.Millisecond, func() { _, _ = cbor.Marshal(c.answerProbe(s)) })
 	}
 	for ready := false; !ready; {
 		c.cache.Read(func(*ledger.Ledger) { ready = c.cache.Token() != 0 })
