--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -23,8 +23,8 @@
 	"maddermill/wire"
 )
 
-// summary makes what the records hold of so many archived jobs and machines that are gone.
-func summary(tb testing.TB, over int, valueBytes int) (items []wire.Item) {
+// archivedRecords makes what the records hold of so many archived jobs and machines that are gone.
+func archivedRecords(tb testing.TB, over int, valueBytes int) (items []wire.Item) {
 	tb.Helper()
 	put := func(key string, v any) {
 		b, err := json.Marshal(v)
@@ -78,22 +78,22 @@
 	return items
 }
 
-// shelf is a state service that only holds what it was given, and counts what is asked of it.
-type shelf struct {
+// staticStore is a state service that only holds what it was given, and counts what is asked of it.
+type staticStore struct {
 	kvstore.Store
 	items       []wire.Item // in order
 	lists, gets int
 	bytes       int
 }
 
-func newShelf(items []wire.Item) *shelf {
+func newStaticStore(items []wire.Item) *staticStore {
 	slices.SortFunc(items, func(a, b wire.Item) int { return strings.Compare(a.Key, b.Key) })
-	return &shelf{items: items}
+	return &staticStore{items: items}
 }
 
-func (s *shelf) Revision(context.Context) (wire.Revision, error) { return 1, nil }
+func (s *staticStore) Revision(context.Context) (wire.Revision, error) { return 1, nil }
 
-func (s *shelf) Get(_ context.Context, key string) (wire.Item, error) {
+func (s *staticStore) Get(_ context.Context, key string) (wire.Item, error) {
 	s.gets++
 	at, ok := slices.BinarySearchFunc(
 		s.items,
@@ -107,7 +107,7 @@
 }
 
 // List answers as the protocol says: at most 1,000 items and 512 KiB.
-func (s *shelf) List(_ context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
+func (s *staticStore) List(_ context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
 	s.lists++
 	at, found := slices.BinarySearchFunc(
 		s.items,
@@ -130,8 +130,8 @@
 	return p, nil
 }
 
-// active makes records of jobs that are not over and of those that are and stay.
-func active(jobs, over int) (items []wire.Item) {
+// activeRecords makes records of jobs that are not over and of those that are and stay.
+func activeRecords(jobs, over int) (items []wire.Item) {
 	for i := range jobs + over {
 		id := fmt.Sprintf("wk-9%08d", i)
 		end := `,"a":3,"c":[[3,"host-9999999","a",1,1,0,1]]`
@@ -163,16 +163,16 @@
 	for _, valueKB := range []int{4, 32} {
 		for _, over := range []int{0, 100_000, 1_000_000} {
 			b.Run(fmt.Sprintf("%dKiB/%d", valueKB, over), func(b *testing.B) {
-				reload(b, append(summary(b, over, valueKB<<10), active(2000, 1000)...))
+				reload(b, append(archivedRecords(b, over, valueKB<<10), activeRecords(2000, 1000)...))
 			})
 		}
 	}
-	b.Run("old/100000", func(b *testing.B) { reload(b, active(2000, 101_000)) })
+	b.Run("old/100000", func(b *testing.B) { reload(b, activeRecords(2000, 101_000)) })
 }
 
 func reload(b *testing.B, items []wire.Item) {
-	s := newShelf(items)
-	c := coreOn(b, s)
+	s := newStaticStore(items)
+	c := newTestControllerOn(b, s)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -189,12 +189,12 @@
 	runtime.KeepAlive(c)
 }
 
-// TestReadsOfTheArchive counts what polls cost: of a job in the archive one read, however many
+// TestArchiveReads counts what polls cost: of a job in the archive one read, however many
 // ask and however often; of an unknown one hardly ever any. Neither is told before the ledger
 // is fresh, unless it was told before.
-func TestReadsOfTheArchive(t *testing.T) {
+func TestArchiveReads(t *testing.T) {
 	const over = 60_000
-	items := append(summary(t, over, 4096), active(50, 10)...)
+	items := append(archivedRecords(t, over, 4096), activeRecords(50, 10)...)
 	for i := range 2000 {
 		items = append(
 			items,
@@ -205,9 +205,9 @@
 			},
 		)
 	}
-	s := newShelf(items)
+	s := newStaticStore(items)
 	synctest.Test(t, func(t *testing.T) {
-		c := coreOn(t, s)
+		c := newTestControllerOn(t, s)
 		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -257,19 +257,19 @@
 	})
 }
 
-// slowShelf takes its time over each page.
-type slowShelf struct{ *shelf }
+// slowStaticStore takes its time over each page.
+type slowStaticStore struct{ *staticStore }
 
-func (s slowShelf) List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
+func (s slowStaticStore) List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
 	time.Sleep(300 * time.Millisecond)
-	return s.shelf.List(ctx, prefix, after, min(limit, 50))
+	return s.staticStore.List(ctx, prefix, after, min(limit, 50))
 }
 
-// TestReadingAnewAnswersWorkers: the watch fell behind, and all records are read again, which
+// TestHeartbeatsDuringReload: the watch fell behind, and all records are read again, which
 // takes a while. Workers are answered from the ledger before until that is done.
-func TestReadingAnewAnswersWorkers(t *testing.T) {
+func TestHeartbeatsDuringReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := coreOn(t, slowShelf{newShelf(append(summary(t, 1000, 4096), active(400, 200)...))})
+		c := newTestControllerOn(t, slowStaticStore{newStaticStore(append(archivedRecords(t, 1000, 4096), activeRecords(400, 200)...))})
 		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -312,16 +312,16 @@
 	})
 }
 
-// TestRoll: controllers of the version before, as far as their records go, are replaced one by
+// TestRollingUpgrade: controllers of the version before, as far as their records go, are replaced one by
 // one and back again while jobs run. Nothing is moved before all read the new format and what
 // the old ones sent can no longer land late; afterwards it is, and nothing is lost.
-func TestRoll(t *testing.T) {
+func TestRollingUpgrade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, 11)
-		h.quiet, h.past = true, true
-		h.upTo = []int{1, 1, 1}
+		cluster := newTestCluster(t, 11)
+		cluster.noRandomFaults, cluster.archiving = true, true
+		cluster.formatUpTo = []int{1, 1, 1}
 		format := func() (f ledger.FormatRecord) {
-			it, err := h.links[0].Get(t.Context(), ledger.FormatKey)
+			it, err := cluster.links[0].Get(t.Context(), ledger.FormatKey)
 			if err == nil {
 				err = json.Unmarshal(it.Value, &f)
 			}
@@ -331,20 +331,20 @@
 			return f
 		}
 		archived := func() (n int) {
-			for _, it := range h.store.Items() {
+			for _, it := range cluster.store.Items() {
 				if ledger.IsFinalKey(it.Key) {
 					n++
 				}
 			}
 			return n
 		}
-		h.also = func(ctx context.Context) {
-			h.group.Go(func() {
+		cluster.onStart = func(ctx context.Context) {
+			cluster.group.Go(func() {
 				roll := func(i, to int) {
-					h.crash(i)
-					h.upTo[i] = to
+					cluster.crash(i)
+					cluster.formatUpTo[i] = to
 					wait.For(ctx, 5*time.Second)
-					h.startCore(ctx, i)
+					cluster.startController(ctx, i)
 					wait.For(ctx, 25*time.Second)
 				}
 				roll(0, 0)
@@ -359,47 +359,47 @@
 				if f.Format != ledger.NewestFormat || f.Fresh || archived() != 0 {
 					t.Errorf("format %+v and %d archived when all read it", f, archived())
 				}
-				wait.For(ctx, h.settle())
+				wait.For(ctx, settlePeriod)
 				wait.For(ctx, time.Minute)
 				if archived() == 0 {
 					t.Error("nothing is archived afterwards")
 				}
 			})
 		}
-		finished := h.play(12*time.Minute, 40, 0.03)
-		h.checkPast()
-		if len(h.world.Broken) > 0 || len(h.store.Problems) > 0 || finished < 35 {
-			t.Errorf("%d of 40 jobs ended, %v, %v", finished, h.world.Broken, h.store.Problems)
+		finished := cluster.run(12*time.Minute, 40, 0.03)
+		cluster.checkArchive()
+		if len(cluster.world.Broken) > 0 || len(cluster.store.Problems) > 0 || finished < 35 {
+			t.Errorf("%d of 40 jobs ended, %v, %v", finished, cluster.world.Broken, cluster.store.Problems)
 		}
 	})
 }
 
-// TestMigration: the records hold what a version before has left of finished jobs. They move
+// TestMigrationToArchive: the records hold what a version before has left of finished jobs. They move
 // while jobs run, controllers end and stand still, and the state service fails; afterwards each
 // is told as it ended.
-func TestMigration(t *testing.T) {
+func TestMigrationToArchive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, 17)
-		h.past = true
+		cluster := newTestCluster(t, 17)
+		cluster.archiving = true
 		const old = 400
 		for from := 0; from < old; from += 10 {
 			var txn wire.Txn
-			for _, it := range active(0, old)[from : from+10] {
+			for _, it := range activeRecords(0, old)[from : from+10] {
 				txn.Then = append(txn.Then, wire.Change{Put: it.Key, Value: it.Value})
 			}
-			if _, err := h.store.Apply(txn); err != nil {
+			if _, err := cluster.store.Apply(txn); err != nil {
 				t.Fatal(err)
 			}
 		}
 		var told int
-		h.also = func(ctx context.Context) {
-			h.group.Go(func() {
+		cluster.onStart = func(ctx context.Context) {
+			cluster.group.Go(func() {
 				wait.For(ctx, 10*time.Minute)
 				for i := range old {
 					id := wire.JobID(fmt.Sprintf("wk-9%08d", i))
-					st, ok := askAny(
+					st, ok := retryUntilAnswered(
 						ctx,
-						h,
+						cluster,
 						string(id),
 						func(ctx context.Context, c *Controller) (wire.JobStatus, error) { return c.Jobs.Status(ctx, id) },
 					)
@@ -409,47 +409,47 @@
 				}
 			})
 		}
-		h.play(14*time.Minute, 30, 0.03)
-		h.checkPast()
+		cluster.run(14*time.Minute, 30, 0.03)
+		cluster.checkArchive()
 		left := 0
-		for _, it := range h.store.Items() {
+		for _, it := range cluster.store.Items() {
 			if strings.HasPrefix(it.Key, ledger.Prefix+"j/wk-9") {
 				left++
 			}
 		}
-		if left > 0 || told != old || len(h.world.Broken) > 0 {
-			t.Errorf("%d of %d are left, %d are told, %v", left, old, told, h.world.Broken)
+		if left > 0 || told != old || len(cluster.world.Broken) > 0 {
+			t.Errorf("%d of %d are left, %d are told, %v", left, old, told, cluster.world.Broken)
 		}
 	})
 }
 
-// TestNewerRecordsAreRefused: a controller that doesn't read the records' format ends with the
+// TestNewerFormatIsRefused: a controller that doesn't read the records' format ends with the
 // reason and serves nobody; while records are imported it waits.
-func TestNewerRecordsAreRefused(t *testing.T) {
+func TestNewerFormatIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, 1)
+		cluster := newTestCluster(t, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		if _, err := h.store.Apply(
+		if _, err := cluster.store.Apply(
 			wire.Txn{Then: []wire.Change{{Put: ledger.ImportKey, Value: []byte(`{}`)}}},
 		); err != nil {
 			t.Fatal(err)
 		}
-		c := New(testSettings(t, 0), h.links[0], quietCore(t, 0).log)
+		c := New(newTestSettings(t, 0), cluster.links[0], newTestController(t, 0).log)
 		ended := make(chan error, 1)
 		go func() { ended <- c.cache.Watch(ctx) }()
 		time.Sleep(30 * time.Second)
 		if c.Jobs.Loaded() {
 			t.Error("served from records that are not complete")
 		}
-		if _, err := h.store.Apply(wire.Txn{Then: []wire.Change{{Delete: ledger.ImportKey}}}); err != nil {
+		if _, err := cluster.store.Apply(wire.Txn{Then: []wire.Change{{Delete: ledger.ImportKey}}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(30 * time.Second)
 		if !c.Jobs.Loaded() {
 			t.Error("not served after the import")
 		}
-		if _, err := h.store.Apply(
+		if _, err := cluster.store.Apply(
 			wire.Txn{Then: []wire.Change{{Put: ledger.FormatKey, Value: []byte(`{"n":99}`)}}},
 		); err != nil {
 			t.Fatal(err)
@@ -477,11 +477,11 @@
 		seed = n
 	}
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, seed)
-		h.past = true
+		cluster := newTestCluster(t, seed)
+		cluster.archiving = true
 		type weight struct{ keys, bytes, archived int }
 		weigh := func() (w weight) {
-			for _, it := range h.store.Items() {
+			for _, it := range cluster.store.Items() {
 				if strings.HasPrefix(it.Key, ledger.Prefix) {
 					w.keys++
 					w.bytes += len(it.Key) + len(it.Value)
@@ -493,19 +493,19 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		h.begin(ctx, 4, 0.02)
+		cluster.start(ctx, 4, 0.02)
 		finished, began, early := 0, time.Now(), weight{}
 		for n := 0; time.Since(began) < length; n++ {
-			spec, cancelAfter := h.spec(n), time.Duration(0)
+			spec, cancelAfter := cluster.randomSpec(n), time.Duration(0)
 			if n%4 == 0 {
 				cancelAfter = 30 * time.Second
 			}
-			h.group.Go(func() { h.user(ctx, spec, cancelAfter, &finished) })
+			cluster.group.Go(func() { cluster.runUser(ctx, spec, cancelAfter, &finished) })
 			wait.For(ctx, 90*time.Second)
 			if n%3 == 2 {
-				h.group.Go(func() { h.trouble(ctx) })
+				cluster.group.Go(func() { cluster.injectFault(ctx) })
 			}
-			h.world.Check()
+			cluster.world.Check()
 			if early.keys == 0 && time.Since(began) > length/5 {
 				early = weigh()
 			}
@@ -515,12 +515,12 @@
 		}
 		wait.For(ctx, 5*time.Minute) // for the last ones
 		late := weigh()
-		h.finish(cancel)
-		h.checkPast()
-		for _, b := range h.world.Broken {
+		cluster.shutDown(cancel)
+		cluster.checkArchive()
+		for _, b := range cluster.world.Broken {
 			t.Errorf("broken: %s", b)
 		}
-		for _, p := range h.store.Problems {
+		for _, p := range cluster.store.Problems {
 			t.Errorf("state service: %s", p)
 		}
 		t.Logf("%d jobs ended; early %+v, late %+v", finished, early, late)
--- /dev/null
+++ b/internal/controller/cluster_test.go
@@ -0,0 +1,432 @@
+package controller
+
+// The tests of this package run on an emulated cluster: several controllers with all their
+// components, a state service, a cloud, workers and users in one process, on the fake clock of a
+// synctest bubble. Minutes of a deployment's life take milliseconds, and all randomness comes from
+// the seed of the test.
+//
+//   - cluster_test.go has testCluster itself: its settings, start, run and end.
+//   - workers_test.go has the heartbeat loop of a worker, with heartbeats and responses that are
+//     lost, late or duplicated.
+//   - users_test.go has the users, who submit, poll and cancel jobs at any controller.
+//   - rules_test.go has the rules that must hold whatever happens. A job's state as users see it
+//     never goes back, and the archive agrees with the records. The rules about machines (no task
+//     runs twice, a cancelled one ends in time, a gang starts whole, a team keeps its limit, ...)
+//     are checked by emulator.World.
+//   - faults_test.go has what can go wrong: crashes, pauses, partitions, outages.
+//   - steps_test.go names the steps of a controller's work, so that a fault can hit at one of them.
+//   - restart_scenario_test.go has a cluster whose controllers crash and restart while users poll
+//     through a balancer; fault_plan_test.go has a language for plans of several faults.
+//
+// HISTORY_SEEDS asks for more seeds than CI plays, HISTORY_LOG for the controllers' logs on stderr.
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/scheduler/topology"
+	"maddermill/internal/settings"
+	"maddermill/internal/state/archiver"
+	"maddermill/internal/state/ledger"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
+	"maddermill/internal/workflow/stepdata"
+	"maddermill/wire"
+)
+
+// settlePeriod is how long after a change of the records' format nothing is archived.
+const settlePeriod = 2 * time.Minute
+
+// testCluster is an emulated cluster. The exported fields of the emulators and the fields up to
+// group are set before start.
+type testCluster struct {
+	t     *testing.T
+	seed  uint64
+	size  int // number of controllers
+	world *emulator.World
+	store *emulator.Store
+	cloud *emulator.Cloud
+	links []*emulator.Link // of each controller to the state service
+
+	// What goes wrong by itself.
+	noRandomFaults    bool    // run injects no faults
+	reliableMessages  bool    // no heartbeat or response is late or lost, and idle machines are kept
+	duplicateMessages bool    // messages that were carried out may arrive once more, late
+	lossShare         float64 // share of transactions without an answer
+	pauseAtStep       string  // the step at which a controller pauses, once
+
+	// Settings of the controllers.
+	adjustSettings func(*settings.Settings) // changes the settings of all controllers, if given
+	configure      func(*Controller)        // called with each new controller, if given
+	archiving      bool                     // finished jobs are archived at once
+	formatUpTo     []int                    // newest format of records of each controller; 0: the newest
+	topology       *topology.Tree           // declared to all controllers, if given
+	stepData       stepdata.Store           // switches workflows on, if given
+
+	// Hooks, called if given.
+	onStart     func(context.Context)                        // with the jobs of run
+	onStep      func(i int, step string)                     // at each step of controller i
+	onHeartbeat func(at int, r *wire.Heartbeat)              // with each heartbeat that is sent to controller at
+	onLog       func(msg string, attributes map[string]any)  // with each line that a controller logs
+	unreachable func(machine *emulator.Machine) (hangs bool) // with each machine that starts
+
+	group    sync.WaitGroup // all goroutines of the cluster
+	observed observedStates
+
+	mu               sync.Mutex // guards the fields below, and rng
+	rng              *rand.Rand
+	controllers      []*Controller     // nil while one is down
+	runContexts      []context.Context // of the latest run of each
+	cancels          []context.CancelFunc
+	meshCut          []bool // from the mesh
+	pausedAtStep     bool
+	stopped          bool
+	losesResponses   map[wire.MachineID]bool // heartbeats of these machines arrive, their responses don't
+	losesHeartbeats  map[wire.MachineID]bool // heartbeats of these machines reach no controller
+	partitionedZones map[wire.Zone]int       // zones that are cut off, each with a controller; -1: with none
+	capturing        bool                    // heartbeats are copied
+	captured         []wire.Heartbeat
+}
+
+// newTestSettings returns the settings of one of three controllers.
+func newTestSettings(t testing.TB, member int) *settings.Settings {
+	t.Helper()
+	return controllertest.Settings(t, member)
+}
+
+// newTestCluster returns a cluster with three controllers.
+func newTestCluster(t *testing.T, seed uint64) *testCluster {
+	t.Helper()
+	return newTestClusterOf(t, seed, 3, nil)
+}
+
+// newTestClusterOf returns a cluster with so many controllers, whose settings are changed by
+// adjustSettings if it is given.
+func newTestClusterOf(
+	t *testing.T,
+	seed uint64,
+	size int,
+	adjustSettings func(*settings.Settings),
+) *testCluster {
+	t.Helper()
+	cluster := &testCluster{
+		t:                t,
+		seed:             seed,
+		size:             size,
+		adjustSettings:   adjustSettings,
+		rng:              rand.New(rand.NewPCG(seed, 2)),
+		controllers:      make([]*Controller, size),
+		runContexts:      make([]context.Context, size),
+		cancels:          make([]context.CancelFunc, size),
+		meshCut:          make([]bool, size),
+		formatUpTo:       make([]int, size),
+		losesResponses:   map[wire.MachineID]bool{},
+		losesHeartbeats:  map[wire.MachineID]bool{},
+		partitionedZones: map[wire.Zone]int{},
+		observed:         observedStates{latest: map[wire.JobID]wire.Status{}},
+	}
+	set := cluster.settings(0)
+	cluster.world = emulator.NewWorld(set.Cluster.Workers.Cancel.Duration())
+	cluster.world.TeamMax["capped"] = 4
+	cluster.store = emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+	cluster.cloud = &emulator.Cloud{
+		World: cluster.world,
+		Lag:   4 * time.Second,
+		Lease: set.Cluster.Workers.Lease.Duration(),
+		Most:  12,
+		Run:   func(t wire.TaskID) time.Duration { return time.Duration(5+int(t.Index)*7%40) * time.Second },
+		Types: []wire.MachineType{
+			{
+				Name:      "g2",
+				CPUs:      8,
+				GPUs:      2,
+				MemoryGB:  32,
+				CacheGB:   50,
+				FetchGBps: 1,
+				Price:     4,
+				SpotPrice: 1,
+				Boot:      20,
+				Zones:     []wire.Zone{"a", "b"},
+			},
+		},
+	}
+	for i := range size {
+		link := emulator.NewLink(cluster.store, seed*10+uint64(i))
+		link.Step = func(t wire.Txn, applied bool) { cluster.reachStep(i, transactionStep(t, applied)) }
+		cluster.links = append(cluster.links, link)
+	}
+	return cluster
+}
+
+// newQuietCluster returns a cluster in which only what the test does goes wrong.
+func newQuietCluster(t *testing.T, seed uint64, size int) *testCluster {
+	t.Helper()
+	cluster := newTestClusterOf(t, seed, size, nil)
+	cluster.noRandomFaults, cluster.reliableMessages = true, true
+	return cluster
+}
+
+// settings returns the settings of a controller.
+func (cluster *testCluster) settings(i int) *settings.Settings {
+	set := controllertest.SettingsOf(cluster.t, i, cluster.size)
+	if cluster.adjustSettings != nil {
+		cluster.adjustSettings(set)
+	}
+	return set
+}
+
+// randomInt returns a random number below n.
+func (cluster *testCluster) randomInt(n int) int {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.rng.IntN(n)
+}
+
+// controller returns a controller, nil while it is down.
+func (cluster *testCluster) controller(i int) *Controller {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.controllers[i]
+}
+
+// logger returns the logger of a controller.
+func (cluster *testCluster) logger(i int) *slog.Logger {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	if os.Getenv("HISTORY_LOG") != "" {
+		log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("member", i)
+	}
+	if cluster.onLog != nil {
+		log = slog.New(logObserver{log.Handler(), cluster.onLog})
+	}
+	return log
+}
+
+// newController returns a controller with the settings of the cluster.
+func (cluster *testCluster) newController(i int) *Controller {
+	set := cluster.settings(i)
+	if cluster.archiving {
+		set.Operators.FormatUpTo = cluster.formatUpTo[i]
+	}
+	c := New(set, cluster.links[i], cluster.logger(i))
+	if cluster.reliableMessages {
+		c.set.Operators.IdleBoots = 1000
+	}
+	if cluster.archiving {
+		options := archiverOptions(c.set)
+		options.Kept, options.SweepAfter, options.Settle = 0, 1, settlePeriod
+		c.archiver = archiver.New(host{c}, c.store, options, c.Stats, c.log)
+	}
+	if cluster.stepData != nil {
+		c.Workflows.Set(cluster.stepData)
+	}
+	if cluster.topology != nil {
+		c.TopologyTracker.Set(cluster.topology)
+	}
+	if cluster.configure != nil {
+		cluster.configure(c)
+	}
+	return c
+}
+
+// startController starts a controller, which must be down.
+func (cluster *testCluster) startController(ctx context.Context, i int) {
+	c := cluster.newController(i)
+	ctx, cancel := context.WithCancel(ctx)
+	cluster.mu.Lock()
+	cluster.controllers[i], cluster.runContexts[i], cluster.cancels[i] = c, ctx, cancel
+	cluster.mu.Unlock()
+	c.registerComponents(pausableCloud{
+		Cloud: cluster.cloud,
+		link:  cluster.links[i],
+		step:  func(step string) { cluster.reachStep(i, step) },
+	})
+	cluster.group.Go(func() { _ = c.Components.Run(ctx) })
+	cluster.group.Go(func() {
+		for ctx.Err() == nil {
+			wait.For(ctx, time.Second)
+			for other := range cluster.size {
+				cluster.probe(ctx, c, i, other)
+			}
+		}
+	})
+}
+
+// probe has controller i probe another over the mesh, if both are up, connected and not paused.
+func (cluster *testCluster) probe(ctx context.Context, c *Controller, i, other int) {
+	p := cluster.controller(other)
+	cluster.mu.Lock()
+	cut := cluster.meshCut[i] || cluster.meshCut[other]
+	cluster.mu.Unlock()
+	if other == i || p == nil || cut || cluster.links[i].Frozen() > 0 || cluster.links[other].Frozen() > 0 {
+		return
+	}
+	asked := time.Now()
+	wait.For(ctx, 3*time.Millisecond)
+	c.mergeAnswer(peer.Answer{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
+}
+
+// restart starts a controller unless it is up.
+func (cluster *testCluster) restart(ctx context.Context, i int) {
+	if ctx.Err() == nil && cluster.controller(i) == nil {
+		cluster.startController(ctx, i)
+	}
+}
+
+// leader returns the fleet's leader, or the first controller if there is none.
+func (cluster *testCluster) leader() int {
+	at, _ := cluster.leadership()
+	return max(0, at)
+}
+
+// leadership returns the fleet's leader and the version of its record, by the newest records that a
+// controller has; -1: nobody leads.
+func (cluster *testCluster) leadership() (at int, since wire.Revision) {
+	at = -1
+	for i := range cluster.size {
+		c := cluster.controller(i)
+		if c == nil {
+			continue
+		}
+		c.cache.Read(func(l *ledger.Ledger) {
+			record, version := l.Leader()
+			if version <= since {
+				return
+			}
+			since = version
+			if _, err := fmt.Sscanf(string(record.Member), "m-%d", &at); err != nil && record.Member != "" {
+				cluster.t.Errorf("leader record: member %q: %v", record.Member, err)
+			}
+		})
+	}
+	return at, since
+}
+
+// start starts machines and all controllers. Each transaction loses its answer with the
+// probability lossShare.
+func (cluster *testCluster) start(ctx context.Context, machines int, lossShare float64) {
+	cluster.lossShare = lossShare
+	for _, link := range cluster.links {
+		link.SetLossy(lossShare)
+	}
+	cluster.cloud.Started = func(machine *emulator.Machine) {
+		if cluster.unreachable != nil && cluster.unreachable(machine) {
+			machine.Hang(true)
+		}
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		if !cluster.stopped { // a machine may come up while the group is already waited for
+			cluster.group.Go(func() { cluster.runWorker(ctx, machine) })
+		}
+	}
+	for i := range machines {
+		cluster.cloud.Add("g2", []wire.Zone{"a", "b"}[i%2], i%2 == 1)
+	}
+	for i := range cluster.size {
+		cluster.startController(ctx, i)
+	}
+}
+
+// run starts the cluster, has users submit jobs in its first two thirds, and ends it. It returns how many
+// jobs were finished.
+func (cluster *testCluster) run(length time.Duration, jobs int, lossShare float64) (finished int) {
+	ctx, cancel := context.WithCancel(cluster.t.Context())
+	defer cancel()
+	cluster.start(ctx, 4, lossShare)
+	if cluster.onStart != nil {
+		cluster.onStart(ctx)
+	}
+	for i := range jobs {
+		spec := cluster.randomSpec(i)
+		// Never at once: two goroutines of a bubble whose timers are due the moment they are
+		// made run them with one context of the race detector, and it has crashed over that.
+		after := time.Millisecond + time.Duration(cluster.randomInt(int(length/time.Second)*2/3))*time.Second
+		cancelAfter := time.Duration(0)
+		if cluster.randomInt(4) == 0 {
+			cancelAfter = time.Duration(5+cluster.randomInt(60)) * time.Second
+		}
+		cluster.group.Go(func() {
+			wait.For(ctx, after)
+			cluster.runUser(ctx, spec, cancelAfter, &finished)
+		})
+	}
+	end := time.After(length)
+	for second := 0; ; second++ {
+		select {
+		case <-end:
+			cluster.shutDown(cancel)
+			return finished
+		case <-time.After(time.Second):
+			cluster.checkRules()
+			if second%12 == 11 && !cluster.noRandomFaults && time.Duration(second)*time.Second < length*2/3 {
+				cluster.group.Go(func() { cluster.injectFault(ctx) })
+			}
+		}
+	}
+}
+
+// advance lets time pass while the rules are checked.
+func (cluster *testCluster) advance(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); {
+		time.Sleep(100 * time.Millisecond)
+		cluster.checkRules()
+	}
+}
+
+// shutDown ends all that runs and waits for messages that are still on their way.
+func (cluster *testCluster) shutDown(cancel context.CancelFunc) {
+	cluster.checkRules()
+	cancel()
+	for i := range cluster.size {
+		cluster.crash(i)
+	}
+	cluster.mu.Lock()
+	cluster.stopped = true
+	cluster.mu.Unlock()
+	cluster.group.Wait()
+	time.Sleep(time.Minute)
+}
+
+// shutDownAndCheck ends all that runs and reports violated rules.
+func (cluster *testCluster) shutDownAndCheck(cancel context.CancelFunc) {
+	cluster.t.Helper()
+	cluster.shutDown(cancel)
+	cluster.reportViolations()
+}
+
+// logObserver is a log handler that also passes each line to onLog.
+type logObserver struct {
+	slog.Handler
+	onLog func(msg string, attributes map[string]any)
+}
+
+// Handle implements slog.Handler.
+func (o logObserver) Handle(ctx context.Context, r slog.Record) error {
+	attributes := map[string]any{}
+	r.Attrs(func(a slog.Attr) bool {
+		attributes[a.Key] = a.Value.Any()
+		return true
+	})
+	o.onLog(r.Message, attributes)
+	return o.Handler.Handle(ctx, r)
+}
+
+// Enabled implements slog.Handler.
+func (o logObserver) Enabled(context.Context, slog.Level) bool { return true }
+
+// seedCount is how many seeds are played; HISTORY_SEEDS asks for more.
+func seedCount() uint64 {
+	if n, err := strconv.ParseUint(os.Getenv("HISTORY_SEEDS"), 10, 32); err == nil {
+		return n
+	}
+	return 6
+}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -13,26 +13,26 @@
 	"maddermill/wire"
 )
 
-func quietCore(t testing.TB, member int) *Controller {
+func newTestController(t testing.TB, member int) *Controller {
 	t.Helper()
-	set := testSettings(t, member)
+	set := newTestSettings(t, member)
 	link := emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1))
 	return New(set, link, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// coreOn is a controller that says nothing, on a store.
-func coreOn(t testing.TB, s kvstore.Store) *Controller {
-	return New(testSettings(t, 0), s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// newTestControllerOn is a controller that says nothing, on a store.
+func newTestControllerOn(t testing.TB, s kvstore.Store) *Controller {
+	return New(newTestSettings(t, 0), s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// answerOf is what a peer tells that was asked at a time.
-var answerOf = controllertest.Answer
+// peerAnswer is what a peer tells that was asked at a time.
+var peerAnswer = controllertest.Answer
 
-// TestReportsFromBeforeAStandstill: what waited at the door while the process stood
+// TestHeartbeatsFromBeforeAPause: what waited at the door while the process stood
 // still is refused; workers gave it up long ago and report elsewhere.
-func TestReportsFromBeforeAStandstill(t *testing.T) {
+func TestHeartbeatsFromBeforeAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := quietCore(t, 0)
+		c := newTestController(t, 0)
 		now := time.Now()
 		c.cache.SetForTest(1, now)
 		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
--- a/internal/controller/promises_test.go
+++ b/internal/controller/deadlines_test.go
@@ -14,21 +14,21 @@
 	"maddermill/wire"
 )
 
-// orders are what promises are compared under: the order without galleries, that with each job's
+// promiseModes are what promises are compared under: the order without galleries, that with each job's
 // own deadline, and that with galleries.
-var orders = []string{"no galleries", "each job its date", "galleries"}
+var promiseModes = []string{"no galleries", "each job its date", "galleries"}
 
-// kept is what came of the promises of a history.
-type kept struct {
+// promiseResult is what came of the promises of a history.
+type promiseResult struct {
 	galleries, kept int
 	late            time.Duration
 }
 
-// playPromises plays twelve galleries of three jobs each on twelve machines, with more work than
+// runPromises plays twelve galleries of three jobs each on twelve machines, with more work than
 // there is room for at times. With troubles a controller, or all, ends every ten seconds.
-func playPromises(t *testing.T, seed uint64, order string, troubles bool) (k kept) {
-	r := newReturns(t, seed, 300*time.Millisecond)
-	r.past, r.copies = false, false
+func runPromises(t *testing.T, seed uint64, order string, troubles bool) (k promiseResult) {
+	r := newRestartScenario(t, seed, 300*time.Millisecond)
+	r.archiving, r.duplicateMessages = false, false
 	ctx, cancel := context.WithCancel(t.Context())
 	began := time.Now()
 	last := map[wire.JobID]time.Time{}
@@ -42,22 +42,22 @@
 	var galleries []gallery
 	var arrive []time.Duration
 	for i := range 12 {
-		first := time.Duration(r.chance(60_000)) * time.Millisecond
-		g := gallery{date: began.Add(first + time.Duration(110+r.chance(150))*time.Second).Truncate(time.Second)}
+		first := time.Duration(r.randomInt(60_000)) * time.Millisecond
+		g := gallery{date: began.Add(first + time.Duration(110+r.randomInt(150))*time.Second).Truncate(time.Second)}
 		text += fmt.Sprintf(
 			"gallery { name: \"g-%d\" team: \"free\" promised: %q complete: true",
 			i,
 			g.date.Format(time.RFC3339),
 		)
 		for k := range 3 {
-			s := r.spec(3*i + k)
-			s.Team, s.Shape, s.Tasks, s.Priority, s.Zone, s.OneZone, s.Spread, s.Spot, s.GPUs, s.Class, s.Deadline = "free", wire.Array, 1+r.chance(
+			s := r.randomSpec(3*i + k)
+			s.Team, s.Shape, s.Tasks, s.Priority, s.Zone, s.OneZone, s.Spread, s.Spot, s.GPUs, s.Class, s.Deadline = "free", wire.Array, 1+r.randomInt(
 				6,
 			), wire.Normal, nil, false, false, true, 1, "c", nil
-			if r.chance(3) == 0 {
-				s.Shape, s.Tasks = wire.Gang, 1+r.chance(5)
+			if r.randomInt(3) == 0 {
+				s.Shape, s.Tasks = wire.Gang, 1+r.randomInt(5)
 			}
-			at := first + time.Duration(r.chance(30_000))*time.Millisecond
+			at := first + time.Duration(r.randomInt(30_000))*time.Millisecond
 			if order == "each job its date" {
 				d := wire.Seconds(g.date.Sub(began.Add(at)).Seconds())
 				s.Deadline = &d
@@ -74,30 +74,30 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.plugins = func(c *Controller) { c.Deadlines.Set(reg) }
+		r.configure = func(c *Controller) { c.Deadlines.Set(reg) }
 	}
-	r.begin(ctx, 4, 0)
-	r.also(ctx)
+	r.start(ctx, 4, 0)
+	r.onStart(ctx)
 	for i := range galleries {
 		for k, s := range galleries[i].jobs {
 			r.group.Go(func() {
 				wait.For(ctx, arrive[3*i+k]+time.Millisecond)
-				r.poll(s)
+				r.pollJob(s)
 			})
 		}
 	}
-	r.every, r.most = 0, 1000
+	r.minInterval, r.maxCrashes = 0, 1000
 	for at := range 420 {
 		time.Sleep(time.Second)
 		r.world.Check()
 		if troubles && at%10 == 9 && at < 240 {
-			if r.end(at / 10 % 3); at%50 == 49 {
-				r.end((at/10 + 1) % 3)
-				r.end((at/10 + 2) % 3)
+			if r.crashAndRestart(at / 10 % 3); at%50 == 49 {
+				r.crashAndRestart((at/10 + 1) % 3)
+				r.crashAndRestart((at/10 + 2) % 3)
 			}
 		}
 	}
-	r.finish(cancel)
+	r.shutDown(cancel)
 	now := time.Now()
 	for _, g := range galleries {
 		end := time.Time{}
@@ -131,13 +131,13 @@
 	if n, err := strconv.Atoi(os.Getenv("PROMISE_SEEDS")); err == nil {
 		seeds = n
 	}
-	got := map[string]kept{}
+	got := map[string]promiseResult{}
 	for _, troubles := range []bool{false, true} {
-		for _, order := range orders {
-			sum := kept{}
+		for _, order := range promiseModes {
+			sum := promiseResult{}
 			for seed := range uint64(seeds) {
 				synctest.Test(t, func(t *testing.T) {
-					k := playPromises(t, 100+seed, order, troubles)
+					k := runPromises(t, 100+seed, order, troubles)
 					sum.galleries, sum.kept, sum.late = sum.galleries+k.galleries, sum.kept+k.kept, sum.late+k.late
 				})
 			}
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, troubles := range []bool{false, true} {
-		with, without := got[fmt.Sprint(orders[2], troubles)], got[fmt.Sprint(orders[0], troubles)]
+		with, without := got[fmt.Sprint(promiseModes[2], troubles)], got[fmt.Sprint(promiseModes[0], troubles)]
 		if with.kept+4 < without.kept || with.late > without.late+without.late/5+time.Minute {
 			t.Errorf("troubles %v: %+v with galleries, %+v without", troubles, with, without)
 		}
--- a/internal/controller/first_test.go
+++ b/internal/controller/first_answer_bench_test.go
@@ -23,7 +23,7 @@
 	for _, machines := range []int{1840, 16000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			f := controllertest.NewFleet(machines)
-			set := testSettings(b, 0)
+			set := newTestSettings(b, 0)
 			store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 			for _, e := range f.Records {
 				if _, err := store.Apply(wire.Txn{Then: []wire.Change{{Put: e.Key, Value: e.Value}}}); err != nil {
@@ -59,8 +59,8 @@
 			for b.Loop() {
 				ctx, cancel := context.WithCancel(b.Context())
 				began, used := time.Now(), cpuUsed()
-				c := New(testSettings(b, 0), link, slog.New(slog.DiscardHandler))
-				c.registerComponents(fullCloud{[]wire.MachineType{flavor}})
+				c := New(newTestSettings(b, 0), link, slog.New(slog.DiscardHandler))
+				c.registerComponents(exhaustedCloud{[]wire.MachineType{flavor}})
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Components.Run(ctx) })
 				for _, r := range f.Reports {
--- a/internal/controller/growth_test.go
+++ b/internal/controller/fleet_size_bench_test.go
@@ -12,8 +12,8 @@
 	"maddermill/internal/testing/controllertest"
 )
 
-func growTo(b *testing.B, machines int) (*Controller, *controllertest.Fleet) {
-	c, f := quietCore(b, 0), controllertest.NewFleet(machines)
+func newControllerWithFleet(b *testing.B, machines int) (*Controller, *controllertest.Fleet) {
+	c, f := newTestController(b, 0), controllertest.NewFleet(machines)
 	f.Join(c.cache, c.membership, c.registry)
 	c.boot = time.Now().Add(-time.Hour)
 	return c, f
@@ -29,7 +29,7 @@
 		run := func(name string, what func(b *testing.B)) {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				if g == nil {
-					g, f = growTo(b, n)
+					g, f = newControllerWithFleet(b, n)
 				}
 				g.cache.SetForTest(1, time.Now())
 				b.ReportAllocs()
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -12,8 +12,8 @@
 	"maddermill/wire"
 )
 
-// registerOf is a register of two galleries by class and one by its jobs.
-func registerOf(t *testing.T, revision int, free, capped, some time.Time) *deadline.Register {
+// newGalleryRegister is a register of two galleries by class and one by its jobs.
+func newGalleryRegister(t *testing.T, revision int, free, capped, some time.Time) *deadline.Register {
 	text := fmt.Sprintf("revision: %d\nmargin_s: 20\n", revision)
 	for _, g := range []struct {
 		name, team, of string
@@ -37,35 +37,35 @@
 	return r
 }
 
-// TestGalleriesSurvive: controllers end at each step in which galleries change, and are back at
+// TestGalleriesSurviveRestarts: controllers end at each step in which galleries change, and are back at
 // once, while a date is moved twice by new editions of the register that not all controllers have.
 // Every accepted job is tied to one gallery, exactly once and for good, also those accepted before
 // the galleries were known; every promise is on record as it was made; and each gallery ends as what
 // is on record says, not as who looked when.
-func TestGalleriesSurvive(t *testing.T) {
-	for n, kind := range []string{"register", "gallery", "gallery state", "tie", "exit"} {
+func TestGalleriesSurviveRestarts(t *testing.T) {
+	for n, kind := range []string{"register", "gallery", "gallery state", "gallery binding", "exit"} {
 		for m, side := range []string{" sent", " answered"} {
 			t.Run(kind+side, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					r := newReturns(t, uint64(20+n), []time.Duration{50 * time.Millisecond, time.Second}[(n+m)%2])
-					r.past = false
+					r := newRestartScenario(t, uint64(20+n), []time.Duration{50 * time.Millisecond, time.Second}[(n+m)%2])
+					r.archiving = false
 					began := time.Now()
 					in := func(d time.Duration) time.Time { return began.Add(d) }
 					var registers [3]*deadline.Register
-					first := registerOf(t, 1, in(260*time.Second), in(250*time.Second), in(100*time.Second))
-					second := registerOf(t, 2, in(260*time.Second), in(120*time.Second), in(100*time.Second))
-					third := registerOf(t, 3, in(260*time.Second), in(280*time.Second), in(100*time.Second))
+					first := newGalleryRegister(t, 1, in(260*time.Second), in(250*time.Second), in(100*time.Second))
+					second := newGalleryRegister(t, 2, in(260*time.Second), in(120*time.Second), in(100*time.Second))
+					third := newGalleryRegister(t, 3, in(260*time.Second), in(280*time.Second), in(100*time.Second))
 					give := func(i int, reg *deadline.Register) {
 						r.mu.Lock()
 						registers[i] = reg
 						r.mu.Unlock()
-						if c := r.core(i); c != nil {
+						if c := r.controller(i); c != nil {
 							c.Deadlines.Set(reg)
 						}
 					}
-					r.plugins = func(c *Controller) {
+					r.configure = func(c *Controller) {
 						for i := range 3 {
-							if c.set.Member == testSettings(t, i).Member {
+							if c.set.Member == newTestSettings(t, i).Member {
 								r.mu.Lock()
 								reg := registers[i]
 								r.mu.Unlock()
@@ -77,14 +77,14 @@
 					}
 					ties := map[wire.JobID]wire.GalleryName{}
 					states := map[wire.GalleryName]ledger.GalleryState{}
-					r.store.Seen = func(c wire.Change) { r.checkGallery(t, c, ties, states) }
-					r.at = func(i int, step string) {
+					r.store.Seen = func(c wire.Change) { r.checkGalleryChange(t, c, ties, states) }
+					r.onStep = func(i int, step string) {
 						if step == kind+side {
-							r.end(i)
+							r.crashAndRestart(i)
 						}
 					}
 					at := 0
-					r.check(24, func() {
+					r.runAndCheck(24, func() {
 						switch at++; at {
 						case 15: // some jobs are there by then
 							for i := range 3 {
@@ -97,21 +97,21 @@
 							give(2, third)
 						}
 					})
-					r.checkTies(t, ties, states)
+					r.checkGalleriesAtEnd(t, ties, states)
 				})
 			})
 		}
 	}
 }
 
-// checkGallery looks at every change that the state service takes.
-func (r *returns) checkGallery(
+// checkGalleryChange looks at every change that the state service takes.
+func (r *restartScenario) checkGalleryChange(
 	t *testing.T,
 	c wire.Change,
 	ties map[wire.JobID]wire.GalleryName,
 	states map[wire.GalleryName]ledger.GalleryState,
 ) {
-	l := ledger.New(Limits(testSettings(t, 0)))
+	l := ledger.New(Limits(newTestSettings(t, 0)))
 	if id, ok := strings.CutPrefix(c.Put, ledger.Prefix+"j/"); ok {
 		l.Apply(ledger.Event{Key: c.Put, Value: c.Value, Version: 1})
 		if j := l.Job(wire.JobID(id)); j != nil {
@@ -132,8 +132,8 @@
 	}
 }
 
-// checkTies looks at the records at the end.
-func (r *returns) checkTies(
+// checkGalleriesAtEnd looks at the records at the end.
+func (r *restartScenario) checkGalleriesAtEnd(
 	t *testing.T,
 	ties map[wire.JobID]wire.GalleryName,
 	states map[wire.GalleryName]ledger.GalleryState,
@@ -144,18 +144,18 @@
 			records[it.Key] = ledger.Event{Key: it.Key, Value: it.Value, Version: it.Version}
 		}
 	}
-	l, problems := ledger.Verify(records, Limits(testSettings(t, 0)))
+	l, problems := ledger.Verify(records, Limits(newTestSettings(t, 0)))
 	if len(problems) > 0 {
 		t.Errorf("records: %v", problems)
 	}
-	for id := range r.asked {
+	for id := range r.users {
 		g := ties[id]
 		byClass := wire.GalleryName("of-free")
 		if spec := r.world.Spec(id); spec.Team == "capped" {
 			byClass = "of-capped"
 		}
 		named := strings.HasPrefix(string(g), "of-some")
-		if g != byClass && !named && !(g == "" && r.asked[id].status == wire.Done) { // it was done before the register came
+		if g != byClass && !named && !(g == "" && r.users[id].status == wire.Done) { // it was done before the register came
 			t.Errorf("%s is tied to %q, want %q", id, g, byClass)
 		}
 	}
@@ -170,7 +170,7 @@
 		if g.Jobs == nil {
 			return
 		}
-		skew := time.Duration(testSettings(t, 0).Cluster.SkewMillis * float64(time.Millisecond))
+		skew := time.Duration(newTestSettings(t, 0).Cluster.SkewMillis * float64(time.Millisecond))
 		late := g.Jobs.Ended.Time().Sub(g.Date().Time()) > 2*skew
 		left := g.Jobs.Jobs - g.Jobs.Done - g.Jobs.Cancelled
 		if want := late || left > 0; want != (g.State == ledger.GalleryBroken) && g.State != ledger.GalleryWithdrawn {
--- a/internal/controller/closeness_test.go
+++ b/internal/controller/gang_placement_test.go
@@ -14,42 +14,42 @@
 	"maddermill/wire"
 )
 
-// sitting is what came of a queue of gangs.
-type sitting struct {
+// gangPlacements is what came of a queue of gangs.
+type gangPlacements struct {
 	gangs   int
-	tight   int // at the least cost that the empty hall allows
+	optimal int // at the least cost that the empty hall allows
 	cost    float64
-	least   float64
+	minCost float64
 	waits   []time.Duration // from submission until the gang runs whole
 	elapsed time.Duration
 }
 
-func (s *sitting) wait(share float64) time.Duration {
+func (s *gangPlacements) waitQuantile(share float64) time.Duration {
 	slices.Sort(s.waits)
 	return s.waits[int(share*float64(len(s.waits)-1))]
 }
 
-// playGangs plays a queue of mixed gangs and single tasks through controllers and workers,
+// runGangQueue plays a queue of mixed gangs and single tasks through controllers and workers,
 // on 32 machines in eight racks, and looks where gangs run. declared is what controllers
 // are told of the hall, "" for nothing.
-func playGangs(t *testing.T, seed uint64, declared string) sitting {
-	hall, err := topology.Parse([]byte(hallText()), []wire.Zone{"a", "b"})
+func runGangQueue(t *testing.T, seed uint64, declared string) gangPlacements {
+	hall, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newHistory(t, seed)
-	h.quiet, h.calm, h.cloud.Most = true, true, 32
+	cluster := newTestCluster(t, seed)
+	cluster.noRandomFaults, cluster.reliableMessages, cluster.cloud.Most = true, true, 32
 	if declared != "" {
-		if h.tree, err = topology.Parse([]byte(declared+hallText()), []wire.Zone{"a", "b"}); err != nil {
+		if cluster.topology, err = topology.Parse([]byte(declared+topologyText()), []wire.Zone{"a", "b"}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	h.begin(ctx, 32, 0)
+	cluster.start(ctx, 32, 0)
 	rng := rand.New(rand.NewPCG(seed, 7))
 	wait.For(ctx, 10*time.Second)
 	began := time.Now()
-	var out sitting
+	var out gangPlacements
 	finished, jobs := 0, 0
 	submitted := map[wire.JobID]time.Time{}
 	sizes := map[wire.JobID]int{}
@@ -75,7 +75,7 @@
 			submitted[spec.ID], sizes[spec.ID] = time.Now(), tasks
 		}
 		jobs++
-		h.group.Go(func() { h.user(ctx, spec, 0, &finished) })
+		cluster.group.Go(func() { cluster.runUser(ctx, spec, 0, &finished) })
 	}
 	looked := map[wire.JobID]bool{}
 	for s := range 300 {
@@ -87,15 +87,15 @@
 		}
 		wait.For(ctx, time.Second)
 		for id := range submitted {
-			if looked[id] || !h.world.Whole(id) {
+			if looked[id] || !cluster.world.Whole(id) {
 				continue
 			}
 			looked[id] = true
 			var on []topology.Block
 			var counts []int
 			var empty []topology.MachineOption
-			tasks := h.world.On(id)
-			for _, m := range h.cloud.Up() {
+			tasks := cluster.world.On(id)
+			for _, m := range cluster.cloud.Up() {
 				b, _ := hall.Locate(m.Type.ID, m.Type.Addr, m.Type.Zone)
 				if n := tasks[m.Type.ID]; n > 0 {
 					on, counts = append(on, b), append(counts, n)
@@ -106,30 +106,30 @@
 			cost := hall.CostOf(on, counts)
 			out.gangs++
 			if cost <= least {
-				out.tight++
+				out.optimal++
 			}
 			out.cost += cost.Stated()
-			out.least += least.Stated()
+			out.minCost += least.Stated()
 			out.waits = append(out.waits, time.Since(submitted[id]))
 		}
 	}
 	out.elapsed = time.Since(began)
-	h.finish(cancel)
-	for _, b := range h.world.Broken {
+	cluster.shutDown(cancel)
+	for _, b := range cluster.world.Broken {
 		t.Errorf("broken: %s", b)
 	}
 	return out
 }
 
-// TestGangsSitCloseOnMachines compares, through controllers and workers, where gangs run
+// TestGangPlacementCloseness compares, through controllers and workers, where gangs run
 // without a topology and with one, in each order of closeness and images. What is gained
 // must be clear, and nothing may be lost.
-func TestGangsSitCloseOnMachines(t *testing.T) {
-	play := func(declared string) (all sitting) {
+func TestGangPlacementCloseness(t *testing.T) {
+	play := func(declared string) (all gangPlacements) {
 		for seed := range uint64(3) {
 			synctest.Test(t, func(t *testing.T) {
-				s := playGangs(t, seed+1, declared)
-				all.gangs, all.tight, all.cost, all.least = all.gangs+s.gangs, all.tight+s.tight, all.cost+s.cost, all.least+s.least
+				s := runGangQueue(t, seed+1, declared)
+				all.gangs, all.optimal, all.cost, all.minCost = all.gangs+s.gangs, all.optimal+s.optimal, all.cost+s.cost, all.minCost+s.minCost
 				all.waits = append(all.waits, s.waits...)
 			})
 		}
@@ -138,20 +138,20 @@
 			declared,
 			all.gangs,
 			float64(
-				all.tight,
+				all.optimal,
 			)/float64(
 				all.gangs,
 			),
-			all.cost/all.least,
-			all.wait(0.5).Round(time.Second),
-			all.wait(0.9).Round(time.Second),
+			all.cost/all.minCost,
+			all.waitQuantile(0.5).Round(time.Second),
+			all.waitQuantile(0.9).Round(time.Second),
 		)
 		return all
 	}
 	without := play("")
 	for _, declared := range []string{"first: IMAGE closer_wait_s: 10 ", "first: CLOSENESS closer_wait_s: 10 "} {
 		with := play(declared)
-		if with.gangs < without.gangs*9/10 || with.tight*2 < without.tight*3 || with.cost > without.cost*3/4 {
+		if with.gangs < without.gangs*9/10 || with.optimal*2 < without.optimal*3 || with.cost > without.cost*3/4 {
 			t.Errorf("%s%+v; without a topology %+v", declared, with, without)
 		}
 	}
--- a/internal/controller/waits_test.go
+++ b/internal/controller/heartbeat_wait_bench_test.go
@@ -19,15 +19,17 @@
 	"maddermill/wire"
 )
 
-// fullCloud has no machine left.
-type fullCloud struct{ flavors []wire.MachineType }
+// exhaustedCloud has no machine left.
+type exhaustedCloud struct{ types []wire.MachineType }
 
-func (f fullCloud) MachineTypes(context.Context) ([]wire.MachineType, error) { return f.flavors, nil }
-func (fullCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
+func (f exhaustedCloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
+	return f.types, nil
+}
+func (exhaustedCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	return nil, cloud.ErrNoCapacity
 }
-func (fullCloud) ScaleIn(context.Context, []wire.MachineID) error    { return nil }
-func (fullCloud) List(context.Context) ([]wire.ListedMachine, error) { return nil, nil }
+func (exhaustedCloud) ScaleIn(context.Context, []wire.MachineID) error    { return nil }
+func (exhaustedCloud) List(context.Context) ([]wire.ListedMachine, error) { return nil, nil }
 
 // BenchmarkReportWaits plays half a minute of a controller that leads a fleet and holds a third
 // of it, with all its duties: each machine reports every three seconds, at its own time whatever
@@ -37,14 +39,14 @@
 	for _, machines := range []int{4000, 16000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				playReports(b, machines, 30*time.Second)
+				runHeartbeats(b, machines, 30*time.Second)
 			}
 		})
 	}
 }
 
-func playReports(b *testing.B, machines int, length time.Duration) {
-	set := testSettings(b, 0)
+func runHeartbeats(b *testing.B, machines int, length time.Duration) {
+	set := newTestSettings(b, 0)
 	set.Cluster.State.RPS, set.Cluster.State.WriteRPS = 200, 60
 	f := controllertest.NewFleet(machines)
 	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
@@ -69,7 +71,7 @@
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
-	c.registerComponents(fullCloud{[]wire.MachineType{flavor}})
+	c.registerComponents(exhaustedCloud{[]wire.MachineType{flavor}})
 	running.Go(func() { _ = c.Components.Run(ctx) })
 	every := func(period time.Duration, first time.Duration, do func()) {
 		running.Go(func() {
--- /dev/null
+++ b/internal/controller/pause_test.go
@@ -0,0 +1,31 @@
+package controller
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// TestPauseAtEachStep: a controller's process pauses for 50 s at each step of a start, an exit, a
+// return of machines and a scale-out, before the request is sent and before its answer is read. What
+// it sends late violates no rule, and the other controllers finish its work.
+func TestPauseAtEachStep(t *testing.T) {
+	for _, kind := range []string{
+		"start", "exit", "machine phase", "scale-in", "scale-out record", "scale-out", "format", "archive", "machines pruned",
+	} {
+		for _, side := range []string{" sent", " answered"} {
+			t.Run(kind+side, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					cluster := newTestCluster(t, 5)
+					cluster.noRandomFaults, cluster.archiving, cluster.pauseAtStep = true, true, kind+side
+					finished := cluster.run(6*time.Minute, 24, 0)
+					cluster.checkArchive()
+					cluster.reportViolations()
+					if !cluster.pausedAtStep || finished < 20 {
+						t.Errorf("got paused %v and %d of 24 jobs finished, want true and >= 20", cluster.pausedAtStep, finished)
+					}
+				})
+			})
+		}
+	}
+}
--- a/internal/controller/contact_test.go
+++ b/internal/controller/peer_status_test.go
@@ -12,9 +12,9 @@
 	"maddermill/wire"
 )
 
-// TestReliedOn: in an outage, peers can vouch that no cancellation was told that
+// TestPeersConfirmCancellations: in an outage, peers can vouch that no cancellation was told that
 // this ledger lacks, but only all of them, and only with a ledger of their own.
-func TestReliedOn(t *testing.T) {
+func TestPeersConfirmCancellations(t *testing.T) {
 	now := time.Now()
 	old, fresh, fresher := now.Add(-time.Minute), now.Add(-2*time.Second), now.Add(-time.Second)
 	for _, tc := range []struct {
@@ -23,15 +23,15 @@
 		want  time.Time
 	}{
 		{"nobody answers", nil, old},
-		{"one of two answers", []peer.Answer{answerOf("m-1", fresh, 5, true, 0)}, old},
-		{"both vouch: the older answer counts", []peer.Answer{answerOf("m-1", fresh, 5, true, 0), answerOf("m-2", fresher, 7, true, 0)}, fresh},
-		{"one told of a cancellation that this ledger lacks", []peer.Answer{answerOf("m-1", fresh, 8, true, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
-		{"one lists what this ledger lacks, from where it is", []peer.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 7, true), answerOf("m-2", fresher, 7, true, 0)}, fresh},
-		{"one lists what a newer ledger lacks", []peer.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 8, true), answerOf("m-2", fresher, 7, true, 0)}, old},
-		{"one can't list all", []peer.Answer{listing(answerOf("m-1", fresh, 9, true, 0), 7, false), answerOf("m-2", fresher, 7, true, 0)}, old},
-		{"one has restarted and knows nothing", []peer.Answer{answerOf("m-1", fresh, 0, false, 0), answerOf("m-2", fresh, 7, true, 0)}, old},
+		{"one of two answers", []peer.Answer{peerAnswer("m-1", fresh, 5, true, 0)}, old},
+		{"both vouch: the older answer counts", []peer.Answer{peerAnswer("m-1", fresh, 5, true, 0), peerAnswer("m-2", fresher, 7, true, 0)}, fresh},
+		{"one told of a cancellation that this ledger lacks", []peer.Answer{peerAnswer("m-1", fresh, 8, true, 0), peerAnswer("m-2", fresh, 7, true, 0)}, old},
+		{"one lists what this ledger lacks, from where it is", []peer.Answer{withCancellations(peerAnswer("m-1", fresh, 9, true, 0), 7, true), peerAnswer("m-2", fresher, 7, true, 0)}, fresh},
+		{"one lists what a newer ledger lacks", []peer.Answer{withCancellations(peerAnswer("m-1", fresh, 9, true, 0), 8, true), peerAnswer("m-2", fresher, 7, true, 0)}, old},
+		{"one can't list all", []peer.Answer{withCancellations(peerAnswer("m-1", fresh, 9, true, 0), 7, false), peerAnswer("m-2", fresher, 7, true, 0)}, old},
+		{"one has restarted and knows nothing", []peer.Answer{peerAnswer("m-1", fresh, 0, false, 0), peerAnswer("m-2", fresh, 7, true, 0)}, old},
 	} {
-		c := quietCore(t, 0)
+		c := newTestController(t, 0)
 		c.cache.SetForTest(0, old)
 		c.cache.Records().AdvanceRevision(7)
 		for _, a := range tc.peers {
@@ -47,14 +47,14 @@
 	}
 }
 
-// TestListedJobsThatComeLater: a peer lists a job or a workflow as cancelled of which these records
+// TestCancellationsListedBeforeTheirJobs: a peer lists a job or a workflow as cancelled of which these records
 // don't hold all yet. When a job comes, by a reading of all records or by the watch, and its cancellation does not, it counts as
 // cancelled: the status goes on vouching for the records, and its tasks would be kept up else.
-func TestListedJobsThatComeLater(t *testing.T) {
+func TestCancellationsListedBeforeTheirJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := quietCore(t, 0)
+		c := newTestController(t, 0)
 		ids := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
-		a := listing(answerOf("m-1", time.Now(), 90, true, 0), 0, true)
+		a := withCancellations(peerAnswer("m-1", time.Now(), 90, true, 0), 0, true)
 		a.Status.CancelledJobs, a.Status.CancelledWorkflows = ids[:2], []wire.WorkflowID{"wf-000001"}
 		c.mergeAnswer(a)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -86,7 +86,7 @@
 	})
 }
 
-func listing(a peer.Answer, since wire.Revision, whole bool) peer.Answer {
+func withCancellations(a peer.Answer, since wire.Revision, whole bool) peer.Answer {
 	a.Status.Since, a.Status.CancellationsComplete, a.Status.CancelledJobs = since, whole, []wire.JobID{"wk-000001"}
 	return a
 }
@@ -95,13 +95,13 @@
 // shares an outage with all others stays, since leaving would gain nobody anything.
 func TestHealthy(t *testing.T) {
 	now := time.Now()
-	c := quietCore(t, 0)
+	c := newTestController(t, 0)
 	// Controllers that ended three times within seconds were removed by the balancer for up to a
 	// minute, since each refused a probe while it read the records.
 	if !c.Healthy() {
 		t.Error("not healthy while it reads the records and nobody else is known to be better off")
 	}
-	c.mergeAnswer(answerOf("m-1", now, 0, true, 100*time.Millisecond))
+	c.mergeAnswer(peerAnswer("m-1", now, 0, true, 100*time.Millisecond))
 	if c.Healthy() {
 		t.Error("healthy before the ledger was read, beside one that is in touch")
 	}
@@ -114,20 +114,20 @@
 		t.Error("not healthy in touch with the state service")
 	}
 	c.cache.SetForTest(c.cache.Token(), now.Add(-10*time.Second))
-	c.mergeAnswer(answerOf("m-1", now, 0, true, 10*time.Second))
+	c.mergeAnswer(peerAnswer("m-1", now, 0, true, 10*time.Second))
 	if !c.Healthy() {
 		t.Error("not healthy in an outage that all share")
 	}
-	c.mergeAnswer(answerOf("m-2", now, 0, true, 100*time.Millisecond))
+	c.mergeAnswer(peerAnswer("m-2", now, 0, true, 100*time.Millisecond))
 	if c.Healthy() {
 		t.Error("healthy while only this controller is refused")
 	}
 }
 
-// TestCancellationsAreVouchedFor: the revision a controller vouches with is never
+// TestStatusCoversKnownCancellations: the revision a controller vouches with is never
 // below that of a cancellation that its ledger holds.
-func TestCancellationsAreVouchedFor(t *testing.T) {
-	c := quietCore(t, 0)
+func TestStatusCoversKnownCancellations(t *testing.T) {
+	c := newTestController(t, 0)
 	value := `{"spec":{"id":"wk-000001","pieces":1},"at":1,"state":"cancelled"}`
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
 	if got := c.status().Cancelled; got < 9 {
@@ -140,13 +140,13 @@
 // the peer must still be answered before its lease ends.
 func TestRedirect(t *testing.T) {
 	now := time.Now()
-	c := quietCore(t, 0)
+	c := newTestController(t, 0)
 	c.cache.SetForTest(1, now.Add(-8*time.Second))
 	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
 	}
-	c.mergeAnswer(answerOf("m-1", time.Now(), 0, true, 100*time.Millisecond))
+	c.mergeAnswer(peerAnswer("m-1", time.Now(), 0, true, 100*time.Millisecond))
 	r.Sequence = 2
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
 		t.Errorf("%d %q with a peer in touch", a.Status, a.Redirect.ReportTo)
--- a/internal/controller/policies_test.go
+++ b/internal/controller/policy_modules_test.go
@@ -24,25 +24,25 @@
 	"maddermill/wire"
 )
 
-// patient gives modules time enough on a clock that only runs when nothing else does.
-var patient = plugin.Bounds{Memory: 16 << 20, Call: time.Hour, Start: time.Hour}
+// patientBounds gives modules time enough on a clock that only runs when nothing else does.
+var patientBounds = plugin.Bounds{Memory: 16 << 20, Call: time.Hour, Start: time.Hour}
 
-func (h *history) catalog() *plugin.Catalog {
-	return &plugin.Catalog{Records: h.links[0], Limits: Limits(testSettings(h.t, 0)), Now: time.Now}
+func (cluster *testCluster) catalog() *plugin.Catalog {
+	return &plugin.Catalog{Records: cluster.links[0], Limits: Limits(newTestSettings(cluster.t, 0)), Now: time.Now}
 }
 
-// TestFiftyReloads changes the policy fifty times under load, to good modules, ones that trap,
+// TestPolicyReloadsUnderFaults changes the policy fifty times under load, to good modules, ones that trap,
 // answer garbage or take all memory, and back, while controllers end and the state service is
 // out: no job is lost, none runs twice, and all controllers end with the same policy.
-func TestFiftyReloads(t *testing.T) {
+func TestPolicyReloadsUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, 21)
+		cluster := newTestCluster(t, 21)
 		var mu sync.Mutex
 		var last time.Time
 		var gap time.Duration
 		passes, used, given := 0, 0, 0
-		h.plugins = func(c *Controller) {
-			c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{})
+		cluster.configure = func(c *Controller) {
+			c.SetPlugins(nil, patientBounds, 10*time.Minute, policymanager.Initial{})
 			c.RecordPasses(func(p *policy.Pass) {
 				if len(p.Jobs) == 0 {
 					return
@@ -56,8 +56,8 @@
 			})
 		}
 		done := make(chan struct{})
-		h.also = func(ctx context.Context) {
-			h.group.Go(func() {
+		cluster.onStart = func(ctx context.Context) {
+			cluster.group.Go(func() {
 				defer close(done)
 				kinds := []plugintest.Kind{
 					plugintest.Identity,
@@ -67,7 +67,7 @@
 					plugintest.Reversed,
 					plugintest.Outside,
 				}
-				cat := h.catalog()
+				cat := cluster.catalog()
 				for n := 0; n < 50 && ctx.Err() == nil; {
 					wait.For(ctx, 4*time.Second)
 					var hash wire.ModuleHash
@@ -93,38 +93,38 @@
 					n++
 				}
 			})
-			h.group.Go(func() {
+			cluster.group.Go(func() {
 				for i := range 12 {
 					wait.For(ctx, 50*time.Second)
 					switch i % 4 {
 					case 0, 2:
-						h.crash(i % 3)
+						cluster.crash(i % 3)
 						wait.For(ctx, 6*time.Second)
-						h.startCore(ctx, i%3)
+						cluster.startController(ctx, i%3)
 					case 1:
-						for _, l := range h.links {
+						for _, l := range cluster.links {
 							l.SetDown(true)
 						}
 						wait.For(ctx, 12*time.Second)
-						h.store.Extend()
-						for _, l := range h.links {
+						cluster.store.Extend()
+						for _, l := range cluster.links {
 							l.SetDown(false)
 						}
 					}
 				}
 			})
 		}
-		h.quiet = true
-		finished := h.play(22*time.Minute, 120, 0.02)
+		cluster.noRandomFaults = true
+		finished := cluster.run(22*time.Minute, 120, 0.02)
 		select {
 		case <-done:
 		default:
 			t.Error("not all changes were made")
 		}
-		for _, b := range h.world.Broken {
+		for _, b := range cluster.world.Broken {
 			t.Errorf("broken: %s", b)
 		}
-		for _, p := range h.store.Problems {
+		for _, p := range cluster.store.Problems {
 			t.Errorf("state service: %s", p)
 		}
 		if finished < 105 || used < 40 { // some are always under way at the end
@@ -141,22 +141,22 @@
 	})
 }
 
-// TestSwapNeedsAll: a module is not used as long as a controller can't have it; the reason is
+// TestPolicySwapNeedsAllControllers: a module is not used as long as a controller can't have it; the reason is
 // on record. Nothing is removed that is needed, and what was used before comes back.
-func TestSwapNeedsAll(t *testing.T) {
+func TestPolicySwapNeedsAllControllers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, 3)
-		h.quiet, h.calm = true, true
+		cluster := newTestCluster(t, 3)
+		cluster.noRandomFaults, cluster.reliableMessages = true, true
 		off := 2
-		h.plugins = func(c *Controller) {
+		cluster.configure = func(c *Controller) {
 			if c.set.Member != wire.MemberID(fmt.Sprintf("m-%d", off)) {
-				c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{})
+				c.SetPlugins(nil, patientBounds, 10*time.Minute, policymanager.Initial{})
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		h.begin(ctx, 2, 0)
+		cluster.start(ctx, 2, 0)
 		wait.For(ctx, 10*time.Second)
-		cat := h.catalog()
+		cat := cluster.catalog()
 		load := func(name string) wire.ModuleHash {
 			hash, err := cat.Load(ctx, plugintest.Module(plugintest.Identity, name), name, nil)
 			if err != nil {
@@ -178,13 +178,13 @@
 		if r := use(one); r.Use != "" || r.Why == "" {
 			t.Errorf("used although a controller has plug-ins switched off: %+v", r)
 		}
-		h.crash(2)
+		cluster.crash(2)
 		wait.For(ctx, 5*time.Second)
 		if r := use(one); r.Use != "" || r.Why != "m-2 was not heard" {
 			t.Errorf("used although a controller is silent: %+v", r)
 		}
 		off = -1
-		h.startCore(ctx, 2)
+		cluster.startController(ctx, 2)
 		wait.For(ctx, 5*time.Second)
 		if r := use(one); r.Use != one {
 			t.Errorf("not used although all have it: %+v", r)
@@ -217,8 +217,8 @@
 			t.Errorf("a removed module is found: %v", err)
 		}
 		// A module that refuses new jobs refuses no one who was accepted before.
-		early := h.spec(1)
-		if _, created, err := h.core(0).Jobs.Submit(ctx, early); err != nil || !created {
+		early := cluster.randomSpec(1)
+		if _, created, err := cluster.controller(0).Jobs.Submit(ctx, early); err != nil || !created {
 			t.Fatal(created, err)
 		}
 		refuser, err := cat.Load(ctx, plugintest.Module(plugintest.Refuser, ""), "refuser", nil)
@@ -230,10 +230,10 @@
 		}
 		wait.For(ctx, 3*time.Second)
 		for i := range 3 {
-			if st, created, err := h.core(i).Jobs.Submit(ctx, early); err != nil || created {
+			if st, created, err := cluster.controller(i).Jobs.Submit(ctx, early); err != nil || created {
 				t.Errorf("accepted before: %+v, %v, %v", st, created, err)
 			}
-			if _, _, err := h.core(i).Jobs.Submit(ctx, h.spec(100+i)); !errors.Is(err, server.ErrUnschedulable) {
+			if _, _, err := cluster.controller(i).Jobs.Submit(ctx, cluster.randomSpec(100+i)); !errors.Is(err, server.ErrUnschedulable) {
 				t.Errorf("new: %v", err)
 			}
 		}
@@ -241,7 +241,7 @@
 			t.Errorf("%+v", r)
 		}
 		wait.For(ctx, 3*time.Second)
-		if _, created, err := h.core(1).Jobs.Submit(ctx, h.spec(200)); err != nil || !created {
+		if _, created, err := cluster.controller(1).Jobs.Submit(ctx, cluster.randomSpec(200)); err != nil || !created {
 			t.Errorf("with the built-in policy: %v, %v", created, err)
 		}
 		if err := cat.Remove(ctx, refuser); err != nil {
@@ -250,7 +250,7 @@
 		// With operators' keys an unsigned module is not used, and one that is signed is.
 		public, private, _ := ed25519.GenerateKey(rand.NewChaCha8([32]byte{1}))
 		for i := range 3 {
-			h.core(i).SetPlugins([]ed25519.PublicKey{public}, patient, 10*time.Minute, policymanager.Initial{})
+			cluster.controller(i).SetPlugins([]ed25519.PublicKey{public}, patientBounds, 10*time.Minute, policymanager.Initial{})
 		}
 		wait.For(ctx, 5*time.Second)
 		if r := use(load("unsigned")); r.Use != "" || !strings.Contains(r.Why, "not signed") {
@@ -280,40 +280,40 @@
 		if err := cat.Rollback(ctx); !errors.Is(err, ledger.ErrNoPreviousPolicy) {
 			t.Errorf("back to a removed module: %v", err)
 		}
-		h.finish(cancel)
+		cluster.shutDown(cancel)
 	})
 }
 
-// TestInitialModule: the module that the settings name is loaded and used where no policy was ever
+// TestInitialPolicyModule: the module that the settings name is loaded and used where no policy was ever
 // chosen, also when the leader ends half way; what operators choose later stands, whoever starts.
-func TestInitialModule(t *testing.T) {
+func TestInitialPolicyModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHistory(t, 5)
-		h.quiet, h.calm = true, true
+		cluster := newTestCluster(t, 5)
+		cluster.noRandomFaults, cluster.reliableMessages = true, true
 		rng := rand.NewChaCha8([32]byte{7})
 		long := make([]byte, 300<<10) // some hundred pieces that do not pack
 		_, _ = rng.Read(long)
 		code := plugintest.Module(plugintest.Identity, string(long))
-		h.plugins = func(c *Controller) {
-			c.SetPlugins(nil, patient, 10*time.Minute, policymanager.Initial{Name: "first", Code: code})
+		cluster.configure = func(c *Controller) {
+			c.SetPlugins(nil, patientBounds, 10*time.Minute, policymanager.Initial{Name: "first", Code: code})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		h.begin(ctx, 2, 0)
+		cluster.start(ctx, 2, 0)
 		leader := func() int {
 			for i := range 3 {
-				if _, leads := (host{h.core(i)}).Term(); leads {
+				if _, leads := (host{cluster.controller(i)}).Term(); leads {
 					return i
 				}
 			}
 			return -1
 		}
-		cat := h.catalog()
+		cat := cluster.catalog()
 		for leader() < 0 {
 			wait.For(ctx, 100*time.Millisecond)
 		}
 		begun := func() bool {
 			return slices.ContainsFunc(
-				h.store.Items(),
+				cluster.store.Items(),
 				func(it wire.Item) bool { return it.Key == ledger.CodeKey(plugin.HashOf(code), 0) },
 			)
 		}
@@ -321,8 +321,8 @@
 			wait.For(ctx, time.Millisecond)
 		}
 		first := leader()
-		h.crash(first)
-		if _, err := h.links[0].Get(ctx, ledger.PolicyKey); !errors.Is(err, kvstore.ErrNotFound) {
+		cluster.crash(first)
+		if _, err := cluster.links[0].Get(ctx, ledger.PolicyKey); !errors.Is(err, kvstore.ErrNotFound) {
 			t.Errorf("a policy was chosen before the leader ended: %v", err)
 		}
 		// One is away for so long that the change is given up; it is begun again.
@@ -330,7 +330,7 @@
 		if r, err := cat.Wait(ctx); err != nil || r.Use != "" || r.Why == "" {
 			t.Errorf("while a controller is away: %+v, %v", r, err)
 		}
-		h.startCore(ctx, first)
+		cluster.startController(ctx, first)
 		wait.For(ctx, 6*time.Minute)
 		if r, err := cat.Wait(ctx); err != nil || r.Use != plugin.HashOf(code) {
 			t.Errorf("after all are back: %+v, %v", r, err)
@@ -339,15 +339,15 @@
 			t.Fatal(err)
 		}
 		for i := range 3 {
-			h.crash(i)
-			h.startCore(ctx, i)
+			cluster.crash(i)
+			cluster.startController(ctx, i)
 		}
 		wait.For(ctx, time.Minute)
 		if r, err := cat.Wait(ctx); err != nil || r.Use != "" {
 			t.Errorf("what was chosen does not stand: %+v, %v", r, err)
 		}
-		h.finish(cancel)
-		for _, b := range h.world.Broken {
+		cluster.shutDown(cancel)
+		for _, b := range cluster.world.Broken {
 			t.Errorf("broken: %s", b)
 		}
 	})
--- /dev/null
+++ b/internal/controller/random_histories_test.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"maddermill/wire"
+)
+
+// slowFirstFetch has the first task of some gangs fetch for longer than the others wait for it.
+func slowFirstFetch(_ wire.MachineID, task wire.TaskID) time.Duration {
+	if task.Index == 0 && task.Job[len(task.Job)-1]%3 == 0 {
+		return 40 * time.Second
+	}
+	return 3 * time.Second
+}
+
+// TestRandomHistories plays seeded histories with random jobs and faults, lost and late messages,
+// and checks every rule as it goes.
+func TestRandomHistories(t *testing.T) {
+	for seed := uint64(1); seed <= seedCount(); seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cluster := newTestCluster(t, seed)
+				cluster.archiving, cluster.duplicateMessages = seed%3 != 0, seed%2 == 0
+				cluster.world.Fetch = slowFirstFetch
+				finished := cluster.run(10*time.Minute, 40, 0.03)
+				cluster.checkArchive()
+				cluster.reportViolations()
+				if cluster.world.Starts == 0 || finished < 25 {
+					t.Errorf("got %d tasks started and %d of 40 jobs finished, want > 0 and >= 25", cluster.world.Starts, finished)
+				}
+				t.Logf("%d starts, %d tasks done, %d jobs finished", cluster.world.Starts, cluster.world.DoneTasks(), finished)
+			})
+		})
+	}
+}
--- a/internal/controller/floods_test.go
+++ b/internal/controller/request_floods_test.go
@@ -18,18 +18,18 @@
 	"maddermill/wire"
 )
 
-// countedLink counts what is asked of the state service.
-type countedLink struct {
+// countingLink counts what is asked of the state service.
+type countingLink struct {
 	*emulator.Link
 	reads, commits, changes, bytes atomic.Int64
 }
 
-func (c *countedLink) Revision(ctx context.Context) (wire.Revision, error) {
+func (c *countingLink) Revision(ctx context.Context) (wire.Revision, error) {
 	c.reads.Add(1)
 	return c.Link.Revision(ctx)
 }
 
-func (c *countedLink) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
+func (c *countingLink) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	c.commits.Add(1)
 	c.changes.Add(int64(len(t.Then)))
 	for _, p := range t.Then {
@@ -38,13 +38,13 @@
 	return c.Link.Commit(ctx, t)
 }
 
-// TestFloods counts, not times, what floods cost: polls for jobs that run, are over or
+// TestRequestFloods counts, not times, what floods cost: polls for jobs that run, are over or
 // never were share the reads of a few requests; those of jobs that are over need none;
 // a submission is one change of a few hundred bytes, and the same one again is none.
-func TestFloods(t *testing.T) {
+func TestRequestFloods(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		set := testSettings(t, 0)
-		store := &countedLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
+		set := newTestSettings(t, 0)
+		store := &countingLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
 		c := New(set, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		c.cache.Records().Apply(
 			ledger.Event{
--- a/internal/controller/switch_test.go
+++ b/internal/controller/switch_failure_test.go
@@ -17,8 +17,8 @@
 	"maddermill/wire"
 )
 
-// hallText declares what stand-ins make up: two zones, two switches of two racks each.
-func hallText() string {
+// topologyText declares what stand-ins make up: two zones, two switches of two racks each.
+func topologyText() string {
 	var b strings.Builder
 	b.WriteString(`level { name: "zone" cost: 16 } level { name: "switch" cost: 4 } level { name: "rack" cost: 1 }`)
 	for z, zone := range []string{"a", "b"} {
@@ -35,30 +35,30 @@
 	return b.String()
 }
 
-// outage is a switch that fails under gangs, on stand-ins.
-type outage struct {
-	*history
-	tree  *topology.Tree
-	mu    sync.Mutex
-	down  topology.Block
-	lost  []string // machines marked as lost
-	falls []string // blocks that controllers said had failed
+// switchFailure is a switch that fails under gangs, on stand-ins.
+type switchFailure struct {
+	*testCluster
+	tree           *topology.Tree
+	mu             sync.Mutex
+	failedBlock    topology.Block
+	lostMachines   []string // machines marked as lost
+	reportedBlocks []string // blocks that controllers said had failed
 }
 
-func (o *outage) block(m *emulator.Machine) topology.Block {
+func (o *switchFailure) blockOf(m *emulator.Machine) topology.Block {
 	b, _ := o.tree.Locate(m.Type.ID, m.Type.Addr, m.Type.Zone)
 	return b
 }
 
 // inside reports whether a machine is in a block.
-func (o *outage) inside(m *emulator.Machine, b topology.Block) bool {
-	return b != 0 && o.tree.Common(o.block(m), b) == b
+func (o *switchFailure) inside(m *emulator.Machine, b topology.Block) bool {
+	return b != 0 && o.tree.Common(o.blockOf(m), b) == b
 }
 
 // fail cuts a switch off, or part of it, or brings all of it back.
-func (o *outage) fail(b topology.Block, keep int) {
+func (o *switchFailure) fail(b topology.Block, keep int) {
 	o.mu.Lock()
-	o.down = b
+	o.failedBlock = b
 	o.mu.Unlock()
 	for _, m := range o.cloud.Up() {
 		hang := o.inside(m, b)
@@ -70,23 +70,23 @@
 	}
 }
 
-// TestSwitchFailsUnderGangs: a switch dies with gangs inside it and across it, comes back
+// TestSwitchFailure: a switch dies with gangs inside it and across it, comes back
 // half, flaps, dies in an outage of the state service and as the leader ends. No rule is
 // broken, all gangs run whole elsewhere before long, no machine that works is given up,
 // and one line tells of the switch.
-func TestSwitchFailsUnderGangs(t *testing.T) {
+func TestSwitchFailure(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		fails func(ctx context.Context, o *outage, s topology.Block)
+		fails func(ctx context.Context, o *switchFailure, s topology.Block)
 		flaps bool // it is never away for so long that a machine counts as lost
 	}{
-		{"dies", func(_ context.Context, o *outage, s topology.Block) { o.fail(s, 0) }, false},
-		{"comes back half", func(ctx context.Context, o *outage, s topology.Block) {
+		{"dies", func(_ context.Context, o *switchFailure, s topology.Block) { o.fail(s, 0) }, false},
+		{"comes back half", func(ctx context.Context, o *switchFailure, s topology.Block) {
 			o.fail(s, 0)
 			wait.For(ctx, 40*time.Second)
 			o.fail(s, 3)
 		}, false},
-		{"flaps", func(ctx context.Context, o *outage, s topology.Block) {
+		{"flaps", func(ctx context.Context, o *switchFailure, s topology.Block) {
 			for range 3 {
 				o.fail(s, 0)
 				wait.For(ctx, 7*time.Second) // with two reports' time, less than what counts as lost
@@ -94,7 +94,7 @@
 				wait.For(ctx, 8*time.Second)
 			}
 		}, true},
-		{"dies in an outage", func(ctx context.Context, o *outage, s topology.Block) {
+		{"dies in an outage", func(ctx context.Context, o *switchFailure, s topology.Block) {
 			for _, l := range o.links {
 				l.SetDown(true)
 			}
@@ -106,18 +106,18 @@
 				l.SetDown(false)
 			}
 		}, false},
-		{"dies and the leader ends", func(ctx context.Context, o *outage, s topology.Block) {
+		{"dies and the leader ends", func(ctx context.Context, o *switchFailure, s topology.Block) {
 			o.fail(s, 0)
 			wait.For(ctx, 10*time.Second)
 			for i := range 3 {
-				c := o.core(i)
+				c := o.controller(i)
 				c.cache.Lock()
 				leads, _ := c.cache.Records().Leader()
 				c.cache.Unlock()
 				if leads.Member == c.set.Member {
 					o.crash(i)
 					wait.For(ctx, 5*time.Second)
-					o.startCore(ctx, i)
+					o.startController(ctx, i)
 					return
 				}
 			}
@@ -125,39 +125,39 @@
 	} {
 		for _, under := range []wire.JobID{"wk-000001", "wk-000002"} { // inside one switch, and across two
 			t.Run(fmt.Sprint(tc.name, " under ", under), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playOutage(t, tc.fails, under, tc.flaps) })
+				synctest.Test(t, func(t *testing.T) { runSwitchFailure(t, tc.fails, under, tc.flaps) })
 			})
 		}
 	}
 }
 
-func playOutage(t *testing.T, fails func(context.Context, *outage, topology.Block), under wire.JobID, flaps bool) {
-	tree, err := topology.Parse([]byte(hallText()), []wire.Zone{"a", "b"})
+func runSwitchFailure(t *testing.T, fails func(context.Context, *switchFailure, topology.Block), under wire.JobID, flaps bool) {
+	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newHistory(t, 11)
-	o := &outage{history: h, tree: tree}
-	h.quiet, h.calm, h.tree, h.cloud.Most = true, true, tree, 32
-	h.cloud.Run = func(wire.TaskID) time.Duration { return 3 * time.Minute }
-	h.dead = func(m *emulator.Machine) bool {
+	cluster := newTestCluster(t, 11)
+	o := &switchFailure{testCluster: cluster, tree: tree}
+	cluster.noRandomFaults, cluster.reliableMessages, cluster.topology, cluster.cloud.Most = true, true, tree, 32
+	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 3 * time.Minute }
+	cluster.unreachable = func(m *emulator.Machine) bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		return o.inside(m, o.down)
+		return o.inside(m, o.failedBlock)
 	}
-	h.told = func(msg string, a map[string]any) {
+	cluster.onLog = func(msg string, a map[string]any) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		switch {
 		case msg == "machine phase changed" && a["why"] == "lost":
-			o.lost = append(o.lost, fmt.Sprint(a["machine"]))
+			o.lostMachines = append(o.lostMachines, fmt.Sprint(a["machine"]))
 		case strings.HasPrefix(msg, "block failed"):
-			o.falls = append(o.falls, fmt.Sprint(a["block"]))
+			o.reportedBlocks = append(o.reportedBlocks, fmt.Sprint(a["block"]))
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	h.begin(ctx, 24, 0)
+	cluster.start(ctx, 24, 0)
 	gangs := []wire.JobID{"wk-000000", "wk-000001", "wk-000002"}
 	finished := 0
 	for i, tasks := range []int{4, 10, 18} {
@@ -178,11 +178,11 @@
 			Checkpoint: 5,
 			Save:       2,
 		}
-		h.group.Go(func() { h.user(ctx, spec, 0, &finished) })
+		cluster.group.Go(func() { cluster.runUser(ctx, spec, 0, &finished) })
 		wait.For(ctx, 2*time.Second)
 	}
 	whole := func() bool {
-		return !slices.ContainsFunc(gangs, func(g wire.JobID) bool { return !h.world.Whole(g) })
+		return !slices.ContainsFunc(gangs, func(g wire.JobID) bool { return !cluster.world.Whole(g) })
 	}
 	longest := func(limit int) int {
 		for s := range limit {
@@ -197,11 +197,11 @@
 		t.Fatal("the gangs do not run to begin with")
 	}
 	machines := map[wire.MachineID]*emulator.Machine{}
-	for _, m := range h.cloud.Up() {
+	for _, m := range cluster.cloud.Up() {
 		machines[m.Type.ID] = m
 	}
-	first := machines[slices.Min(slices.Collect(maps.Keys(h.world.On(under))))]
-	s := tree.Parent(o.block(first))
+	first := machines[slices.Min(slices.Collect(maps.Keys(cluster.world.On(under))))]
+	s := tree.Parent(o.blockOf(first))
 	began := time.Now()
 	fails(ctx, o, s)
 	wait.For(ctx, time.Second)
@@ -212,26 +212,26 @@
 		time.Since(began).Seconds(),
 		tree.Path(s),
 		under,
-		o.falls,
-		o.lost,
+		o.reportedBlocks,
+		o.lostMachines,
 	)
 	if after < 0 {
 		t.Error("the gangs do not run whole again")
 	}
-	for _, id := range o.lost {
+	for _, id := range o.lostMachines {
 		m := machines[wire.MachineID(id)]
 		if flaps || m != nil && !o.inside(m, s) {
 			t.Errorf("%s was given up, which works", id)
 		}
 	}
-	for _, b := range o.falls {
+	for _, b := range o.reportedBlocks {
 		if b != tree.Path(s) {
 			t.Errorf("%s is said to have failed", b)
 		}
 	}
 	o.mu.Unlock()
-	h.finish(cancel)
-	for _, b := range h.world.Broken {
+	cluster.shutDown(cancel)
+	for _, b := range cluster.world.Broken {
 		t.Errorf("broken: %s", b)
 	}
 }
--- a/internal/controller/places_test.go
+++ b/internal/controller/topology_test.go
@@ -18,15 +18,15 @@
 	"maddermill/wire"
 )
 
-// inHall is a controller that holds the machines of the made-up hall, three a rack, but
+// newControllerWithTopology is a controller that holds the machines of the made-up hall, three a rack, but
 // for those on some networks.
-func inHall(t *testing.T, now time.Time, elsewhere ...string) *Controller {
+func newControllerWithTopology(t *testing.T, now time.Time, elsewhere ...string) *Controller {
 	t.Helper()
-	tree, err := topology.Parse([]byte(hallText()), []wire.Zone{"a", "b"})
+	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := quietCore(t, 0)
+	c := newTestController(t, 0)
 	c.TopologyTracker.Set(tree)
 	c.cache.SetForTest(1, now)
 	for z, zone := range []wire.Zone{"a", "b"} {
@@ -51,23 +51,23 @@
 	return c
 }
 
-// isDown reports whether the first switch of zone a is avoided.
-func isDown(c *Controller) bool {
+// firstSwitchDown reports whether the first switch of zone a is avoided.
+func firstSwitchDown(c *Controller) bool {
 	_, up := c.TopologyTracker.Locate("host-011", "127.1.1.1:9000", "a")
 	return !up
 }
 
-// TestTopologyIsReadAgain: a changed file is taken over, also when told to; a wrong or missing
+// TestTopologyReload: a changed file is taken over, also when told to; a wrong or missing
 // one leaves the one before in force.
-func TestTopologyIsReadAgain(t *testing.T) {
+func TestTopologyReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hall.txtpb")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(hallText())
-	c := quietCore(t, 0)
+	write(topologyText())
+	c := newTestController(t, 0)
 	tree, err := topologytracker.Read(path, c.set.Cluster.Zones)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 		return len(c.TopologyTracker.Tree().Blocks())
 	}
 	before := blocks()
-	write(strings.Replace(hallText(), "127.1.1.0/24", "127.1.1.1/24", 1))
+	write(strings.Replace(topologyText(), "127.1.1.0/24", "127.1.1.1/24", 1))
 	again <- os.Interrupt
 	again <- os.Interrupt // the first has been dealt with
 	if blocks() != before {
@@ -106,10 +106,10 @@
 	<-done
 }
 
-// TestGangsThatPartAreTheirBlocks: gangs that lose mates while all their machines answer speak
+// TestPartitionedGangsMarkBlockDown: gangs that lose mates while all their machines answer speak
 // against the block that they share, wherever they were seen; one whose machine fell silent,
 // is taken back or that was told to stop does not.
-func TestGangsThatPartAreTheirBlocks(t *testing.T) {
+func TestPartitionedGangsMarkBlockDown(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time)
@@ -128,7 +128,7 @@
 		{"told to stop", func(_ *Controller, j *ledger.Job, _ *reconcile.Worker, _ time.Time) { j.Stop = 1 }, false},
 	} {
 		now := time.Now().Add(time.Hour) // long after the hall was declared
-		c := inHall(t, now)
+		c := newControllerWithTopology(t, now)
 		for i := range 3 { // gangs over the two racks of a switch
 			id := fmt.Sprintf("wk-%06d", i)
 			c.cache.Records().Apply(ledger.Event{Key: "mm1/j/" + id, Version: wire.Revision(i + 1), Value: []byte(fmt.Sprintf(
@@ -151,30 +151,30 @@
 			tc.explain(c, c.cache.Records().Job(id), c.registry.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1))), later)
 		}
 		c.TopologyTracker.DetectFailedBlocks(later)
-		if isDown(c) != tc.down {
+		if firstSwitchDown(c) != tc.down {
 			t.Errorf("%s: down %v", tc.name, !tc.down)
 		}
 		if told := c.TopologyTracker.Partitions(later); (len(told) == 3) != tc.down {
 			t.Errorf("%s: peers are told of %v", tc.name, told)
 		}
 		if tc.down { // a peer that hears of them comes to the same
-			o := inHall(t, later)
+			o := newControllerWithTopology(t, later)
 			o.TopologyTracker.MergePartitions(c.TopologyTracker.Partitions(later), later)
 			o.TopologyTracker.DetectFailedBlocks(later)
-			if !isDown(o) {
+			if !firstSwitchDown(o) {
 				t.Error("a peer does not avoid the block")
 			}
 		}
 	}
 }
 
-// TestMachinesOfASilentPeerAreNotABlock: machines that report to a controller that is itself
+// TestSilentPeerIsNotABlockFailure: machines that report to a controller that is itself
 // silent are looking for another one; their silence counts only once they had the time.
-func TestMachinesOfASilentPeerAreNotABlock(t *testing.T) {
+func TestSilentPeerIsNotABlockFailure(t *testing.T) {
 	now := time.Now().Add(time.Hour) // long after the hall was declared
-	c := inHall(t, now, "127.1.1.", "127.1.2.")
+	c := newControllerWithTopology(t, now, "127.1.1.", "127.1.2.")
 	p := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
-	inHall(t, now).registry.Each(func(w *reconcile.Worker) {
+	newControllerWithTopology(t, now).registry.Each(func(w *reconcile.Worker) {
 		if c.registry.Worker(w.ID) == nil {
 			p.Machines = append(p.Machines, peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1})
 		}
@@ -187,7 +187,7 @@
 			c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = now })
 			c.TopologyTracker.DetectFailedBlocks(now)
 		}
-		return isDown(c)
+		return firstSwitchDown(c)
 	}
 	if pass(int(c.set.SilentAfter().Seconds() + c.set.HeartbeatGrace().Seconds())) {
 		t.Error("a switch is said to have failed with the controller that heard it")
@@ -201,7 +201,7 @@
 // block that holds it.
 func TestTopologyView(t *testing.T) {
 	now := time.Now()
-	c := inHall(t, now)
+	c := newControllerWithTopology(t, now)
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: []byte(
 		`{"spec":{"id":"wk-000001","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,"c":[[1,"host-011","a",1,1,0,1],[1,"host-021","a",1,1,1,1]]}`,
 	)})
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -31,7 +31,7 @@
 const workflowHead = "cwlVersion: v1.2\nclass: Workflow\nrequirements: {InlineJavascriptRequirement: {}, ScatterFeatureRequirement: {}, SubworkflowFeatureRequirement: {}, MultipleInputFeatureRequirement: {}}\n"
 
 // flows of the histories: their documents, inputs and the state that they must end in.
-var flowCases = []struct {
+var workflowCases = []struct {
 	name, doc, inputs string
 	state             ledger.WorkflowState
 }{
@@ -73,8 +73,8 @@
 	},
 }
 
-// sequential is the plain interpreter: one step after the other, each run once.
-func sequential(t *testing.T, doc, inputs string) map[string]any {
+// interpretSequentially is the plain interpreter: one step after the other, each run once.
+func interpretSequentially(t *testing.T, doc, inputs string) map[string]any {
 	t.Helper()
 	store := new(stepdata.Mem)
 	bundle := map[string]string{"main.cwl": workflowHead + doc}
@@ -100,7 +100,7 @@
 				Inputs: work[0].Inputs,
 			},
 		)
-		put(t, store, workflow.OrderName(id), order)
+		putObject(t, store, workflow.OrderName(id), order)
 		if err := emulator.RunStep(t.Context(), store, id); err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 	return out
 }
 
-func put(t *testing.T, s stepdata.Store, name string, b []byte) {
+func putObject(t *testing.T, s stepdata.Store, name string, b []byte) {
 	t.Helper()
 	if _, err := s.Put(t.Context(), name, bytes.NewReader(b)); err != nil {
 		t.Fatal(err)
@@ -133,25 +133,25 @@
 // messages, outages and lost machines. They end as the plain interpreter says, no step's task
 // runs twice, a final state is never taken back, and a cancelled one is gone in time.
 func TestWorkflowHistories(t *testing.T) {
-	for seed := uint64(1); seed <= max(3, seeds()/2); seed++ {
+	for seed := uint64(1); seed <= max(3, seedCount()/2); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playWorkflows(t, newHistory(t, seed)) })
+			synctest.Test(t, func(t *testing.T) { runWorkflowCases(t, newTestCluster(t, seed)) })
 		})
 	}
 }
 
-// TestFreezeAtEachStepOfAWorkflow: a controller stands still for 50 s at each write of a
+// TestPauseAtEachWorkflowStep: a controller stands still for 50 s at each write of a
 // workflow's life, before it is sent and before its answer is read. What comes out of it late
 // breaks nothing, and all ends as the plain interpreter says.
-func TestFreezeAtEachStepOfAWorkflow(t *testing.T) {
-	for _, kind := range []string{"documents", "workflow", "step", "workflow end", "workflow cancelled", "sweep"} {
+func TestPauseAtEachWorkflowStep(t *testing.T) {
+	for _, kind := range []string{"documents", "workflow", "step", "workflow end", "workflow cancelled", "prune"} {
 		for _, side := range []string{" sent", " answered"} {
 			t.Run(kind+side, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					h := newHistory(t, 9)
-					h.quiet, h.freezeAt = true, kind+side
-					playWorkflows(t, h)
-					if !h.frozen {
+					cluster := newTestCluster(t, 9)
+					cluster.noRandomFaults, cluster.pauseAtStep = true, kind+side
+					runWorkflowCases(t, cluster)
+					if !cluster.pausedAtStep {
 						t.Error("nothing stood still")
 					}
 				})
@@ -160,28 +160,28 @@
 	}
 }
 
-func playWorkflows(t *testing.T, h *history) {
-	h.runSteps(func(wire.JobID) {})
-	h.cloud.Run = func(wire.TaskID) time.Duration { return 8 * time.Second }
+func runWorkflowCases(t *testing.T, cluster *testCluster) {
+	cluster.emulateSteps(func(wire.JobID) {})
+	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 8 * time.Second }
 	ended := 0
-	h.also = func(ctx context.Context) {
-		for i, tc := range flowCases {
-			h.group.Go(func() {
-				wait.For(ctx, time.Millisecond+time.Duration(h.chance(60))*time.Second) // never at once: see play
-				if h.flow(ctx, wire.WorkflowID(fmt.Sprintf("wf-%06d", i)), tc.doc, tc.inputs, tc.state) {
-					h.mu.Lock()
+	cluster.onStart = func(ctx context.Context) {
+		for i, tc := range workflowCases {
+			cluster.group.Go(func() {
+				wait.For(ctx, time.Millisecond+time.Duration(cluster.randomInt(60))*time.Second) // never at once: see play
+				if cluster.runWorkflow(ctx, wire.WorkflowID(fmt.Sprintf("wf-%06d", i)), tc.doc, tc.inputs, tc.state) {
+					cluster.mu.Lock()
 					ended++
-					h.mu.Unlock()
+					cluster.mu.Unlock()
 				}
 			})
 		}
-		h.group.Go(func() { h.cancelledFlow(ctx, "wf-000100") })
+		cluster.group.Go(func() { cluster.runCancelledWorkflow(ctx, "wf-000100") })
 	}
-	h.past = true
-	h.play(9*time.Minute, 10, 0.03)
-	h.checkPast()
+	cluster.archiving = true
+	cluster.run(9*time.Minute, 10, 0.03)
+	cluster.checkArchive()
 	flows := 0
-	for _, it := range h.store.Items() {
+	for _, it := range cluster.store.Items() {
 		if strings.HasPrefix(it.Key, ledger.FinalWorkflowKey("")) {
 			flows++
 		}
@@ -189,19 +189,19 @@
 	if flows == 0 {
 		t.Error("no workflow is archived")
 	}
-	for _, b := range h.world.Broken {
+	for _, b := range cluster.world.Broken {
 		t.Errorf("broken: %s", b)
 	}
-	if ended < len(flowCases) {
-		t.Errorf("%d of %d workflows ended", ended, len(flowCases))
+	if ended < len(workflowCases) {
+		t.Errorf("%d of %d workflows ended", ended, len(workflowCases))
 	}
 }
 
-// flow submits a workflow and follows it to its end.
-func (h *history) flow(ctx context.Context, id wire.WorkflowID, doc, inputs string, want ledger.WorkflowState) bool {
+// runWorkflow submits a workflow and follows it to its end.
+func (cluster *testCluster) runWorkflow(ctx context.Context, id wire.WorkflowID, doc, inputs string, want ledger.WorkflowState) bool {
 	var values map[string]any
 	if err := yaml.Unmarshal([]byte(inputs), &values); err != nil {
-		h.t.Error(err)
+		cluster.t.Error(err)
 	}
 	in, _ := json.Marshal(values)
 	spec := &wire.WorkflowSpec{
@@ -214,7 +214,7 @@
 		Bundle:   map[string]string{"main.cwl": workflowHead + doc},
 		Inputs:   in,
 	}
-	if _, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
+	if _, ok := retryUntilAnswered(ctx, cluster, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		st, _, err := c.Workflows.Submit(ctx, spec)
 		return st, err
 	}); !ok {
@@ -226,22 +226,22 @@
 	final := map[ledger.WorkflowState]wire.Status{ledger.WorkflowDone: wire.Done, ledger.WorkflowFailed: wire.Failed}[want]
 	for ctx.Err() == nil {
 		wait.For(ctx, 3*time.Second)
-		st, ok := askAny(ctx, h, string(id), status)
+		st, ok := retryUntilAnswered(ctx, cluster, string(id), status)
 		if !ok || st.Status == wire.Running {
 			continue
 		}
 		var got map[string]any
 		if st.Status != final || json.Unmarshal(st.Out, &got) != nil ||
-			!reflect.DeepEqual(got, sequential(h.t, doc, inputs)) {
-			h.t.Errorf(
+			!reflect.DeepEqual(got, interpretSequentially(cluster.t, doc, inputs)) {
+			cluster.t.Errorf(
 				"seed %d: %s is %s with %s (%s), want %s with %v",
-				h.seed,
+				cluster.seed,
 				id,
 				st.Status,
 				st.Out,
 				st.Why,
 				final,
-				sequential(h.t, doc, inputs),
+				interpretSequentially(cluster.t, doc, inputs),
 			)
 		}
 		// Later it is archived, its steps' jobs too, and it is asked about and submitted again.
@@ -249,19 +249,19 @@
 		for _, ask := range []func(context.Context, *Controller) (wire.WorkflowStatus, error){status, func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 			st, created, err := c.Workflows.Submit(ctx, spec)
 			if created {
-				h.t.Errorf("seed %d: %s is accepted anew", h.seed, id)
+				cluster.t.Errorf("seed %d: %s is accepted anew", cluster.seed, id)
 			}
 			return st, err
 		}} {
-			again, ok := askAny(ctx, h, string(id), ask)
+			again, ok := retryUntilAnswered(ctx, cluster, string(id), ask)
 			if ok && (again.Status != st.Status || !bytes.Equal(again.Out, st.Out)) {
-				h.t.Errorf("seed %d: %s went back from %s to %s", h.seed, id, st.Status, again.Status)
+				cluster.t.Errorf("seed %d: %s went back from %s to %s", cluster.seed, id, st.Status, again.Status)
 			}
 			for _, step := range again.Steps {
 				if want == ledger.WorkflowDone && step.Over != step.Total {
-					h.t.Errorf(
+					cluster.t.Errorf(
 						"seed %d: step %s of %s is %s, %d of %d runs over",
-						h.seed,
+						cluster.seed,
 						step.Step,
 						id,
 						step.State,
@@ -276,9 +276,9 @@
 	return false
 }
 
-// cancelledFlow submits a wide workflow and cancels it midway: from then on no task of it
+// runCancelledWorkflow submits a wide workflow and cancels it midway: from then on no task of it
 // may start, and all must be gone in time.
-func (h *history) cancelledFlow(ctx context.Context, id wire.WorkflowID) {
+func (cluster *testCluster) runCancelledWorkflow(ctx context.Context, id wire.WorkflowID) {
 	spec := &wire.WorkflowSpec{
 		ID:       id,
 		Class:    "c",
@@ -287,16 +287,16 @@
 		Spot:     true,
 		Entry:    "main.cwl",
 		Bundle: map[string]string{
-			"main.cwl": workflowHead + flowCases[2].doc,
+			"main.cwl": workflowHead + workflowCases[2].doc,
 		},
 		Inputs: json.RawMessage(`{"x":["1","2","3","4","5","6","7","8","9"]}`),
 	}
-	askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
+	retryUntilAnswered(ctx, cluster, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		st, _, err := c.Workflows.Submit(ctx, spec)
 		return st, err
 	})
 	wait.For(ctx, 12*time.Second)
-	st, ok := askAny(ctx, h, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
+	st, ok := retryUntilAnswered(ctx, cluster, string(id), func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		return c.Workflows.Cancel(ctx, id)
 	})
 	if !ok || st.Status != wire.Cancelled {
@@ -305,20 +305,20 @@
 	for i := range 9 {
 		for attempt := range 3 {
 			job := workflow.JobOf(id, fmt.Sprintf("s[%d]", i), attempt)
-			if h.world.Known(job) {
-				h.world.Told(job, wire.Cancelled)
+			if cluster.world.Known(job) {
+				cluster.world.Told(job, wire.Cancelled)
 			}
 		}
 	}
 }
 
-// TestLateStepOfCancelledWorkflow: the transaction that submits a step does not land any more
+// TestLateStepAfterWorkflowCancellation: the transaction that submits a step does not land any more
 // once its workflow's cancellation has, however late it comes, and none is drafted after it.
 // The histories alone do not find this guard missing: who drives sweeps what it knows of.
-func TestLateStepOfCancelledWorkflow(t *testing.T) {
-	set := testSettings(t, 0)
+func TestLateStepAfterWorkflowCancellation(t *testing.T) {
+	set := newTestSettings(t, 0)
 	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
-	led := quietCore(t, 0).cache.Records()
+	led := newTestController(t, 0).cache.Records()
 	commit := func(draft func(*ledger.Transaction) error) (wire.Txn, error) {
 		d := led.NewTransaction()
 		if err := draft(d); err != nil {
@@ -394,3 +394,20 @@
 		}
 	}
 }
+
+// emulateSteps switches workflows on, has machines know the jobs that controllers submit, and
+// runs steps when their tasks are done. It calls then for each step's job afterwards.
+func (cluster *testCluster) emulateSteps(then func(wire.JobID)) {
+	cluster.stepData = new(stepdata.Mem)
+	cluster.store.Seen = func(change wire.Change) {
+		if spec, ok := emulator.Spec(change); ok {
+			cluster.world.Upload(spec)
+		}
+	}
+	cluster.world.Finished = func(task wire.TaskID) {
+		if err := emulator.RunStep(context.Background(), cluster.stepData, task.Job); err != nil {
+			cluster.t.Error(err)
+		}
+		then(task.Job)
+	}
+}
