--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -193,6 +193,7 @@
 // ask and however often; of an unknown one hardly ever any. Neither is told before the ledger
 // is fresh, unless it was told before.
 func TestArchiveReads(t *testing.T) {
+	t.Parallel()
 	const over = 60_000
 	items := append(archivedRecords(t, over, 4096), activeRecords(50, 10)...)
 	for i := range 2000 {
@@ -268,6 +269,7 @@
 // TestHeartbeatsDuringReload: the watch fell behind, and all records are read again, which
 // takes a while. Workers are answered from the ledger before until that is done.
 func TestHeartbeatsDuringReload(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControllerOn(t, slowStaticStore{newStaticStore(append(archivedRecords(t, 1000, 4096), activeRecords(400, 200)...))})
 		if _, err := c.cache.Load(t.Context()); err != nil {
@@ -316,6 +318,7 @@
 // one and back again while jobs run. Nothing is moved before all read the new format and what
 // the old ones sent can no longer land late; afterwards it is, and nothing is lost.
 func TestRollingUpgrade(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 11)
 		cluster.noRandomFaults, cluster.archiving = true, true
@@ -378,6 +381,7 @@
 // while jobs run, controllers end and stand still, and the state service fails; afterwards each
 // is told as it ended.
 func TestMigrationToArchive(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 17)
 		cluster.archiving = true
@@ -426,6 +430,7 @@
 // TestNewerFormatIsRefused: a controller that doesn't read the records' format ends with the
 // reason and serves nobody; while records are imported it waits.
 func TestNewerFormatIsRefused(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -469,6 +474,7 @@
 // again and again: what controllers hold at the end is what they held early on. SOAK_DAYS
 // asks for longer ones than CI has time for.
 func TestSoak(t *testing.T) {
+	t.Parallel()
 	length, seed := 100*time.Minute, uint64(1)
 	if days, err := strconv.ParseFloat(os.Getenv("SOAK_DAYS"), 64); err == nil {
 		length = time.Duration(days * 24 * float64(time.Hour))
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -31,6 +31,7 @@
 // TestHeartbeatsFromBeforeAPause: what waited at the door while the process stood
 // still is refused; workers gave it up long ago and report elsewhere.
 func TestHeartbeatsFromBeforeAPause(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, 0)
 		now := time.Now()
--- a/internal/controller/deadlines_test.go
+++ b/internal/controller/deadlines_test.go
@@ -127,6 +127,7 @@
 // or with each job's date by itself, whether controllers end again and again or not; and their ends
 // cost few. PROMISE_SEEDS asks for more than a few seeds.
 func TestPromisesAreKept(t *testing.T) {
+	t.Parallel()
 	seeds := 2
 	if n, err := strconv.Atoi(os.Getenv("PROMISE_SEEDS")); err == nil {
 		seeds = n
--- a/internal/controller/fault_plan_test.go
+++ b/internal/controller/fault_plan_test.go
@@ -13,67 +13,62 @@
 	"maddermill/wire"
 )
 
-// faultPlan describes a meeting of troubles: which jobs come, what goes wrong when, and what must
-// hold besides the rules. Users ask all controllers at once whenever something became of their job.
+// faultPlan describes several faults that overlap: which jobs are submitted, what goes wrong when,
+// and what must hold besides the rules. Users ask all controllers at once whenever the state of their
+// job has changed.
 type faultPlan struct {
 	name           string
 	machines       int // up at the start
-	maxMachines    int // that the cloud gives at the most
+	maxMachines    int // that the cloud rents out at most; at least machines
 	adjustSettings func(*settings.Settings)
-	prepare        func(cluster *testCluster) // changes the stand-ins before anything begins
+	prepare        func(cluster *testCluster) // changes the cluster before its start, if given
 	jobs           int
 	submitInterval time.Duration                             // between two submissions
 	spec           func(rng *rand.Rand, i int) *wire.JobSpec // a job; what is left out is filled in
 	cancelAfter    func(rng *rand.Rand, i int) time.Duration // after its acceptance; 0: never
 	events         []faultEvent
 	faultsUntil    time.Duration       // all events are over by then
-	settleWithin   time.Duration       // and all jobs so much later
-	check          func(run *faultRun) // checked at the end, if given
+	settleWithin   time.Duration       // all jobs are final so much later
+	check          func(run *faultRun) // called at the end, if given
 }
 
 // faultEvent is what goes wrong at a time.
 type faultEvent struct {
-	at time.Duration
+	at time.Duration // from the start
 	do func(run *faultRun)
 }
 
-// faultRun is one play of a plan.
+// faultRun is one run of a plan.
 type faultRun struct {
 	*testCluster
 	plan *faultPlan
 	ctx  context.Context
 
-	usersMu  sync.Mutex
+	usersMu  sync.Mutex // guards the fields below
 	accepted map[wire.JobID]bool
 	final    map[wire.JobID]wire.Status
 }
 
-// run plays a plan by a seed.
+// run runs a plan with a seed.
 func (p *faultPlan) run(t *testing.T, seed uint64) {
+	t.Helper()
 	cluster := newTestClusterOf(t, seed, 3, p.adjustSettings)
 	cluster.noRandomFaults, cluster.reliableMessages, cluster.archiving = true, true, seed%2 == 0
 	cluster.cloud.Most = max(p.maxMachines, p.machines)
 	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 10 * time.Second }
-	run := &faultRun{testCluster: cluster, plan: p, accepted: map[wire.JobID]bool{}, final: map[wire.JobID]wire.Status{}}
 	if p.prepare != nil {
 		p.prepare(cluster)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	run.ctx = ctx
-	cluster.start(ctx, p.machines, 0)
-	rng := rand.New(rand.NewPCG(seed, 8))
-	for i := range p.jobs {
-		spec := p.spec(rng, i)
-		fillSpec(spec, i)
-		after := time.Duration(0)
-		if p.cancelAfter != nil {
-			after = p.cancelAfter(rng, i)
-		}
-		cluster.group.Go(func() {
-			wait.For(ctx, 6*time.Second+time.Duration(i)*p.submitInterval)
-			run.submitAndPoll(spec, after)
-		})
+	run := &faultRun{
+		testCluster: cluster,
+		plan:        p,
+		ctx:         ctx,
+		accepted:    map[wire.JobID]bool{},
+		final:       map[wire.JobID]wire.Status{},
 	}
+	cluster.start(ctx, p.machines, 0)
+	run.startUsers()
 	for _, e := range p.events {
 		cluster.group.Go(func() {
 			wait.For(ctx, e.at+time.Millisecond)
@@ -84,55 +79,94 @@
 	for end := time.Now().Add(p.settleWithin); time.Now().Before(end) && !run.allFinal(); {
 		cluster.advance(time.Second)
 	}
-	if !run.allFinal() {
-		for i := range p.jobs {
-			if id := jobID(i); run.finalStatus(id) == "" {
-				t.Errorf("seed %d: %s is not over: accepted %v, %q", seed, id, run.accepted[id], run.observed.latestOf(id))
-			}
-		}
-	}
+	run.checkAllFinal()
 	if p.check != nil {
 		p.check(run)
 	}
 	cluster.shutDownAndCheck(cancel)
 }
 
-// fillSpec completes a job's description.
-func fillSpec(s *wire.JobSpec, i int) {
-	s.ID, s.Class, s.Image, s.ImageGB, s.Estimate = jobID(i), "c", "img-0", 2, 20
-	s.CPUs, s.MemoryGB, s.Spot = 1, 1, true
-	if s.Team == "" {
-		s.Team = "free"
+// startUsers starts the users of the plan's jobs.
+func (run *faultRun) startUsers() {
+	p, rng := run.plan, rand.New(rand.NewPCG(run.seed, 8))
+	for i := range p.jobs {
+		spec := p.spec(rng, i)
+		fillSpec(spec, i)
+		cancelAfter := time.Duration(0)
+		if p.cancelAfter != nil {
+			cancelAfter = p.cancelAfter(rng, i)
+		}
+		run.group.Go(func() {
+			wait.For(run.ctx, 6*time.Second+time.Duration(i)*p.submitInterval)
+			run.submitAndPoll(spec, cancelAfter)
+		})
+	}
+}
+
+// fillSpec fills in what a job's description leaves out.
+func fillSpec(spec *wire.JobSpec, i int) {
+	spec.ID, spec.Class, spec.Image, spec.ImageGB, spec.Estimate = jobID(i), "c", "img-0", 2, 20
+	spec.CPUs, spec.MemoryGB, spec.Spot = 1, 1, true
+	if spec.Team == "" {
+		spec.Team = "free"
 	}
-	if s.Shape == "" {
-		s.Shape = wire.Array
+	if spec.Shape == "" {
+		spec.Shape = wire.Array
 	}
-	if s.Priority == "" {
-		s.Priority = wire.Normal
+	if spec.Priority == "" {
+		spec.Priority = wire.Normal
 	}
-	s.Tasks = max(1, s.Tasks)
-	if s.GPUs == 0 {
-		s.GPUs = 1
+	spec.Tasks = max(1, spec.Tasks)
+	if spec.GPUs == 0 {
+		spec.GPUs = 1
 	}
 }
 
-// allFinal reports whether all jobs are.
+// allFinal reports whether all jobs are done or cancelled.
 func (run *faultRun) allFinal() bool {
 	run.usersMu.Lock()
 	defer run.usersMu.Unlock()
 	return len(run.final) == run.plan.jobs
 }
 
+// checkAllFinal reports jobs that are not done or cancelled.
+func (run *faultRun) checkAllFinal() {
+	run.t.Helper()
+	if run.allFinal() {
+		return
+	}
+	for i := range run.plan.jobs {
+		id := jobID(i)
+		if run.finalStatus(id) == "" {
+			run.t.Errorf(
+				"seed %d: status of %s at the end (accepted %v): got %q, want it to be final",
+				run.seed,
+				id,
+				run.isAccepted(id),
+				run.observed.latestOf(id),
+			)
+		}
+	}
+}
+
+// isAccepted reports whether a job was accepted.
+func (run *faultRun) isAccepted(id wire.JobID) bool {
+	run.usersMu.Lock()
+	defer run.usersMu.Unlock()
+	return run.accepted[id]
+}
+
+// finalStatus returns the final status of a job; "": it has none yet.
 func (run *faultRun) finalStatus(id wire.JobID) wire.Status {
 	run.usersMu.Lock()
 	defer run.usersMu.Unlock()
 	return run.final[id]
 }
 
-// submitAndPoll submits a job, looks closely whenever something became of it, and perhaps cancels it.
+// submitAndPoll is a user who submits a job, polls it until it is final, and perhaps cancels it.
 func (run *faultRun) submitAndPoll(spec *wire.JobSpec, cancelAfter time.Duration) {
 	run.world.Upload(spec)
-	st := run.queryAny(run.ctx, spec.ID, submitRequest(spec))
+	status := run.queryAny(run.ctx, spec.ID, submitRequest(spec))
 	if run.ctx.Err() != nil {
 		return
 	}
@@ -140,57 +174,97 @@
 	run.accepted[spec.ID] = true
 	run.usersMu.Unlock()
 	run.queryAll(run.ctx, spec)
-	began := time.Now()
-	for run.ctx.Err() == nil && rank(st) < 2 {
+	acceptedAt := time.Now()
+	for run.ctx.Err() == nil && rank(status) < 2 {
 		pause := 3 * time.Second
 		if cancelAfter > 0 {
-			pause = min(pause, max(0, cancelAfter-time.Since(began)))
+			pause = min(pause, max(0, cancelAfter-time.Since(acceptedAt)))
 		}
 		wait.For(run.ctx, pause)
-		if cancelAfter > 0 && time.Since(began) >= cancelAfter {
-			st = run.queryAny(run.ctx, spec.ID, cancelRequest(spec.ID))
+		if cancelAfter > 0 && time.Since(acceptedAt) >= cancelAfter {
+			status = run.queryAny(run.ctx, spec.ID, cancelRequest(spec.ID))
 			continue
 		}
-		st = run.queryAny(run.ctx, spec.ID, statusRequest(spec.ID))
+		status = run.queryAny(run.ctx, spec.ID, statusRequest(spec.ID))
 	}
 	if run.ctx.Err() != nil {
 		return
 	}
 	run.queryAll(run.ctx, spec)
 	run.usersMu.Lock()
-	run.final[spec.ID] = st
+	run.final[spec.ID] = status
 	run.usersMu.Unlock()
 }
 
-// Events.
+// Events: crashes.
+
+// restartDelay is how soon a crashed controller restarts.
+const restartDelay = 300 * time.Millisecond
 
-func crashAt(at time.Duration, which func(run *faultRun) int, back time.Duration) faultEvent {
+// crashAt crashes a controller, which restarts after the downtime.
+func crashAt(at time.Duration, which func(run *faultRun) int, downtime time.Duration) faultEvent {
 	return faultEvent{at, func(run *faultRun) {
 		i := which(run)
 		run.crash(i)
-		wait.For(run.ctx, back)
+		wait.For(run.ctx, downtime)
 		run.restart(run.ctx, i)
 	}}
 }
 
+// currentLeader chooses the leader.
 func currentLeader(run *faultRun) int { return run.leader() }
 
+// controllerAt chooses a controller by its index.
 func controllerAt(i int) func(*faultRun) int { return func(*faultRun) int { return i } }
 
-func crashAllAt(at, back time.Duration) faultEvent {
+// crashAllAt crashes all controllers, which restart after the downtime.
+func crashAllAt(at, downtime time.Duration) faultEvent {
 	return faultEvent{at, func(run *faultRun) {
 		for i := range run.size {
 			run.crash(i)
 		}
-		wait.For(run.ctx, back)
+		wait.For(run.ctx, downtime)
 		for i := range run.size {
 			run.restart(run.ctx, i)
 		}
 	}}
 }
 
-// during has something on for a while: what begin does, and what it returns ends.
-func during(at, length time.Duration, begin func(run *faultRun) (end func())) faultEvent {
+// crashAtStep crashes a controller at a step, so many times. It restarts after restartDelay.
+func crashAtStep(step string, times int) func(cluster *testCluster) func(i int, step string) {
+	return func(cluster *testCluster) func(int, string) {
+		return func(i int, now string) {
+			cluster.mu.Lock()
+			defer cluster.mu.Unlock()
+			if now != step || times == 0 || cluster.stopped {
+				return
+			}
+			times--
+			ctx := cluster.t.Context()
+			cluster.group.Go(func() { // the caller is a step of the controller that crashes
+				cluster.crash(i)
+				wait.For(ctx, restartDelay)
+				cluster.restart(ctx, i)
+			})
+		}
+	}
+}
+
+// repeated returns an event so many times.
+func repeated(times int, first, interval time.Duration, event func(at time.Duration) faultEvent) (out []faultEvent) {
+	for i := range times {
+		out = append(out, event(first+time.Duration(i)*interval))
+	}
+	return out
+}
+
+// Events: what lasts for a while.
+
+// lastingFault begins a fault and returns what ends it.
+type lastingFault func(run *faultRun) (end func())
+
+// during has a fault for a while.
+func during(at, length time.Duration, begin lastingFault) faultEvent {
 	return faultEvent{at, func(run *faultRun) {
 		end := begin(run)
 		wait.For(run.ctx, length)
@@ -198,18 +272,52 @@
 	}}
 }
 
-func storeDown(run *faultRun) func() { return run.testCluster.storeOutage() }
+// storeDown is an outage of the state service for all.
+func storeDown(run *faultRun) (end func()) { return run.storeOutage() }
+
+// isolateLeader cuts the leader from the state service, and from its peers if cutMesh is set.
+func isolateLeader(cutMesh bool) lastingFault {
+	return func(run *faultRun) (end func()) { return run.isolate(run.leader(), cutMesh) }
+}
+
+// slowStore has each request to the state service take so long.
+func slowStore(d time.Duration) lastingFault {
+	return func(run *faultRun) (end func()) {
+		run.slowStore(d)
+		return func() { run.slowStore(0) }
+	}
+}
+
+// delayWrites has every nth transaction get no answer and be carried out after a time.
+func delayWrites(n int, after func(count int) time.Duration) lastingFault {
+	return func(run *faultRun) (end func()) {
+		var mu sync.Mutex
+		count := 0
+		run.delayTransactions(func(t wire.Txn) time.Duration {
+			mu.Lock()
+			defer mu.Unlock()
+			if count++; len(t.Then) == 0 || count%n != 0 {
+				return 0
+			}
+			return after(count)
+		})
+		return func() { run.delayTransactions(nil) }
+	}
+}
+
+func afterOneMillisecond(int) time.Duration { return time.Millisecond }
 
-func isolateLeader(cut bool) func(run *faultRun) func() {
-	return func(run *faultRun) func() { return run.isolate(run.leader(), cut) }
+// afterSeveralSeconds returns 2 to 12 s.
+func afterSeveralSeconds(count int) time.Duration {
+	return 2*time.Second + time.Duration(count*7%11)*time.Second
 }
 
-// everyNthMachine has something done to every so manieth machine.
-func everyNthMachine(every int, set func(run *faultRun, machine *emulator.Machine, on bool)) func(run *faultRun) func() {
-	return func(run *faultRun) func() {
+// everyNthMachine has a fault at every nth machine that is up.
+func everyNthMachine(n int, set func(run *faultRun, machine *emulator.Machine, on bool)) lastingFault {
+	return func(run *faultRun) (end func()) {
 		var chosen []*emulator.Machine
 		for i, machine := range run.cloud.Up() {
-			if i%every == 0 {
+			if i%n == 0 {
 				chosen = append(chosen, machine)
 				set(run, machine, true)
 			}
@@ -232,49 +340,8 @@
 	run.deliverResponses(machine.Type.ID, !on)
 }
 
-// slowStore has each request to the state service take so long.
-func slowStore(d time.Duration) func(run *faultRun) func() {
-	return func(run *faultRun) func() {
-		set := func(d time.Duration) {
-			for _, l := range run.links {
-				l.SetSlow(d)
-			}
-		}
-		set(d)
-		return func() { set(0) }
-	}
-}
-
-// delayWrites has every so manieth transaction get no answer and be carried out after a time.
-func delayWrites(every int, after func(n int) time.Duration) func(run *faultRun) func() {
-	return func(run *faultRun) func() {
-		var mu sync.Mutex
-		seen := 0
-		set := func(late func(wire.Txn) time.Duration) {
-			for _, l := range run.links {
-				l.SetLate(late)
-			}
-		}
-		set(func(t wire.Txn) time.Duration {
-			mu.Lock()
-			defer mu.Unlock()
-			if seen++; len(t.Then) == 0 || seen%every != 0 {
-				return 0
-			}
-			return after(seen)
-		})
-		return func() { set(nil) }
-	}
-}
-
-func afterOneMillisecond(int) time.Duration { return time.Millisecond }
-
-func afterSeveralSeconds(n int) time.Duration {
-	return 2*time.Second + time.Duration(n*7%11)*time.Second
-}
-
-// replayAt keeps copies of all reports for a while; all arrive at every controller so long after
-// the next time that a controller begins to lead.
+// replayAt copies all heartbeats for a while. All copies arrive at every controller so long after the
+// next election of a leader.
 func replayAt(at, length, after time.Duration) faultEvent {
 	return faultEvent{at, func(run *faultRun) { run.replayHeartbeats(run.ctx, length, after) }}
 }
--- a/internal/controller/fault_plans_test.go
+++ b/internal/controller/fault_plans_test.go
@@ -5,13 +5,13 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"maddermill/internal/server"
 	"maddermill/internal/settings"
-	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
@@ -20,9 +20,10 @@
 	return func(cluster *testCluster) { cluster.cloud.Run = func(wire.TaskID) time.Duration { return d } }
 }
 
+// singleTaskJob returns an array of one task.
 func singleTaskJob(*rand.Rand, int) *wire.JobSpec { return &wire.JobSpec{} }
 
-// mixedJob are arrays and gangs of some tasks.
+// mixedJob returns an array or a gang of some tasks.
 func mixedJob(rng *rand.Rand, i int) *wire.JobSpec {
 	s := &wire.JobSpec{Tasks: 1 + rng.IntN(4)}
 	if i%3 == 0 {
@@ -31,7 +32,7 @@
 	return s
 }
 
-// teamJob are jobs of two teams.
+// teamJob returns a job of one of two teams.
 func teamJob(rng *rand.Rand, i int) *wire.JobSpec {
 	s := mixedJob(rng, i)
 	s.Team = []wire.Team{"free", "capped"}[i%2]
@@ -48,11 +49,12 @@
 	}
 }
 
+// randomBetween returns random times between two.
 func randomBetween(from, to time.Duration) func(*rand.Rand, int) time.Duration {
 	return func(rng *rand.Rand, _ int) time.Duration { return from + time.Duration(rng.Int64N(int64(to-from))) }
 }
 
-// oneInFour cancels one job in four, at a time as of f.
+// oneInFour cancels one job in four, at the time that f returns.
 func oneInFour(f func(*rand.Rand, int) time.Duration) func(*rand.Rand, int) time.Duration {
 	return func(rng *rand.Rand, i int) time.Duration {
 		if i%4 != 1 {
@@ -62,19 +64,34 @@
 	}
 }
 
-const restartDelay = 300 * time.Millisecond // how soon an ended controller is back
-
-// faultPlans is one plan a meeting, or several where what comes first matters.
+// faultPlans returns all plans.
 func faultPlans() []*faultPlan {
-	plans := []*faultPlan{
+	return slices.Concat(
+		submissionPlans(),
+		cancellationPlans(),
+		teamLimitPlans(),
+		failoverPlans(),
+		partitionPlans(),
+		replayPlans(),
+	)
+}
+
+// submissionPlans returns plans about the submission and the end of jobs.
+func submissionPlans() []*faultPlan {
+	return []*faultPlan{
 		{
-			name: "users look closely, answers of transactions are lost", machines: 6, jobs: 16, submitInterval: 700 * time.Millisecond,
-			spec: mixedJob, cancelAfter: oneInFour(randomBetween(0, 8*time.Second)),
-			events:      []faultEvent{during(time.Second, 40*time.Second, delayWrites(2, afterOneMillisecond))},
-			faultsUntil: 45 * time.Second, settleWithin: 3 * time.Minute,
+			name:           "answers of transactions are lost while users ask all controllers",
+			machines:       6,
+			jobs:           16,
+			submitInterval: 700 * time.Millisecond,
+			spec:           mixedJob,
+			cancelAfter:    oneInFour(randomBetween(0, 8*time.Second)),
+			events:         []faultEvent{during(time.Second, 40*time.Second, delayWrites(2, afterOneMillisecond))},
+			faultsUntil:    45 * time.Second,
+			settleWithin:   3 * time.Minute,
 		},
 		{
-			name:           "more work than room, urgent and not, over slow links",
+			name:           "more work than room at several priorities, slow state service",
 			machines:       3,
 			maxMachines:    4,
 			jobs:           24,
@@ -93,7 +110,7 @@
 			settleWithin: 12 * time.Minute,
 		},
 		{
-			name:           "one-task jobs four a second, a quarter cancelled",
+			name:           "four one-task jobs a second, a quarter cancelled",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           240,
@@ -107,7 +124,46 @@
 			check:          limitChangesPerStart(4.6, 7.5),
 		},
 		{
-			name:           "cancelled while one controller's work changes hands",
+			name:           "cancelled, polled and resubmitted when the last task exits",
+			machines:       8,
+			maxMachines:    8,
+			jobs:           24,
+			submitInterval: 700 * time.Millisecond,
+			prepare:        func(cluster *testCluster) { runsFor(4 * time.Second)(cluster) },
+			spec:           mixedJob,
+			cancelAfter:    randomBetween(5*time.Second, 14*time.Second),
+			faultsUntil:    30 * time.Second,
+			settleWithin:   3 * time.Minute,
+		},
+		{
+			name:           "invalid requests while controllers crash",
+			machines:       6,
+			maxMachines:    8,
+			jobs:           10,
+			submitInterval: 2 * time.Second,
+			spec:           mixedJob,
+			cancelAfter:    oneInFour(randomBetween(2*time.Second, 20*time.Second)),
+			events: append(
+				repeated(
+					8,
+					9*time.Second,
+					5*time.Second,
+					func(at time.Duration) faultEvent { return faultEvent{at, sendInvalidRequests} },
+				),
+				crashAt(20*time.Second, currentLeader, restartDelay),
+				crashAllAt(35*time.Second, time.Second),
+			),
+			faultsUntil:  55 * time.Second,
+			settleWithin: 4 * time.Minute,
+		},
+	}
+}
+
+// cancellationPlans returns plans about cancellations in a failover.
+func cancellationPlans() []*faultPlan {
+	return []*faultPlan{
+		{
+			name:           "cancelled during a failover of one controller's workers",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           14,
@@ -123,7 +179,7 @@
 			settleWithin: 2 * time.Minute,
 		},
 		{
-			name:           "cancelled at the moment at which the leader alone is refused, then an outage",
+			name:           "cancelled at the moment when the leader alone loses the state service, then an outage",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           12,
@@ -139,8 +195,14 @@
 			faultsUntil:  113 * time.Second,
 			settleWithin: 2 * time.Minute,
 		},
+	}
+}
+
+// teamLimitPlans returns plans about the limits of teams.
+func teamLimitPlans() []*faultPlan {
+	return []*faultPlan{
 		{
-			name:           "team at its limit, machines mute, leader ends, cancellations",
+			name:           "team at its limit, heartbeats lost, leader crashes, cancellations",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           14,
@@ -155,7 +217,7 @@
 			settleWithin: 10 * time.Minute,
 		},
 		{
-			name:           "every team at its limit, machines hang or are cut off, the leader changes",
+			name:           "every team at its limit, machines hang or are cut off, leader crashes",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           16,
@@ -180,6 +242,12 @@
 			faultsUntil:  70 * time.Second,
 			settleWithin: 12 * time.Minute,
 		},
+	}
+}
+
+// failoverPlans returns plans about the end of leaders and of all controllers.
+func failoverPlans() []*faultPlan {
+	return []*faultPlan{
 		{
 			name:           "ten leaders in two minutes, also in an outage",
 			machines:       6,
@@ -200,13 +268,19 @@
 			settleWithin: 5 * time.Minute,
 		},
 		{
-			name: "all controllers away for longer than a lease", machines: 6, jobs: 14, submitInterval: time.Second,
-			prepare: runsFor(25 * time.Second), spec: mixedJob, cancelAfter: oneInFour(randomBetween(5*time.Second, 60*time.Second)),
-			events:      []faultEvent{crashAllAt(24*time.Second, 38*time.Second)},
-			faultsUntil: 65 * time.Second, settleWithin: 5 * time.Minute,
+			name:           "all controllers down for longer than a lease",
+			machines:       6,
+			jobs:           14,
+			submitInterval: time.Second,
+			prepare:        runsFor(25 * time.Second),
+			spec:           mixedJob,
+			cancelAfter:    oneInFour(randomBetween(5*time.Second, 60*time.Second)),
+			events:         []faultEvent{crashAllAt(24*time.Second, 38*time.Second)},
+			faultsUntil:    65 * time.Second,
+			settleWithin:   5 * time.Minute,
 		},
 		{
-			name:           "new machines at once, late writes, the leader ends",
+			name:           "new machines, delayed transactions, leader crashes",
 			machines:       0,
 			maxMachines:    10,
 			jobs:           14,
@@ -226,28 +300,32 @@
 			settleWithin: 6 * time.Minute,
 		},
 		{
-			name: "a leader ends as it rents, new machines at once", machines: 0, maxMachines: 10, jobs: 14, submitInterval: 2 * time.Second,
+			name:           "leader crashes during a scale-out, new machines",
+			machines:       0,
+			maxMachines:    10,
+			jobs:           14,
+			submitInterval: 2 * time.Second,
 			prepare: func(cluster *testCluster) {
 				cluster.cloud.Types[0].Boot = 1.5
 				cluster.onStep = crashAtStep("scale-out answered", 4)(cluster)
-			}, spec: mixedJob,
-			faultsUntil: 70 * time.Second, settleWithin: 6 * time.Minute,
+			},
+			spec:         mixedJob,
+			faultsUntil:  70 * time.Second,
+			settleWithin: 6 * time.Minute,
 		},
+	}
+}
+
+// partitionPlans returns plans about machines and zones that are cut off.
+func partitionPlans() []*faultPlan {
+	return []*faultPlan{
 		{
-			name:           "cancelled, asked and repeated at the end of the last task",
+			name:           "jobs of one zone lose machines",
 			machines:       8,
-			maxMachines:    8,
-			jobs:           24,
-			submitInterval: 700 * time.Millisecond,
-			prepare:        func(cluster *testCluster) { runsFor(4 * time.Second)(cluster) },
-			spec:           mixedJob,
-			cancelAfter:    randomBetween(5*time.Second, 14*time.Second),
-			faultsUntil:    30 * time.Second,
-			settleWithin:   3 * time.Minute,
-		},
-		{
-			name: "jobs of one zone lose machines", machines: 8, maxMachines: 10, jobs: 12, submitInterval: time.Second,
-			prepare: runsFor(20 * time.Second),
+			maxMachines:    10,
+			jobs:           12,
+			submitInterval: time.Second,
+			prepare:        runsFor(20 * time.Second),
 			spec: func(rng *rand.Rand, i int) *wire.JobSpec {
 				s := mixedJob(rng, i)
 				zone := wire.Zone([]string{"a", "b"}[i%2])
@@ -264,10 +342,11 @@
 			events: append(repeated(4, 20*time.Second, 8*time.Second, func(at time.Duration) faultEvent {
 				return faultEvent{at, func(run *faultRun) { run.cloud.Take(1) }}
 			}), during(30*time.Second, 50*time.Second, everyNthMachine(3, hangMachine)), crashAt(34*time.Second, currentLeader, restartDelay)),
-			faultsUntil: 85 * time.Second, settleWithin: 12 * time.Minute,
+			faultsUntil:  85 * time.Second,
+			settleWithin: 12 * time.Minute,
 		},
 		{
-			name:           "a zone with workers and a controller is cut off for longer than a lease",
+			name:           "partitioned zone with workers and a controller for longer than a lease",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           14,
@@ -283,7 +362,7 @@
 			settleWithin: 6 * time.Minute,
 		},
 		{
-			name:           "machines hear nobody while the leader changes",
+			name:           "responses lost while the leader changes",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           14,
@@ -300,7 +379,7 @@
 			settleWithin: 6 * time.Minute,
 		},
 		{
-			name:           "machines reach no controller while the leader changes",
+			name:           "heartbeats lost while the leader changes",
 			machines:       8,
 			maxMachines:    8,
 			jobs:           14,
@@ -316,34 +395,14 @@
 			faultsUntil:  65 * time.Second,
 			settleWithin: 6 * time.Minute,
 		},
-		{
-			name:           "odd requests while controllers end",
-			machines:       6,
-			maxMachines:    8,
-			jobs:           10,
-			submitInterval: 2 * time.Second,
-			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(2*time.Second, 20*time.Second)),
-			events: append(
-				repeated(
-					8,
-					9*time.Second,
-					5*time.Second,
-					func(at time.Duration) faultEvent { return faultEvent{at, sendInvalidRequests} },
-				),
-				crashAt(20*time.Second, currentLeader, restartDelay),
-				crashAllAt(35*time.Second, time.Second),
-			),
-			faultsUntil:  55 * time.Second,
-			settleWithin: 4 * time.Minute,
-		},
 	}
+}
+
+// replayPlans returns plans in which old heartbeats arrive after a failover.
+func replayPlans() (plans []*faultPlan) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 8 * time.Second, 45 * time.Second} {
 		plans = append(plans, &faultPlan{
-			name: fmt.Sprintf(
-				"reports are held until a new leader begins, and %v more",
-				after,
-			),
+			name:           fmt.Sprintf("heartbeats arrive again %v after an election", after),
 			machines:       8,
 			maxMachines:    8,
 			jobs:           16,
@@ -362,89 +421,62 @@
 	return plans
 }
 
-// repeated is an event so many times.
-func repeated(times int, first, every time.Duration, event func(at time.Duration) faultEvent) (out []faultEvent) {
-	for i := range times {
-		out = append(out, event(first+time.Duration(i)*every))
-	}
-	return out
-}
-
-// crashAtStep ends a controller at a step, and has it back soon, so many times.
-func crashAtStep(step string, times int) func(cluster *testCluster) func(i int, step string) {
-	return func(cluster *testCluster) func(int, string) {
-		return func(i int, now string) {
-			cluster.mu.Lock()
-			defer cluster.mu.Unlock()
-			if now != step || times == 0 || cluster.stopped {
-				return
-			}
-			times--
-			ctx := cluster.t.Context()
-			cluster.group.Go(func() { // a step is a part of what ends
-				cluster.crash(i)
-				wait.For(ctx, restartDelay)
-				cluster.restart(ctx, i)
-			})
-		}
-	}
-}
-
-// sendInvalidRequests asks about jobs that nobody submitted, submits some that can never run, and cancels
-// what is done.
+// sendInvalidRequests asks for the status of jobs that nobody submitted, submits some that can never
+// run, and cancels jobs that are done.
 func sendInvalidRequests(run *faultRun) {
-	never := &wire.JobSpec{Tasks: 1, GPUs: 16}
-	fillSpec(never, 900_000)
-	nobodys := &wire.JobSpec{Team: "nobody"}
-	fillSpec(nobodys, 900_001)
-	tooMany := &wire.JobSpec{Team: "capped", Shape: wire.Gang, Tasks: 5}
-	fillSpec(tooMany, 900_002)
+	tooLarge := &wire.JobSpec{Tasks: 1, GPUs: 16}
+	fillSpec(tooLarge, 900_000)
+	unknownTeam := &wire.JobSpec{Team: "nobody"}
+	fillSpec(unknownTeam, 900_001)
+	overLimit := &wire.JobSpec{Team: "capped", Shape: wire.Gang, Tasks: 5}
+	fillSpec(overLimit, 900_002)
 	for i := range run.size {
 		c := run.controller(i)
 		if c == nil {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(run.ctx, 5*time.Second)
-		for _, spec := range []*wire.JobSpec{never, nobodys, tooMany} {
+		for _, spec := range []*wire.JobSpec{tooLarge, unknownTeam, overLimit} {
 			if _, _, err := c.Jobs.Submit(ctx, spec); err == nil {
-				run.t.Errorf("%s is accepted", spec.ID)
+				run.t.Errorf("seed %d: submit %s: got no error, want one", run.seed, spec.ID)
 			}
 			if _, err := c.Jobs.Status(ctx, spec.ID); err == nil {
-				run.t.Errorf("%s is known", spec.ID)
+				run.t.Errorf("seed %d: status of %s: got no error, want one", run.seed, spec.ID)
 			}
 			if _, err := c.Jobs.Cancel(ctx, spec.ID); err == nil || errors.Is(err, server.ErrUnschedulable) {
-				run.t.Errorf("%s can be cancelled: %v", spec.ID, err)
+				run.t.Errorf("seed %d: cancel %s: got error %v, want one that the job is unknown", run.seed, spec.ID, err)
 			}
 		}
 		cancel()
 		for k := range run.plan.jobs {
-			if st := run.finalStatus(jobID(k)); st == wire.Done {
+			if run.finalStatus(jobID(k)) == wire.Done {
 				run.queryController(run.ctx, jobID(k), i, cancelRequest(jobID(k)))
 			}
 		}
 	}
 }
 
-// limitChangesPerStart checks how many changes of the state service a started task took, also where what is
-// over is moved to the archive at once.
-func limitChangesPerStart(most, archived float64) func(run *faultRun) {
+// limitChangesPerStart checks how many changes of the state service a started task took: at most
+// limit, or limitArchiving where finished jobs are archived at once.
+func limitChangesPerStart(limit, limitArchiving float64) func(run *faultRun) {
 	return func(run *faultRun) {
-		most := most
+		want := limit
 		if run.archiving {
-			most = archived
+			want = limitArchiving
 		}
-		per := float64(run.store.Changed()) / float64(run.world.Starts)
-		run.t.Logf("%d changes, %d starts: %.2f each", run.store.Changed(), run.world.Starts, per)
-		if per > most {
-			run.t.Errorf("%.2f changes for each started task, at most %.2f wanted", per, most)
+		got := float64(run.store.Changed()) / float64(run.world.Starts)
+		run.t.Logf("%d changes, %d starts: %.2f changes per start", run.store.Changed(), run.world.Starts, got)
+		if got > want {
+			run.t.Errorf("seed %d: changes per started task: got %.2f, want <= %.2f", run.seed, got, want)
 		}
 	}
 }
 
-// TestFaultPlans plays each plan by a few seeds, more with HISTORY_SEEDS. No rule is broken, no
-// controller ever answers something older than any did before it was asked, and all jobs are over
-// soon after the troubles.
+// TestFaultPlans runs each plan with a few seeds, more with HISTORY_SEEDS. No rule is violated, no
+// controller ever answers with a state older than one that was given before the request, and all jobs are
+// final soon after the faults.
 func TestFaultPlans(t *testing.T) {
+	t.Parallel()
 	for _, p := range faultPlans() {
 		t.Run(p.name, func(t *testing.T) {
 			for seed := range max(2, seedCount()-6) {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -51,6 +51,19 @@
 	cluster.meshCut[i] = cut
 }
 
+// loseMeshForAll cuts all controllers from each other.
+func (cluster *testCluster) loseMeshForAll() (end func()) {
+	set := func(cut bool) {
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		for i := range cluster.meshCut {
+			cluster.meshCut[i] = cut
+		}
+	}
+	set(true)
+	return func() { set(false) }
+}
+
 // partitionZone cuts off a zone with a controller in it.
 func (cluster *testCluster) partitionZone(zone wire.Zone, inside int) (end func()) {
 	set := func(on bool) {
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -43,6 +43,7 @@
 // the galleries were known; every promise is on record as it was made; and each gallery ends as what
 // is on record says, not as who looked when.
 func TestGalleriesSurviveRestarts(t *testing.T) {
+	t.Parallel()
 	for n, kind := range []string{"register", "gallery", "gallery state", "gallery binding", "exit"} {
 		for m, side := range []string{" sent", " answered"} {
 			t.Run(kind+side, func(t *testing.T) {
--- a/internal/controller/gang_placement_test.go
+++ b/internal/controller/gang_placement_test.go
@@ -125,6 +125,7 @@
 // without a topology and with one, in each order of closeness and images. What is gained
 // must be clear, and nothing may be lost.
 func TestGangPlacementCloseness(t *testing.T) {
+	t.Parallel()
 	play := func(declared string) (all gangPlacements) {
 		for seed := range uint64(3) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/overlapping_faults_test.go
+++ b/internal/controller/overlapping_faults_test.go
@@ -48,6 +48,7 @@
 // reports are not answered in time. Whoever holds a machine that gave up takes the claim over, and
 // the gang begins as one attempt; before, each such change made it begin anew, fetches and all.
 func TestWaitingGangSurvivesFailover(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(1); seed <= 4; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newQuietCluster(t, seed, 3)
@@ -82,6 +83,7 @@
 // machine, or at its holder's next life. The attempt that now runs must go on: before, its claim
 // was released, and the gang stopped for nothing, or started once more beside it.
 func TestStaleHeartbeatOfWaitingGang(t *testing.T) {
+	t.Parallel()
 	for _, after := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 12 * time.Second, 40 * time.Second} {
 		for _, where := range []string{"another", "its next life"} {
 			t.Run(fmt.Sprintf("%v, %s", after, where), func(t *testing.T) {
@@ -142,6 +144,7 @@
 // for long, gangs start on the others, and it serves again when it hears. Before, it looked free and
 // was given work again and again, and each gang placed there waited for a lease.
 func TestOneWayPartition(t *testing.T) {
+	t.Parallel()
 	for _, shape := range []wire.Shape{wire.Array, wire.Gang} {
 		t.Run(string(shape), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -203,6 +206,7 @@
 // balancer that it was healthy, since it knew of nobody better off, and users that had connected to it
 // were refused for as long as the cut lasted.
 func TestLeaderIsolatedFromStoreAndPeers(t *testing.T) {
+	t.Parallel()
 	for _, n := range []int{3, 7} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -236,6 +240,7 @@
 // answer and are carried out 2 to 12 s later, after newer ones of the same controller, also after its
 // end and return. No rule is broken, and all jobs are done.
 func TestDelayedTransactions(t *testing.T) {
+	t.Parallel()
 	late := 0
 	for n, kind := range []string{"start", "exit", "machine phase", "leader", "token", "scale-out record", "machines pruned", "archive", ""} {
 		for _, ends := range []bool{false, true} {
@@ -277,6 +282,7 @@
 // arrives. What counts from a contact counts from when the read began: no rule is broken, users are told
 // nothing from before they asked, and all jobs are done.
 func TestSlowStore(t *testing.T) {
+	t.Parallel()
 	for _, slow := range []time.Duration{400 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second} {
 		t.Run(slow.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -303,6 +309,7 @@
 // when all of its tasks are, and soon: an exit that was reported to the old leader and not recorded is
 // recorded once by whoever holds the machine then.
 func TestFailoverBetweenTaskExits(t *testing.T) {
+	t.Parallel()
 	for _, trouble := range []string{"ends", "cut", "refused", "all end"} {
 		for k, when := range []time.Duration{2 * time.Second, 6 * time.Second, 8 * time.Second, 9 * time.Second, 10 * time.Second, 12 * time.Second, 14 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("%s after %v", trouble, when), func(t *testing.T) {
@@ -365,6 +372,7 @@
 // successor once more; a machine that comes back at any moment in between neither keeps its task beside
 // another nor gets it twice.
 func TestUnreachableMachines(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"hang", "deaf"} {
 		for k, back := range []time.Duration{5 * time.Second, 20 * time.Second, 28 * time.Second, 33 * time.Second, 40 * time.Second, 55 * time.Second, 3 * time.Minute} {
 			t.Run(fmt.Sprintf("%s, back after %v", how, back), func(t *testing.T) {
@@ -433,6 +441,7 @@
 // the workers begin new sessions. What any controller heard is recorded when the claims go: nothing
 // that completed and was heard runs again. Before, all that was not on record did.
 func TestCompletionsSurviveNewEpoch(t *testing.T) {
+	t.Parallel()
 	for _, shape := range []wire.Shape{wire.Array, wire.Gang} {
 		for _, rolls := range []int{1, 2} {
 			t.Run(fmt.Sprintf("%s, %d rolls", shape, rolls), func(t *testing.T) {
@@ -518,6 +527,7 @@
 // submission at another controller and cancels there. The first controller tells what the job is by
 // the time that it answers; before, it said queued.
 func TestSlowSubmission(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newQuietCluster(t, 81, 3)
 		spec := &wire.JobSpec{Tasks: 1}
@@ -563,6 +573,7 @@
 // claimed, before it has sent its start. Whoever holds the machines next takes the claims over and sends it:
 // the gang begins as its first attempt. Before, each end cost such a gang its start, fetches and all.
 func TestGangStartsAfterFailover(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(1); seed <= 6; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newQuietCluster(t, seed, 3)
--- a/internal/controller/overlapping_outages_test.go
+++ b/internal/controller/overlapping_outages_test.go
@@ -13,195 +13,221 @@
 	"maddermill/wire"
 )
 
-// outageOverlap is a history in which the state service refuses the leader alone, other controllers tell
-// users of cancellations, and then the state service is down for all for longer than a
-// cancellation may take, while workers report to the old leader.
+// outageOverlap is a course of two faults that overlap. The state service refuses the leader alone
+// while other controllers acknowledge cancellations to users. Then the state service is down for all
+// controllers, for longer than a cancellation may take, while workers still report to the leader.
 type outageOverlap struct {
 	seed        uint64
-	controllers int             // controllers
-	timing      [3]wire.Seconds // between reports, of workers' leases, of cancellations
-	mesh        string          // what of it works: "whole"; "cut": not to the old leader; "lost": with the state service
-	outageAfter time.Duration   // after the refusal began
-	refusedFor  time.Duration   // how long
+	controllers int
+	timing      [3]wire.Seconds // interval of heartbeats, length of workers' leases, limit of cancellations
+	mesh        string          // "whole"; "cut": the leader is cut off; "lost": all are, with the state service
+	outageAfter time.Duration   // from the leader's refusal to the outage for all
+	refusedFor  time.Duration   // length of the leader's refusal, if it were alone
 	repeat      bool            // all of it comes once more, 20 s after the state service is back
-	afterCancel string          // to who told: "", "restart" at once, "restart in it": in the outage, "reload": its records anew
-	storeDelay  time.Duration   // that answers of the state service take before the outage
+	afterCancel string          // fault of the controller that acknowledged a cancellation: see disturb
+	storeDelay  time.Duration   // of answers of the state service before the outage
 }
 
-func (g outageOverlap) String() string {
+// String describes the course; it names the sub-test.
+func (o outageOverlap) String() string {
 	return fmt.Sprintf(
-		"%d controllers, times %v, mesh %s, outage after %v, refused for %v, twice %v, then %q, slow %v, seed %d",
-		g.controllers,
-		g.timing,
-		g.mesh,
-		g.outageAfter,
-		g.refusedFor,
-		g.repeat,
-		g.afterCancel,
-		g.storeDelay,
-		g.seed,
+		"%d controllers, timing %v, mesh %s, outage after %v, refused for %v, repeat %v, then %q, store delay %v, seed %d",
+		o.controllers,
+		o.timing,
+		o.mesh,
+		o.outageAfter,
+		o.refusedFor,
+		o.repeat,
+		o.afterCancel,
+		o.storeDelay,
+		o.seed,
 	)
 }
 
-// run plays the gap and returns how many cancellations were told.
-func (g outageOverlap) run(t *testing.T) (told int) {
-	cluster := newTestClusterOf(t, g.seed, g.controllers, func(s *settings.Settings) {
-		w := &s.Cluster.Workers
-		w.Report, w.Lease, w.Cancel = g.timing[0], g.timing[1], g.timing[2]
+// run plays the course and returns how many cancellations were acknowledged.
+func (o outageOverlap) run(t *testing.T) (acknowledged int) {
+	t.Helper()
+	cluster := newTestClusterOf(t, o.seed, o.controllers, func(s *settings.Settings) {
+		workers := &s.Cluster.Workers
+		workers.Report, workers.Lease, workers.Cancel = o.timing[0], o.timing[1], o.timing[2]
 	})
-	cluster.reliableMessages, cluster.archiving = true, g.seed%2 == 0
-	cluster.cloud.Lease = time.Duration(float64(g.timing[1].Duration()) * 1.0005) // by a clock that is late
+	cluster.reliableMessages, cluster.archiving = true, o.seed%2 == 0
+	// The worker's clock is late by the skew that is allowed.
+	cluster.cloud.Lease = time.Duration(float64(o.timing[1].Duration()) * 1.0005)
 	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 10 * time.Minute }
 	ctx, cancel := context.WithCancel(t.Context())
 	cluster.start(ctx, 8, 0)
 	var jobs []*wire.JobSpec
 	for i := range 12 {
-		s := &wire.JobSpec{
-			ID:       wire.JobID(fmt.Sprintf("wk-%06d", i)),
-			Class:    "c",
-			Team:     "free",
-			Shape:    wire.Array,
-			Priority: wire.Normal,
-			Tasks:    1 + i%2,
-			CPUs:     1,
-			GPUs:     1,
-			MemoryGB: 1,
-			Image:    "img-0",
-			ImageGB:  2,
-			Spot:     true,
-			Estimate: 600,
-		}
-		if i%4 == 3 {
-			s.Shape = wire.Gang
-		}
-		if i%3 == 1 {
-			s.Checkpoint, s.Save = 5, 2
-		}
-		jobs = append(jobs, s)
-		cluster.group.Go(func() { cluster.submit(ctx, s) })
+		spec := o.spec(i)
+		jobs = append(jobs, spec)
+		cluster.group.Go(func() { cluster.submit(ctx, spec) })
 	}
 	cluster.advance(40 * time.Second)
-	for round := range 2 {
-		if round == 1 && !g.repeat {
-			break
-		}
-		old := cluster.leader()
-		endAlone := cluster.isolate(old, g.mesh == "cut")
-		for _, l := range cluster.links {
-			l.SetSlow(g.storeDelay)
-		}
-		// Half of the jobs are cancelled, some just before the refusal, most within it.
-		for k, s := range jobs[6*round : 6*round+6] {
-			cluster.group.Go(func() {
-				wait.For(ctx, time.Millisecond+time.Duration(k)*g.outageAfter/5)
-				by, ok := cluster.cancelElsewhere(ctx, s.ID, old)
-				if !ok {
-					return
-				}
-				cluster.mu.Lock()
-				told++
-				cluster.mu.Unlock()
-				switch g.afterCancel {
-				case "restart":
-					cluster.crash(by)
-					wait.For(ctx, 300*time.Millisecond)
-					cluster.restart(ctx, by)
-				case "restart in it":
-					wait.For(ctx, g.outageAfter+10*time.Second)
-					cluster.crash(by)
-					wait.For(ctx, 300*time.Millisecond)
-					cluster.restart(ctx, by)
-				case "reload":
-					cluster.store.Forget()
-				}
-			})
-		}
-		cluster.advance(g.outageAfter)
-		over := cluster.storeOutage()
-		endMesh := func() {}
-		if g.mesh == "lost" {
-			cluster.mu.Lock()
-			for i := range cluster.meshCut {
-				cluster.meshCut[i] = true
+	rounds := 1
+	if o.repeat {
+		rounds = 2
+	}
+	for round := range rounds {
+		o.playRound(ctx, cluster, jobs[6*round:6*round+6], &acknowledged)
+	}
+	cluster.shutDown(cancel)
+	if o.mesh == "whole" && o.afterCancel == "" && cluster.world.Lapsed > 0 {
+		t.Errorf(
+			"got %d tasks lost with their leases, want 0: peers could confirm which jobs are cancelled",
+			cluster.world.Lapsed,
+		)
+	}
+	cluster.reportBrokenRules()
+	return acknowledged
+}
+
+// spec returns a job of the course.
+func (o outageOverlap) spec(i int) *wire.JobSpec {
+	spec := &wire.JobSpec{
+		ID:       jobID(i),
+		Class:    "c",
+		Team:     "free",
+		Shape:    wire.Array,
+		Priority: wire.Normal,
+		Tasks:    1 + i%2,
+		CPUs:     1,
+		GPUs:     1,
+		MemoryGB: 1,
+		Image:    "img-0",
+		ImageGB:  2,
+		Spot:     true,
+		Estimate: 600,
+	}
+	if i%4 == 3 {
+		spec.Shape = wire.Gang
+	}
+	if i%3 == 1 {
+		spec.Checkpoint, spec.Save = 5, 2
+	}
+	return spec
+}
+
+// playRound plays both faults once, with the cancellation of some jobs: the first just before the
+// refusal of the leader, most within it.
+func (o outageOverlap) playRound(
+	ctx context.Context,
+	cluster *testCluster,
+	jobs []*wire.JobSpec,
+	acknowledged *int,
+) {
+	leader := cluster.leader()
+	endIsolation := cluster.isolate(leader, o.mesh == "cut")
+	cluster.slowStore(o.storeDelay)
+	for k, spec := range jobs {
+		cluster.group.Go(func() {
+			wait.For(ctx, time.Millisecond+time.Duration(k)*o.outageAfter/5)
+			by, ok := cluster.cancelElsewhere(ctx, spec.ID, leader)
+			if !ok {
+				return
 			}
+			cluster.mu.Lock()
+			*acknowledged++
 			cluster.mu.Unlock()
-			endMesh = func() {
-				cluster.mu.Lock()
-				clear(cluster.meshCut)
-				cluster.mu.Unlock()
-			}
-		}
-		cluster.advance(max(0, g.refusedFor-g.outageAfter))
-		cluster.advance(cluster.world.CancelS + 12*time.Second - max(0, g.refusedFor-g.outageAfter))
-		endAlone()
-		endMesh()
-		over()
-		for _, l := range cluster.links {
-			l.SetSlow(0)
-		}
-		cluster.advance(20 * time.Second)
+			o.disturb(ctx, cluster, by)
+		})
 	}
-	cluster.shutDown(cancel)
-	if g.mesh == "whole" && g.afterCancel == "" && cluster.world.Lapsed > 0 {
-		t.Errorf("%v: %d tasks were lost with their leases, though peers could tell what is cancelled", g, cluster.world.Lapsed)
+	cluster.advance(o.outageAfter)
+	endOutage := cluster.storeOutage()
+	endMeshLoss := func() {}
+	if o.mesh == "lost" {
+		endMeshLoss = cluster.loseMeshForAll()
 	}
-	for _, b := range cluster.world.Broken {
-		t.Errorf("%v: broken: %s", g, b)
+	refusalLeft := max(0, o.refusedFor-o.outageAfter)
+	cluster.advance(refusalLeft)
+	cluster.advance(cluster.world.CancelS + 12*time.Second - refusalLeft)
+	endIsolation()
+	endMeshLoss()
+	endOutage()
+	cluster.slowStore(0)
+	cluster.advance(20 * time.Second)
+}
+
+// disturb has the controller that acknowledged a cancellation restart at once or in the outage, or
+// reload its records.
+func (o outageOverlap) disturb(ctx context.Context, cluster *testCluster, by int) {
+	switch o.afterCancel {
+	case "restart":
+		cluster.crash(by)
+		wait.For(ctx, 300*time.Millisecond)
+		cluster.restart(ctx, by)
+	case "restart in it":
+		wait.For(ctx, o.outageAfter+10*time.Second)
+		cluster.crash(by)
+		wait.For(ctx, 300*time.Millisecond)
+		cluster.restart(ctx, by)
+	case "reload":
+		cluster.store.Forget()
 	}
-	return told
 }
 
-// deploymentTimings are the times of reports, leases and cancellations that operators have stated.
+// deploymentTimings are the intervals of heartbeats, lengths of leases and limits of cancellations
+// that operators have stated.
 var deploymentTimings = [][3]wire.Seconds{{3, 30, 60}, {3, 36, 61}, {5, 30, 60}, {5, 36, 61}, {8, 45, 65}}
 
-// TestCancellationsAcrossOverlappingOutages sweeps the gap over what the mesh does, when the outage begins, what
-// becomes of who told, and the times of all deployments. Whoever answers the workers, a cancelled
-// job's tasks are gone within the time of a cancellation, and where the old leader still reaches
-// those who told, all else goes on. Without the bound on answering out of touch
-// (settings.ReportGrace) it fails, and without noting what peers list as cancelled. With HISTORY_SEEDS above the usual all of the sweep is
-// played, else a part that takes in each value.
-func TestCancellationsAcrossOverlappingOutages(t *testing.T) {
-	var all []outageOverlap
-	for _, n := range []int{3, 7} {
-		for _, times := range deploymentTimings {
+// outageOverlaps returns the sweep of all courses.
+func outageOverlaps() (all []outageOverlap) {
+	outages := []time.Duration{500 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second}
+	add := func(controllers int, timing [3]wire.Seconds, mesh string, outageAfter time.Duration, afterCancel string) {
+		k := len(all)
+		storeDelay := time.Duration(0)
+		if k%5 == 4 {
+			storeDelay = time.Duration(k%7) * 100 * time.Millisecond
+		}
+		all = append(all, outageOverlap{
+			seed:        uint64(k + 1),
+			controllers: controllers,
+			timing:      timing,
+			mesh:        mesh,
+			outageAfter: outageAfter,
+			refusedFor:  14 * time.Second,
+			repeat:      k%3 == 0,
+			afterCancel: afterCancel,
+			storeDelay:  storeDelay,
+		})
+	}
+	for _, controllers := range []int{3, 7} {
+		for _, timing := range deploymentTimings {
 			for _, mesh := range []string{"whole", "cut", "lost"} {
-				for _, outage := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second} {
-					for _, then := range []string{"", "restart", "restart in it", "reload"} {
-						k := len(all)
-						slow := time.Duration(0)
-						if k%5 == 4 {
-							slow = time.Duration(k%7) * 100 * time.Millisecond
-						}
-						all = append(
-							all,
-							outageOverlap{
-								seed:        uint64(k + 1),
-								controllers: n,
-								timing:      times,
-								mesh:        mesh,
-								outageAfter: outage,
-								refusedFor:  14 * time.Second,
-								repeat:      k%3 == 0,
-								afterCancel: then,
-								storeDelay:  slow,
-							},
-						)
+				for _, outageAfter := range outages {
+					for _, afterCancel := range []string{"", "restart", "restart in it", "reload"} {
+						add(controllers, timing, mesh, outageAfter, afterCancel)
 					}
 				}
 			}
 		}
 	}
-	told, step := 0, 17 // prime to all of the sweep's lengths
+	return all
+}
+
+// TestCancellationsAcrossOverlappingOutages sweeps over the state of the mesh, the begin of the outage,
+// what becomes of the controller that acknowledged a cancellation, and the timing of all deployments.
+// Whichever controller answers the workers, a cancelled job's tasks end within the limit of
+// cancellations, and where the leader still reaches its peers no other task is lost. It fails without
+// the bound on answering workers when out of touch (settings.ReportGrace), and without
+// marking as cancelled what peers list. With HISTORY_SEEDS the whole sweep is played, else a part
+// that contains each value.
+func TestCancellationsAcrossOverlappingOutages(t *testing.T) {
+	t.Parallel()
+	all := outageOverlaps()
+	acknowledged, step := 0, 17 // prime to all of the sweep's lengths
 	if os.Getenv("HISTORY_SEEDS") != "" {
 		step = 1
 	}
 	played := 0
 	for k := 0; k < len(all); k += step {
-		synctest.Test(t, func(t *testing.T) { told += all[k].run(t) })
+		t.Run(all[k].String(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { acknowledged += all[k].run(t) })
+		})
 		played++
 	}
-	t.Logf("%d gaps, %d cancellations told", played, told)
-	if told < 4*played {
-		t.Errorf("%d cancellations told in %d gaps", told, played)
+	t.Logf("%d courses, %d cancellations acknowledged", played, acknowledged)
+	if acknowledged < 4*played {
+		t.Errorf("got %d cancellations acknowledged in %d courses, want >= %d", acknowledged, played, 4*played)
 	}
 }
--- a/internal/controller/pause_test.go
+++ b/internal/controller/pause_test.go
@@ -10,6 +10,7 @@
 // return of machines and a scale-out, before the request is sent and before its answer is read. What
 // it sends late violates no rule, and the other controllers finish its work.
 func TestPauseAtEachStep(t *testing.T) {
+	t.Parallel()
 	for _, kind := range []string{
 		"start", "exit", "machine phase", "scale-in", "scale-out record", "scale-out", "format", "archive", "machines pruned",
 	} {
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -15,6 +15,7 @@
 // TestPeersConfirmCancellations: in an outage, peers can vouch that no cancellation was told that
 // this ledger lacks, but only all of them, and only with a ledger of their own.
 func TestPeersConfirmCancellations(t *testing.T) {
+	t.Parallel()
 	now := time.Now()
 	old, fresh, fresher := now.Add(-time.Minute), now.Add(-2*time.Second), now.Add(-time.Second)
 	for _, tc := range []struct {
@@ -51,6 +52,7 @@
 // don't hold all yet. When a job comes, by a reading of all records or by the watch, and its cancellation does not, it counts as
 // cancelled: the status goes on vouching for the records, and its tasks would be kept up else.
 func TestCancellationsListedBeforeTheirJobs(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, 0)
 		ids := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
@@ -94,6 +96,7 @@
 // TestHealthy: a controller that alone is refused sends users elsewhere; one that
 // shares an outage with all others stays, since leaving would gain nobody anything.
 func TestHealthy(t *testing.T) {
+	t.Parallel()
 	now := time.Now()
 	c := newTestController(t, 0)
 	// Controllers that ended three times within seconds were removed by the balancer for up to a
@@ -127,6 +130,7 @@
 // TestStatusCoversKnownCancellations: the revision a controller vouches with is never
 // below that of a cancellation that its ledger holds.
 func TestStatusCoversKnownCancellations(t *testing.T) {
+	t.Parallel()
 	c := newTestController(t, 0)
 	value := `{"spec":{"id":"wk-000001","pieces":1},"at":1,"state":"cancelled"}`
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
@@ -139,6 +143,7 @@
 // worker to a peer in touch, but not again and again: a worker that can't reach
 // the peer must still be answered before its lease ends.
 func TestRedirect(t *testing.T) {
+	t.Parallel()
 	now := time.Now()
 	c := newTestController(t, 0)
 	c.cache.SetForTest(1, now.Add(-8*time.Second))
--- a/internal/controller/policy_modules_test.go
+++ b/internal/controller/policy_modules_test.go
@@ -35,6 +35,7 @@
 // answer garbage or take all memory, and back, while controllers end and the state service is
 // out: no job is lost, none runs twice, and all controllers end with the same policy.
 func TestPolicyReloadsUnderFaults(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 21)
 		var mu sync.Mutex
@@ -144,6 +145,7 @@
 // TestPolicySwapNeedsAllControllers: a module is not used as long as a controller can't have it; the reason is
 // on record. Nothing is removed that is needed, and what was used before comes back.
 func TestPolicySwapNeedsAllControllers(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 3)
 		cluster.noRandomFaults, cluster.reliableMessages = true, true
@@ -287,6 +289,7 @@
 // TestInitialPolicyModule: the module that the settings name is loaded and used where no policy was ever
 // chosen, also when the leader ends half way; what operators choose later stands, whoever starts.
 func TestInitialPolicyModule(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 5)
 		cluster.noRandomFaults, cluster.reliableMessages = true, true
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -23,6 +23,7 @@
 // every fifth job has a mistake, no sound machine is returned for it, the mark of that one tells why, and no rule is
 // broken though the controllers end in turn, which lose what they had seen.
 func TestFaultyMachineIsReturnedWithEvidence(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 23)
 		cluster.noRandomFaults, cluster.reliableMessages, cluster.cloud.Most = true, true, 8
--- a/internal/controller/random_histories_test.go
+++ b/internal/controller/random_histories_test.go
@@ -20,6 +20,7 @@
 // TestRandomHistories plays seeded histories with random jobs and faults, lost and late messages,
 // and checks every rule as it goes.
 func TestRandomHistories(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(1); seed <= seedCount(); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/request_floods_test.go
+++ b/internal/controller/request_floods_test.go
@@ -42,6 +42,7 @@
 // never were share the reads of a few requests; those of jobs that are over need none;
 // a submission is one change of a few hundred bytes, and the same one again is none.
 func TestRequestFloods(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		set := newTestSettings(t, 0)
 		store := &countingLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
--- /dev/null
+++ b/internal/controller/restart_scenario_test.go
@@ -0,0 +1,303 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"testing"
+	"time"
+
+	"maddermill/internal/server"
+	"maddermill/internal/testing/emulator"
+	"maddermill/internal/wait"
+	"maddermill/wire"
+)
+
+// maxWaitAfterFaults is how long a user may be without an answer about a job once all faults are over.
+const maxWaitAfterFaults = 75 * time.Second
+
+// pollInterval is the time between two polls of a user.
+const pollInterval = 5 * time.Second
+
+// restartScenario is a cluster whose controllers crash again and again and restart soon, whose users
+// poll through a balancer, and whose messages are duplicated.
+type restartScenario struct {
+	*testCluster
+	balancer    *emulator.Balancer
+	ctx         context.Context // of the run; nil before the start
+	downtime    time.Duration   // from a crash to the restart
+	maxCrashes  int
+	minInterval time.Duration // between two crashes of any controllers
+	keepAlive   bool          // users keep their connections
+
+	usersMu     sync.Mutex // guards the fields below, and ctx
+	crashes     int
+	lastCrash   time.Time
+	polls       int
+	failedPolls int
+	users       map[wire.JobID]*jobUser
+	faultsEnded time.Time // when all faults were over
+}
+
+// jobUser is what the user of a job has observed.
+type jobUser struct {
+	lastAnswer             time.Time
+	longestWait            time.Duration // between two answers
+	longestWaitAfterFaults time.Duration // once faults were over
+	status                 wire.Status
+}
+
+// newRestartScenario returns a scenario with three controllers.
+func newRestartScenario(t *testing.T, seed uint64, downtime time.Duration) *restartScenario {
+	t.Helper()
+	return newRestartScenarioOf(t, seed, 3, downtime)
+}
+
+// newRestartScenarioOf returns a scenario with so many controllers.
+func newRestartScenarioOf(t *testing.T, seed uint64, size int, downtime time.Duration) *restartScenario {
+	t.Helper()
+	r := &restartScenario{
+		testCluster: newTestClusterOf(t, seed, size, nil),
+		downtime:    downtime,
+		maxCrashes:  12,
+		minInterval: 400 * time.Millisecond,
+		users:       map[wire.JobID]*jobUser{},
+	}
+	r.noRandomFaults, r.duplicateMessages, r.archiving = true, true, true
+	for _, link := range r.links {
+		link.Copies = true
+	}
+	r.balancer = emulator.NewBalancer(size, seed, func(i int) bool {
+		c := r.controller(i)
+		return c != nil && c.Healthy()
+	})
+	r.onStart = func(ctx context.Context) {
+		r.usersMu.Lock()
+		r.ctx = ctx // crashes come from now on
+		r.usersMu.Unlock()
+		r.group.Go(func() { r.balancer.Run(ctx) })
+	}
+	return r
+}
+
+// crashAndRestart crashes a controller and restarts it after the downtime, within the limits on the
+// number and the rate of crashes. It returns at once.
+func (r *restartScenario) crashAndRestart(i int) {
+	r.usersMu.Lock()
+	now := time.Now()
+	if r.crashes >= r.maxCrashes || !r.faultsEnded.IsZero() || now.Sub(r.lastCrash) < r.minInterval || r.ctx == nil {
+		r.usersMu.Unlock()
+		return
+	}
+	r.crashes++
+	r.lastCrash = now
+	r.usersMu.Unlock()
+	// In a goroutine of its own: the caller may be a step of the controller that crashes.
+	r.group.Go(func() {
+		r.crash(i)
+		wait.For(r.ctx, r.downtime)
+		if r.ctx.Err() == nil && r.controller(i) == nil {
+			r.startController(r.ctx, i)
+		}
+	})
+}
+
+// pollJob is a user who submits a job and polls it through the balancer until it is done.
+func (r *restartScenario) pollJob(spec *wire.JobSpec) {
+	r.world.Upload(spec)
+	user := &jobUser{}
+	submitted := false
+	connection := -1
+	for r.ctx.Err() == nil {
+		at := r.connect(connection)
+		connection = at
+		status, err := r.queryOnce(at, spec, submitted)
+		if errors.Is(err, server.ErrNoSuchJob) && submitted {
+			r.t.Errorf("seed %d: status of accepted job %s: got %v", r.seed, spec.ID, err)
+		}
+		r.recordPoll(spec.ID, user, submitted, status, err)
+		submitted = submitted || err == nil
+		if err == nil {
+			r.world.Told(spec.ID, status.Status)
+			if status.Status == wire.Done {
+				return
+			}
+		}
+		if submitted {
+			wait.For(r.ctx, pollInterval)
+		} else {
+			wait.For(r.ctx, time.Second)
+		}
+	}
+}
+
+// connect returns the controller that a user is connected to next; -1: none. Users that keep their
+// connections stay with theirs while it is up and the balancer doesn't reset them.
+func (r *restartScenario) connect(connection int) int {
+	if connection < 0 || !r.keepAlive || r.controller(connection) == nil || r.balancer.Resets(connection) {
+		return r.balancer.Connect(func(i int) bool { return r.controller(i) != nil })
+	}
+	return connection
+}
+
+// queryOnce submits a job at a controller, or asks for its status, with a user's time limit.
+func (r *restartScenario) queryOnce(at int, spec *wire.JobSpec, submitted bool) (status wire.JobStatus, err error) {
+	c := r.controllerAt(at)
+	if c == nil {
+		return status, errors.New("no controller")
+	}
+	limit := 2 * time.Second
+	if !submitted {
+		limit = 5 * time.Second
+	}
+	ctx, cancel := context.WithTimeout(r.ctx, limit)
+	defer cancel()
+	if submitted {
+		status, err = c.Jobs.Status(ctx, spec.ID)
+	} else {
+		status, _, err = c.Jobs.Submit(ctx, spec)
+	}
+	if r.controller(at) != c {
+		err = errors.New("the controller's process ended")
+	}
+	return status, err
+}
+
+// recordPoll records the outcome of a poll or a submission.
+func (r *restartScenario) recordPoll(
+	id wire.JobID,
+	user *jobUser,
+	submitted bool,
+	status wire.JobStatus,
+	err error,
+) {
+	now := time.Now()
+	r.usersMu.Lock()
+	defer r.usersMu.Unlock()
+	if submitted {
+		r.polls++
+		if err != nil {
+			r.failedPolls++
+		}
+	}
+	if err != nil {
+		return
+	}
+	if !submitted {
+		user.lastAnswer = now
+		r.users[id] = user
+	}
+	r.recordAnswer(user, now)
+	user.status = status.Status
+}
+
+// controllerAt returns a controller, nil for -1.
+func (r *restartScenario) controllerAt(i int) *Controller {
+	if i < 0 {
+		return nil
+	}
+	return r.controller(i)
+}
+
+// recordAnswer records that a user has an answer now, or that the run is over. It must be called
+// under usersMu.
+func (r *restartScenario) recordAnswer(user *jobUser, now time.Time) {
+	user.longestWait = max(user.longestWait, now.Sub(user.lastAnswer))
+	if !r.faultsEnded.IsZero() {
+		from := user.lastAnswer
+		if from.Before(r.faultsEnded) {
+			from = r.faultsEnded
+		}
+		user.longestWaitAfterFaults = max(user.longestWaitAfterFaults, now.Sub(from))
+	}
+	user.lastAnswer = now
+}
+
+// allDone reports whether so many jobs were accepted, and all are done.
+func (r *restartScenario) allDone(jobs int) bool {
+	r.usersMu.Lock()
+	defer r.usersMu.Unlock()
+	for _, user := range r.users {
+		if user.status != wire.Done {
+			return false
+		}
+	}
+	return len(r.users) == jobs
+}
+
+// runAndCheck has users submit jobs for 90 s, calls faults each second for 120 s, then ends all
+// faults and checks what became of the jobs.
+func (r *restartScenario) runAndCheck(jobs int, faults func()) {
+	r.t.Helper()
+	ctx, cancel := context.WithCancel(r.t.Context())
+	r.start(ctx, 4, 0.03)
+	r.onStart(ctx)
+	for i := range jobs {
+		spec := r.randomSpec(i)
+		after := time.Millisecond + time.Duration(r.randomInt(90_000))*time.Millisecond
+		r.group.Go(func() {
+			wait.For(ctx, after)
+			r.pollJob(spec)
+		})
+	}
+	for range 120 {
+		time.Sleep(time.Second)
+		r.world.Check()
+		if faults != nil {
+			faults()
+		}
+	}
+	r.usersMu.Lock()
+	r.faultsEnded = time.Now()
+	r.usersMu.Unlock()
+	for second := 0; second < 180 || second < 1200 && !r.allDone(jobs); second++ {
+		time.Sleep(time.Second)
+		r.world.Check()
+	}
+	longest, longestAfter, done := r.checkUsers(jobs)
+	r.shutDownAndCheck(cancel)
+	r.t.Logf(
+		"downtime %v, %d crashes: %d of %d polls failed; longest wait for an answer %v, %v once faults were over; "+
+			"%d removals by the balancer, the longest for %v; %d of %d jobs done",
+		r.downtime,
+		r.crashes,
+		r.failedPolls,
+		r.polls,
+		longest.Round(time.Millisecond),
+		longestAfter.Round(time.Millisecond),
+		r.balancer.Removals,
+		r.balancer.Longest,
+		done,
+		jobs,
+	)
+}
+
+// checkUsers checks that all jobs were accepted and done, and that no user was without an answer for
+// long once faults were over. It returns the longest waits for an answer and how many jobs are done.
+func (r *restartScenario) checkUsers(jobs int) (longest, longestAfter time.Duration, done int) {
+	r.t.Helper()
+	r.usersMu.Lock()
+	defer r.usersMu.Unlock()
+	now := time.Now()
+	for id, user := range r.users {
+		if user.status == wire.Done {
+			done++
+		} else {
+			r.recordAnswer(user, now)
+		}
+		longest, longestAfter = max(longest, user.longestWait), max(longestAfter, user.longestWaitAfterFaults)
+		if user.longestWaitAfterFaults > maxWaitAfterFaults {
+			r.t.Errorf(
+				"seed %d: longest wait for an answer about %s once faults were over: got %v, want <= %v",
+				r.seed,
+				id,
+				user.longestWaitAfterFaults,
+				maxWaitAfterFaults,
+			)
+		}
+	}
+	if accepted := len(r.users); accepted < jobs || done < jobs {
+		r.t.Errorf("seed %d: got %d jobs accepted and %d done, want %d", r.seed, accepted, done, jobs)
+	}
+	return longest, longestAfter, done
+}
--- a/internal/controller/switch_failure_test.go
+++ b/internal/controller/switch_failure_test.go
@@ -75,6 +75,7 @@
 // broken, all gangs run whole elsewhere before long, no machine that works is given up,
 // and one line tells of the switch.
 func TestSwitchFailure(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name  string
 		fails func(ctx context.Context, o *switchFailure, s topology.Block)
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -60,6 +60,7 @@
 // TestTopologyReload: a changed file is taken over, also when told to; a wrong or missing
 // one leaves the one before in force.
 func TestTopologyReload(t *testing.T) {
+	t.Parallel()
 	path := filepath.Join(t.TempDir(), "hall.txtpb")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -110,6 +111,7 @@
 // against the block that they share, wherever they were seen; one whose machine fell silent,
 // is taken back or that was told to stop does not.
 func TestPartitionedGangsMarkBlockDown(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name    string
 		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time)
@@ -171,6 +173,7 @@
 // TestSilentPeerIsNotABlockFailure: machines that report to a controller that is itself
 // silent are looking for another one; their silence counts only once they had the time.
 func TestSilentPeerIsNotABlockFailure(t *testing.T) {
+	t.Parallel()
 	now := time.Now().Add(time.Hour) // long after the hall was declared
 	c := newControllerWithTopology(t, now, "127.1.1.", "127.1.2.")
 	p := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
@@ -200,6 +203,7 @@
 // TestTopologyView: what is told of the hall has each machine at its place, and a gang with the
 // block that holds it.
 func TestTopologyView(t *testing.T) {
+	t.Parallel()
 	now := time.Now()
 	c := newControllerWithTopology(t, now)
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: []byte(
--- a/internal/controller/wait_bound_test.go
+++ b/internal/controller/wait_bound_test.go
@@ -17,6 +17,7 @@
 // with the order in which reports come; TestTheLargestBeginsWithinTheBound in internal/place has it
 // in one order, and it starves.
 func TestLargestJobStartsWithinWaitBound(t *testing.T) {
+	t.Parallel()
 	const bound = 240 * time.Second
 	for _, tc := range []struct {
 		name     string
--- a/internal/controller/workflow_steps_test.go
+++ b/internal/controller/workflow_steps_test.go
@@ -134,6 +134,7 @@
 // side on the same machines, is done at the same times, in the same order of urgency and
 // under the same limit of its team; a wide workflow does not keep an urgent claim waiting.
 func TestStepsScheduledLikeJobs(t *testing.T) {
+	t.Parallel()
 	in := func(machines int, f func(b *sharedCluster)) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -235,6 +236,7 @@
 // the same to preemption: both may be stopped for urgent work, at the same loss, and neither for
 // work of their own priority.
 func TestStepsPreemptedLikeJobs(t *testing.T) {
+	t.Parallel()
 	c := newTestController(t, 0)
 	now := time.Now()
 	job := func(i int, priority wire.Priority, more string) *ledger.Job {
@@ -267,6 +269,7 @@
 
 // TestWorkflowChainLatency measures what a chain takes beyond its steps' own times.
 func TestWorkflowChainLatency(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		b := newSharedCluster(t, ctx, 2)
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -133,6 +133,7 @@
 // messages, outages and lost machines. They end as the plain interpreter says, no step's task
 // runs twice, a final state is never taken back, and a cancelled one is gone in time.
 func TestWorkflowHistories(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(1); seed <= max(3, seedCount()/2); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runWorkflowCases(t, newTestCluster(t, seed)) })
@@ -144,6 +145,7 @@
 // workflow's life, before it is sent and before its answer is read. What comes out of it late
 // breaks nothing, and all ends as the plain interpreter says.
 func TestPauseAtEachWorkflowStep(t *testing.T) {
+	t.Parallel()
 	for _, kind := range []string{"documents", "workflow", "step", "workflow end", "workflow cancelled", "prune"} {
 		for _, side := range []string{" sent", " answered"} {
 			t.Run(kind+side, func(t *testing.T) {
@@ -316,6 +318,7 @@
 // once its workflow's cancellation has, however late it comes, and none is drafted after it.
 // The histories alone do not find this guard missing: who drives sweeps what it knows of.
 func TestLateStepAfterWorkflowCancellation(t *testing.T) {
+	t.Parallel()
 	set := newTestSettings(t, 0)
 	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
 	led := newTestController(t, 0).cache.Records()
