--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -1,6 +1,10 @@
-// Package supervise runs what a process does all the time. A part of the process registers each of
-// its duties with a name, a function that ends when its context does, and perhaps one that tells
-// what is amiss.
+// Package supervise runs the long-running components of a process.
+//
+// Each part of the process adds its components to a [Group]: a name, a function that runs until its
+// context ends, and perhaps a health check. [Group.Run] starts all of them and ends all when one
+// fails. [Group.Status] reports how each is, for the status API and metrics.
+//
+// A Group has one lock, which is not held while a component or a health check runs.
 package supervise
 
 import (
@@ -13,59 +17,60 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Component is something done all the time. One that its settings leave nothing to do may end without
-// an error at once.
+// Component is a long-running loop. One that has nothing to do by its settings may end at once without
+// an error, which leaves the others running.
 type Component struct {
 	Name string
 	Run  func(ctx context.Context) error
-	// Amiss tells in a few words what keeps the duty from being done now; "": nothing. It may
-	// be asked at any time and must not wait. nil: nothing ever does.
+	// Amiss returns the component's health problem in a few words; "": none. It may be called at
+	// any time and must not block. nil: the component has no health check.
 	Amiss func(now time.Time) string
 }
 
-// Status is how a duty fares.
+// Status is the state of a component.
 type Status struct {
 	Name    string    `json:"name"`
 	Running bool      `json:"running"`
-	Since   time.Time `json:"since"` // it runs, or has ended; zero: it is yet to be started
-	Amiss   string    `json:"amiss,omitempty"`
+	Since   time.Time `json:"since"`           // when it started or ended; zero: it was not started
+	Amiss   string    `json:"amiss,omitempty"` // its health problem; "": none
 }
 
-// Group is the duties of a process, in the order in which they were added.
+// Group is the components of a process, in the order in which they were added. Its zero value is
+// empty and ready to use.
 type Group struct {
-	mu   sync.Mutex
-	list []*entry
+	mu      sync.Mutex // guards entries and their mutable fields
+	entries []*entry
 }
 
-// entry is a duty and how it fares.
+// entry is a component with its state.
 type entry struct {
 	Component
 	running bool
 	since   time.Time
-	err     error // that it ended with
+	err     error // that it ended with; nil: none
 }
 
-// Add registers duties, before Run. Names are unique.
-func (g *Group) Add(duties ...Component) {
+// Add adds components, before Run. It panics if a name is added twice.
+func (g *Group) Add(components ...Component) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, d := range duties {
-		if slices.ContainsFunc(g.list, func(o *entry) bool { return o.Name == d.Name }) {
-			panic("duty: " + d.Name + " is registered twice")
+	for _, component := range components {
+		if slices.ContainsFunc(g.entries, func(o *entry) bool { return o.Name == component.Name }) {
+			panic("supervise: component " + component.Name + " is added twice")
 		}
-		g.list = append(g.list, &entry{Component: d})
+		g.entries = append(g.entries, &entry{Component: component})
 	}
 }
 
-// Run starts all duties and waits until all have ended, which they do when ctx does or when one
-// of them fails. The error names the first that failed.
+// Run starts all components and waits until all have ended: when ctx ends, or when one of them fails. The
+// error names the first that failed.
 func (g *Group) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for _, e := range g.entries() {
-		g.set(e, true, nil)
+	for _, e := range g.snapshot() {
+		g.setState(e, true, nil)
 		group.Go(func() error {
 			err := e.Run(ctx)
-			g.set(e, false, err)
+			g.setState(e, false, err)
 			if err != nil {
 				return fmt.Errorf("%s: %w", e.Name, err)
 			}
@@ -75,22 +80,24 @@
 	return group.Wait()
 }
 
-func (g *Group) entries() []*entry {
+// snapshot returns the entries as they are now.
+func (g *Group) snapshot() []*entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.list)
+	return slices.Clone(g.entries)
 }
 
-func (g *Group) set(e *entry, running bool, err error) {
+// setState records that a component has started or ended.
+func (g *Group) setState(e *entry, running bool, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e.running, e.since, e.err = running, time.Now(), err
 }
 
-// Status tells how each duty fares.
+// Status returns the state of each component.
 func (g *Group) Status(now time.Time) []Status {
 	out := []Status{}
-	for _, e := range g.entries() {
+	for _, e := range g.snapshot() {
 		g.mu.Lock()
 		s, err := Status{Name: e.Name, Running: e.running, Since: e.since}, e.err
 		g.mu.Unlock()
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// TestGroup: all duties run until one fails; then all end, and the error names the one. How each
-// fares is told before, meanwhile and afterwards.
+// TestGroup: all components run until one fails; then all end, and the error names that one. Status
+// reports the state of each before, meanwhile and afterwards.
 func TestGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g Group
-		fails, amiss, ended := errors.New("gives up"), "", 0
+		failure, problem, ended := errors.New("gives up"), "", 0
 		wait := func(ctx context.Context) error {
 			<-ctx.Done()
 			ended++
 			return ctx.Err()
 		}
-		g.Add(Component{Name: "patient", Run: wait, Amiss: func(time.Time) string { return amiss }})
-		g.Add(Component{Name: "frail", Run: func(context.Context) error { time.Sleep(time.Minute); return fails }})
-		g.Add(Component{Name: "short", Run: func(context.Context) error { return nil }}) // nothing to do, by its settings
-		told := func() string {
+		g.Add(Component{Name: "patient", Run: wait, Amiss: func(time.Time) string { return problem }})
+		g.Add(Component{Name: "frail", Run: func(context.Context) error { time.Sleep(time.Minute); return failure }})
+		// One that has nothing to do by its settings.
+		g.Add(Component{Name: "short", Run: func(context.Context) error { return nil }})
+		status := func() string {
 			var out []string
 			for _, s := range g.Status(time.Now()) {
 				out = append(out, s.Name+"="+s.Amiss)
@@ -32,8 +33,8 @@
 		}
 		check := func(want string) {
 			t.Helper()
-			if got := told(); got != want {
-				t.Errorf("%q, want %q", got, want)
+			if got := status(); got != want {
+				t.Errorf("status: got %q, want %q", got, want)
 			}
 		}
 		check("patient=not started frail=not started short=not started")
@@ -41,15 +42,15 @@
 		go func() { result <- g.Run(t.Context()) }()
 		synctest.Wait()
 		check("patient= frail= short=")
-		amiss = "out of touch"
+		problem = "out of touch"
 		check("patient=out of touch frail= short=")
-		if err := <-result; !errors.Is(err, fails) || !strings.HasPrefix(err.Error(), "frail: ") || ended != 1 {
-			t.Errorf("%v, %d ended with it", err, ended)
+		if err := <-result; !errors.Is(err, failure) || !strings.HasPrefix(err.Error(), "frail: ") || ended != 1 {
+			t.Errorf("Run: got error %v and %d other components ended, want %q of frail and 1", err, ended, failure)
 		}
 		check("patient=ended: context canceled frail=ended: gives up short=")
 		defer func() {
 			if recover() == nil {
-				t.Error("a name is registered twice")
+				t.Error("Add of a name for the second time: got no panic, want one")
 			}
 		}()
 		g.Add(Component{Name: "frail"})
--- /dev/null
+++ b/internal/testing/controllertest/records.go
@@ -0,0 +1,40 @@
+package controllertest
+
+import (
+	"fmt"
+	"time"
+
+	"maddermill/internal/membership/peer"
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// AddJob adds the record of a job of which no task is claimed.
+func AddJob(l *ledger.Ledger, i int, shape wire.Shape, tasks int) *ledger.Job {
+	id := wire.JobID(fmt.Sprintf("wk-%06d", i))
+	l.Apply(ledger.Event{
+		Key:     "mm1/j/" + string(id),
+		Version: wire.Revision(i + 1),
+		Value: fmt.Appendf(
+			nil,
+			`{"spec":{"id":"%s","pieces":%d,"shape":"%s","owner":"free","cores":1},"at":1,"a":1}`,
+			id,
+			tasks,
+			shape,
+		),
+	})
+	return l.Job(id)
+}
+
+// Answer returns a peer's answer to a probe: it has synced with the state service so long ago, and knows
+// cancellations up to a revision.
+func Answer(
+	member wire.MemberID,
+	asked time.Time,
+	cancelled wire.Revision,
+	loaded bool,
+	contact time.Duration,
+) peer.Answer {
+	return peer.Answer{AsOf: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
+		Cancelled: cancelled, ContactMS: contact.Milliseconds()}}
+}
