--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"io"
 	"log/slog"
 	"testing"
 	"testing/synctest"
@@ -13,23 +12,26 @@
 	"maddermill/wire"
 )
 
-func newTestController(t testing.TB, member int) *Controller {
-	t.Helper()
-	set := newTestSettings(t, member)
-	link := emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), uint64(member+1))
-	return New(set, link, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// newTestController returns one of three controllers, on a state service of its own, with no component
+// running. It logs nothing.
+func newTestController(tb testing.TB, member int) *Controller {
+	tb.Helper()
+	set := newTestSettings(tb, member)
+	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+	return New(set, emulator.NewLink(store, uint64(member+1)), slog.New(slog.DiscardHandler))
 }
 
-// newTestControllerOn is a controller that says nothing, on a store.
-func newTestControllerOn(t testing.TB, s kvstore.Store) *Controller {
-	return New(newTestSettings(t, 0), s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// newTestControllerOn returns the first of three controllers, on a given state service.
+func newTestControllerOn(tb testing.TB, store kvstore.Store) *Controller {
+	tb.Helper()
+	return New(newTestSettings(tb, 0), store, slog.New(slog.DiscardHandler))
 }
 
-// peerAnswer is what a peer tells that was asked at a time.
+// peerAnswer returns a peer's answer to a probe; see controllertest.Answer.
 var peerAnswer = controllertest.Answer
 
-// TestHeartbeatsFromBeforeAPause: what waited at the door while the process stood
-// still is refused; workers gave it up long ago and report elsewhere.
+// TestHeartbeatsFromBeforeAPause: heartbeats that waited while the process was paused are refused. Their
+// workers have given up waiting long ago and report elsewhere.
 func TestHeartbeatsFromBeforeAPause(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,13 +39,13 @@
 		now := time.Now()
 		c.cache.SetForTest(1, now)
 		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
-		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
-		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 503 {
-			t.Errorf("%d for a report from before", a.Status)
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
+		if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 503 {
+			t.Errorf("heartbeat from before the pause: got %d, want 503", got.Status)
 		}
 		time.Sleep(time.Second)
-		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
-			t.Errorf("%d for a report from after", a.Status)
+		if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
+			t.Errorf("heartbeat from after the pause: got %d, want 200", got.Status)
 		}
 	})
 }
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"testing/synctest"
@@ -12,157 +11,186 @@
 	"maddermill/wire"
 )
 
-// TestPeersConfirmCancellations: in an outage, peers can vouch that no cancellation was told that
-// this ledger lacks, but only all of them, and only with a ledger of their own.
+// withCancellations returns an answer whose status lists a cancellation since a revision.
+func withCancellations(answer peer.Answer, since wire.Revision, complete bool) peer.Answer {
+	answer.Status.Since, answer.Status.CancellationsComplete = since, complete
+	answer.Status.CancelledJobs = []wire.JobID{"wk-000001"}
+	return answer
+}
+
+// TestPeersConfirmCancellations: in an outage, peers can confirm that no cancellation was acknowledged
+// that these records lack, but only all of them, and only with records of their own.
 func TestPeersConfirmCancellations(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	old, fresh, fresher := now.Add(-time.Minute), now.Add(-2*time.Second), now.Add(-time.Second)
+	own, older, newer := now.Add(-time.Minute), now.Add(-2*time.Second), now.Add(-time.Second)
 	for _, tc := range []struct {
 		name  string
 		peers []peer.Answer
 		want  time.Time
 	}{
-		{"nobody answers", nil, old},
-		{"one of two answers", []peer.Answer{peerAnswer("m-1", fresh, 5, true, 0)}, old},
-		{"both vouch: the older answer counts", []peer.Answer{peerAnswer("m-1", fresh, 5, true, 0), peerAnswer("m-2", fresher, 7, true, 0)}, fresh},
-		{"one told of a cancellation that this ledger lacks", []peer.Answer{peerAnswer("m-1", fresh, 8, true, 0), peerAnswer("m-2", fresh, 7, true, 0)}, old},
-		{"one lists what this ledger lacks, from where it is", []peer.Answer{withCancellations(peerAnswer("m-1", fresh, 9, true, 0), 7, true), peerAnswer("m-2", fresher, 7, true, 0)}, fresh},
-		{"one lists what a newer ledger lacks", []peer.Answer{withCancellations(peerAnswer("m-1", fresh, 9, true, 0), 8, true), peerAnswer("m-2", fresher, 7, true, 0)}, old},
-		{"one can't list all", []peer.Answer{withCancellations(peerAnswer("m-1", fresh, 9, true, 0), 7, false), peerAnswer("m-2", fresher, 7, true, 0)}, old},
-		{"one has restarted and knows nothing", []peer.Answer{peerAnswer("m-1", fresh, 0, false, 0), peerAnswer("m-2", fresh, 7, true, 0)}, old},
+		{"no answer", nil, own},
+		{"one of two answers", []peer.Answer{peerAnswer("m-1", older, 5, true, 0)}, own},
+		{
+			"both confirm: the older answer counts",
+			[]peer.Answer{peerAnswer("m-1", older, 5, true, 0), peerAnswer("m-2", newer, 7, true, 0)},
+			older,
+		},
+		{
+			"one has acknowledged a cancellation that these records lack",
+			[]peer.Answer{peerAnswer("m-1", older, 8, true, 0), peerAnswer("m-2", older, 7, true, 0)},
+			own,
+		},
+		{
+			"one lists what these records lack, since their revision",
+			[]peer.Answer{
+				withCancellations(peerAnswer("m-1", older, 9, true, 0), 7, true),
+				peerAnswer("m-2", newer, 7, true, 0),
+			},
+			older,
+		},
+		{
+			"one lists what newer records lack",
+			[]peer.Answer{
+				withCancellations(peerAnswer("m-1", older, 9, true, 0), 8, true),
+				peerAnswer("m-2", newer, 7, true, 0),
+			},
+			own,
+		},
+		{
+			"one can't list all",
+			[]peer.Answer{
+				withCancellations(peerAnswer("m-1", older, 9, true, 0), 7, false),
+				peerAnswer("m-2", newer, 7, true, 0),
+			},
+			own,
+		},
+		{
+			"one has restarted and not loaded its records",
+			[]peer.Answer{peerAnswer("m-1", older, 0, false, 0), peerAnswer("m-2", older, 7, true, 0)},
+			own,
+		},
 	} {
-		c := newTestController(t, 0)
-		c.cache.SetForTest(0, old)
-		c.cache.Records().AdvanceRevision(7)
-		for _, a := range tc.peers {
-			c.mergeAnswer(a)
-		}
-		got, ok := c.membership.CancellationsConfirmedUntil(7, now)
-		if !ok {
-			got = old
-		}
-		if !got.Equal(tc.want) {
-			t.Errorf("%s: relied on %v ago, want %v", tc.name, now.Sub(got), now.Sub(tc.want))
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			c := newTestController(t, 0)
+			c.cache.SetForTest(0, own)
+			c.cache.Records().AdvanceRevision(7)
+			for _, answer := range tc.peers {
+				c.mergeAnswer(answer)
+			}
+			got, ok := c.membership.CancellationsConfirmedUntil(7, now)
+			if !ok {
+				got = own
+			}
+			if !got.Equal(tc.want) {
+				t.Errorf("cancellations confirmed until: got %v ago, want %v ago", now.Sub(got), now.Sub(tc.want))
+			}
+		})
 	}
 }
 
-// TestCancellationsListedBeforeTheirJobs: a peer lists a job or a workflow as cancelled of which these records
-// don't hold all yet. When a job comes, by a reading of all records or by the watch, and its cancellation does not, it counts as
-// cancelled: the status goes on vouching for the records, and its tasks would be kept up else.
+// TestCancellationsListedBeforeTheirJobs: a peer lists jobs and a workflow as cancelled of which these
+// records don't have all jobs yet. When a job comes, by a reload of the records or by the watch, and its
+// cancellation does not, it counts as cancelled: the peer's status still confirms the records, and without
+// that the job's tasks would be kept running.
 func TestCancellationsListedBeforeTheirJobs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, 0)
-		ids := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
-		a := withCancellations(peerAnswer("m-1", time.Now(), 90, true, 0), 0, true)
-		a.Status.CancelledJobs, a.Status.CancelledWorkflows = ids[:2], []wire.WorkflowID{"wf-000001"}
-		c.mergeAnswer(a)
-		ctx, cancel := context.WithCancel(t.Context())
-		add := func(id wire.JobID, more string) {
-			value := fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":1},"at":1%s}`, id, more)
-			if _, err := c.store.Commit(
-				ctx,
-				wire.Txn{Then: []wire.Change{{Put: "mm1/j/" + string(id), Value: value}}},
-			); err != nil {
+		jobs := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
+		answer := withCancellations(peerAnswer("m-1", time.Now(), 90, true, 0), 0, true)
+		answer.Status.CancelledJobs, answer.Status.CancelledWorkflows = jobs[:2], []wire.WorkflowID{"wf-000001"}
+		c.mergeAnswer(answer)
+		ctx := t.Context()
+		add := func(id wire.JobID, fields string) {
+			value := fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":1},"at":1%s}`, id, fields)
+			txn := wire.Txn{Then: []wire.Change{{Put: "mm1/j/" + string(id), Value: value}}}
+			if _, err := c.store.Commit(ctx, txn); err != nil {
 				t.Fatal(err)
 			}
 		}
 		const step = `,"of":"wf-000001"`
-		add(ids[0], "")
-		add(ids[2], step)
-		go func() { _ = c.cache.Watch(ctx) }() // which reads all records first
+		add(jobs[0], "")
+		add(jobs[2], step)
+		go func() { _ = c.cache.Watch(ctx) }() // which loads all records first
 		time.Sleep(5 * time.Second)
-		add(ids[1], "")
-		add(ids[3], step)
+		add(jobs[1], "")
+		add(jobs[3], step)
 		time.Sleep(5 * time.Second)
 		c.cache.Read(func(l *ledger.Ledger) {
-			for _, id := range ids {
-				if j := l.Job(id); j == nil || !j.Cancelling || j.Pending() > 0 {
-					t.Errorf("%s counts as %+v", id, j)
+			for _, id := range jobs {
+				if job := l.Job(id); job == nil || !job.Cancelling || job.Pending() > 0 {
+					t.Errorf("%s: got %+v, want it cancelling with no task pending", id, job)
 				}
 			}
 		})
-		cancel()
 	})
 }
 
-func withCancellations(a peer.Answer, since wire.Revision, whole bool) peer.Answer {
-	a.Status.Since, a.Status.CancellationsComplete, a.Status.CancelledJobs = since, whole, []wire.JobID{"wk-000001"}
-	return a
-}
-
-// TestHealthy: a controller that alone is refused sends users elsewhere; one that
-// shares an outage with all others stays, since leaving would gain nobody anything.
+// TestHealthy: a controller that alone has lost the state service sends users elsewhere. One that shares an
+// outage with all others stays, since no other controller would be of more use.
 func TestHealthy(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	c := newTestController(t, 0)
-	// Controllers that ended three times within seconds were removed by the balancer for up to a
-	// minute, since each refused a probe while it read the records.
-	if !c.Healthy() {
-		t.Error("not healthy while it reads the records and nobody else is known to be better off")
+	check := func(when string, want bool) {
+		t.Helper()
+		if got := c.Healthy(); got != want {
+			t.Errorf("%s: got healthy %v, want %v", when, got, want)
+		}
 	}
+	// Controllers that crashed three times within seconds were removed by the balancer for up to a
+	// minute, since each failed a health check while it loaded the records.
+	check("while loading the records, no peer known to be better off", true)
 	c.mergeAnswer(peerAnswer("m-1", now, 0, true, 100*time.Millisecond))
-	if c.Healthy() {
-		t.Error("healthy before the ledger was read, beside one that is in touch")
-	}
+	check("while loading the records, a peer is in sync", false)
 	c.cache.SetForTest(0, now)
-	if !c.Healthy() {
-		t.Error("not healthy for want of a token, which users need none of")
-	}
+	check("in sync without a fencing token, which users don't need", true)
 	c.cache.SetForTest(1, now)
-	if !c.Healthy() {
-		t.Error("not healthy in touch with the state service")
-	}
+	check("in sync", true)
 	c.cache.SetForTest(c.cache.Token(), now.Add(-10*time.Second))
 	c.mergeAnswer(peerAnswer("m-1", now, 0, true, 10*time.Second))
-	if !c.Healthy() {
-		t.Error("not healthy in an outage that all share")
-	}
+	check("in an outage for all", true)
 	c.mergeAnswer(peerAnswer("m-2", now, 0, true, 100*time.Millisecond))
-	if c.Healthy() {
-		t.Error("healthy while only this controller is refused")
-	}
+	check("in an outage for this controller alone", false)
 }
 
-// TestStatusCoversKnownCancellations: the revision a controller vouches with is never
-// below that of a cancellation that its ledger holds.
+// TestStatusCoversKnownCancellations: the revision up to which a controller's status confirms cancellations is
+// never below that of a cancellation that its records have.
 func TestStatusCoversKnownCancellations(t *testing.T) {
 	t.Parallel()
 	c := newTestController(t, 0)
 	value := `{"spec":{"id":"wk-000001","pieces":1},"at":1,"state":"cancelled"}`
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
 	if got := c.status().Cancelled; got < 9 {
-		t.Errorf("vouches with %d after a cancellation at 9", got)
+		t.Errorf("revision of the status: got %d, want >= 9", got)
 	}
 }
 
-// TestRedirect: a controller that alone is cut off from the state service sends a
-// worker to a peer in touch, but not again and again: a worker that can't reach
-// the peer must still be answered before its lease ends.
+// TestRedirect: a controller that alone has lost the state service redirects a worker to a peer that is in
+// sync, but not again and again: a worker that can't reach the peer must still be answered before its lease
+// ends.
 func TestRedirect(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	c := newTestController(t, 0)
 	c.cache.SetForTest(1, now.Add(-8*time.Second))
-	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
-	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
-		t.Errorf("%d with no peer in touch", a.Status)
+	heartbeat := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
+	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
+		t.Errorf("with no peer in sync: got %d, want 200", got.Status)
 	}
 	c.mergeAnswer(peerAnswer("m-1", time.Now(), 0, true, 100*time.Millisecond))
-	r.Sequence = 2
-	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 || a.Redirect.ReportTo != "m-1" {
-		t.Errorf("%d %q with a peer in touch", a.Status, a.Redirect.ReportTo)
+	heartbeat.Sequence = 2
+	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 421 || got.Redirect.ReportTo != "m-1" {
+		t.Errorf("with a peer in sync: got %d to %q, want 421 to m-1", got.Status, got.Redirect.ReportTo)
 	}
-	r.Sequence = 3
-	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
-		t.Errorf("%d for a worker that came back", a.Status)
+	heartbeat.Sequence = 3
+	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
+		t.Errorf("a worker that came back: got %d, want 200", got.Status)
 	}
 	c.cache.SetForTest(c.cache.Token(), now.Add(-time.Hour))
-	r.Sequence = 4
-	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 421 {
-		t.Errorf("%d long after a cancellation may have been missed", a.Status)
+	heartbeat.Sequence = 4
+	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 421 {
+		t.Errorf("long after a cancellation may have been missed: got %d, want 421", got.Status)
 	}
 }
