--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -1,14 +1,12 @@
 package controller
 
 import (
-	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
 	"runtime"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -16,163 +14,31 @@
 	"time"
 
 	"maddermill/internal/server"
-	"maddermill/internal/state/archive"
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/state/ledger"
 	"maddermill/internal/wait"
 	"maddermill/wire"
 )
 
-// archivedRecords makes what the records hold of so many archived jobs and machines that are gone.
-func archivedRecords(tb testing.TB, over int, valueBytes int) (items []wire.Item) {
-	tb.Helper()
-	put := func(key string, v any) {
-		b, err := json.Marshal(v)
-		if err != nil || len(b) > valueBytes {
-			tb.Fatalf("%s: %d bytes, %v", key, len(b), err)
-		}
-		items = append(items, wire.Item{Key: key, Value: b, Version: 1})
-	}
-	put(ledger.FormatKey, ledger.FormatRecord{Format: ledger.ArchiveFormat, Fresh: true})
-	if over == 0 {
-		return items
-	}
-	ids := make([]string, over)
-	for i := range ids {
-		ids[i] = fmt.Sprintf("wk-%08d", i)
-	}
-	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(archive.Position(a), archive.Position(b)) })
-	left := []*archive.Page{archive.FirstPage()}
-	for len(left) > 0 { // the first page takes all that are its own, and is split
-		p := left[0]
-		n := 0
-		for n < min(len(ids), valueBytes/3) && p.Covers(ids[n]) {
-			n++
-		}
-		if n == 0 {
-			put(ledger.FilterPrefix+p.Name(), p)
-			left = left[1:]
-			continue
-		}
-		pages, _ := p.With(ids[:n], valueBytes)
-		left, ids = append(pages, left[1:]...), ids[n:]
-	}
-	g := archive.NewTerminatedMachines()
-	for from := 0; from < over; from += archive.Span {
-		var names []string
-		for i := from; i < min(over, from+archive.Span); i++ {
-			if i%997 != 0 || i < over/2 { // some of the newer ones are still there
-				names = append(names, fmt.Sprintf("host-%07d", i))
-			}
-		}
-		id, _ := archive.PartOfMachine(names[0])
-		head, part := g.With(id, names)
-		g.SetHead(id.Series, head)
-		g.SetPart(id, part)
-		if part.Len() > 0 {
-			put(ledger.Prefix+"h/"+id.String(), part)
-		}
-	}
-	id, _ := archive.PartOfMachine("host-0000000")
-	put(ledger.Prefix+"g/"+id.Series.String(), g.Head(id.Series))
-	return items
-}
-
-// staticStore is a state service that only holds what it was given, and counts what is asked of it.
-type staticStore struct {
-	kvstore.Store
-	items       []wire.Item // in order
-	lists, gets int
-	bytes       int
-}
-
-func newStaticStore(items []wire.Item) *staticStore {
-	slices.SortFunc(items, func(a, b wire.Item) int { return strings.Compare(a.Key, b.Key) })
-	return &staticStore{items: items}
-}
-
-func (s *staticStore) Revision(context.Context) (wire.Revision, error) { return 1, nil }
-
-func (s *staticStore) Get(_ context.Context, key string) (wire.Item, error) {
-	s.gets++
-	at, ok := slices.BinarySearchFunc(
-		s.items,
-		key,
-		func(it wire.Item, k string) int { return strings.Compare(it.Key, k) },
-	)
-	if !ok {
-		return wire.Item{}, kvstore.ErrNotFound
-	}
-	return s.items[at], nil
-}
-
-// List answers as the protocol says: at most 1,000 items and 512 KiB.
-func (s *staticStore) List(_ context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
-	s.lists++
-	at, found := slices.BinarySearchFunc(
-		s.items,
-		max(prefix, after),
-		func(it wire.Item, k string) int { return strings.Compare(it.Key, k) },
-	)
-	if found && after != "" {
-		at++
-	}
-	p := wire.ItemPage{Revision: 1}
-	size := 0
-	for ; at < len(s.items) && strings.HasPrefix(s.items[at].Key, prefix); at++ {
-		if size += len(s.items[at].Value) + 100; len(p.Items) == limit || size > 512<<10 {
-			p.More = true
-			break
-		}
-		p.Items = append(p.Items, s.items[at])
-	}
-	s.bytes += size
-	return p, nil
-}
-
-// activeRecords makes records of jobs that are not over and of those that are and stay.
-func activeRecords(jobs, over int) (items []wire.Item) {
-	for i := range jobs + over {
-		id := fmt.Sprintf("wk-9%08d", i)
-		end := `,"a":3,"c":[[3,"host-9999999","a",1,1,0,1]]`
-		if i >= jobs {
-			end = `,"a":3,"d":"Aw==","state":"done"`
-		}
-		items = append(
-			items,
-			wire.Item{
-				Key:     ledger.Prefix + "j/" + id,
-				Version: 1,
-				Value: fmt.Appendf(
-					nil,
-					`{"spec":{"id":"%s","workclass":"c","owner":"free","shape":"array","urgency":"normal","pieces":2,"cores":1,"accelerators":1,"ram_gb":8,"bundle":"img-1","pull_gb":4,"loaners":true,"expect_s":60},"at":%d%s}`,
-					id,
-					i,
-					end,
-				),
-			},
-		)
-	}
-	return items
-}
-
-// BenchmarkReload reads all records as a controller does at its start: 2,000 jobs that are not
-// over, 1,000 that are, and beside them the summary of so many jobs and machines of the past.
-// "old" has that many records in the mirrored form instead, as before the archive.
+// BenchmarkReload loads all records as a controller does at its start: 2,000 active jobs, 1,000 finished
+// ones, and what the records have of so many archived jobs and terminated machines.
+// "old" has that many finished jobs among the records instead, as before the archive.
 func BenchmarkReload(b *testing.B) {
 	for _, valueKB := range []int{4, 32} {
-		for _, over := range []int{0, 100_000, 1_000_000} {
-			b.Run(fmt.Sprintf("%dKiB/%d", valueKB, over), func(b *testing.B) {
-				reload(b, append(archivedRecords(b, over, valueKB<<10), activeRecords(2000, 1000)...))
+		for _, archived := range []int{0, 100_000, 1_000_000} {
+			b.Run(fmt.Sprintf("%dKiB/%d", valueKB, archived), func(b *testing.B) {
+				reload(b, append(archivedRecords(b, archived, valueKB<<10), activeRecords(2000, 1000)...))
 			})
 		}
 	}
 	b.Run("old/100000", func(b *testing.B) { reload(b, activeRecords(2000, 101_000)) })
 }
 
+// reload loads records again and again, and reports the cost of one time.
 func reload(b *testing.B, items []wire.Item) {
-	s := newStaticStore(items)
-	c := newTestControllerOn(b, s)
+	b.Helper()
+	store := newStaticStore(items)
+	c := newTestControllerOn(b, store)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -184,108 +50,104 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "heap-MB")
-	b.ReportMetric(float64(s.lists)/float64(b.N), "requests/op")
-	b.ReportMetric(float64(s.bytes)/float64(b.N)/1e6, "read-MB/op")
+	b.ReportMetric(float64(store.lists)/float64(b.N), "requests/op")
+	b.ReportMetric(float64(store.bytes)/float64(b.N)/1e6, "read-MB/op")
 	runtime.KeepAlive(c)
 }
 
-// TestArchiveReads counts what polls cost: of a job in the archive one read, however many
-// ask and however often; of an unknown one hardly ever any. Neither is told before the ledger
-// is fresh, unless it was told before.
+// pollUntilAnswered asks for a job's status until the controller is in sync, at most 50 times.
+func pollUntilAnswered(t *testing.T, c *Controller, id wire.JobID) (status wire.JobStatus, err error) {
+	t.Helper()
+	for range 50 {
+		if status, err = c.Jobs.Status(t.Context(), id); !errors.Is(err, kvstore.ErrUnreachable) {
+			return status, err
+		}
+		time.Sleep(time.Second)
+	}
+	return status, err
+}
+
+// TestArchiveReads counts the reads that polls cost: one for an archived job, however many users
+// poll it and however often; hardly ever any for an unknown one. No answer is given before the records
+// are in sync.
 func TestArchiveReads(t *testing.T) {
 	t.Parallel()
-	const over = 60_000
-	items := append(archivedRecords(t, over, 4096), activeRecords(50, 10)...)
+	const archived = 60_000
+	items := append(archivedRecords(t, archived, 4096), activeRecords(50, 10)...)
 	for i := range 2000 {
-		items = append(
-			items,
-			wire.Item{
-				Key:     ledger.FinalKey(wire.JobID(fmt.Sprintf("wk-%08d", i))),
-				Version: 1,
-				Value:   []byte(`{"s":"cancelled","n":3}`),
-			},
-		)
+		items = append(items, wire.Item{
+			Key:     ledger.FinalKey(wire.JobID(fmt.Sprintf("wk-%08d", i))),
+			Version: 1,
+			Value:   []byte(`{"s":"cancelled","n":3}`),
+		})
 	}
-	s := newStaticStore(items)
+	store := newStaticStore(items)
 	synctest.Test(t, func(t *testing.T) {
-		c := newTestControllerOn(t, s)
+		c := newTestControllerOn(t, store)
 		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		loaded := s.lists
+		loadReads := store.lists
 		ctx, cancel := context.WithCancel(t.Context())
-		go c.cache.ServeReadIndex(ctx)
+		go func() { _ = c.cache.ServeReadIndex(ctx) }()
 		defer func() { cancel(); synctest.Wait() }()
-		poll := func(id wire.JobID) (st wire.JobStatus, err error) {
-			for range 50 {
-				if st, err = c.Jobs.Status(t.Context(), id); !errors.Is(err, kvstore.ErrUnreachable) {
-					return st, err
-				}
-				time.Sleep(time.Second) // put off
-			}
-			return st, err
-		}
-		for i := range 300 {
-			for range 3 {
-				if st, err := poll(
-					wire.JobID(fmt.Sprintf("wk-%08d", i)),
-				); err != nil || st.Status != wire.Cancelled ||
-					*st.Done != 3 {
-					t.Fatalf("%+v, %v", st, err)
-				}
+		for i := range 900 { // 300 jobs, three times each
+			id := wire.JobID(fmt.Sprintf("wk-%08d", i/3))
+			status, err := pollUntilAnswered(t, c, id)
+			if err != nil || status.Status != wire.Cancelled || *status.Done != 3 {
+				t.Fatalf("archived job %s: got %+v, error %v; want it cancelled with 3 tasks done", id, status, err)
 			}
 		}
-		// Beside the one of a job there is one of each page of the filter.
-		if pages := c.cache.Records().CountFilterPages(); s.gets != 300 || s.lists-loaded != pages || pages > 300 {
-			t.Errorf("%d reads for 300 jobs asked about three times each, and %d for %d pages", s.gets, s.lists-loaded, pages)
+		// Besides the read of each job there is one of each page of the filter.
+		if pages := c.cache.Records().CountFilterPages(); store.gets != 300 || store.lists-loadReads != pages || pages > 300 {
+			t.Errorf(
+				"polls of 300 archived jobs, three each: got %d reads, and %d for %d pages; want 300, and one for each of <= 300",
+				store.gets,
+				store.lists-loadReads,
+				pages,
+			)
 		}
-		s.gets = 0
+		store.gets = 0
 		for i := range 3000 {
-			if st, err := poll(wire.JobID(fmt.Sprintf("wk-%08d", 50_000_000+i))); !errors.Is(err, server.ErrNoSuchJob) {
-				t.Fatalf("%+v, %v", st, err)
+			id := wire.JobID(fmt.Sprintf("wk-%08d", 50_000_000+i))
+			if status, err := pollUntilAnswered(t, c, id); !errors.Is(err, server.ErrNoSuchJob) {
+				t.Fatalf("unknown job %s: got %+v, error %v; want %v", id, status, err, server.ErrNoSuchJob)
 			}
 		}
-		if s.gets > 10 {
-			t.Errorf("%d reads for 3000 unknown jobs", s.gets)
+		if store.gets > 10 {
+			t.Errorf("reads for 3000 unknown jobs: got %d, want <= 10", store.gets)
 		}
-		if pages := c.cache.Records().CountFilterPages(); s.lists-loaded > pages+3 {
-			t.Errorf("%d reads of %d pages", s.lists-loaded, pages)
+		if pages := c.cache.Records().CountFilterPages(); store.lists-loadReads > pages+3 {
+			t.Errorf("reads of %d pages of the filter: got %d, want <= %d", pages, store.lists-loadReads, pages+3)
 		}
-		t.Logf("%d reads for 3000 unknown jobs beside %d archived", s.gets, over)
-		if st, err := poll("wk-900000055"); err != nil || st.Status != wire.Done {
-			t.Errorf("a job that is over and on record: %+v, %v", st, err)
+		t.Logf("%d reads for 3000 unknown jobs beside %d archived ones", store.gets, archived)
+		if status, err := pollUntilAnswered(t, c, "wk-900000055"); err != nil || status.Status != wire.Done {
+			t.Errorf("finished job among the records: got %+v, error %v; want it done", status, err)
 		}
 	})
 }
 
-// slowStaticStore takes its time over each page.
-type slowStaticStore struct{ *staticStore }
-
-func (s slowStaticStore) List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
-	time.Sleep(300 * time.Millisecond)
-	return s.staticStore.List(ctx, prefix, after, min(limit, 50))
-}
-
-// TestHeartbeatsDuringReload: the watch fell behind, and all records are read again, which
-// takes a while. Workers are answered from the ledger before until that is done.
+// TestHeartbeatsDuringReload: the watch fell behind, and all records are loaded again, which takes
+// a while. Workers are answered by the records from before until that is done.
 func TestHeartbeatsDuringReload(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c := newTestControllerOn(t, slowStaticStore{newStaticStore(append(archivedRecords(t, 1000, 4096), activeRecords(400, 200)...))})
+		store := newStaticStore(append(archivedRecords(t, 1000, 4096), activeRecords(400, 200)...))
+		c := newTestControllerOn(t, slowStaticStore{store})
 		if _, err := c.cache.Load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		c.cache.SetForTest(1, time.Time{})
-		done := make(chan error, 1)
-		go func() { _, err := c.cache.Load(t.Context()); done <- err }()
+		reloaded := make(chan error, 1)
+		go func() { _, err := c.cache.Load(t.Context()); reloaded <- err }()
 		answered := 0
-		var tasks []wire.TaskStatus // that it was told to start: one on which nothing begins is deaf
+		var tasks []wire.TaskStatus // that it was told to start; a worker that starts none counts as unreachable
 		for n := 1; ; n++ {
 			time.Sleep(500 * time.Millisecond)
 			c.cache.Lock()
-			c.cache.SetForTest(c.cache.Token(), time.Now()) // a few seconds are within what safety allows without
+			c.cache.SetForTest(c.cache.Token(), time.Now()) // safety allows a few seconds without a sync
 			c.cache.Unlock()
-			r := &wire.Heartbeat{
+			answer := c.Heartbeats.Heartbeat(t.Context(), &wire.Heartbeat{
 				Machine:  "host-9999999",
 				Type:     "g2",
 				Zone:     "a",
@@ -293,19 +155,15 @@
 				Sequence: wire.HeartbeatSequence(n),
 				Token:    1,
 				Tasks:    tasks,
-			}
-			if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status == 200 {
+			})
+			if answer.Status == 200 {
 				answered++
-				for _, cmd := range a.Response.Commands {
-					if cmd.Op == wire.OpStart {
-						tasks = append(tasks, wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskFetching})
-					}
-				}
+				tasks = append(tasks, startedTasks(answer.Response)...)
 			}
 			select {
-			case err := <-done:
+			case err := <-reloaded:
 				if err != nil || answered != n || n < 5 {
-					t.Errorf("%d of %d reports were answered, %v", answered, n, err)
+					t.Errorf("got %d of %d heartbeats answered, reload error %v; want all of >= 5, nil", answered, n, err)
 				}
 				return
 			default:
@@ -314,165 +172,187 @@
 	})
 }
 
-// TestRollingUpgrade: controllers of the version before, as far as their records go, are replaced one by
-// one and back again while jobs run. Nothing is moved before all read the new format and what
-// the old ones sent can no longer land late; afterwards it is, and nothing is lost.
+// startedTasks returns the status of the tasks that a response starts.
+func startedTasks(response *wire.HeartbeatResponse) (tasks []wire.TaskStatus) {
+	for _, command := range response.Commands {
+		if command.Op == wire.OpStart {
+			tasks = append(tasks, wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching})
+		}
+	}
+	return tasks
+}
+
+// format returns the format of the records in the state service.
+func (cluster *testCluster) format() (f ledger.FormatRecord) {
+	cluster.t.Helper()
+	item, err := cluster.links[0].Get(cluster.t.Context(), ledger.FormatKey)
+	if err == nil {
+		err = json.Unmarshal(item.Value, &f)
+	}
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
+		cluster.t.Error(err)
+	}
+	return f
+}
+
+// countItems returns how many items of the state service match.
+func (cluster *testCluster) countItems(match func(key string) bool) (n int) {
+	for _, item := range cluster.store.Items() {
+		if match(item.Key) {
+			n++
+		}
+	}
+	return n
+}
+
+// TestRollingUpgrade: controllers that support an older format of records are replaced one by one by newer
+// ones and back again while jobs run. Nothing is archived before all controllers support the new format and
+// what the old ones sent can no longer arrive late. Afterwards jobs are archived, and nothing is lost.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 11)
 		cluster.noRandomFaults, cluster.archiving = true, true
 		cluster.formatUpTo = []int{1, 1, 1}
-		format := func() (f ledger.FormatRecord) {
-			it, err := cluster.links[0].Get(t.Context(), ledger.FormatKey)
-			if err == nil {
-				err = json.Unmarshal(it.Value, &f)
+		const newest = 0
+		archived := func() int { return cluster.countItems(ledger.IsFinalKey) }
+		upgrade := func(ctx context.Context) {
+			replace := func(i, formatUpTo int) {
+				cluster.crash(i)
+				cluster.formatUpTo[i] = formatUpTo
+				wait.For(ctx, 5*time.Second)
+				cluster.startController(ctx, i)
+				wait.For(ctx, 25*time.Second)
 			}
-			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
-				t.Error(err)
+			replace(0, newest)
+			replace(1, newest)
+			replace(1, 1) // back
+			replace(1, newest)
+			if f, n := cluster.format(), archived(); f.Format != 0 || n != 0 {
+				t.Errorf("one controller doesn't support the format: got %+v and %d jobs archived, want format 0 and 0", f, n)
 			}
-			return f
-		}
-		archived := func() (n int) {
-			for _, it := range cluster.store.Items() {
-				if ledger.IsFinalKey(it.Key) {
-					n++
-				}
+			replace(2, newest)
+			if f, n := cluster.format(), archived(); f.Format != ledger.NewestFormat || f.Fresh || n != 0 {
+				t.Errorf(
+					"all support the format: got %+v and %d jobs archived, want format %d, not fresh, and 0",
+					f,
+					n,
+					ledger.NewestFormat,
+				)
+			}
+			wait.For(ctx, settlePeriod)
+			wait.For(ctx, time.Minute)
+			if archived() == 0 {
+				t.Error("after the settle period: got no job archived, want some")
 			}
-			return n
-		}
-		cluster.onStart = func(ctx context.Context) {
-			cluster.group.Go(func() {
-				roll := func(i, to int) {
-					cluster.crash(i)
-					cluster.formatUpTo[i] = to
-					wait.For(ctx, 5*time.Second)
-					cluster.startController(ctx, i)
-					wait.For(ctx, 25*time.Second)
-				}
-				roll(0, 0)
-				roll(1, 0)
-				roll(1, 1) // back
-				roll(1, 0)
-				if format().Format != 0 || archived() != 0 {
-					t.Errorf("format %+v and %d archived while one controller doesn't read it", format(), archived())
-				}
-				roll(2, 0)
-				f := format()
-				if f.Format != ledger.NewestFormat || f.Fresh || archived() != 0 {
-					t.Errorf("format %+v and %d archived when all read it", f, archived())
-				}
-				wait.For(ctx, settlePeriod)
-				wait.For(ctx, time.Minute)
-				if archived() == 0 {
-					t.Error("nothing is archived afterwards")
-				}
-			})
 		}
+		cluster.onStart = func(ctx context.Context) { cluster.group.Go(func() { upgrade(ctx) }) }
 		finished := cluster.run(12*time.Minute, 40, 0.03)
 		cluster.checkArchive()
-		if len(cluster.world.Broken) > 0 || len(cluster.store.Problems) > 0 || finished < 35 {
-			t.Errorf("%d of 40 jobs ended, %v, %v", finished, cluster.world.Broken, cluster.store.Problems)
+		cluster.reportViolations()
+		if finished < 35 {
+			t.Errorf("got %d of 40 jobs finished, want >= 35", finished)
 		}
 	})
 }
 
-// TestMigrationToArchive: the records hold what a version before has left of finished jobs. They move
-// while jobs run, controllers end and stand still, and the state service fails; afterwards each
-// is told as it ended.
+// TestMigrationToArchive: the records have finished jobs from before the archive. They are archived while
+// jobs run, controllers crash and pause, and the state service fails. Afterwards each job's status is as it
+// ended.
 func TestMigrationToArchive(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 17)
 		cluster.archiving = true
 		const old = 400
+		records := activeRecords(0, old)
 		for from := 0; from < old; from += 10 {
 			var txn wire.Txn
-			for _, it := range activeRecords(0, old)[from : from+10] {
-				txn.Then = append(txn.Then, wire.Change{Put: it.Key, Value: it.Value})
+			for _, item := range records[from : from+10] {
+				txn.Then = append(txn.Then, wire.Change{Put: item.Key, Value: item.Value})
 			}
 			if _, err := cluster.store.Apply(txn); err != nil {
 				t.Fatal(err)
 			}
 		}
-		var told int
+		done := 0
 		cluster.onStart = func(ctx context.Context) {
 			cluster.group.Go(func() {
 				wait.For(ctx, 10*time.Minute)
 				for i := range old {
 					id := wire.JobID(fmt.Sprintf("wk-9%08d", i))
-					st, ok := retryUntilAnswered(
-						ctx,
-						cluster,
-						string(id),
-						func(ctx context.Context, c *Controller) (wire.JobStatus, error) { return c.Jobs.Status(ctx, id) },
-					)
-					if ok && st.Status == wire.Done && *st.Done == 2 {
-						told++
+					status, ok := retryUntilAnswered(ctx, cluster, string(id), statusRequest(id))
+					if ok && status.Status == wire.Done && *status.Done == 2 {
+						done++
 					}
 				}
 			})
 		}
 		cluster.run(14*time.Minute, 30, 0.03)
 		cluster.checkArchive()
-		left := 0
-		for _, it := range cluster.store.Items() {
-			if strings.HasPrefix(it.Key, ledger.Prefix+"j/wk-9") {
-				left++
-			}
-		}
-		if left > 0 || told != old || len(cluster.world.Broken) > 0 {
-			t.Errorf("%d of %d are left, %d are told, %v", left, old, told, cluster.world.Broken)
+		cluster.reportBrokenRules()
+		left := cluster.countItems(func(key string) bool { return strings.HasPrefix(key, ledger.Prefix+"j/wk-9") })
+		if left > 0 || done != old {
+			t.Errorf("old jobs: got %d left among the records and %d done, want 0 and %d", left, done, old)
 		}
 	})
 }
 
-// TestNewerFormatIsRefused: a controller that doesn't read the records' format ends with the
-// reason and serves nobody; while records are imported it waits.
+// TestNewerFormatIsRefused: a controller that doesn't support the records' format ends with an error that
+// says so and serves nobody. While records are imported it waits.
 func TestNewerFormatIsRefused(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 1)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		if _, err := cluster.store.Apply(
-			wire.Txn{Then: []wire.Change{{Put: ledger.ImportKey, Value: []byte(`{}`)}}},
-		); err != nil {
-			t.Fatal(err)
+		apply := func(change wire.Change) {
+			t.Helper()
+			if _, err := cluster.store.Apply(wire.Txn{Then: []wire.Change{change}}); err != nil {
+				t.Fatal(err)
+			}
 		}
-		c := New(newTestSettings(t, 0), cluster.links[0], newTestController(t, 0).log)
+		apply(wire.Change{Put: ledger.ImportKey, Value: []byte(`{}`)})
+		c := newTestControllerOn(t, cluster.links[0])
 		ended := make(chan error, 1)
-		go func() { ended <- c.cache.Watch(ctx) }()
+		go func() { ended <- c.cache.Watch(t.Context()) }()
 		time.Sleep(30 * time.Second)
 		if c.Jobs.Loaded() {
-			t.Error("served from records that are not complete")
-		}
-		if _, err := cluster.store.Apply(wire.Txn{Then: []wire.Change{{Delete: ledger.ImportKey}}}); err != nil {
-			t.Fatal(err)
+			t.Error("during the import: got records loaded, want not")
 		}
+		apply(wire.Change{Delete: ledger.ImportKey})
 		time.Sleep(30 * time.Second)
 		if !c.Jobs.Loaded() {
-			t.Error("not served after the import")
-		}
-		if _, err := cluster.store.Apply(
-			wire.Txn{Then: []wire.Change{{Put: ledger.FormatKey, Value: []byte(`{"n":99}`)}}},
-		); err != nil {
-			t.Fatal(err)
+			t.Error("after the import: got records not loaded, want loaded")
 		}
+		apply(wire.Change{Put: ledger.FormatKey, Value: []byte(`{"n":99}`)})
 		select {
 		case err := <-ended:
 			if !errors.Is(err, ledger.ErrNewerFormat) {
-				t.Error(err)
+				t.Errorf("watch of newer records: got error %v, want %v", err, ledger.ErrNewerFormat)
 			}
 		case <-time.After(time.Minute):
-			t.Error("goes on with records that it doesn't read")
+			t.Error("watch of newer records: got no end within a minute, want an error")
 		}
 	})
 }
 
-// TestSoak plays days at a reduced rate with restarts, outages, rolls and late transactions
-// again and again: what controllers hold at the end is what they held early on. SOAK_DAYS
-// asks for longer ones than CI has time for.
+// storeWeight is what the state service holds of records and archived jobs.
+type storeWeight struct{ keys, bytes, archived int }
+
+// weight returns what the state service holds.
+func (cluster *testCluster) weight() (w storeWeight) {
+	for _, item := range cluster.store.Items() {
+		if strings.HasPrefix(item.Key, ledger.Prefix) {
+			w.keys++
+			w.bytes += len(item.Key) + len(item.Value)
+		} else if ledger.IsFinalKey(item.Key) {
+			w.archived++
+		}
+	}
+	return w
+}
+
+// TestSoak plays a long time at a reduced rate with random faults: the records at the end are no
+// larger than early on. SOAK_DAYS asks for longer runs than CI has time for, SOAK_SEED for another seed.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	length, seed := 100*time.Minute, uint64(1)
@@ -485,23 +365,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, seed)
 		cluster.archiving = true
-		type weight struct{ keys, bytes, archived int }
-		weigh := func() (w weight) {
-			for _, it := range cluster.store.Items() {
-				if strings.HasPrefix(it.Key, ledger.Prefix) {
-					w.keys++
-					w.bytes += len(it.Key) + len(it.Value)
-				} else if ledger.IsFinalKey(it.Key) {
-					w.archived++
-				}
-			}
-			return w
-		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		cluster.start(ctx, 4, 0.02)
-		finished, began, early := 0, time.Now(), weight{}
-		for n := 0; time.Since(began) < length; n++ {
+		finished, startedAt, early := 0, time.Now(), storeWeight{}
+		for n := 0; time.Since(startedAt) < length; n++ {
 			spec, cancelAfter := cluster.randomSpec(n), time.Duration(0)
 			if n%4 == 0 {
 				cancelAfter = 30 * time.Second
@@ -512,26 +380,21 @@
 				cluster.group.Go(func() { cluster.injectFault(ctx) })
 			}
 			cluster.world.Check()
-			if early.keys == 0 && time.Since(began) > length/5 {
-				early = weigh()
+			if early.keys == 0 && time.Since(startedAt) > length/5 {
+				early = cluster.weight()
 			}
 			if n%960 == 959 {
-				t.Logf("after %v: %+v", time.Since(began), weigh())
+				t.Logf("after %v: %+v", time.Since(startedAt), cluster.weight())
 			}
 		}
-		wait.For(ctx, 5*time.Minute) // for the last ones
-		late := weigh()
+		wait.For(ctx, 5*time.Minute) // for the last jobs
+		late := cluster.weight()
 		cluster.shutDown(cancel)
 		cluster.checkArchive()
-		for _, b := range cluster.world.Broken {
-			t.Errorf("broken: %s", b)
-		}
-		for _, p := range cluster.store.Problems {
-			t.Errorf("state service: %s", p)
-		}
-		t.Logf("%d jobs ended; early %+v, late %+v", finished, early, late)
-		if late.keys > early.keys+early.keys/2+20 || late.archived < early.archived*2 {
-			t.Errorf("early %+v, late %+v", early, late)
+		cluster.reportViolations()
+		t.Logf("%d jobs finished; early %+v, late %+v", finished, early, late)
+		if limit := early.keys + early.keys/2 + 20; late.keys > limit || late.archived < early.archived*2 {
+			t.Errorf("late: got %+v, want <= %d keys and >= %d archived", late, limit, early.archived*2)
 		}
 	})
 }
--- a/internal/controller/deadlines_test.go
+++ b/internal/controller/deadlines_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"strconv"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -14,149 +15,184 @@
 	"maddermill/wire"
 )
 
-// promiseModes are what promises are compared under: the order without galleries, that with each job's
-// own deadline, and that with galleries.
-var promiseModes = []string{"no galleries", "each job its date", "galleries"}
+// promiseMode is a way to schedule jobs that are promised for a date.
+type promiseMode string
 
-// promiseResult is what came of the promises of a history.
+const (
+	withoutGalleries promiseMode = "no galleries"
+	deadlinePerJob   promiseMode = "each job its deadline"
+	withGalleries    promiseMode = "galleries"
+)
+
+// promiseResult is what became of promises.
 type promiseResult struct {
 	galleries, kept int
-	late            time.Duration
+	late            time.Duration // in all
+}
+
+// promisedGallery is a gallery of the test.
+type promisedGallery struct {
+	date     time.Time
+	jobs     []*wire.JobSpec
+	submitAt []time.Duration // of each job, from the start
 }
 
-// runPromises plays twelve galleries of three jobs each on twelve machines, with more work than
-// there is room for at times. With troubles a controller, or all, ends every ten seconds.
-func runPromises(t *testing.T, seed uint64, order string, troubles bool) (k promiseResult) {
-	r := newRestartScenario(t, seed, 300*time.Millisecond)
-	r.archiving, r.duplicateMessages = false, false
+// promiseRun is one run of jobs that are promised for dates.
+type promiseRun struct {
+	*restartScenario
+	mode      promiseMode
+	startedAt time.Time
+	galleries []promisedGallery
+	lastExit  map[wire.JobID]time.Time // guarded by the world's lock until the end, like exits
+	exits     map[wire.JobID]int
+}
+
+// runPromises runs twelve galleries of three jobs each on twelve machines, at times with more work than
+// there is room for. With crashes a controller, or all, crashes every ten seconds.
+func runPromises(t *testing.T, seed uint64, mode promiseMode, crashes bool) promiseResult {
+	t.Helper()
+	run := &promiseRun{
+		restartScenario: newRestartScenario(t, seed, 300*time.Millisecond),
+		mode:            mode,
+		startedAt:       time.Now(),
+		lastExit:        map[wire.JobID]time.Time{},
+		exits:           map[wire.JobID]int{},
+	}
+	run.archiving, run.duplicateMessages = false, false
 	ctx, cancel := context.WithCancel(t.Context())
-	began := time.Now()
-	last := map[wire.JobID]time.Time{}
-	tasks := map[wire.JobID]int{}
-	r.world.Finished = func(id wire.TaskID) { last[id.Job], tasks[id.Job] = time.Now(), tasks[id.Job]+1 } // under the world's lock
-	text := "revision: 1\nmargin_s: 20\n"
-	type gallery struct {
-		date time.Time
-		jobs []*wire.JobSpec
+	run.world.Finished = func(task wire.TaskID) {
+		run.lastExit[task.Job] = time.Now()
+		run.exits[task.Job]++
+	}
+	run.makeGalleries()
+	run.start(ctx, 4, 0)
+	run.onStart(ctx)
+	for _, g := range run.galleries {
+		for k, spec := range g.jobs {
+			run.group.Go(func() {
+				wait.For(ctx, g.submitAt[k]+time.Millisecond)
+				run.pollJob(spec)
+			})
+		}
+	}
+	run.minInterval, run.maxCrashes = 0, 1000
+	for second := range 420 {
+		time.Sleep(time.Second)
+		run.world.Check()
+		if crashes && second%10 == 9 && second < 240 {
+			run.crashAndRestart(second / 10 % 3)
+			if second%50 == 49 {
+				run.crashAndRestart((second/10 + 1) % 3)
+				run.crashAndRestart((second/10 + 2) % 3)
+			}
+		}
 	}
-	var galleries []gallery
-	var arrive []time.Duration
+	run.shutDownAndCheck(cancel)
+	return run.result()
+}
+
+// makeGalleries makes random galleries, and gives controllers their register if the mode wants it.
+func (run *promiseRun) makeGalleries() {
+	run.t.Helper()
+	var text strings.Builder
+	text.WriteString("revision: 1\nmargin_s: 20\n")
 	for i := range 12 {
-		first := time.Duration(r.randomInt(60_000)) * time.Millisecond
-		g := gallery{date: began.Add(first + time.Duration(110+r.randomInt(150))*time.Second).Truncate(time.Second)}
-		text += fmt.Sprintf(
-			"gallery { name: \"g-%d\" team: \"free\" promised: %q complete: true",
-			i,
-			g.date.Format(time.RFC3339),
-		)
+		first := time.Duration(run.randomInt(60_000)) * time.Millisecond
+		length := time.Duration(110+run.randomInt(150)) * time.Second
+		g := promisedGallery{date: run.startedAt.Add(first + length).Truncate(time.Second)}
+		date := g.date.Format(time.RFC3339)
+		fmt.Fprintf(&text, "gallery { name: \"g-%d\" team: \"free\" promised: %q complete: true", i, date)
 		for k := range 3 {
-			s := r.randomSpec(3*i + k)
-			s.Team, s.Shape, s.Tasks, s.Priority, s.Zone, s.OneZone, s.Spread, s.Spot, s.GPUs, s.Class, s.Deadline = "free", wire.Array, 1+r.randomInt(
-				6,
-			), wire.Normal, nil, false, false, true, 1, "c", nil
-			if r.randomInt(3) == 0 {
-				s.Shape, s.Tasks = wire.Gang, 1+r.randomInt(5)
+			spec := run.promisedSpec(3*i + k)
+			submitAt := first + time.Duration(run.randomInt(30_000))*time.Millisecond
+			if run.mode == deadlinePerJob {
+				d := wire.Seconds(g.date.Sub(run.startedAt.Add(submitAt)).Seconds())
+				spec.Deadline = &d
 			}
-			at := first + time.Duration(r.randomInt(30_000))*time.Millisecond
-			if order == "each job its date" {
-				d := wire.Seconds(g.date.Sub(began.Add(at)).Seconds())
-				s.Deadline = &d
-			}
-			arrive = append(arrive, at)
-			g.jobs = append(g.jobs, s)
-			text += fmt.Sprintf(" job: %q", s.ID)
+			g.jobs, g.submitAt = append(g.jobs, spec), append(g.submitAt, submitAt)
+			fmt.Fprintf(&text, " job: %q", spec.ID)
 		}
-		text += " }\n"
-		galleries = append(galleries, g)
+		text.WriteString(" }\n")
+		run.galleries = append(run.galleries, g)
 	}
-	if order == "galleries" {
-		reg, err := deadline.Parse([]byte(text), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r.configure = func(c *Controller) { c.Deadlines.Set(reg) }
+	if run.mode != withGalleries {
+		return
 	}
-	r.start(ctx, 4, 0)
-	r.onStart(ctx)
-	for i := range galleries {
-		for k, s := range galleries[i].jobs {
-			r.group.Go(func() {
-				wait.For(ctx, arrive[3*i+k]+time.Millisecond)
-				r.pollJob(s)
-			})
-		}
+	register, err := deadline.Parse([]byte(text.String()), nil)
+	if err != nil {
+		run.t.Fatal(err)
 	}
-	r.minInterval, r.maxCrashes = 0, 1000
-	for at := range 420 {
-		time.Sleep(time.Second)
-		r.world.Check()
-		if troubles && at%10 == 9 && at < 240 {
-			if r.crashAndRestart(at / 10 % 3); at%50 == 49 {
-				r.crashAndRestart((at/10 + 1) % 3)
-				r.crashAndRestart((at/10 + 2) % 3)
-			}
-		}
+	run.configure = func(c *Controller) { c.Deadlines.Set(register) }
+}
+
+// promisedSpec returns a random job of a gallery.
+func (run *promiseRun) promisedSpec(i int) *wire.JobSpec {
+	spec := run.randomSpec(i)
+	spec.Class, spec.Team, spec.Priority, spec.Deadline = "c", "free", wire.Normal, nil
+	spec.Zone, spec.OneZone, spec.Spread, spec.Spot = nil, false, false, true
+	spec.Shape, spec.Tasks, spec.GPUs = wire.Array, 1+run.randomInt(6), 1
+	if run.randomInt(3) == 0 {
+		spec.Shape, spec.Tasks = wire.Gang, 1+run.randomInt(5)
 	}
-	r.shutDown(cancel)
+	return spec
+}
+
+// result returns what became of the promises.
+func (run *promiseRun) result() (result promiseResult) {
 	now := time.Now()
-	for _, g := range galleries {
+	for _, g := range run.galleries {
 		end := time.Time{}
-		for _, s := range g.jobs {
-			at := last[s.ID]
-			if tasks[s.ID] < s.Tasks {
+		for _, spec := range g.jobs {
+			at := run.lastExit[spec.ID]
+			if run.exits[spec.ID] < spec.Tasks {
 				at = now
 			}
 			if at.After(end) {
 				end = at
 			}
 		}
-		k.galleries++
+		result.galleries++
 		if late := end.Sub(g.date); late > 0 {
-			k.late += late
+			result.late += late
 		} else {
-			k.kept++
+			result.kept++
 		}
 	}
-	if len(r.world.Broken) > 0 || len(r.store.Problems) > 0 {
-		t.Errorf("seed %d: %v %v", seed, r.world.Broken, r.store.Problems)
-	}
-	return k
+	return result
 }
 
-// TestPromisesAreKept: with galleries more promises are kept, and less is late, than without them
-// or with each job's date by itself, whether controllers end again and again or not; and their ends
-// cost few. PROMISE_SEEDS asks for more than a few seeds.
+// TestPromisesAreKept: with galleries more promises are kept, and less is late, than without them, whether
+// controllers crash again and again or not. PROMISE_SEEDS asks for more than a few seeds.
 func TestPromisesAreKept(t *testing.T) {
 	t.Parallel()
 	seeds := 2
 	if n, err := strconv.Atoi(os.Getenv("PROMISE_SEEDS")); err == nil {
 		seeds = n
 	}
-	got := map[string]promiseResult{}
-	for _, troubles := range []bool{false, true} {
-		for _, order := range promiseModes {
-			sum := promiseResult{}
-			for seed := range uint64(seeds) {
-				synctest.Test(t, func(t *testing.T) {
-					k := runPromises(t, 100+seed, order, troubles)
-					sum.galleries, sum.kept, sum.late = sum.galleries+k.galleries, sum.kept+k.kept, sum.late+k.late
-				})
+	for _, crashes := range []bool{false, true} {
+		t.Run(fmt.Sprint("crashes ", crashes), func(t *testing.T) {
+			results := map[promiseMode]promiseResult{}
+			for _, mode := range []promiseMode{withoutGalleries, deadlinePerJob, withGalleries} {
+				sum := promiseResult{}
+				for seed := range uint64(seeds) {
+					synctest.Test(t, func(t *testing.T) {
+						r := runPromises(t, 100+seed, mode, crashes)
+						sum.galleries, sum.kept, sum.late = sum.galleries+r.galleries, sum.kept+r.kept, sum.late+r.late
+					})
+				}
+				results[mode] = sum
+				t.Logf("%s: %d of %d kept, %v late in all", mode, sum.kept, sum.galleries, sum.late.Round(time.Second))
 			}
-			got[fmt.Sprint(order, troubles)] = sum
-			t.Logf(
-				"%s, troubles %v: %d of %d kept, %v late in all",
-				order,
-				troubles,
-				sum.kept,
-				sum.galleries,
-				sum.late.Round(time.Second),
-			)
-		}
-	}
-	for _, troubles := range []bool{false, true} {
-		with, without := got[fmt.Sprint(promiseModes[2], troubles)], got[fmt.Sprint(promiseModes[0], troubles)]
-		if with.kept+4 < without.kept || with.late > without.late+without.late/5+time.Minute {
-			t.Errorf("troubles %v: %+v with galleries, %+v without", troubles, with, without)
-		}
+			with, without := results[withGalleries], results[withoutGalleries]
+			if with.kept+4 < without.kept || with.late > without.late+without.late/5+time.Minute {
+				t.Errorf(
+					"with galleries: got %+v, want >= %d kept and <= %v late; without: %+v",
+					with,
+					without.kept-4,
+					without.late+without.late/5+time.Minute,
+					without,
+				)
+			}
+		})
 	}
 }
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -12,171 +12,212 @@
 	"maddermill/wire"
 )
 
-// newGalleryRegister is a register of two galleries by class and one by its jobs.
+// newGalleryRegister returns a register of two galleries by class and two by their jobs. A gallery with a
+// zero date is left out.
 func newGalleryRegister(t *testing.T, revision int, free, capped, some time.Time) *deadline.Register {
+	t.Helper()
 	text := fmt.Sprintf("revision: %d\nmargin_s: 20\n", revision)
 	for _, g := range []struct {
-		name, team, of string
-		date           time.Time
-	}{{"of-free", "free", `class: "c"`, free}, {"of-capped", "capped", `class: "c"`, capped},
-		{"of-some-1", "free", `job: "wk-000001" job: "wk-000002" job: "wk-000003"`, some}, {"of-some-2", "capped", `job: "wk-000004" job: "wk-000005" job: "wk-000006"`, some}} {
+		name, team, jobs string
+		date             time.Time
+	}{
+		{"of-free", "free", `class: "c"`, free},
+		{"of-capped", "capped", `class: "c"`, capped},
+		{"of-some-1", "free", `job: "wk-000001" job: "wk-000002" job: "wk-000003"`, some},
+		{"of-some-2", "capped", `job: "wk-000004" job: "wk-000005" job: "wk-000006"`, some},
+	} {
 		if !g.date.IsZero() {
-			text += fmt.Sprintf(
-				"gallery { name: %q team: %q promised: %q %s }\n",
-				g.name,
-				g.team,
-				g.date.Format(time.RFC3339),
-				g.of,
-			)
+			date := g.date.Format(time.RFC3339)
+			text += fmt.Sprintf("gallery { name: %q team: %q promised: %q %s }\n", g.name, g.team, date, g.jobs)
 		}
 	}
-	r, err := deadline.Parse([]byte(text), []wire.Team{"free", "capped"})
+	register, err := deadline.Parse([]byte(text), []wire.Team{"free", "capped"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return register
 }
 
-// TestGalleriesSurviveRestarts: controllers end at each step in which galleries change, and are back at
-// once, while a date is moved twice by new editions of the register that not all controllers have.
-// Every accepted job is tied to one gallery, exactly once and for good, also those accepted before
-// the galleries were known; every promise is on record as it was made; and each gallery ends as what
-// is on record says, not as who looked when.
+// galleryScenario is a restart scenario in which editions of the register of galleries are given to the
+// controllers.
+type galleryScenario struct {
+	*restartScenario
+	registers [3]*deadline.Register           // of each controller
+	bindings  map[wire.JobID]wire.GalleryName // as the state service got them
+	states    map[wire.GalleryName]ledger.GalleryState
+}
+
+// newGalleryScenario returns a scenario in which no controller has a register yet.
+func newGalleryScenario(t *testing.T, seed uint64, downtime time.Duration) *galleryScenario {
+	t.Helper()
+	g := &galleryScenario{
+		restartScenario: newRestartScenario(t, seed, downtime),
+		bindings:        map[wire.JobID]wire.GalleryName{},
+		states:          map[wire.GalleryName]ledger.GalleryState{},
+	}
+	g.archiving = false
+	g.configure = func(c *Controller) {
+		for i := range g.registers {
+			if c.set.Member != newTestSettings(t, i).Member {
+				continue
+			}
+			g.mu.Lock()
+			register := g.registers[i]
+			g.mu.Unlock()
+			if register != nil {
+				c.Deadlines.Set(register)
+			}
+		}
+	}
+	g.store.Seen = g.checkChange
+	return g
+}
+
+// setRegister gives an edition of the register to a controller, also after its restarts.
+func (g *galleryScenario) setRegister(i int, register *deadline.Register) {
+	g.mu.Lock()
+	g.registers[i] = register
+	g.mu.Unlock()
+	if c := g.controller(i); c != nil {
+		c.Deadlines.Set(register)
+	}
+}
+
+// TestGalleriesSurviveRestarts: controllers crash at each step in which galleries change, and restart
+// soon, while a date is moved twice by new editions of the register that not all controllers have.
+// Every accepted job is bound to one gallery, exactly once and for good, also if it was accepted before
+// the galleries were known. Every promise stays on record as it was made, and each gallery ends by
+// what is on record, whichever controller decides it.
 func TestGalleriesSurviveRestarts(t *testing.T) {
 	t.Parallel()
 	for n, kind := range []string{"register", "gallery", "gallery state", "gallery binding", "exit"} {
 		for m, side := range []string{" sent", " answered"} {
 			t.Run(kind+side, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
-					r := newRestartScenario(t, uint64(20+n), []time.Duration{50 * time.Millisecond, time.Second}[(n+m)%2])
-					r.archiving = false
-					began := time.Now()
-					in := func(d time.Duration) time.Time { return began.Add(d) }
-					var registers [3]*deadline.Register
-					first := newGalleryRegister(t, 1, in(260*time.Second), in(250*time.Second), in(100*time.Second))
-					second := newGalleryRegister(t, 2, in(260*time.Second), in(120*time.Second), in(100*time.Second))
-					third := newGalleryRegister(t, 3, in(260*time.Second), in(280*time.Second), in(100*time.Second))
-					give := func(i int, reg *deadline.Register) {
-						r.mu.Lock()
-						registers[i] = reg
-						r.mu.Unlock()
-						if c := r.controller(i); c != nil {
-							c.Deadlines.Set(reg)
-						}
-					}
-					r.configure = func(c *Controller) {
-						for i := range 3 {
-							if c.set.Member == newTestSettings(t, i).Member {
-								r.mu.Lock()
-								reg := registers[i]
-								r.mu.Unlock()
-								if reg != nil {
-									c.Deadlines.Set(reg)
-								}
-							}
-						}
-					}
-					ties := map[wire.JobID]wire.GalleryName{}
-					states := map[wire.GalleryName]ledger.GalleryState{}
-					r.store.Seen = func(c wire.Change) { r.checkGalleryChange(t, c, ties, states) }
-					r.onStep = func(i int, step string) {
-						if step == kind+side {
-							r.crashAndRestart(i)
-						}
-					}
-					at := 0
-					r.runAndCheck(24, func() {
-						switch at++; at {
-						case 15: // some jobs are there by then
-							for i := range 3 {
-								give(i, first)
-							}
-						case 40:
-							give(0, second)
-							give(1, second)
-						case 70:
-							give(2, third)
-						}
-					})
-					r.checkGalleriesAtEnd(t, ties, states)
-				})
+				downtime := []time.Duration{50 * time.Millisecond, time.Second}[(n+m)%2]
+				synctest.Test(t, func(t *testing.T) { runGalleries(t, uint64(20+n), kind+side, downtime) })
 			})
 		}
 	}
 }
 
-// checkGalleryChange looks at every change that the state service takes.
-func (r *restartScenario) checkGalleryChange(
-	t *testing.T,
-	c wire.Change,
-	ties map[wire.JobID]wire.GalleryName,
-	states map[wire.GalleryName]ledger.GalleryState,
-) {
-	l := ledger.New(Limits(newTestSettings(t, 0)))
-	if id, ok := strings.CutPrefix(c.Put, ledger.Prefix+"j/"); ok {
-		l.Apply(ledger.Event{Key: c.Put, Value: c.Value, Version: 1})
-		if j := l.Job(wire.JobID(id)); j != nil {
-			if old := ties[j.ID]; old != "" && old != j.Gallery {
-				t.Errorf("%s goes from %q to %q", id, old, j.Gallery)
+// runGalleries runs one case of TestGalleriesSurviveRestarts.
+func runGalleries(t *testing.T, seed uint64, crashStep string, downtime time.Duration) {
+	t.Helper()
+	g := newGalleryScenario(t, seed, downtime)
+	startedAt := time.Now()
+	in := func(d time.Duration) time.Time { return startedAt.Add(d) }
+	first := newGalleryRegister(t, 1, in(260*time.Second), in(250*time.Second), in(100*time.Second))
+	second := newGalleryRegister(t, 2, in(260*time.Second), in(120*time.Second), in(100*time.Second))
+	third := newGalleryRegister(t, 3, in(260*time.Second), in(280*time.Second), in(100*time.Second))
+	g.onStep = func(i int, step string) {
+		if step == crashStep {
+			g.crashAndRestart(i)
+		}
+	}
+	seconds := 0
+	g.runAndCheck(24, func() {
+		switch seconds++; seconds {
+		case 15: // some jobs are accepted by then
+			for i := range 3 {
+				g.setRegister(i, first)
+			}
+		case 40:
+			g.setRegister(0, second)
+			g.setRegister(1, second)
+		case 70:
+			g.setRegister(2, third)
+		}
+	})
+	g.checkRecords()
+}
+
+// checkChange checks a change that the state service carries out: a binding and a final state stay.
+func (g *galleryScenario) checkChange(change wire.Change) {
+	l := ledger.New(Limits(newTestSettings(g.t, 0)))
+	if id, ok := strings.CutPrefix(change.Put, ledger.Prefix+"j/"); ok {
+		l.Apply(ledger.Event{Key: change.Put, Value: change.Value, Version: 1})
+		if job := l.Job(wire.JobID(id)); job != nil {
+			if old := g.bindings[job.ID]; old != "" && old != job.Gallery {
+				g.t.Errorf("seed %d: gallery of %s: got %q, want it to stay %q", g.seed, id, job.Gallery, old)
 			}
-			ties[j.ID] = j.Gallery
+			g.bindings[job.ID] = job.Gallery
 		}
 	}
-	if name, ok := strings.CutPrefix(c.Put, ledger.Prefix+"p/"); ok {
-		l.Apply(ledger.Event{Key: c.Put, Value: c.Value, Version: 1})
-		g := l.Gallery(wire.GalleryName(name))
-		if old := states[g.Name]; old != g.State &&
-			(old == ledger.GalleryKept || old == ledger.GalleryBroken || old == ledger.GalleryWithdrawn) {
-			t.Errorf("%s goes from %q to %q", name, old, g.State)
+	if name, ok := strings.CutPrefix(change.Put, ledger.Prefix+"p/"); ok {
+		l.Apply(ledger.Event{Key: change.Put, Value: change.Value, Version: 1})
+		gallery := l.Gallery(wire.GalleryName(name))
+		if old := g.states[gallery.Name]; old != gallery.State && isFinalGalleryState(old) {
+			g.t.Errorf("seed %d: state of gallery %s: got %q, want it to stay %q", g.seed, name, gallery.State, old)
 		}
-		states[g.Name] = g.State
+		g.states[gallery.Name] = gallery.State
 	}
 }
 
-// checkGalleriesAtEnd looks at the records at the end.
-func (r *restartScenario) checkGalleriesAtEnd(
-	t *testing.T,
-	ties map[wire.JobID]wire.GalleryName,
-	states map[wire.GalleryName]ledger.GalleryState,
-) {
+// isFinalGalleryState reports whether a gallery in a state has ended.
+func isFinalGalleryState(s ledger.GalleryState) bool {
+	return s == ledger.GalleryKept || s == ledger.GalleryBroken || s == ledger.GalleryWithdrawn
+}
+
+// checkRecords checks the records at the end.
+func (g *galleryScenario) checkRecords() {
+	g.t.Helper()
 	records := map[string]ledger.Event{}
-	for _, it := range r.store.Items() {
-		if strings.HasPrefix(it.Key, ledger.Prefix) && !ledger.Transient(it.Key) {
-			records[it.Key] = ledger.Event{Key: it.Key, Value: it.Value, Version: it.Version}
+	for _, item := range g.store.Items() {
+		if strings.HasPrefix(item.Key, ledger.Prefix) && !ledger.Transient(item.Key) {
+			records[item.Key] = ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version}
 		}
 	}
-	l, problems := ledger.Verify(records, Limits(newTestSettings(t, 0)))
+	l, problems := ledger.Verify(records, Limits(newTestSettings(g.t, 0)))
 	if len(problems) > 0 {
-		t.Errorf("records: %v", problems)
-	}
-	for id := range r.users {
-		g := ties[id]
-		byClass := wire.GalleryName("of-free")
-		if spec := r.world.Spec(id); spec.Team == "capped" {
-			byClass = "of-capped"
-		}
-		named := strings.HasPrefix(string(g), "of-some")
-		if g != byClass && !named && !(g == "" && r.users[id].status == wire.Done) { // it was done before the register came
-			t.Errorf("%s is tied to %q, want %q", id, g, byClass)
-		}
+		g.t.Errorf("seed %d: records: got problems %v, want none", g.seed, problems)
 	}
+	g.checkBindings()
 	capped := l.Gallery("of-capped")
 	if capped == nil || len(capped.Promises) < 1 || capped.Promises[0].Why != "" {
-		t.Fatalf("gallery %+v", capped)
+		g.t.Fatalf("seed %d: gallery of-capped: got %+v, want its first promise as it was made", g.seed, capped)
 	}
-	l.EachGallery(func(g *ledger.Gallery) {
-		if g.Date().Time().Before(time.Now().Add(-30*time.Second)) && !g.Ended() {
-			t.Errorf("%s is %q long after its date", g.Name, g.State)
-		}
-		if g.Jobs == nil {
-			return
+	l.EachGallery(g.checkGallery)
+	g.t.Logf("%d jobs, galleries %v, %d dates of of-capped", len(g.bindings), g.states, len(capped.Promises))
+}
+
+// checkBindings checks that each accepted job is bound to the gallery of its team's class or to one that names
+// it; a job that was done before the register came may be bound to none.
+func (g *galleryScenario) checkBindings() {
+	g.t.Helper()
+	for id, user := range g.users {
+		got, want := g.bindings[id], wire.GalleryName("of-free")
+		if g.world.Spec(id).Team == "capped" {
+			want = "of-capped"
 		}
-		skew := time.Duration(newTestSettings(t, 0).Cluster.SkewMillis * float64(time.Millisecond))
-		late := g.Jobs.Ended.Time().Sub(g.Date().Time()) > 2*skew
-		left := g.Jobs.Jobs - g.Jobs.Done - g.Jobs.Cancelled
-		if want := late || left > 0; want != (g.State == ledger.GalleryBroken) && g.State != ledger.GalleryWithdrawn {
-			t.Errorf("%s is %q with %+v, promised for %v", g.Name, g.State, *g.Jobs, g.Date().Time())
+		named := strings.HasPrefix(string(got), "of-some")
+		if got != want && !named && !(got == "" && user.status == wire.Done) {
+			g.t.Errorf("seed %d: gallery of %s: got %q, want %q", g.seed, id, got, want)
 		}
-	})
-	r.t.Logf("%d jobs, galleries %v, the capped one's dates %d", len(ties), states, len(capped.Promises))
+	}
+}
+
+// checkGallery checks that a gallery has ended by its date, as its jobs did.
+func (g *galleryScenario) checkGallery(gallery *ledger.Gallery) {
+	date := gallery.Date().Time()
+	if date.Before(time.Now().Add(-30*time.Second)) && !gallery.Ended() {
+		g.t.Errorf("seed %d: state of gallery %s long after its date: got %q, want a final one", g.seed, gallery.Name, gallery.State)
+	}
+	if gallery.Jobs == nil {
+		return
+	}
+	skew := time.Duration(newTestSettings(g.t, 0).Cluster.SkewMillis * float64(time.Millisecond))
+	late := gallery.Jobs.Ended.Time().Sub(date) > 2*skew
+	left := gallery.Jobs.Jobs - gallery.Jobs.Done - gallery.Jobs.Cancelled
+	broken := late || left > 0
+	if broken != (gallery.State == ledger.GalleryBroken) && gallery.State != ledger.GalleryWithdrawn {
+		g.t.Errorf(
+			"seed %d: state of gallery %s with %+v, promised for %v: got %q, want broken %v",
+			g.seed,
+			gallery.Name,
+			*gallery.Jobs,
+			date,
+			gallery.State,
+			broken,
+		)
+	}
 }
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -19,77 +19,96 @@
 	"maddermill/wire"
 )
 
-// TestFaultyMachineIsReturnedWithEvidence: on a fleet where one machine fails a third of its tasks and
-// every fifth job has a mistake, no sound machine is returned for it, the mark of that one tells why, and no rule is
-// broken though the controllers end in turn, which lose what they had seen.
+// faultyMachineRun is a run with one faulty machine, which fails a third of its tasks, and jobs of which those
+// whose name ends in 5 have a mistake.
+type faultyMachineRun struct {
+	*testCluster
+	failMu sync.Mutex // guards the fields below
+	faulty wire.MachineID
+	tries  int
+}
+
+// newFaultyMachineRun returns a run in which no machine is faulty yet.
+func newFaultyMachineRun(t *testing.T) *faultyMachineRun {
+	t.Helper()
+	run := &faultyMachineRun{testCluster: newQuietCluster(t, 23, 3)}
+	run.cloud.Most = 8
+	run.cloud.Run = func(wire.TaskID) time.Duration { return 12 * time.Second }
+	run.configure = func(c *Controller) {
+		c.set.Operators.Quarantine = settings.Quarantine{On: true, Faulty: 0.01, Wrong: 0.004, Most: 0.5}
+		c.failures.EnableQuarantine(quarantine.DefaultPriors)
+	}
+	run.world.Fails = func(machine wire.MachineID, task wire.TaskID) bool {
+		run.failMu.Lock()
+		defer run.failMu.Unlock()
+		run.tries++
+		return strings.HasSuffix(string(task.Job), "5") || machine == run.faulty && run.tries%3 == 0
+	}
+	return run
+}
+
+// breakMachine makes the first machine faulty.
+func (run *faultyMachineRun) breakMachine() {
+	run.failMu.Lock()
+	defer run.failMu.Unlock()
+	run.faulty = slices.MinFunc(run.cloud.Up(), func(a, b *emulator.Machine) int {
+		return cmp.Compare(a.Type.ID, b.Type.ID)
+	}).Type.ID
+}
+
+// returned returns the machines that have a phase, each with the reason.
+func (run *faultyMachineRun) returned() map[wire.MachineID]string {
+	reasons := map[wire.MachineID]string{}
+	for _, item := range run.store.Items() {
+		if machine, _, reason, ok := ledger.DecodeMachinePhase(item); ok {
+			reasons[machine] = reason
+		}
+	}
+	return reasons
+}
+
+// TestFaultyMachineIsReturnedWithEvidence: on a fleet where one machine fails a third of its tasks and some jobs
+// have a mistake, no sound machine is returned for that, the phase of the faulty one has the evidence, and no rule
+// is violated though a controller crashes, which loses the evidence it had.
 func TestFaultyMachineIsReturnedWithEvidence(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		cluster := newTestCluster(t, 23)
-		cluster.noRandomFaults, cluster.reliableMessages, cluster.cloud.Most = true, true, 8
-		cluster.cloud.Run = func(wire.TaskID) time.Duration { return 12 * time.Second }
-		cluster.configure = func(c *Controller) {
-			c.set.Operators.Quarantine = settings.Quarantine{On: true, Faulty: 0.01, Wrong: 0.004, Most: 0.5}
-			c.failures.EnableQuarantine(quarantine.DefaultPriors)
-		}
-		var mu sync.Mutex
-		var bad wire.MachineID
-		tries := 0
-		cluster.world.Fails = func(m wire.MachineID, task wire.TaskID) bool {
-			mu.Lock()
-			defer mu.Unlock()
-			tries++
-			return strings.HasSuffix(string(task.Job), "5") || m == bad && tries%3 == 0
-		}
+		run := newFaultyMachineRun(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		cluster.start(ctx, 8, 0)
+		run.start(ctx, 8, 0)
 		finished := 0
-		for n := range 500 { // until it is found: a judgement wavers while failures are yet to be explained
-			spec := cluster.randomSpec(n)
+		for n := range 500 { // until it is found: a verdict changes while failures are yet to be explained
+			spec := run.randomSpec(n)
 			spec.Shape, spec.Tasks, spec.Priority = wire.Array, 1+n%4, wire.Normal
-			// A controller that holds one machine only could not tell it from a few images.
+			// A controller with one machine only could not tell the machine from a few images.
 			spec.Image = wire.Image(fmt.Sprint("img-", n/3))
-			cluster.group.Go(func() { cluster.runUser(ctx, spec, 0, &finished) })
+			run.group.Go(func() { run.runUser(ctx, spec, 0, &finished) })
 			wait.For(ctx, 5*time.Second)
 			if n == 20 {
-				mu.Lock()
-				bad = slices.MinFunc(
-					cluster.cloud.Up(),
-					func(a, b *emulator.Machine) int { return cmp.Compare(a.Type.ID, b.Type.ID) },
-				).Type.ID
-				mu.Unlock()
+				run.breakMachine()
 			}
-			if n > 200 && slices.ContainsFunc(cluster.store.Items(), func(it wire.Item) bool {
-				m, _, _, ok := ledger.DecodeMachinePhase(it)
-				return ok && m == bad
-			}) {
+			if _, found := run.returned()[run.faulty]; n > 200 && found {
 				break
 			}
-			if n == 150 { // each sees again what it is judged by
-				cluster.crash(n % 3)
-				cluster.startController(ctx, n%3)
+			if n == 150 { // the controller must collect the evidence again
+				run.crash(n % 3)
+				run.startController(ctx, n%3)
 			}
 		}
-		left := map[wire.MachineID]string{}
-		for _, it := range cluster.store.Items() {
-			if m, _, why, ok := ledger.DecodeMachinePhase(it); ok {
-				left[m] = why
-			}
-		}
-		// In one run of twenty its holder holds too little else to tell it from what runs there.
-		if why, found := left[bad]; found && (!strings.HasPrefix(why, "faulty: fails ") || !strings.Contains(why, " wk-")) {
-			t.Errorf("%s left as %q", bad, why)
+		reasons := run.returned()
+		// In one run of twenty its controller has too few other machines to tell it from what runs there.
+		reason, found := reasons[run.faulty]
+		if found && (!strings.HasPrefix(reason, "faulty: fails ") || !strings.Contains(reason, " wk-")) {
+			t.Errorf(`faulty machine %s: got returned for %q, want "faulty: fails ..." with jobs`, run.faulty, reason)
 		}
-		for m, why := range left {
-			if m != bad && strings.HasPrefix(why, "faulty") {
-				t.Errorf("%s left, which is sound: %s", m, why)
+		for machine, reason := range reasons {
+			if machine != run.faulty && strings.HasPrefix(reason, "faulty") {
+				t.Errorf("sound machine %s: got returned for %q, want another reason", machine, reason)
 			}
 		}
-		t.Logf("%s: %s", bad, left[bad])
-		cluster.shutDown(cancel)
-		for _, b := range cluster.world.Broken {
-			t.Errorf("broken: %s", b)
-		}
+		t.Logf("%s: %s", run.faulty, reason)
+		run.shutDown(cancel)
+		run.reportBrokenRules()
 	})
 }
--- a/internal/controller/request_floods_test.go
+++ b/internal/controller/request_floods_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -18,121 +16,136 @@
 	"maddermill/wire"
 )
 
-// countingLink counts what is asked of the state service.
+// countingLink counts the requests to the state service.
 type countingLink struct {
 	*emulator.Link
 	reads, commits, changes, bytes atomic.Int64
 }
 
+// Revision implements kvstore.Store.
 func (c *countingLink) Revision(ctx context.Context) (wire.Revision, error) {
 	c.reads.Add(1)
 	return c.Link.Revision(ctx)
 }
 
+// Commit implements kvstore.Store.
 func (c *countingLink) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	c.commits.Add(1)
 	c.changes.Add(int64(len(t.Then)))
-	for _, p := range t.Then {
-		c.bytes.Add(int64(len(p.Value)))
+	for _, change := range t.Then {
+		c.bytes.Add(int64(len(change.Value)))
 	}
 	return c.Link.Commit(ctx, t)
 }
 
-// TestRequestFloods counts, not times, what floods cost: polls for jobs that run, are over or
-// never were share the reads of a few requests; those of jobs that are over need none;
-// a submission is one change of a few hundred bytes, and the same one again is none.
+// floodedController is a controller on a state service that counts requests. Of its components only those
+// run that keep it in sync.
+type floodedController struct {
+	*Controller
+	store *countingLink
+	ctx   context.Context
+}
+
+// newFloodedController starts a controller, which runs until stop is called.
+func newFloodedController(t *testing.T) (f *floodedController, stop func()) {
+	t.Helper()
+	set := newTestSettings(t, 0)
+	store := &countingLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
+	c := New(set, store, slog.New(slog.DiscardHandler))
+	machineType := ledger.Event{
+		Key:     ledger.MachineTypeKey("g2"),
+		Version: 1,
+		Value:   []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`),
+	}
+	c.cache.Records().Apply(machineType)
+	ctx, cancel := context.WithCancel(t.Context())
+	var components sync.WaitGroup
+	for _, run := range []func(context.Context) error{c.cache.Watch, c.cache.ServeReadIndex, c.cache.AcquireTokens} {
+		components.Go(func() { _ = run(ctx) })
+	}
+	time.Sleep(time.Second)
+	c.cache.Lock()
+	c.cache.Records().Apply(machineType) // once more: the records were loaded
+	c.cache.Unlock()
+	return &floodedController{c, store, ctx}, func() { cancel(); components.Wait() }
+}
+
+// submitAll submits jobs at once.
+func (f *floodedController) submitAll(t *testing.T, jobs int) {
+	t.Helper()
+	var all sync.WaitGroup
+	for i := range jobs {
+		all.Go(func() {
+			ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
+			defer cancel()
+			spec := &wire.JobSpec{
+				ID:       jobID(i),
+				Class:    "c",
+				Team:     "free",
+				Shape:    wire.Array,
+				Priority: wire.Normal,
+				Tasks:    1,
+				CPUs:     1,
+				Image:    "i",
+			}
+			if _, _, err := f.Jobs.Submit(ctx, spec); err != nil {
+				t.Errorf("submit %s: got error %v, want none", spec.ID, err)
+			}
+		})
+	}
+	all.Wait()
+}
+
+// poll polls jobs, each so many times at once, and returns how many reads that cost. Those from known on
+// are unknown.
+func (f *floodedController) poll(t *testing.T, from, to, each, known int) (reads int64) {
+	t.Helper()
+	before := f.store.reads.Load()
+	var all sync.WaitGroup
+	for i := from; i < to; i++ {
+		for range each {
+			all.Go(func() {
+				ctx, cancel := context.WithTimeout(f.ctx, 1900*time.Millisecond)
+				defer cancel()
+				_, err := f.Jobs.Status(ctx, jobID(i))
+				if i < known && err != nil {
+					t.Errorf("status of %s: got error %v, want none", jobID(i), err)
+				}
+				if i >= known && !errors.Is(err, server.ErrNoSuchJob) {
+					t.Errorf("status of %s: got error %v, want %v", jobID(i), err, server.ErrNoSuchJob)
+				}
+			})
+		}
+	}
+	all.Wait()
+	return f.store.reads.Load() - before
+}
+
+// TestRequestFloods counts what floods of requests cost: polls of jobs that are active or unknown
+// share the reads of a few requests; those of finished jobs need none. A submission is one change of
+// a few hundred bytes, and the same one again is none.
 func TestRequestFloods(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		set := newTestSettings(t, 0)
-		store := &countingLink{Link: emulator.NewLink(emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes()), 3)}
-		c := New(set, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.cache.Records().Apply(
-			ledger.Event{
-				Key:     ledger.MachineTypeKey("g2"),
-				Version: 1,
-				Value:   []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`),
-			},
-		)
-		ctx, cancel := context.WithCancel(t.Context())
-		var duties sync.WaitGroup
-		for _, duty := range []func(context.Context) error{c.cache.Watch, c.cache.ServeReadIndex, c.cache.AcquireTokens} {
-			duties.Go(func() { _ = duty(ctx) })
-		}
-		defer func() { cancel(); duties.Wait() }()
-		time.Sleep(time.Second)
-		c.cache.Lock()
-		c.cache.Records().Apply(
-			ledger.Event{
-				Key:     ledger.MachineTypeKey("g2"),
-				Version: 1,
-				Value:   []byte(`{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"yards":["a","b"]}`),
-			},
-		)
-		c.cache.Unlock()
-
+		f, stop := newFloodedController(t)
+		defer stop()
 		const jobs = 60
-		id := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
-		submit := func() {
-			var all sync.WaitGroup
-			for i := range jobs {
-				all.Go(func() {
-					one, done := context.WithTimeout(ctx, 20*time.Second)
-					defer done()
-					spec := &wire.JobSpec{
-						ID:       id(i),
-						Class:    "c",
-						Team:     "free",
-						Shape:    wire.Array,
-						Priority: wire.Normal,
-						Tasks:    1,
-						CPUs:     1,
-						Image:    "i",
-					}
-					if _, _, err := c.Jobs.Submit(one, spec); err != nil {
-						t.Errorf("%s: %v", spec.ID, err)
-					}
-				})
-			}
-			all.Wait()
-		}
-		store.changes.Store(0)
-		submit()
-		submit()
-		if n, b := store.changes.Load(), store.bytes.Load(); n != jobs || b > jobs*600 {
-			t.Errorf("%d jobs submitted twice: %d changes, %d bytes", jobs, n, b)
+		f.store.changes.Store(0)
+		f.submitAll(t, jobs)
+		f.submitAll(t, jobs)
+		if changes, bytes := f.store.changes.Load(), f.store.bytes.Load(); changes != jobs || bytes > jobs*600 {
+			t.Errorf("%d jobs submitted twice: got %d changes, %d bytes; want %d, <= %d", jobs, changes, bytes, jobs, jobs*600)
 		}
 		for i := range jobs / 3 {
-			if _, err := c.Jobs.Cancel(ctx, id(i)); err != nil {
+			if _, err := f.Jobs.Cancel(f.ctx, jobID(i)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		poll := func(from, to, each int) int64 {
-			before := store.reads.Load()
-			var all sync.WaitGroup
-			for i := from; i < to; i++ {
-				for range each {
-					all.Go(func() {
-						one, done := context.WithTimeout(ctx, 1900*time.Millisecond)
-						defer done()
-						if _, err := c.Jobs.Status(
-							one,
-							id(i),
-						); (i < jobs) != (err == nil) ||
-							i >= jobs && !errors.Is(err, server.ErrNoSuchJob) {
-							t.Errorf("%s: %v", id(i), err)
-						}
-					})
-				}
-			}
-			all.Wait()
-			return store.reads.Load() - before
-		}
-		if n := poll(0, jobs/3, 20); n > 1 {
-			t.Errorf("polls of jobs that are over cost %d reads", n)
+		if reads := f.poll(t, 0, jobs/3, 20, jobs); reads > 1 {
+			t.Errorf("polls of finished jobs: got %d reads, want <= 1", reads)
 		}
-		if n := poll(jobs/3, 2*jobs, 20); n > 4 {
-			t.Errorf("2000 polls at once, half of them for unknown jobs, cost %d reads", n)
+		if reads := f.poll(t, jobs/3, 2*jobs, 20, jobs); reads > 4 {
+			t.Errorf("2000 polls at once, half of them of unknown jobs: got %d reads, want <= 4", reads)
 		}
 	})
 }
--- a/internal/controller/switch_failure_test.go
+++ b/internal/controller/switch_failure_test.go
@@ -17,7 +17,7 @@
 	"maddermill/wire"
 )
 
-// topologyText declares what stand-ins make up: two zones, two switches of two racks each.
+// topologyText declares the topology of emulated machines: two zones of two switches of two racks each.
 func topologyText() string {
 	var b strings.Builder
 	b.WriteString(`level { name: "zone" cost: 16 } level { name: "switch" cost: 4 } level { name: "rack" cost: 1 }`)
@@ -35,135 +35,140 @@
 	return b.String()
 }
 
-// switchFailure is a switch that fails under gangs, on stand-ins.
+// switchFailure is a run in which a switch fails under gangs.
 type switchFailure struct {
 	*testCluster
-	tree           *topology.Tree
-	mu             sync.Mutex
-	failedBlock    topology.Block
-	lostMachines   []string // machines marked as lost
-	reportedBlocks []string // blocks that controllers said had failed
+	ctx   context.Context
+	tree  *topology.Tree
+	gangs []wire.JobID
+
+	stateMu        sync.Mutex     // guards the fields below
+	failedBlock    topology.Block // machines of which hang; 0: none
+	lostMachines   []string       // that controllers gave up as lost
+	reportedBlocks []string       // that controllers reported as failed
 }
 
-func (o *switchFailure) blockOf(m *emulator.Machine) topology.Block {
-	b, _ := o.tree.Locate(m.Type.ID, m.Type.Addr, m.Type.Zone)
-	return b
+// blockOf returns the block of a machine.
+func (f *switchFailure) blockOf(machine *emulator.Machine) topology.Block {
+	block, _ := f.tree.Locate(machine.Type.ID, machine.Type.Addr, machine.Type.Zone)
+	return block
 }
 
 // inside reports whether a machine is in a block.
-func (o *switchFailure) inside(m *emulator.Machine, b topology.Block) bool {
-	return b != 0 && o.tree.Common(o.blockOf(m), b) == b
+func (f *switchFailure) inside(machine *emulator.Machine, block topology.Block) bool {
+	return block != 0 && f.tree.Common(f.blockOf(machine), block) == block
 }
 
-// fail cuts a switch off, or part of it, or brings all of it back.
-func (o *switchFailure) fail(b topology.Block, keep int) {
-	o.mu.Lock()
-	o.failedBlock = b
-	o.mu.Unlock()
-	for _, m := range o.cloud.Up() {
-		hang := o.inside(m, b)
+// fail cuts off a block, but for so many of its machines, and reconnects all others; 0 reconnects all.
+func (f *switchFailure) fail(block topology.Block, keep int) {
+	f.stateMu.Lock()
+	f.failedBlock = block
+	f.stateMu.Unlock()
+	for _, machine := range f.cloud.Up() {
+		hang := f.inside(machine, block)
 		if hang && keep > 0 {
 			keep--
 			hang = false
 		}
-		m.Hang(hang)
+		machine.Hang(hang)
 	}
 }
 
-// TestSwitchFailure: a switch dies with gangs inside it and across it, comes back
-// half, flaps, dies in an outage of the state service and as the leader ends. No rule is
-// broken, all gangs run whole elsewhere before long, no machine that works is given up,
-// and one line tells of the switch.
+// switchFailureCase is a way in which a switch fails.
+type switchFailureCase struct {
+	name  string
+	fail  func(f *switchFailure, block topology.Block)
+	flaps bool // it is never away for so long that a machine counts as lost
+}
+
+// switchFailureCases are all ways in which a switch fails.
+var switchFailureCases = []switchFailureCase{
+	{"fails", func(f *switchFailure, block topology.Block) { f.fail(block, 0) }, false},
+	{"half comes back", func(f *switchFailure, block topology.Block) {
+		f.fail(block, 0)
+		wait.For(f.ctx, 40*time.Second)
+		f.fail(block, 3)
+	}, false},
+	{"flaps", func(f *switchFailure, block topology.Block) {
+		for range 3 {
+			f.fail(block, 0)
+			wait.For(f.ctx, 7*time.Second) // with the time of two heartbeats, less than what counts as lost
+			f.fail(0, 0)
+			wait.For(f.ctx, 8*time.Second)
+		}
+	}, true},
+	{"fails in an outage", func(f *switchFailure, block topology.Block) {
+		end := f.storeOutage()
+		wait.For(f.ctx, 4*time.Second)
+		f.fail(block, 0)
+		wait.For(f.ctx, 12*time.Second)
+		end()
+	}, false},
+	{"fails and the leader crashes", func(f *switchFailure, block topology.Block) {
+		f.fail(block, 0)
+		wait.For(f.ctx, 10*time.Second)
+		for i := range 3 {
+			c := f.controller(i)
+			c.cache.Lock()
+			leader, _ := c.cache.Records().Leader()
+			c.cache.Unlock()
+			if leader.Member == c.set.Member {
+				f.crash(i)
+				wait.For(f.ctx, 5*time.Second)
+				f.startController(f.ctx, i)
+				return
+			}
+		}
+	}, false},
+}
+
+// TestSwitchFailure: a switch fails with gangs inside it and across it, comes back half, flaps, fails in an
+// outage of the state service and as the leader crashes. No rule is violated, all gangs soon run whole
+// elsewhere, no machine that works is given up, and no other block is reported.
 func TestSwitchFailure(t *testing.T) {
 	t.Parallel()
-	for _, tc := range []struct {
-		name  string
-		fails func(ctx context.Context, o *switchFailure, s topology.Block)
-		flaps bool // it is never away for so long that a machine counts as lost
-	}{
-		{"dies", func(_ context.Context, o *switchFailure, s topology.Block) { o.fail(s, 0) }, false},
-		{"comes back half", func(ctx context.Context, o *switchFailure, s topology.Block) {
-			o.fail(s, 0)
-			wait.For(ctx, 40*time.Second)
-			o.fail(s, 3)
-		}, false},
-		{"flaps", func(ctx context.Context, o *switchFailure, s topology.Block) {
-			for range 3 {
-				o.fail(s, 0)
-				wait.For(ctx, 7*time.Second) // with two reports' time, less than what counts as lost
-				o.fail(0, 0)
-				wait.For(ctx, 8*time.Second)
-			}
-		}, true},
-		{"dies in an outage", func(ctx context.Context, o *switchFailure, s topology.Block) {
-			for _, l := range o.links {
-				l.SetDown(true)
-			}
-			wait.For(ctx, 4*time.Second)
-			o.fail(s, 0)
-			wait.For(ctx, 12*time.Second)
-			o.store.Extend()
-			for _, l := range o.links {
-				l.SetDown(false)
-			}
-		}, false},
-		{"dies and the leader ends", func(ctx context.Context, o *switchFailure, s topology.Block) {
-			o.fail(s, 0)
-			wait.For(ctx, 10*time.Second)
-			for i := range 3 {
-				c := o.controller(i)
-				c.cache.Lock()
-				leads, _ := c.cache.Records().Leader()
-				c.cache.Unlock()
-				if leads.Member == c.set.Member {
-					o.crash(i)
-					wait.For(ctx, 5*time.Second)
-					o.startController(ctx, i)
-					return
-				}
-			}
-		}, false},
-	} {
+	for _, tc := range switchFailureCases {
 		for _, under := range []wire.JobID{"wk-000001", "wk-000002"} { // inside one switch, and across two
 			t.Run(fmt.Sprint(tc.name, " under ", under), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { runSwitchFailure(t, tc.fails, under, tc.flaps) })
+				synctest.Test(t, func(t *testing.T) { runSwitchFailure(t, tc, under) })
 			})
 		}
 	}
 }
 
-func runSwitchFailure(t *testing.T, fails func(context.Context, *switchFailure, topology.Block), under wire.JobID, flaps bool) {
+// newSwitchFailure returns a run that is not started.
+func newSwitchFailure(t *testing.T, ctx context.Context) *switchFailure {
+	t.Helper()
 	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cluster := newTestCluster(t, 11)
-	o := &switchFailure{testCluster: cluster, tree: tree}
-	cluster.noRandomFaults, cluster.reliableMessages, cluster.topology, cluster.cloud.Most = true, true, tree, 32
-	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 3 * time.Minute }
-	cluster.unreachable = func(m *emulator.Machine) bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		return o.inside(m, o.failedBlock)
+	f := &switchFailure{testCluster: newQuietCluster(t, 11, 3), ctx: ctx, tree: tree}
+	f.topology, f.cloud.Most = tree, 32
+	f.cloud.Run = func(wire.TaskID) time.Duration { return 3 * time.Minute }
+	f.unreachable = func(machine *emulator.Machine) bool {
+		f.stateMu.Lock()
+		defer f.stateMu.Unlock()
+		return f.inside(machine, f.failedBlock)
 	}
-	cluster.onLog = func(msg string, a map[string]any) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
+	f.onLog = func(msg string, attributes map[string]any) {
+		f.stateMu.Lock()
+		defer f.stateMu.Unlock()
 		switch {
-		case msg == "machine phase changed" && a["why"] == "lost":
-			o.lostMachines = append(o.lostMachines, fmt.Sprint(a["machine"]))
+		case msg == "machine phase changed" && attributes["why"] == "lost":
+			f.lostMachines = append(f.lostMachines, fmt.Sprint(attributes["machine"]))
 		case strings.HasPrefix(msg, "block failed"):
-			o.reportedBlocks = append(o.reportedBlocks, fmt.Sprint(a["block"]))
+			f.reportedBlocks = append(f.reportedBlocks, fmt.Sprint(attributes["block"]))
 		}
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	cluster.start(ctx, 24, 0)
-	gangs := []wire.JobID{"wk-000000", "wk-000001", "wk-000002"}
-	finished := 0
+	return f
+}
+
+// submitGangs has users submit gangs of 4, 10 and 18 tasks.
+func (f *switchFailure) submitGangs(finished *int) {
 	for i, tasks := range []int{4, 10, 18} {
 		spec := &wire.JobSpec{
-			ID:         gangs[i],
+			ID:         jobID(i),
 			Class:      "c",
 			Team:       "free",
 			Shape:      wire.Gang,
@@ -179,60 +184,73 @@
 			Checkpoint: 5,
 			Save:       2,
 		}
-		cluster.group.Go(func() { cluster.runUser(ctx, spec, 0, &finished) })
-		wait.For(ctx, 2*time.Second)
+		f.gangs = append(f.gangs, spec.ID)
+		f.group.Go(func() { f.runUser(f.ctx, spec, 0, finished) })
+		wait.For(f.ctx, 2*time.Second)
 	}
-	whole := func() bool {
-		return !slices.ContainsFunc(gangs, func(g wire.JobID) bool { return !cluster.world.Whole(g) })
-	}
-	longest := func(limit int) int {
-		for s := range limit {
-			if whole() {
-				return s
-			}
-			wait.For(ctx, time.Second)
+}
+
+// waitUntilWhole waits until all gangs run whole, and reports whether they do within so many seconds.
+func (f *switchFailure) waitUntilWhole(seconds int) bool {
+	for range seconds {
+		if !slices.ContainsFunc(f.gangs, func(gang wire.JobID) bool { return !f.world.Whole(gang) }) {
+			return true
 		}
-		return -1
+		wait.For(f.ctx, time.Second)
 	}
-	if longest(90) < 0 {
-		t.Fatal("the gangs do not run to begin with")
+	return false
+}
+
+// runSwitchFailure runs one case of TestSwitchFailure: the switch above a gang fails.
+func runSwitchFailure(t *testing.T, tc switchFailureCase, under wire.JobID) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	f := newSwitchFailure(t, ctx)
+	f.start(ctx, 24, 0)
+	finished := 0
+	f.submitGangs(&finished)
+	if !f.waitUntilWhole(90) {
+		t.Fatal("the gangs don't run whole before the failure")
 	}
 	machines := map[wire.MachineID]*emulator.Machine{}
-	for _, m := range cluster.cloud.Up() {
-		machines[m.Type.ID] = m
+	for _, machine := range f.cloud.Up() {
+		machines[machine.Type.ID] = machine
 	}
-	first := machines[slices.Min(slices.Collect(maps.Keys(cluster.world.On(under))))]
-	s := tree.Parent(o.blockOf(first))
-	began := time.Now()
-	fails(ctx, o, s)
+	first := machines[slices.Min(slices.Collect(maps.Keys(f.world.On(under))))]
+	block := f.tree.Parent(f.blockOf(first))
+	failedAt := time.Now()
+	tc.fail(f, block)
 	wait.For(ctx, time.Second)
-	after := longest(150)
-	o.mu.Lock()
-	t.Logf(
-		"whole again %.0f s after %s failed under %s; failed: %v, lost: %v",
-		time.Since(began).Seconds(),
-		tree.Path(s),
-		under,
-		o.reportedBlocks,
-		o.lostMachines,
-	)
-	if after < 0 {
-		t.Error("the gangs do not run whole again")
+	whole := f.waitUntilWhole(150)
+	t.Logf("%.0f s after %s failed under %s: whole %v", time.Since(failedAt).Seconds(), f.tree.Path(block), under, whole)
+	if !whole {
+		t.Error("after the failure: got gangs that don't run whole, want all whole")
 	}
-	for _, id := range o.lostMachines {
-		m := machines[wire.MachineID(id)]
-		if flaps || m != nil && !o.inside(m, s) {
-			t.Errorf("%s was given up, which works", id)
+	f.checkReports(tc, block, machines)
+	f.shutDown(cancel)
+	f.reportBrokenRules()
+}
+
+// checkReports checks which machines controllers gave up, and which blocks they reported.
+func (f *switchFailure) checkReports(
+	tc switchFailureCase,
+	block topology.Block,
+	machines map[wire.MachineID]*emulator.Machine,
+) {
+	f.t.Helper()
+	f.stateMu.Lock()
+	defer f.stateMu.Unlock()
+	f.t.Logf("failed: %v, lost: %v", f.reportedBlocks, f.lostMachines)
+	for _, id := range f.lostMachines {
+		machine := machines[wire.MachineID(id)]
+		if tc.flaps || machine != nil && !f.inside(machine, block) {
+			f.t.Errorf("machine %s: got given up as lost, want kept", id)
 		}
 	}
-	for _, b := range o.reportedBlocks {
-		if b != tree.Path(s) {
-			t.Errorf("%s is said to have failed", b)
+	for _, got := range f.reportedBlocks {
+		if want := f.tree.Path(block); got != want {
+			f.t.Errorf("block reported as failed: got %s, want %s", got, want)
 		}
 	}
-	o.mu.Unlock()
-	cluster.shutDown(cancel)
-	for _, b := range cluster.world.Broken {
-		t.Errorf("broken: %s", b)
-	}
 }
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -18,9 +19,9 @@
 	"maddermill/wire"
 )
 
-// newControllerWithTopology is a controller that holds the machines of the made-up hall, three a rack, but
-// for those on some networks.
-func newControllerWithTopology(t *testing.T, now time.Time, elsewhere ...string) *Controller {
+// newControllerWithTopology returns a controller with the topology of topologyText, to which three machines a
+// rack report, but for those whose address begins with one of some prefixes.
+func newControllerWithTopology(t *testing.T, now time.Time, except ...string) *Controller {
 	t.Helper()
 	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
 	if err != nil {
@@ -42,7 +43,7 @@
 					Sequence: 1,
 					Token:    1,
 				}
-				if !slices.ContainsFunc(elsewhere, func(net string) bool { return strings.HasPrefix(r.Addr, net) }) {
+				if !slices.ContainsFunc(except, func(prefix string) bool { return strings.HasPrefix(r.Addr, prefix) }) {
 					c.registry.Register(r, now).Reconcile(r, nil, 1, now)
 				}
 			}
@@ -51,14 +52,14 @@
 	return c
 }
 
-// firstSwitchDown reports whether the first switch of zone a is avoided.
+// firstSwitchDown reports whether the first switch of zone a counts as down.
 func firstSwitchDown(c *Controller) bool {
 	_, up := c.TopologyTracker.Locate("host-011", "127.1.1.1:9000", "a")
 	return !up
 }
 
-// TestTopologyReload: a changed file is taken over, also when told to; a wrong or missing
-// one leaves the one before in force.
+// TestTopologyReload: a changed file is loaded at a signal. A wrong or missing one leaves the topology
+// before in force.
 func TestTopologyReload(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "hall.txtpb")
@@ -75,8 +76,12 @@
 	}
 	c.TopologyTracker.Set(tree)
 	ctx, cancel := context.WithCancel(t.Context())
-	again, done := make(chan os.Signal), make(chan error)
-	go func() { done <- c.TopologyTracker.Reload(ctx, path, again) }()
+	signals, done := make(chan os.Signal), make(chan error)
+	go func() { done <- c.TopologyTracker.Reload(ctx, path, signals) }()
+	reload := func() {
+		signals <- os.Interrupt
+		signals <- os.Interrupt // by then the first has been dealt with
+	}
 	blocks := func() int {
 		c.cache.Lock()
 		defer c.cache.Unlock()
@@ -84,106 +89,118 @@
 	}
 	before := blocks()
 	write(strings.Replace(topologyText(), "127.1.1.0/24", "127.1.1.1/24", 1))
-	again <- os.Interrupt
-	again <- os.Interrupt // the first has been dealt with
-	if blocks() != before {
-		t.Error("a wrong file is taken")
+	reload()
+	if got := blocks(); got != before {
+		t.Errorf("wrong file: got %d blocks, want %d", got, before)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	again <- os.Interrupt
-	again <- os.Interrupt
-	if blocks() != before {
-		t.Error("no file is taken for an empty one")
+	reload()
+	if got := blocks(); got != before {
+		t.Errorf("missing file: got %d blocks, want %d", got, before)
 	}
 	write(`level { name: "zone" cost: 1 } block { name: "a" }`)
-	again <- os.Interrupt
-	again <- os.Interrupt
-	if blocks() != 2 {
-		t.Errorf("%d blocks after the file changed", blocks())
+	reload()
+	if got := blocks(); got != 2 {
+		t.Errorf("changed file: got %d blocks, want 2", got)
 	}
 	cancel()
-	<-done
+	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
+		t.Errorf("Reload: got error %v, want that of its context", err)
+	}
 }
 
-// TestPartitionedGangsMarkBlockDown: gangs that lose mates while all their machines answer speak
-// against the block that they share, wherever they were seen; one whose machine fell silent,
-// is taken back or that was told to stop does not.
+// TestPartitionedGangsMarkBlockDown: gangs that lose members while all their machines report are evidence
+// against the block that they share, whichever controller saw them. A gang of which a machine fell silent, is
+// reclaimed or failed a task, or that was stopped, is none.
 func TestPartitionedGangsMarkBlockDown(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name    string
-		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time)
+		stopped bool                                                                   // the gangs were stopped before
+		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) // makes another reason, if given
 		down    bool
 	}{
-		{"no other reason", func(*Controller, *ledger.Job, *reconcile.Worker, time.Time) {}, true},
-		{"a machine fell silent", func(_ *Controller, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
+		{name: "no other reason", down: true},
+		{name: "a machine fell silent", explain: func(_ *Controller, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
 			w.LastHeartbeat = now.Add(-time.Minute)
-		}, false},
-		{"a machine is taken back", func(_ *Controller, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
+		}},
+		{name: "a machine is reclaimed", explain: func(_ *Controller, _ *ledger.Job, w *reconcile.Worker, now time.Time) {
 			w.ReclaimAt = now.Add(time.Minute)
-		}, false},
-		{"a task failed", func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) {
+		}},
+		{name: "a task failed", explain: func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) {
 			c.failures.Failed(j, 0, w.ID, "", now)
-		}, false},
-		{"told to stop", func(_ *Controller, j *ledger.Job, _ *reconcile.Worker, _ time.Time) { j.Stop = 1 }, false},
+		}},
+		{name: "stopped", stopped: true},
 	} {
-		now := time.Now().Add(time.Hour) // long after the hall was declared
-		c := newControllerWithTopology(t, now)
-		for i := range 3 { // gangs over the two racks of a switch
-			id := fmt.Sprintf("wk-%06d", i)
-			c.cache.Records().Apply(ledger.Event{Key: "mm1/j/" + id, Version: wire.Revision(i + 1), Value: []byte(fmt.Sprintf(
-				`{"spec":{"id":"%s","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,"c":[[1,"host-01%d","a",1,1,0,1],[1,"host-02%d","a",1,1,1,1]]}`,
-				id,
-				i+1,
-				i+1,
-			))})
-			j := c.cache.Records().Job(wire.JobID(id))
-			if tc.name == "told to stop" {
-				tc.explain(c, j, nil, now)
+		t.Run(tc.name, func(t *testing.T) {
+			now := time.Now().Add(time.Hour) // long after the topology was declared
+			c := newControllerWithTopology(t, now)
+			for i := range 3 {
+				job := addGangOverTwoRacks(c, i)
+				if tc.stopped {
+					job.Stop = 1
+				}
+				c.TopologyTracker.ObservePartition(job, 1, now)
 			}
-			c.TopologyTracker.ObservePartition(j, 1, now)
-		}
-		later := now.Add(2*c.set.SilentAfter() + time.Second)
-		c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = later })
-		c.cache.SetForTest(c.cache.Token(), later)
-		for i := range 3 {
-			id := wire.JobID(fmt.Sprintf("wk-%06d", i))
-			tc.explain(c, c.cache.Records().Job(id), c.registry.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1))), later)
-		}
-		c.TopologyTracker.DetectFailedBlocks(later)
-		if firstSwitchDown(c) != tc.down {
-			t.Errorf("%s: down %v", tc.name, !tc.down)
-		}
-		if told := c.TopologyTracker.Partitions(later); (len(told) == 3) != tc.down {
-			t.Errorf("%s: peers are told of %v", tc.name, told)
-		}
-		if tc.down { // a peer that hears of them comes to the same
-			o := newControllerWithTopology(t, later)
-			o.TopologyTracker.MergePartitions(c.TopologyTracker.Partitions(later), later)
-			o.TopologyTracker.DetectFailedBlocks(later)
-			if !firstSwitchDown(o) {
-				t.Error("a peer does not avoid the block")
+			later := now.Add(2*c.set.SilentAfter() + time.Second)
+			c.registry.Each(func(w *reconcile.Worker) { w.LastHeartbeat = later })
+			c.cache.SetForTest(c.cache.Token(), later)
+			for i := range 3 {
+				if tc.explain != nil {
+					worker := c.registry.Worker(wire.MachineID(fmt.Sprintf("host-01%d", i+1)))
+					tc.explain(c, c.cache.Records().Job(jobID(i)), worker, later)
+				}
 			}
-		}
+			c.TopologyTracker.DetectFailedBlocks(later)
+			if got := firstSwitchDown(c); got != tc.down {
+				t.Errorf("switch down: got %v, want %v", got, tc.down)
+			}
+			partitions := c.TopologyTracker.Partitions(later)
+			if (len(partitions) == 3) != tc.down {
+				t.Errorf("partitions shared with peers: got %v, want three: %v", partitions, tc.down)
+			}
+			if tc.down { // a peer that they are shared with comes to the same
+				peer := newControllerWithTopology(t, later)
+				peer.TopologyTracker.MergePartitions(partitions, later)
+				peer.TopologyTracker.DetectFailedBlocks(later)
+				if !firstSwitchDown(peer) {
+					t.Error("switch down at a peer: got false, want true")
+				}
+			}
+		})
 	}
 }
 
-// TestSilentPeerIsNotABlockFailure: machines that report to a controller that is itself
-// silent are looking for another one; their silence counts only once they had the time.
+// addGangOverTwoRacks adds the record of a gang with a task in each rack of the first switch.
+func addGangOverTwoRacks(c *Controller, i int) *ledger.Job {
+	const record = `{"spec":{"id":"%s","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,` +
+		`"c":[[1,"host-01%d","a",1,1,0,1],[1,"host-02%d","a",1,1,1,1]]}`
+	id := jobID(i)
+	c.cache.Records().Apply(ledger.Event{
+		Key:     "mm1/j/" + string(id),
+		Version: wire.Revision(i + 1),
+		Value:   fmt.Appendf(nil, record, id, i+1, i+1),
+	})
+	return c.cache.Records().Job(id)
+}
+
+// TestSilentPeerIsNotABlockFailure: machines that report to a controller that is itself silent
+// are looking for another one; their silence counts only once they had the time for that.
 func TestSilentPeerIsNotABlockFailure(t *testing.T) {
 	t.Parallel()
-	now := time.Now().Add(time.Hour) // long after the hall was declared
+	now := time.Now().Add(time.Hour) // long after the topology was declared
 	c := newControllerWithTopology(t, now, "127.1.1.", "127.1.2.")
-	p := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
+	status := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
 	newControllerWithTopology(t, now).registry.Each(func(w *reconcile.Worker) {
 		if c.registry.Worker(w.ID) == nil {
-			p.Machines = append(p.Machines, peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1})
+			machine := peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1}
+			status.Machines = append(status.Machines, machine)
 		}
 	})
-	c.mergeAnswer(peer.Answer{Status: p, AsOf: now})
-	pass := func(seconds int) (down bool) {
+	c.mergeAnswer(peer.Answer{Status: status, AsOf: now})
+	downAfter := func(seconds int) bool {
 		for range seconds {
 			now = now.Add(time.Second)
 			c.cache.SetForTest(c.cache.Token(), now)
@@ -192,39 +209,46 @@
 		}
 		return firstSwitchDown(c)
 	}
-	if pass(int(c.set.SilentAfter().Seconds() + c.set.HeartbeatGrace().Seconds())) {
-		t.Error("a switch is said to have failed with the controller that heard it")
+	if downAfter(int(c.set.SilentAfter().Seconds() + c.set.HeartbeatGrace().Seconds())) {
+		t.Error("switch down soon after the machines' controller fell silent: got true, want false")
 	}
-	if !pass(30) {
-		t.Error("they are silent for long, and their switch is not said to have failed")
+	if !downAfter(30) {
+		t.Error("switch down after the machines were silent for long: got false, want true")
 	}
 }
 
-// TestTopologyView: what is told of the hall has each machine at its place, and a gang with the
-// block that holds it.
+// TestTopologyView: the view of the topology has each machine in its block, and a gang with the block that
+// contains it.
 func TestTopologyView(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	c := newControllerWithTopology(t, now)
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Version: 1, Value: []byte(
-		`{"spec":{"id":"wk-000001","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,"c":[[1,"host-011","a",1,1,0,1],[1,"host-021","a",1,1,1,1]]}`,
+		`{"spec":{"id":"wk-000001","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,` +
+			`"c":[[1,"host-011","a",1,1,0,1],[1,"host-021","a",1,1,1,1]]}`,
 	)})
-	v, ok := c.Topology(now)
+	view, ok := c.Topology(now)
 	if !ok {
-		t.Fatal("nothing is told")
+		t.Fatal("got no view, want one")
 	}
-	b, err := v.AppendLines(nil)
+	encoded, err := view.AppendLines(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := wire.DecodeTopology(b)
+	got, err := wire.DecodeTopology(encoded)
 	if err != nil || len(got.Blocks) != 14 || len(got.Machines) != 24 || len(got.Gangs) != 1 {
-		t.Fatalf("%d blocks, %d machines, %d gangs, %v", len(got.Blocks), len(got.Machines), len(got.Gangs), err)
-	}
-	if g := got.Gangs[0]; g.Block != "a/sa0" || g.Cost != 2 || len(g.Machines) != 2 {
-		t.Errorf("the gang is told as %+v", g)
-	}
-	if s := got.Blocks[1]; s.Path != "a/sa0" || s.Machines != 6 || s.Empty != 4 || s.Down {
-		t.Errorf("its switch is told as %+v", s)
+		t.Fatalf(
+			"got %d blocks, %d machines, %d gangs, error %v; want 14, 24, 1, none",
+			len(got.Blocks),
+			len(got.Machines),
+			len(got.Gangs),
+			err,
+		)
+	}
+	if gang := got.Gangs[0]; gang.Block != "a/sa0" || gang.Cost != 2 || len(gang.Machines) != 2 {
+		t.Errorf("gang: got %+v, want block a/sa0, cost 2, two machines", gang)
+	}
+	if block := got.Blocks[1]; block.Path != "a/sa0" || block.Machines != 6 || block.Empty != 4 || block.Down {
+		t.Errorf("switch: got %+v, want a/sa0 with 6 machines, 4 empty, not down", block)
 	}
 }
--- a/internal/controller/wait_bound_test.go
+++ b/internal/controller/wait_bound_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -11,72 +10,78 @@
 	"maddermill/wire"
 )
 
-// TestLargestJobStartsWithinWaitBound: beside small work of the same priority that alone would
-// fill the fleet, the machines held by three controllers, the largest jobs begin within the bound on
-// waiting, also while controllers end again and again. How long one waits without the bound varies
-// with the order in which reports come; TestTheLargestBeginsWithinTheBound in internal/place has it
-// in one order, and it starves.
+// waitBoundCase is a large job beside small work.
+type waitBoundCase struct {
+	name    string
+	crashes bool // controllers crash again and again
+	large   wire.JobSpec
+}
+
+// TestLargestJobStartsWithinWaitBound: beside small work of the same priority that alone would fill the fleet,
+// on machines that report to three controllers, the largest jobs start within the bound on waiting, also while
+// controllers crash again and again. How long one waits without the bound varies with the order in which
+// heartbeats come; a test of the package that places tasks has it in one order, in which it starves.
 func TestLargestJobStartsWithinWaitBound(t *testing.T) {
 	t.Parallel()
-	const bound = 240 * time.Second
-	for _, tc := range []struct {
-		name     string
-		troubles bool
-		large    wire.JobSpec
-	}{
-		{"a gang of six machines", false, wire.JobSpec{Shape: wire.Gang, Tasks: 6, GPUs: 2}},
-		{"a gang of six machines, controllers end", true, wire.JobSpec{Shape: wire.Gang, Tasks: 6, GPUs: 2}},
-		{"a gang in one zone, controllers end", true, wire.JobSpec{Shape: wire.Gang, Tasks: 4, GPUs: 2, OneZone: true}},
-		{"an array, controllers end", true, wire.JobSpec{Shape: wire.Array, Tasks: 24, GPUs: 1}},
+	for _, tc := range []waitBoundCase{
+		{"gang of six machines", false, wire.JobSpec{Shape: wire.Gang, Tasks: 6, GPUs: 2}},
+		{"gang of six machines, crashes", true, wire.JobSpec{Shape: wire.Gang, Tasks: 6, GPUs: 2}},
+		{"gang in one zone, crashes", true, wire.JobSpec{Shape: wire.Gang, Tasks: 4, GPUs: 2, OneZone: true}},
+		{"array, crashes", true, wire.JobSpec{Shape: wire.Array, Tasks: 24, GPUs: 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				r := newRestartScenario(t, 31, 300*time.Millisecond)
-				r.archiving, r.duplicateMessages = false, false
-				r.cloud.Run = func(wire.TaskID) time.Duration { return 20 * time.Second }
-				r.configure = func(c *Controller) { c.set.Operators.WaitBound = bound }
-				ctx, cancel := context.WithCancel(t.Context())
-				r.start(ctx, 4, 0)
-				r.onStart(ctx)
-				spec := func(i int, s wire.JobSpec) *wire.JobSpec {
-					s.ID = wire.JobID(fmt.Sprintf("wk-%06d", i))
-					s.Class, s.Team, s.Priority, s.CPUs, s.MemoryGB, s.Image, s.ImageGB, s.Spot, s.Estimate = "c", "free", wire.Normal, 2, 4, "img-0", 2, true, 20
-					return &s
-				}
-				// A tenth more than twelve machines do.
-				for i := range 190 {
-					r.group.Go(func() {
-						wait.For(ctx, time.Duration(i)*1650*time.Millisecond+time.Millisecond)
-						r.pollJob(spec(i, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2}))
-					})
-				}
-				large := spec(900000, tc.large)
-				const came = 60 * time.Second
-				r.group.Go(func() {
-					wait.For(ctx, came)
-					r.pollJob(large)
-				})
-				r.minInterval, r.maxCrashes = 0, 1000
-				began, begun := time.Now(), time.Duration(0)
-				for at := range 320 {
-					time.Sleep(time.Second)
-					r.world.Check()
-					if tc.troubles && at%45 == 44 { // oftener, starts themselves are undone (docs/waits.md)
-						r.crashAndRestart(at / 45 % 3)
-					}
-					if on := r.world.Seen(large.ID); on == large.Tasks && begun == 0 {
-						begun = time.Since(began) - came
-					}
-				}
-				r.shutDown(cancel)
-				t.Logf("%s: all of it has begun after %v (0: not at all)", tc.name, begun)
-				if begun == 0 || begun > bound {
-					t.Errorf("begun after %v (0: not at all)", begun)
-				}
-				if len(r.world.Broken) > 0 || len(r.store.Problems) > 0 {
-					t.Errorf("%v %v", r.world.Broken, r.store.Problems)
-				}
-			})
+			synctest.Test(t, func(t *testing.T) { runWaitBound(t, tc) })
+		})
+	}
+}
+
+// fillWaitBoundSpec fills in what a job's description leaves out.
+func fillWaitBoundSpec(i int, spec wire.JobSpec) *wire.JobSpec {
+	spec.ID = jobID(i)
+	spec.Class, spec.Team, spec.Priority = "c", "free", wire.Normal
+	spec.CPUs, spec.MemoryGB, spec.Spot = 2, 4, true
+	spec.Image, spec.ImageGB, spec.Estimate = "img-0", 2, 20
+	return &spec
+}
+
+// runWaitBound runs one case of TestLargestJobStartsWithinWaitBound.
+func runWaitBound(t *testing.T, tc waitBoundCase) {
+	t.Helper()
+	const bound = 240 * time.Second
+	const submittedAt = 60 * time.Second // of the large job
+	r := newRestartScenario(t, 31, 300*time.Millisecond)
+	r.archiving, r.duplicateMessages = false, false
+	r.cloud.Run = func(wire.TaskID) time.Duration { return 20 * time.Second }
+	r.configure = func(c *Controller) { c.set.Operators.WaitBound = bound }
+	ctx, cancel := context.WithCancel(t.Context())
+	r.start(ctx, 4, 0)
+	r.onStart(ctx)
+	for i := range 190 { // a tenth more than twelve machines can do
+		r.group.Go(func() {
+			wait.For(ctx, time.Duration(i)*1650*time.Millisecond+time.Millisecond)
+			r.pollJob(fillWaitBoundSpec(i, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2}))
 		})
 	}
+	large := fillWaitBoundSpec(900000, tc.large)
+	r.group.Go(func() {
+		wait.For(ctx, submittedAt)
+		r.pollJob(large)
+	})
+	r.minInterval, r.maxCrashes = 0, 1000
+	start, waited := time.Now(), time.Duration(0)
+	for second := range 320 {
+		time.Sleep(time.Second)
+		r.world.Check()
+		if tc.crashes && second%45 == 44 { // more often, crashes undo the starts themselves (docs/waits.md)
+			r.crashAndRestart(second / 45 % 3)
+		}
+		if started := r.world.Seen(large.ID); started == large.Tasks && waited == 0 {
+			waited = time.Since(start) - submittedAt
+		}
+	}
+	r.shutDownAndCheck(cancel)
+	t.Logf("all tasks of the large job started after %v (0: not all)", waited)
+	if waited == 0 || waited > bound {
+		t.Errorf("all tasks of the large job started: got after %v (0: not all), want within %v", waited, bound)
+	}
 }
