--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -88,7 +88,7 @@
 	controllers      []*Controller     // nil while one is down
 	runContexts      []context.Context // of the latest run of each
 	cancels          []context.CancelFunc
-	meshCut          []bool // from the mesh
+	meshCut          []bool // whether each is cut from the others
 	pausedAtStep     bool
 	stopped          bool
 	losesResponses   map[wire.MachineID]bool // heartbeats of these machines arrive, their responses don't
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -62,7 +62,7 @@
 // before in force.
 func TestTopologyReload(t *testing.T) {
 	t.Parallel()
-	path := filepath.Join(t.TempDir(), "hall.txtpb")
+	path := filepath.Join(t.TempDir(), "topology.txtpb")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
