--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -153,13 +153,13 @@
 			c.cache.SetForTest(c.cache.Token(), time.Now()) // safety allows a few seconds without a sync
 			c.cache.Unlock()
 			answer := c.Heartbeats.Heartbeat(t.Context(), &wire.Heartbeat{
-				Machine:  "host-9999999",
-				Type:     "g2",
-				Zone:     "a",
-				Session:  1,
-				Sequence: wire.HeartbeatSequence(n),
-				Token:    1,
-				Tasks:    tasks,
+				Machine:      "host-9999999",
+				Type:         "g2",
+				Zone:         "a",
+				Epoch:        1,
+				Sequence:     wire.HeartbeatSequence(n),
+				FencingToken: 1,
+				Tasks:        tasks,
 			})
 			if answer.Status == 200 {
 				answered++
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -39,7 +39,7 @@
 		now := time.Now()
 		c.cache.SetForTest(1, now)
 		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
-		heartbeat := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Epoch: 1, Sequence: 1}
 		if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 503 {
 			t.Errorf("heartbeat from before the pause: got %d, want 503", got.Status)
 		}
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -175,7 +175,7 @@
 	now := time.Now()
 	c := newTestController(t)
 	c.cache.SetForTest(1, now.Add(-8*time.Second))
-	heartbeat := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
+	heartbeat := &wire.Heartbeat{Machine: "host-1", Epoch: 1, Sequence: 1}
 	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
 		t.Errorf("with no peer in sync: got %d, want 200", got.Status)
 	}
--- a/internal/controller/workflow_steps_test.go
+++ b/internal/controller/workflow_steps_test.go
@@ -199,11 +199,11 @@
 		for i := range 3 {
 			got, err := s.controller(i).Workflows.Status(s.ctx, "wf-000001")
 			if err != nil || len(got.Steps) != 1 || got.Steps[0].State != "running" || got.Steps[0].Total != 300 ||
-				round == 1 && got.Steps[0].Over < over {
+				round == 1 && got.Steps[0].Finished < over {
 				t.Errorf("m-%d: got %+v, error %v; want a running step, >= %d of 300 runs over", i, got, err, over)
 			}
 			if round == 0 && err == nil && len(got.Steps) == 1 {
-				over = max(over, got.Steps[0].Over)
+				over = max(over, got.Steps[0].Finished)
 			}
 		}
 		wait.For(s.ctx, 3*time.Second)
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -194,7 +194,7 @@
 		ledger.WorkflowFailed: wire.Failed,
 	}[want]
 	var outputs map[string]any
-	err := json.Unmarshal(got.Out, &outputs)
+	err := json.Unmarshal(got.Outputs, &outputs)
 	wantOutputs := interpretSequentially(cluster.t, document, inputs)
 	if got.Status != wantStatus || err != nil || !reflect.DeepEqual(outputs, wantOutputs) {
 		cluster.t.Errorf(
@@ -202,8 +202,8 @@
 			cluster.seed,
 			id,
 			got.Status,
-			got.Out,
-			got.Why,
+			got.Outputs,
+			got.Reason,
 			err,
 			wantStatus,
 			wantOutputs,
@@ -219,18 +219,18 @@
 	want ledger.WorkflowState,
 ) {
 	cluster.t.Helper()
-	if got.Status != before.Status || !bytes.Equal(got.Out, before.Out) {
+	if got.Status != before.Status || !bytes.Equal(got.Outputs, before.Outputs) {
 		cluster.t.Errorf("seed %d: %s after its end: got %s, want it to stay %s", cluster.seed, id, got.Status, before.Status)
 	}
 	for _, step := range got.Steps {
-		if want == ledger.WorkflowDone && step.Over != step.Total {
+		if want == ledger.WorkflowDone && step.Finished != step.Total {
 			cluster.t.Errorf(
 				"seed %d: step %s of %s (%s): got %d runs over, want %d",
 				cluster.seed,
 				step.Step,
 				id,
 				step.State,
-				step.Over,
+				step.Finished,
 				step.Total,
 			)
 		}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -201,7 +201,7 @@
 	now := time.Now()
 	c.Cache.SetForTest(7, now)
 	early := wire.MachineID("r-7-1-0")
-	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Session: 1, Sequence: 1}
+	r := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Epoch: 1, Sequence: 1}
 	c.Registry.Register(r, now).Reconcile(r, nil, 7, now)
 	l := &leader{
 		c:       c,
--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -25,26 +25,26 @@
 	j.settle()
 	p := SuspectedCause{Kind: OfMachine, Name: string(m)}
 	out := wire.Judgement{
-		Machine:  m,
-		Before:   j.odds.Faulty,
-		Sure:     j.odds.Faulty,
-		Times:    1,
-		Done:     int(j.done[p]),
-		Accident: j.accident,
+		Machine:           m,
+		PriorFaulty:       j.odds.Faulty,
+		ProbabilityFaulty: j.odds.Faulty,
+		Slowdown:          1,
+		Completed:         int(j.done[p]),
+		BackgroundRate:    j.accident,
 	}
-	out.Slow, out.Times = j.Slow(m)
+	out.Slow, out.Slowdown = j.Slow(m)
 	b := j.belief[p]
 	if b == nil {
 		return out, out.Slow
 	}
-	out.Faulty, out.Sure, out.Rate = j.Faulty(m)
+	out.Faulty, out.ProbabilityFaulty, out.FailureRate = j.Faulty(m)
 	for _, f := range b.fail {
 		x := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
 		for _, o := range f.of[:f.n] {
 			x.Parties = append(
 				x.Parties,
-				wire.JudgedParty{Kind: o.Kind.String(), Name: o.name(), Before: j.prior(o.Kind), Sure: o.sure,
-					Done: int(j.done[o.SuspectedCause]), Failed: len(o.fail)},
+				wire.JudgedParty{Kind: o.Kind.String(), Name: o.name(), Prior: j.prior(o.Kind), Probability: o.sure,
+					Completed: int(j.done[o.SuspectedCause]), Failed: len(o.fail)},
 			)
 		}
 		out.Failures = append(out.Failures, x)
@@ -63,10 +63,10 @@
 	}
 	text := fmt.Sprintf(
 		"fails %.0f%% of its tasks, probability %.4g; %d failed and %d done:",
-		100*x.Rate,
-		x.Sure,
+		100*x.FailureRate,
+		x.ProbabilityFaulty,
 		len(x.Failures),
-		x.Done,
+		x.Completed,
 	)
 	var seen []wire.JobID
 	for _, f := range x.Failures {
@@ -89,8 +89,8 @@
 func Write(w io.Writer, j *wire.Judgement) {
 	switch {
 	case j.Faulty:
-		fmt.Fprintf(w, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.Rate)
-	case j.Sure > likely:
+		fmt.Fprintf(w, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.FailureRate)
+	case j.ProbabilityFaulty > likely:
 		fmt.Fprintf(w, "%s is watched: it may be faulty, which has not stood for long enough.\n", j.Machine)
 	case len(j.Failures) > 0:
 		fmt.Fprintf(w, "%s is not held to be faulty.\n", j.Machine)
@@ -100,7 +100,7 @@
 			w,
 			"%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n",
 			j.Machine,
-			j.Times,
+			j.Slowdown,
 		)
 	}
 	if len(j.Failures) == 0 {
@@ -109,15 +109,15 @@
 	fmt.Fprintf(
 		w,
 		"The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
-		j.Before,
-		j.Sure,
+		j.PriorFaulty,
+		j.ProbabilityFaulty,
 	)
 	fmt.Fprintf(
 		w,
 		"%d tasks were done there and %d failed that are remembered; %.2g%% of all tasks fail by accident.\n",
-		j.Done,
+		j.Completed,
 		len(j.Failures),
-		100*j.Accident,
+		100*j.BackgroundRate,
 	)
 	type blamed struct {
 		wire.JudgedParty
@@ -135,15 +135,15 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b blamed) int {
-		return cmp.Or(cmp.Compare(b.Sure, a.Sure), cmp.Compare(b.failures, a.failures))
+		return cmp.Or(cmp.Compare(b.Probability, a.Probability), cmp.Compare(b.failures, a.failures))
 	})
 	var guilty, out []string
 	for _, b := range list {
 		text := fmt.Sprintf("%s %s", b.Kind, b.Name)
-		if b.Sure > likely {
-			guilty = append(guilty, fmt.Sprintf("%s (%d of its failures, %.3g)", text, b.failures, b.Sure))
+		if b.Probability > likely {
+			guilty = append(guilty, fmt.Sprintf("%s (%d of its failures, %.3g)", text, b.failures, b.Probability))
 		} else if b.Kind != "machine" && b.failures > 1 || b.Kind == "machine" {
-			out = append(out, fmt.Sprintf("%s (%.2g)", text, b.Sure))
+			out = append(out, fmt.Sprintf("%s (%.2g)", text, b.Probability))
 		}
 	}
 	if len(guilty) == 0 {
@@ -158,7 +158,7 @@
 	for _, f := range j.Failures {
 		head := fmt.Sprintf("%s\t%s\t%d", f.At.Time().UTC().Format(time.RFC3339), f.Job, f.Task)
 		for _, p := range f.Parties {
-			fmt.Fprintf(t, "%s\t%s %s\t%d\t%d\t%.2g\t%.2g\n", head, p.Kind, p.Name, p.Done, p.Failed, p.Before, p.Sure)
+			fmt.Fprintf(t, "%s\t%s %s\t%d\t%d\t%.2g\t%.2g\n", head, p.Kind, p.Name, p.Completed, p.Failed, p.Prior, p.Probability)
 			head = "\t\t"
 		}
 	}
