--- /dev/null
+++ b/internal/controller/controller_test.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"log/slog"
+	"maddermill/internal/membership"
+	"maddermill/internal/state/watchcache"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"maddermill/internal/state/kvstore"
+	"maddermill/internal/testing/controllertest"
+	"maddermill/internal/testing/emulator"
+	"maddermill/wire"
+)
+
+// newTestController returns the first of three controllers, on a state service of its own, with no component
+// running. It logs nothing.
+func newTestController(tb testing.TB) *Controller {
+	tb.Helper()
+	set := newTestSettings(tb, 0)
+	store := emulator.NewStore(set.Cluster.State.TxnOps, set.ValueBytes())
+	return New(set, emulator.NewLink(store, 1), slog.New(slog.DiscardHandler))
+}
+
+// newTestControllerOn returns the first of three controllers, on a given state service.
+func newTestControllerOn(tb testing.TB, store kvstore.Store) *Controller {
+	tb.Helper()
+	return New(newTestSettings(tb, 0), store, slog.New(slog.DiscardHandler))
+}
+
+// peerAnswer returns a peer's answer to a probe; see controllertest.Answer.
+var peerAnswer = controllertest.Answer
+
+// TestHeartbeatsFromBeforeAPause: heartbeats that waited while the process was paused are refused. Their
+// workers have given up waiting long ago and report elsewhere.
+func TestHeartbeatsFromBeforeAPause(t *testing.T) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		c := newTestController(t)
+		now := time.Now()
+		watchcache.SetStateForTest(t, c.cache, 1, now)
+		membership.SetLastRanForTest(t, c.membership, now.Add(-50*time.Second))
+		heartbeat := &wire.Heartbeat{Machine: "host-1", Epoch: 1, Sequence: 1}
+		if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 503 {
+			t.Errorf("heartbeat from before the pause: got %d, want 503", got.Status)
+		}
+		time.Sleep(time.Second)
+		if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
+			t.Errorf("heartbeat from after the pause: got %d, want 200", got.Status)
+		}
+	})
+}
