--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maddermill/internal/membership"
 	"maddermill/internal/state/watchcache"
 	"testing"
 	"testing/synctest"
