--- a/internal/leader/autoscale/plan.go
+++ b/internal/leader/autoscale/plan.go
@@ -29,9 +29,9 @@
 }
 
 // room returns what is free at a time, as far as can be foreseen.
-func (u *Machine) room(at time.Time) ledger.Resources {
-	free := u.Total
-	for _, b := range u.Busy {
+func (m *Machine) room(at time.Time) ledger.Resources {
+	free := m.Total
+	for _, b := range m.Busy {
 		if b.Until.After(at) {
 			free = free.Add(b.Room, -1)
 		}
@@ -39,11 +39,11 @@
 	return free
 }
 
-func (u *Machine) caches(name wire.Image) bool { return u.Caches != nil && u.Caches(name) }
+func (m *Machine) caches(name wire.Image) bool { return m.Caches != nil && m.Caches(name) }
 
-// take puts n tasks on the machine until some time.
-func (u *Machine) take(need ledger.Resources, n int, until time.Time) {
-	u.Busy = append(u.Busy, placement.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, n)})
+// claim puts n tasks on the machine until some time.
+func (m *Machine) claim(need ledger.Resources, n int, until time.Time) {
+	m.Busy = append(m.Busy, placement.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, n)})
 }
 
 // MachineOption is a kind of machine to rent.
@@ -90,23 +90,23 @@
 	for i := range in.Queue {
 		p.place(&in.Queue[i])
 	}
-	left := in.left()
-	p.rentAhead(left)
-	return Plan{ScaleOut: p.needs(), Drain: p.drains(left)}
+	left := in.idleReserves()
+	p.scaleOutReserve(left)
+	return Plan{ScaleOut: p.scaleOuts(), Drain: p.scaleIns(left)}
 }
 
-// rentAhead rents the machines with accelerators that are to be left idle beyond those there are.
-func (p *packer) rentAhead(left map[MachineOption]int) {
+// scaleOutReserve rents the machines with accelerators that are to be left idle beyond those there are.
+func (p *packer) scaleOutReserve(left map[MachineOption]int) {
 	for _, k := range slices.SortedFunc(maps.Keys(left), func(a, b MachineOption) int { return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone)) }) {
-		for n := p.in.missing(k, left[k], p.slots); n > 0 && p.mayRent(); n-- {
-			p.rented(k)
+		for n := p.input.reserveShortfall(k, left[k], p.slots); n > 0 && p.mayScaleOut(); n-- {
+			p.countScaleOut(k)
 		}
 	}
 }
 
-// needs lists what is to be rented, the most of a kind first.
-func (p *packer) needs() (out []ScaleOut) {
-	for o, n := range p.hired {
+// scaleOuts lists what is to be rented, the most of a kind first.
+func (p *packer) scaleOuts() (out []ScaleOut) {
+	for o, n := range p.scaleOut {
 		out = append(out, ScaleOut{o, n})
 	}
 	slices.SortFunc(out, func(a, b ScaleOut) int {
@@ -115,38 +115,38 @@
 	return out
 }
 
-// drains lists the idle machines that are to be given back: the dearest first, and those idle for the
+// scaleIns lists the idle machines that are to be given back: the dearest first, and those idle for the
 // longest, but for what is left idle. left is changed.
-func (p *packer) drains(left map[MachineOption]int) (out []wire.MachineID) {
-	in := p.in
-	idle := p.idle()
-	for _, u := range idle[:max(0, len(idle)-in.spare())] {
+func (p *packer) scaleIns(left map[MachineOption]int) (out []wire.MachineID) {
+	in := p.input
+	idle := p.idleMachines()
+	for _, u := range idle[:max(0, len(idle)-in.headroomMachines())] {
 		if k := (MachineOption{Type: u.Type, Zone: u.Zone}); left[k] > 0 {
 			left[k]--
 			continue
 		}
-		if in.Now.Sub(u.IdleSince) > in.keepIdle(&u) {
+		if in.Now.Sub(u.IdleSince) > in.maxIdle(&u) {
 			out = append(out, u.ID)
 		}
 	}
 	return out
 }
 
-// idle lists the machines that are idle and of no use to the plan, in the order in which they go.
-func (p *packer) idle() (out []Machine) {
+// idleMachines lists the machines that are idle and of no use to the plan, in the order in which they go.
+func (p *packer) idleMachines() (out []Machine) {
 	for _, s := range p.slots {
-		if !s.new && !s.used && !s.unit.Booting && !s.unit.IdleSince.IsZero() {
-			out = append(out, s.unit)
+		if !s.toRent && !s.used && !s.machine.Booting && !s.machine.IdleSince.IsZero() {
+			out = append(out, s.machine)
 		}
 	}
 	slices.SortFunc(out, func(a, b Machine) int {
-		return cmp.Or(cmp.Compare(p.in.price(b.option()), p.in.price(a.option())), a.IdleSince.Compare(b.IdleSince))
+		return cmp.Or(cmp.Compare(p.input.price(b.option()), p.input.price(a.option())), a.IdleSince.Compare(b.IdleSince))
 	})
 	return out
 }
 
-// spare is how many idle machines are kept as a share of those in use.
-func (in *Input) spare() int {
+// headroomMachines is how many idle machines are kept as a share of those in use.
+func (in *Input) headroomMachines() int {
 	inUse := 0
 	for i := range in.Units {
 		if u := &in.Units[i]; u.IdleSince.IsZero() && !u.Booting {
@@ -156,8 +156,8 @@
 	return int(in.Headroom * float64(inUse))
 }
 
-// keepIdle is how long a machine may be idle: a cheap one, with its cache, for longer.
-func (in *Input) keepIdle(u *Machine) time.Duration {
+// maxIdle is how long a machine may be idle: a cheap one, with its cache, for longer.
+func (in *Input) maxIdle(u *Machine) time.Duration {
 	f := in.Flavors[u.Type]
 	keep := in.IdleBoots * float64(f.Boot.Duration())
 	if p := in.price(u.option()); p > 0 && f.Price > p {
@@ -166,9 +166,9 @@
 	return time.Duration(keep)
 }
 
-// left is how many idle machines with accelerators, of each type in each zone, are kept for work
+// idleReserves is how many idle machines with accelerators, of each type in each zone, are kept for work
 // that needs them, where there are types without any for other work.
-func (in *Input) left() map[MachineOption]int {
+func (in *Input) idleReserves() map[MachineOption]int {
 	left, plain := map[MachineOption]int{}, false
 	for _, f := range in.Flavors {
 		plain = plain || f.GPUs == 0
@@ -187,12 +187,12 @@
 	return left
 }
 
-// missing is how many machines of a type in a zone are to be rented so that some are left idle by
+// reserveShortfall is how many machines of a type in a zone are to be rented so that some are left idle by
 // this plan, no more than are in use: work that needs them begins without waiting for a boot.
-func (in *Input) missing(k MachineOption, left int, slots []*slot) int {
+func (in *Input) reserveShortfall(k MachineOption, left int, slots []*slot) int {
 	inUse, idle := 0, 0
 	for _, s := range slots {
-		switch u := &s.unit; {
+		switch u := &s.machine; {
 		case u.Type != k.Type || u.Zone != k.Zone || u.Spot:
 		case s.used || len(u.Busy) > 0:
 			inUse++
@@ -206,12 +206,12 @@
 	return max(0, min(left, inUse)-idle)
 }
 
-// roomiest is the zone whose machines have room for the most of a gang's tasks, "" if
+// zoneWithMostRoom is the zone whose machines have room for the most of a gang's tasks, "" if
 // there is none.
-func roomiest(open []*slot, fits func(*slot) int) (best wire.Zone) {
+func zoneWithMostRoom(open []*slot, fits func(*slot) int) (best wire.Zone) {
 	room := map[wire.Zone]int{}
 	for _, s := range open {
-		z := s.unit.Zone
+		z := s.machine.Zone
 		if room[z] += fits(s); room[z] > room[best] || room[z] == room[best] && z < best {
 			best = z
 		}
@@ -219,9 +219,9 @@
 	return best
 }
 
-// least is the least that a task of any job takes, and the time by which a machine
+// smallestNeed is the least that a task of any job takes, and the time by which a machine
 // rented now would be up.
-func (in *Input) least() (need ledger.Resources, by time.Time) {
+func (in *Input) smallestNeed() (need ledger.Resources, by time.Time) {
 	for i := range in.Queue {
 		n := in.Queue[i].Job.Need
 		if i == 0 {
@@ -238,8 +238,8 @@
 	return need, by
 }
 
-// boot is how soon a machine for the job could be up.
-func (in *Input) boot(j *ledger.Job) time.Duration {
+// shortestBoot is how soon a machine for the job could be up.
+func (in *Input) shortestBoot(j *ledger.Job) time.Duration {
 	var least time.Duration
 	for _, f := range in.Flavors {
 		if b := f.Boot.Duration(); (least == 0 || b < least) &&
@@ -250,7 +250,7 @@
 	return least
 }
 
-func (u *Machine) option() MachineOption { return MachineOption{u.Type, u.Zone, u.Spot} }
+func (m *Machine) option() MachineOption { return MachineOption{m.Type, m.Zone, m.Spot} }
 
 func (in *Input) price(o MachineOption) float64 {
 	f := in.Flavors[o.Type]
--- a/internal/leader/autoscale/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -43,7 +43,7 @@
 	return in
 }
 
-func hired(p Plan, spot bool) (n int) {
+func scaledOut(p Plan, spot bool) (n int) {
 	for _, h := range p.ScaleOut {
 		if h.Spot == spot {
 			n += h.Count
@@ -52,7 +52,7 @@
 	return n
 }
 
-func TestHire(t *testing.T) {
+func TestScaleOut(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
 	zone := wire.Zone("b")
 	for _, tc := range []struct {
@@ -79,7 +79,7 @@
 			in.OutOfCapacity = tc.refused
 		}
 		p := ComputePlan(in)
-		if hired(p, true) != tc.spot || hired(p, false) != tc.own {
+		if scaledOut(p, true) != tc.spot || scaledOut(p, false) != tc.own {
 			t.Errorf("%s: %+v, want %d spot and %d others", tc.name, p.ScaleOut, tc.spot, tc.own)
 		}
 		for _, h := range p.ScaleOut {
@@ -119,7 +119,7 @@
 // TestRentingForAGangKeepsItsZone: where closeness matters, what is rented for a gang goes to
 // one zone, that of the machines with room for it; not at a higher price, and not if it can't
 // be had there. Without a topology the zones take turns, as they did.
-func TestRentingForAGangKeepsItsZone(t *testing.T) {
+func TestScaleOutForAGangKeepsItsZone(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
 	there := []Machine{{ID: "h", Type: "g", Zone: "b", Usable: true, Total: full}}
 	for _, tc := range []struct {
@@ -152,7 +152,7 @@
 
 // TestAcceleratorsAreKept: where there are machine types without accelerators, some idle machines with
 // them are not given back; where there are none all that are idle go, as before.
-func TestAcceleratorsAreKept(t *testing.T) {
+func TestIdleAcceleratorsAreKept(t *testing.T) {
 	now := time.Now()
 	gpu := wire.MachineType{Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 32, Price: 4, Boot: 20, Zones: []wire.Zone{"a"}}
 	for _, tc := range []struct {
@@ -192,7 +192,7 @@
 // TestAcceleratorsInReserve: where there are machine types without accelerators, as many machines
 // with them are rented ahead as are left idle anyway, no more than are in use, and only such as any
 // work may run on. Gangs waited for a boot each time that the fleet grew.
-func TestAcceleratorsInReserve(t *testing.T) {
+func TestAcceleratorReserveIsScaledOut(t *testing.T) {
 	gpu := wire.MachineType{
 		Name:      "gpu",
 		CPUs:      8,
@@ -253,7 +253,7 @@
 			}
 			in.Units = append(in.Units, u)
 		}
-		if p := ComputePlan(in); hired(p, false) != tc.want || hired(p, true) != 0 {
+		if p := ComputePlan(in); scaledOut(p, false) != tc.want || scaledOut(p, true) != 0 {
 			t.Errorf("%s: rented %+v, want %d", tc.name, p.ScaleOut, tc.want)
 		}
 	}
--- a/internal/leader/autoscale/policy.go
+++ b/internal/leader/autoscale/policy.go
@@ -11,7 +11,7 @@
 // ApplyPolicy has a policy decide on a plan: it is told what there is of each kind of machine and
 // what the plan would do, and answers with what is to be done.
 func ApplyPolicy(in *Input, plan Plan, decide func(*policy.Fleet) []policy.Change) Plan {
-	f, kinds := summary(in, plan)
+	f, kinds := summarize(in, plan)
 	if len(kinds) == 0 {
 		return plan
 	}
@@ -22,7 +22,7 @@
 	}
 	idle := map[MachineOption][]*Machine{}
 	for i := range in.Units {
-		if u := &in.Units[i]; u.idle() {
+		if u := &in.Units[i]; u.isIdle() {
 			idle[u.option()] = append(idle[u.option()], u)
 		}
 	}
@@ -50,10 +50,10 @@
 }
 
 // idle: it has no task and could be given back.
-func (u *Machine) idle() bool { return !u.IdleSince.IsZero() && !u.Booting }
+func (m *Machine) isIdle() bool { return !m.IdleSince.IsZero() && !m.Booting }
 
-// summary is what a policy sees of a plan, and the kinds that it sees in their order.
-func summary(in *Input, plan Plan) (*policy.Fleet, []MachineOption) {
+// summarize is what a policy sees of a plan, and the kinds that it sees in their order.
+func summarize(in *Input, plan Plan) (*policy.Fleet, []MachineOption) {
 	f := &policy.Fleet{Now: in.Now.UnixMilli(), Most: uint32(in.MaxMachines)}
 	for i := range in.Queue {
 		f.Waiting += uint32(max(0, in.Queue[i].Job.Pending()))
@@ -111,7 +111,7 @@
 		default:
 			k.Up++
 		}
-		if u.idle() {
+		if u.isIdle() {
 			k.Idle++
 		}
 	}
--- a/internal/leader/autoscale/policy_test.go
+++ b/internal/leader/autoscale/policy_test.go
@@ -13,7 +13,7 @@
 
 // TestDecide: the built-in policy's answer leaves a plan as it is, and of what another gives
 // back only idle machines go, those of the plan first and then those that idle for longest.
-func TestDecide(t *testing.T) {
+func TestApplyPolicy(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	now := time.Unix(1_800_000_000, 0)
 	for range 100 {
@@ -37,7 +37,7 @@
 			}
 			if rng.IntN(2) == 0 {
 				u.IdleSince = now.Add(-time.Duration(rng.IntN(900)) * time.Second)
-				if u.idle() && rng.IntN(2) == 0 {
+				if u.isIdle() && rng.IntN(2) == 0 {
 					plan.Drain = append(plan.Drain, u.ID)
 				}
 			}
@@ -68,7 +68,7 @@
 			}
 		}
 		for _, id := range all.Drain {
-			if u := in.Units[slices.IndexFunc(in.Units, func(u Machine) bool { return u.ID == id })]; !u.idle() {
+			if u := in.Units[slices.IndexFunc(in.Units, func(u Machine) bool { return u.ID == id })]; !u.isIdle() {
 				t.Errorf("%s is given back and not idle", id)
 			}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,18 +1,43 @@
-// Package leader is the part of a controller that leads the fleet while it holds the leader's
-// lease: it rents and returns machines, marks those that are lost, and places gangs over all
-// machines (docs/DESIGN.md, points 5 and 8). One controller leads at a time; a term that has
-// ended changes nothing any more, since what it writes is conditioned on its record.
+// Package leader is the elected leader of the cluster: the one controller that observes all
+// machines, scales the cluster out and in, records the phases of lost and returned machines, and
+// places gangs over all machines (docs/DESIGN.md, points 5 and 8).
+//
+// # Election and fencing
+//
+// A controller becomes leader by creating the leader's record (ledger.LeaderKey) under a lease of
+// its own; the record exists only while that lease is renewed. The record's revision is unique to
+// the term and is its fencing token towards the store: every write of a term is conditioned on it,
+// so that what a deposed leader still sends conflicts and changes nothing.
+//
+// The cloud knows no such condition. Therefore a request for machines
+//   - is recorded as an intent in the store before it is sent, under a request ID that no other term
+//     uses; a successor repeats the recorded intents under the same IDs to learn their outcome, and
+//   - is sent only while the lease certainly holds by this process's own clock.
+//
+// Machines are returned only after their phase Terminating is on record, and claims on them are
+// released only after the cloud has confirmed the return.
+//
+// # What holds the leader back
+//
+// Nothing is scaled before the cloud's list has been read in the term, and no idle machine is
+// returned before the list is certain to be complete. Silence of machines counts only from the time
+// that this process runs and is in sync with the store (Membership.SilenceCountsFrom); zones that
+// have fallen silent as a whole are not scaled out into; and of the machines of a kind no more than
+// a share is returned as faulty within faultyReturnWindow.
+//
+// # Main types and locking
+//
+// Leader is the component, which lives as long as its controller. term is the state of one time as
+// leader and starts anew from the records, the heartbeats and the cloud's list. The lock of
+// Parts.Cache guards the records, the members' state and the fields that are marked as guarded by
+// it. It must not be held during a request to the store or the cloud.
 package leader
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"log/slog"
-	"slices"
 	"time"
 
-	"maddermill/internal/leader/autoscale"
 	"maddermill/internal/membership"
 	"maddermill/internal/membership/completion"
 	"maddermill/internal/metrics"
@@ -30,22 +55,30 @@
 	"maddermill/wire"
 )
 
-// Cloud is what the fleet's leader needs of the cloud.
+// Cloud is the part of the cloud's interface that the leader uses.
 type Cloud interface {
+	// MachineTypes returns the machine types at current prices.
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
+	// ScaleOut rents machines. A request ID that was used before returns the machines of that
+	// request and rents nothing.
 	ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error)
+	// ScaleIn returns machines. When it succeeds, they and all tasks on them have ended.
 	ScaleIn(ctx context.Context, names []wire.MachineID) error
+	// List returns all machines that are rented. It lags behind.
 	List(ctx context.Context) ([]wire.ListedMachine, error)
 }
 
-// The leader's lease. It is long enough to survive a few slow answers, short
-// enough that a dead leader is replaced before machines are missed.
 const (
-	leaderTTL   = 6 * time.Second
-	leaderRenew = 1500 * time.Millisecond
+	// campaignInterval is the time between two checks of whether the cluster has a leader.
+	campaignInterval = 500 * time.Millisecond
+	// resignPause is for how long a controller that has resigned leaves the election to others, which
+	// know where the machines report.
+	resignPause = 4 * campaignInterval
+	// retryPause is the time between the loss of a term and the next campaign.
+	retryPause = time.Second
 )
 
-// Parts are what the leader works with.
+// Parts are the components that the leader works with.
 type Parts struct {
 	Cache        *watchcache.Cache
 	Committer    *committer.Committer
@@ -58,231 +91,63 @@
 	Completions  *completion.Log
 }
 
-// Leader is that part of a controller.
+// Leader is the component of a controller that campaigns for leadership and acts as leader while it
+// is elected.
 type Leader struct {
 	set   *settings.Settings
 	store kvstore.Store
 	Parts
-	stats *metrics.Set
-	log   *slog.Logger
-	boot  time.Time
+	stats     *metrics.Set
+	log       *slog.Logger
+	startedAt time.Time
 
-	awaited, overdue int // as the leader: machines rented and not yet up; under the mirror's lock
+	boots bootCounts // what BootingMachines returns; guarded by the cache's lock
 }
 
-// New returns a part that doesn't lead before Run.
+// New returns a component that does not campaign before Run.
 func New(set *settings.Settings, store kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Leader {
-	return &Leader{set: set, store: store, Parts: p, stats: stats, log: log, boot: time.Now()}
+	return &Leader{set: set, store: store, Parts: p, stats: stats, log: log, startedAt: time.Now()}
 }
 
-// BootingMachines counts, under the mirror's lock, the machines rented in this controller's term that
-// are not yet up, and those of them that are overdue.
-func (c *Leader) BootingMachines() (awaited, overdue int) { return c.awaited, c.overdue }
+// BootingMachines returns how many machines have been rented and have sent no heartbeat yet, and how
+// many of them are overdue; 0 while this controller is not the leader. The caller holds the cache's
+// lock.
+func (l *Leader) BootingMachines() (booting, overdue int) { return l.boots.booting, l.boots.overdue }
 
-func (c *Leader) led() *ledger.Ledger { return c.Cache.Records() }
+// records returns the cached records. The caller holds the cache's lock while it uses them.
+func (l *Leader) records() *ledger.Ledger { return l.Cache.Records() }
 
-// Run tries to become the fleet's leader and does its work while it is, until ctx ends.
-func (c *Leader) Run(ctx context.Context, cl Cloud) error {
+// Run campaigns for leadership, and acts as leader while this controller is elected, until ctx ends.
+func (l *Leader) Run(ctx context.Context, cl Cloud) error {
 	for ctx.Err() == nil {
-		c.Cache.Lock()
-		ready := c.Cache.Loaded() && c.Cache.Token() != 0
-		record, version := c.led().Leader()
-		c.Cache.Unlock()
+		l.Cache.Lock()
+		ready := l.Cache.Loaded() && l.Cache.Token() != 0
+		record, version := l.records().Leader()
+		l.Cache.Unlock()
 		switch {
-		case ready && version != 0 && record.Member == c.set.Member:
-			c.resign(ctx, version)
+		case ready && version != 0 && record.Member == l.set.Member:
+			l.resign(ctx, version)
 			continue
 		case !ready || version != 0:
-			wait.For(ctx, campaignEvery)
+			wait.For(ctx, campaignInterval)
 			continue
 		}
-		if err := c.term(ctx, cl); err != nil && ctx.Err() == nil {
-			c.log.Info("leadership lost", "err", err)
-			wait.For(ctx, time.Second)
+		if err := l.runTerm(ctx, cl); err != nil && ctx.Err() == nil {
+			l.log.Info("leadership lost", "err", err)
+			wait.For(ctx, retryPause)
 		}
 	}
 	return ctx.Err()
 }
 
-// campaignEvery is how often it is looked whether somebody leads.
-const campaignEvery = 500 * time.Millisecond
-
-// standBack is how long a controller that has resigned leaves the lead to others, who know where the
-// machines report.
-const standBack = 4 * campaignEvery
-
-// resign takes away the leader's record of a term of this controller that is over, as one of its
-// earlier life is: nobody would else lead until its lease has run out. What that term still sends is
-// conditioned on the record, and conflicts.
-func (c *Leader) resign(ctx context.Context, version wire.Revision) {
-	_, err := c.Committer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
-		Then: []wire.Change{{Delete: ledger.LeaderKey}}})
-	c.log.Info("stale leadership resigned", "version", version, "err", err)
-	wait.For(ctx, standBack)
-}
-
-// term is one time as the leader, from the lease's grant to its end.
-func (c *Leader) term(ctx context.Context, cl Cloud) error {
-	asked := time.Now()
-	lease, err := c.store.GrantLease(ctx, leaderTTL)
-	if err != nil {
-		return err
-	}
-	c.Cache.Lock()
-	token := c.Cache.Token()
-	c.Cache.Unlock()
-	value, err := json.Marshal(ledger.LeaderRecord{Member: c.set.Member, Token: token})
-	if err != nil {
-		return err
-	}
-	version, err := c.store.Commit(ctx, wire.Txn{
-		If:   []wire.Condition{{Key: ledger.LeaderKey, Version: 0}},
-		Then: []wire.Change{{Put: ledger.LeaderKey, Value: value, Lease: lease}}})
-	if err != nil {
-		return err
-	}
-	if err := c.Cache.WaitForRevision(ctx, version); err != nil {
-		return err
-	}
-	c.log.Info("leadership acquired", "token", token)
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	l := &leader{
-		c:         c,
-		cloud:     cl,
-		version:   version,
-		began:     time.Now(),
-		units:     map[wire.MachineID]*unit{},
-		placing:   map[wire.JobID]gangStart{},
-		marking:   map[markKey]*committer.Change{},
-		dark:      map[wire.Zone]time.Time{},
-		returned:  map[wire.MachineID]bool{},
-		releasing: map[wire.MachineID][]*committer.Change{},
-		refused:   map[autoscale.MachineOption]time.Time{},
-		settled:   time.Now(),
-		renewed:   asked,
-		judged:    map[estimate.Kind]map[wire.MachineID]time.Time{},
-	}
-	go func() {
-		for ctx.Err() == nil {
-			wait.For(ctx, leaderRenew)
-			asked := time.Now()
-			err := c.store.RenewLease(ctx, lease)
-			if errors.Is(err, kvstore.ErrLeaseNotFound) {
-				cancel(err)
-			}
-			c.Cache.Lock()
-			if err == nil {
-				l.renewed = asked
-			}
-			_, now := c.led().Leader()
-			c.Cache.Unlock()
-			if now != version {
-				cancel(errors.New("another leads"))
-			}
-		}
-	}()
-	// Gangs must not wait for the cloud, which is slow, limited, and at times out.
-	placing := make(chan struct{})
-	go func() {
-		defer close(placing)
-		for ctx.Err() == nil {
-			l.placeGangs(time.Now())
-			wait.For(ctx, 300*time.Millisecond)
-		}
-		l.forgetPlacing()
-	}()
-	defer func() {
-		cancel(nil)
-		<-placing
-		c.Cache.Lock()
-		c.awaited, c.overdue = 0, 0
-		c.Cache.Unlock()
-	}()
-	c.Cache.Lock()
-	recent, _ := c.led().ScaleOutIntents()
-	l.recent = slices.Clone(recent)
-	l.forgetHires(time.Now())
-	l.relearn = slices.Clone(l.recent)
-	c.Cache.Unlock()
-	for ctx.Err() == nil {
-		if err := l.step(ctx); err != nil && ctx.Err() == nil {
-			c.log.Debug("autoscaling step failed", "err", err)
-		}
-		wait.For(ctx, 500*time.Millisecond)
-	}
-	return context.Cause(ctx)
-}
-
-type unit struct {
-	wire.ListedMachine
-	hired  time.Time // or first seen
-	heard  time.Time // by any controller
-	holder wire.MemberID
-	recall bool
-	taken  bool // back, and counted
-	faulty bool
-	// evidence is why, in a few words, where machines are judged by it.
-	evidence string
-	deaf     time.Duration // for which answers to its reports have not arrived
-	idle     time.Time
-}
-
-func (u *unit) kind() estimate.Kind { return estimate.Kind{Type: u.Type, Zone: u.Zone} }
-
-type markKey struct {
-	machine wire.MachineID
-	mark    ledger.MachinePhase
-}
-
-// leader is the state of one term. A new one starts from the cloud's list.
-type leader struct {
-	c         *Leader
-	cloud     Cloud
-	version   wire.Revision
-	began     time.Time
-	hires     int
-	units     map[wire.MachineID]*unit
-	marking   map[markKey]*committer.Change         // asked for, perhaps not yet in the ledger
-	placing   map[wire.JobID]gangStart              // decided, and not yet known to be in the ledger
-	refused   map[autoscale.MachineOption]time.Time // no capacity until
-	recent    []ledger.ScaleOutIntent               // asked for lately, by predecessors too
-	relearn   []ledger.ScaleOutIntent               // whose outcome is not known in this term
-	boots     estimate.BootTimes
-	madeRoom  time.Time                              // when room for gangs was last looked for,
-	roomTook  time.Duration                          // and how long that took
-	dark      map[wire.Zone]time.Time                // cut off, to be left alone until
-	returned  map[wire.MachineID]bool                // the cloud has confirmed it
-	releasing map[wire.MachineID][]*committer.Change // its claims, perhaps still on record
-	flavors   map[wire.MachineTypeName]wire.MachineType
-	judged    map[estimate.Kind]map[wire.MachineID]time.Time // returned as faulty
-	settled   time.Time                                      // since when silence of machines counts
-	renewed   time.Time                                      // when the last renewal of the lease was asked for that succeeded
-
-	flavorsAt, listAt time.Time
-	listed            bool
-}
-
-func (l *leader) step(ctx context.Context) error {
-	now := time.Now()
-	if now.Sub(l.flavorsAt) > 20*time.Second {
-		if err := l.readFlavors(ctx); err != nil {
-			return err
-		}
-	}
-	if now.Sub(l.listAt) > 4*time.Second {
-		if err := l.readList(ctx); err != nil {
-			return err
-		}
-	}
-	if err := l.askAgain(ctx); err != nil {
-		return err
-	}
-	l.observe(time.Now())
-	l.watchZones(time.Now())
-	l.markLost(time.Now())
-	if err := l.finishReturns(ctx); err != nil {
-		return err
-	}
-	return l.plan(ctx, time.Now())
+// resign deletes the leader's record of an earlier term of this controller, for instance of one
+// before a restart. Otherwise nobody could lead until that term's lease has expired. What that term
+// still sends is conditioned on the record and conflicts.
+func (l *Leader) resign(ctx context.Context, version wire.Revision) {
+	_, err := l.Committer.Commit(ctx, wire.Txn{
+		If:   []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
+		Then: []wire.Change{{Delete: ledger.LeaderKey}},
+	})
+	l.log.Info("stale leadership resigned", "version", version, "err", err)
+	wait.For(ctx, resignPause)
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -12,184 +12,177 @@
 	"maddermill/wire"
 )
 
-func (l *leader) readFlavors(ctx context.Context) error {
-	list, err := l.cloud.MachineTypes(ctx)
+// readMachineTypes reads the machine types and their prices from the cloud, and records those that are
+// new or have changed in more than their price.
+func (t *term) readMachineTypes(ctx context.Context) error {
+	list, err := t.cloud.MachineTypes(ctx)
 	if err != nil {
 		return err
 	}
-	l.flavorsAt = time.Now()
-	l.flavors = map[wire.MachineTypeName]wire.MachineType{}
-	for _, f := range list {
-		l.flavors[f.Name] = f
-		l.c.Cache.Lock()
-		known, ok := l.c.led().MachineType(f.Name)
-		l.c.Cache.Unlock()
-		// Prices move all the time; what machines are does not.
-		same := known
-		same.Price, same.SpotPrice = f.Price, f.SpotPrice
-		if ok && fmt.Sprint(same) == fmt.Sprint(f) {
+	t.machineTypesReadAt = time.Now()
+	t.machineTypes = map[wire.MachineTypeName]wire.MachineType{}
+	for _, machineType := range list {
+		t.machineTypes[machineType.Name] = machineType
+		if t.isRecorded(machineType) {
 			continue
 		}
-		b, err := json.Marshal(f)
-		if err != nil {
-			return err
-		}
-		if _, err := l.c.Committer.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: ledger.LeaderKey, Version: l.version}},
-			Then: []wire.Change{{Put: ledger.MachineTypeKey(f.Name), Value: b}}}); err != nil {
-			l.flavorsAt = time.Time{}
+		if err := t.recordMachineType(ctx, machineType); err != nil {
+			t.machineTypesReadAt = time.Time{}
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *leader) readList(ctx context.Context) error {
-	list, err := l.cloud.List(ctx)
+// isRecorded reports whether the records hold a machine type. Its prices, which change all the time, are
+// not compared.
+func (t *term) isRecorded(machineType wire.MachineType) bool {
+	t.leader.Cache.Lock()
+	recorded, found := t.leader.records().MachineType(machineType.Name)
+	t.leader.Cache.Unlock()
+	recorded.Price, recorded.SpotPrice = machineType.Price, machineType.SpotPrice
+	return found && fmt.Sprint(recorded) == fmt.Sprint(machineType)
+}
+
+// recordMachineType writes a machine type to the records.
+func (t *term) recordMachineType(ctx context.Context, machineType wire.MachineType) error {
+	value, err := json.Marshal(machineType)
+	if err != nil {
+		return fmt.Errorf("leader: record machine type %s: %w", machineType.Name, err)
+	}
+	_, err = t.leader.Committer.Commit(ctx, wire.Txn{
+		If:   []wire.Condition{t.whileLeader()},
+		Then: []wire.Change{{Put: ledger.MachineTypeKey(machineType.Name), Value: value}},
+	})
+	return err
+}
+
+// readMachineList reads the list of rented machines from the cloud.
+func (t *term) readMachineList(ctx context.Context) error {
+	list, err := t.cloud.List(ctx)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	l.listAt, l.listed = now, true
-	for _, m := range list {
-		u := l.units[m.ID]
-		if u == nil {
-			u = &unit{hired: now.Add(-m.Age.Duration())}
-			l.units[m.ID] = u
-		}
-		u.ListedMachine = m
+	t.listReadAt, t.listRead = now, true
+	for _, listed := range list {
+		m := t.machines[listed.ID]
+		if m == nil {
+			m = &machine{requestedAt: now.Add(-listed.Age.Duration())}
+			t.machines[listed.ID] = m
+		}
+		m.ListedMachine = listed
 	}
 	return nil
 }
 
-// observe brings together what this controller and its peers hear.
-func (l *leader) observe(now time.Time) {
-	c := l.c
-	c.Cache.Lock()
-	defer c.Cache.Unlock()
-	l.listen(now)
-	note := func(m *peer.Machine, at time.Time, by wire.MemberID) {
-		u := l.units[m.ID]
-		if u == nil {
-			u = &unit{ListedMachine: wire.ListedMachine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, hired: at}
-			l.units[m.ID] = u
-		}
-		if u.heard.IsZero() {
-			l.boots.Observe(u.kind(), u.hired, at)
-		}
-		if at.After(u.heard) {
-			u.Type, u.Zone, u.Spot = m.Type, m.Zone, m.Spot
-			u.heard, u.holder, u.recall, u.faulty, u.evidence = at, by, m.ReclaimMS != 0, m.Faulty, m.QuarantineReason
-			u.deaf = time.Duration(m.UnreachableMS) * time.Millisecond
-		}
-	}
-	c.Registry.Each(func(w *reconcile.Worker) {
-		m := peer.Machine{
-			ID:            w.ID,
-			Type:          w.Type,
-			Zone:          w.Zone,
-			Spot:          w.Spot,
-			Faulty:        c.Failures.Faulty(c.led(), w.ID, now),
-			UnreachableMS: w.UnreachableFor(now).Milliseconds(),
-		}
-		if m.Faulty {
-			m.QuarantineReason = c.Failures.QuarantineReason(w.ID)
-		}
-		if !w.ReclaimAt.IsZero() {
-			m.ReclaimMS = 1
-		}
-		note(&m, w.LastHeartbeat, c.set.Member)
+// observe merges the heartbeats that this controller and its peers have got, and the claims on record,
+// into the state of the machines.
+func (t *term) observe(now time.Time) {
+	l := t.leader
+	l.Cache.Lock()
+	defer l.Cache.Unlock()
+	t.updateSilenceCountsFrom(now)
+	l.Registry.Each(func(w *reconcile.Worker) {
+		status := l.workerStatus(w, now)
+		t.observeHeartbeat(&status, w.LastHeartbeat, l.set.Member)
 	})
-	for _, p := range c.Membership.Peers() {
+	for _, p := range l.Membership.Peers() {
 		for i := range p.Status.Machines {
-			m := &p.Status.Machines[i]
-			note(m, p.HeartbeatAt(m), p.Status.Member)
+			status := &p.Status.Machines[i]
+			t.observeHeartbeat(status, p.HeartbeatAt(status), p.Status.Member)
 		}
 	}
-	c.led().EachHolder(func(id wire.MachineID, h []ledger.HeldClaim) {
-		if l.units[id] == nil {
-			// Claims on a machine that nobody has heard in this term.
-			l.units[id] = &unit{
-				ListedMachine: wire.ListedMachine{ID: id, Zone: h[0].Zone, State: wire.MachineRunning},
-				hired:         now,
-				heard:         l.began,
+	l.records().EachHolder(func(id wire.MachineID, held []ledger.HeldClaim) {
+		if t.machines[id] == nil {
+			// Claims on a machine that has reported to nobody in this term.
+			t.machines[id] = &machine{
+				ListedMachine: wire.ListedMachine{ID: id, Zone: held[0].Zone, State: wire.MachineRunning},
+				requestedAt:   now,
+				lastHeartbeat: t.startedAt,
 			}
 		}
 	})
-	spot := 0
-	for id, u := range l.units {
-		if u.Spot && !u.heard.IsZero() && c.led().MachinePhase(id) == "" {
-			spot++
-			if u.recall {
-				l.takenBack(u)
-			}
-		}
-		if len(c.led().ClaimsOn(id)) > 0 {
-			u.idle = time.Time{}
-		} else if u.idle.IsZero() {
-			u.idle = now
-		}
-	}
-	c.SpotReclaims.CountMachineTime(spot, now)
+	t.observeUse(now)
 }
 
-// takenBack counts a spot machine that the cloud takes back, once.
-func (l *leader) takenBack(u *unit) {
-	if u.Spot && !u.taken {
-		u.taken = true
-		l.c.SpotReclaims.Observe()
+// workerStatus returns the status of a worker that reports to this controller, in the form in which
+// peers share theirs. The caller holds the cache's lock.
+func (l *Leader) workerStatus(w *reconcile.Worker, now time.Time) peer.Machine {
+	status := peer.Machine{
+		ID:            w.ID,
+		Type:          w.Type,
+		Zone:          w.Zone,
+		Spot:          w.Spot,
+		Faulty:        l.Failures.Faulty(l.records(), w.ID, now),
+		UnreachableMS: w.UnreachableFor(now).Milliseconds(),
 	}
+	if status.Faulty {
+		status.QuarantineReason = l.Failures.QuarantineReason(w.ID)
+	}
+	if !w.ReclaimAt.IsZero() {
+		status.ReclaimMS = 1
+	}
+	return status
 }
 
-// listen keeps up since when silence of machines counts.
-func (l *leader) listen(now time.Time) {
-	l.settled = l.c.Membership.SilenceCountsFrom(l.settled, l.c.Cache.SyncedAt(), now)
-}
-
-// lostAfter is how long a machine may be silent. One last heard by a controller
-// that is itself silent gets the time that its worker needs to find another, and
-// as long as the controller may go on answering alone.
-func (l *leader) lostAfter(u *unit, now time.Time) time.Duration {
-	d := l.c.set.Operators.LostAfter
-	if u.holder != l.c.set.Member {
-		if p := l.c.Membership.Peer(u.holder); p == nil || now.Sub(p.AsOf) > 4*time.Second {
-			d += l.c.set.HeartbeatGrace()
-		}
+// observeHeartbeat merges a heartbeat that a controller got at a time, if it is the machine's latest.
+func (t *term) observeHeartbeat(status *peer.Machine, at time.Time, by wire.MemberID) {
+	m := t.machines[status.ID]
+	if m == nil {
+		m = &machine{
+			ListedMachine: wire.ListedMachine{ID: status.ID, Type: status.Type, Zone: status.Zone, Spot: status.Spot},
+			requestedAt:   at,
+		}
+		t.machines[status.ID] = m
 	}
-	return d
+	if m.booting() {
+		t.bootTimes.Observe(m.kind(), m.requestedAt, at)
+	}
+	if !at.After(m.lastHeartbeat) {
+		return
+	}
+	m.Type, m.Zone, m.Spot = status.Type, status.Zone, status.Spot
+	m.lastHeartbeat = at
+	m.reportsTo = by
+	m.reclaimNotice = status.ReclaimMS != 0
+	m.faulty = status.Faulty
+	m.quarantineReason = status.QuarantineReason
+	m.unreachableFor = time.Duration(status.UnreachableMS) * time.Millisecond
 }
 
-// watchZones notes the zones that are cut off: several machines have been heard
-// there, and all of them have fallen silent, while others have not. What is rented
-// in such a zone is paid for and can't report, and counting on it leaves work
-// waiting. A zone is tried again after two leases, or when one is heard there.
-func (l *leader) watchZones(now time.Time) {
-	c := l.c
-	c.Cache.Lock()
-	defer c.Cache.Unlock()
-	l.listen(now)
-	silent := c.set.SilentAfter()
-	known, heard, total := map[wire.Zone]int{}, map[wire.Zone]int{}, 0
-	for _, u := range l.units {
-		if u.heard.After(l.began) {
-			known[u.Zone]++
-			if now.Sub(u.heard) < silent {
-				heard[u.Zone]++
-				total++
+// observeUse keeps the time since which each machine is idle, and counts the time of spot machines and
+// their reclaims. The caller holds the cache's lock.
+func (t *term) observeUse(now time.Time) {
+	l := t.leader
+	spotMachines := 0
+	for id, m := range t.machines {
+		if m.Spot && !m.booting() && l.records().MachinePhase(id) == "" {
+			spotMachines++
+			if m.reclaimNotice {
+				t.countReclaim(m)
 			}
 		}
-	}
-	for z, n := range known {
-		switch {
-		case heard[z] > 0:
-			delete(l.dark, z)
-		case n >= fewToJudge && total >= fewToJudge && now.Sub(l.settled) > silent:
-			if l.dark[z].IsZero() {
-				c.log.Info("zone is silent", "zone", z, "machines", n)
-			}
-			l.dark[z] = now.Add(2 * c.set.Cluster.Workers.Lease.Duration())
+		if len(l.records().ClaimsOn(id)) > 0 {
+			m.idleSince = time.Time{}
+		} else if m.idleSince.IsZero() {
+			m.idleSince = now
 		}
 	}
+	l.SpotReclaims.CountMachineTime(spotMachines, now)
 }
 
-// fewToJudge is how many machines it takes to judge a zone by.
-const fewToJudge = 3
+// countReclaim counts a spot machine that the cloud reclaims, once.
+func (t *term) countReclaim(m *machine) {
+	if m.Spot && !m.reclaimCounted {
+		m.reclaimCounted = true
+		t.leader.SpotReclaims.Observe()
+	}
+}
+
+// updateSilenceCountsFrom moves on the time from which silence of machines counts, after a pause of
+// this process or a loss of sync with the store. The caller holds the cache's lock.
+func (t *term) updateSilenceCountsFrom(now time.Time) {
+	l := t.leader
+	t.silenceCountsFrom = l.Membership.SilenceCountsFrom(t.silenceCountsFrom, l.Cache.SyncedAt(), now)
+}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -7,49 +7,52 @@
 	"maddermill/wire"
 )
 
-// TestSilentZone: nothing is rented in a zone all of whose machines have fallen silent
-// while others are heard; not so after a silence that the controller shares, nor for
-// one machine, and a machine heard there ends it. On a day with a zone cut off, two
-// hundred machines were rented there that could not report.
+// TestSilentZone: nothing is rented in a zone all of whose machines have fallen silent while others report;
+// not so after a silence that the controller shares, nor for a few machines, and a heartbeat from there ends
+// it. On a day with a zone cut off, two hundred machines were rented there that could not report.
 func TestSilentZone(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
-		name    string
-		silent  int // machines in zone b
-		settled time.Duration
-		later   time.Duration // when one is heard there again, 0: not
-		dark    bool
+		name              string
+		silentMachines    int           // in zone b
+		silenceCountsFor  time.Duration // until now
+		nextHeartbeat     time.Duration // until a machine of zone b reports, 0: none does
+		wantLeftOutOfPlan bool
 	}{
 		{"cut off", 3, time.Minute, 0, true},
 		{"too few to judge", 2, time.Minute, 0, false},
 		{"our own silence", 3, time.Second, 0, false},
-		{"heard again", 3, time.Minute, time.Second, false},
+		{"reports again", 3, time.Minute, time.Second, false},
 	} {
-		c := quiet(t)
-		c.Cache.SetForTest(0, now)
-		l := &leader{
-			c:       c,
-			began:   now.Add(-time.Hour),
-			settled: now.Add(-tc.settled),
-			units:   map[wire.MachineID]*unit{},
-			dark:    map[wire.Zone]time.Time{},
-		}
-		add := func(id wire.MachineID, z wire.Zone, heard time.Time) {
-			l.units[id] = &unit{ListedMachine: wire.ListedMachine{ID: id, Zone: z}, heard: heard}
-		}
-		for _, id := range []wire.MachineID{"a1", "a2", "a3"} {
-			add(id, "a", now)
-		}
-		for _, id := range []wire.MachineID{"b1", "b2", "b3"}[:tc.silent] {
-			add(id, "b", now.Add(-20*time.Second))
-		}
-		l.watchZones(now)
-		if tc.later > 0 {
-			add("b4", "b", now.Add(tc.later))
-			l.watchZones(now.Add(tc.later))
-		}
-		if got := now.Before(l.dark["b"]); got != tc.dark || now.Before(l.dark["a"]) {
-			t.Errorf("%s: left alone %v, want %v", tc.name, got, tc.dark)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			l := newTestLeader(t)
+			l.Cache.SetForTest(0, now)
+			active := newTerm(l, nil, 0)
+			active.startedAt = now.Add(-time.Hour)
+			active.silenceCountsFrom = now.Add(-tc.silenceCountsFor)
+			add := func(id wire.MachineID, zone wire.Zone, lastHeartbeat time.Time) {
+				active.machines[id] = &machine{
+					ListedMachine: wire.ListedMachine{ID: id, Zone: zone},
+					lastHeartbeat: lastHeartbeat,
+				}
+			}
+			for _, id := range []wire.MachineID{"a1", "a2", "a3"} {
+				add(id, "a", now)
+			}
+			for _, id := range []wire.MachineID{"b1", "b2", "b3"}[:tc.silentMachines] {
+				add(id, "b", now.Add(-20*time.Second))
+			}
+			active.updateSilentZones(now)
+			if tc.nextHeartbeat > 0 {
+				add("b4", "b", now.Add(tc.nextHeartbeat))
+				active.updateSilentZones(now.Add(tc.nextHeartbeat))
+			}
+			if got := now.Before(active.silentZonesUntil["b"]); got != tc.wantLeftOutOfPlan {
+				t.Errorf("zone b left out: got %v, want %v", got, tc.wantLeftOutOfPlan)
+			}
+			if now.Before(active.silentZonesUntil["a"]) {
+				t.Error("zone a left out: got true, want false")
+			}
+		})
 	}
 }
