--- a/internal/leader/autoscale/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,202 +13,268 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// Machine types of the tests: typeG is rented in two zones, and plainType has no accelerators.
+var (
+	typeG = wire.MachineType{
+		Name:      "g",
+		CPUs:      8,
+		GPUs:      4,
+		MemoryGB:  64,
+		Price:     10,
+		SpotPrice: 3,
+		Boot:      60,
+		Zones:     []wire.Zone{"a", "b"},
+	}
+	gpuType = wire.MachineType{
+		Name:      "gpu",
+		CPUs:      8,
+		GPUs:      2,
+		MemoryGB:  32,
+		Price:     4,
+		SpotPrice: 1,
+		Boot:      20,
+		Zones:     []wire.Zone{"a"},
+	}
+	plainType = wire.MachineType{
+		Name:     "cpu",
+		CPUs:     4,
+		MemoryGB: 16,
+		Price:    1,
+		Boot:     20,
+		Zones:    []wire.Zone{"a"},
+	}
+)
+
+// never is the OutOfCapacity of a cloud that has all kinds of machines.
+func never(MachineOption) bool { return false }
+
+// noQuota is the TeamRoom of teams without quotas.
+func noQuota(_ *ledger.Job, _ ledger.Resources, most int) int { return most }
+
+// input returns an input with typeG, no machines, and a pending job for each spec.
 func input(t *testing.T, specs ...wire.JobSpec) *Input {
 	t.Helper()
-	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
+	records := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 	in := &Input{
 		Now:           now,
-		TeamRoom:      l.RemainingTeamQuota,
+		TeamRoom:      records.RemainingTeamQuota,
 		Spot:          true,
 		IdleBoots:     1,
-		OutOfCapacity: func(MachineOption) bool { return false },
-		Flavors: map[wire.MachineTypeName]wire.MachineType{
-			"g": {Name: "g", CPUs: 8, GPUs: 4, MemoryGB: 64, Price: 10, SpotPrice: 3, Boot: 60, Zones: []wire.Zone{"a", "b"}},
-		},
+		OutOfCapacity: never,
+		Flavors:       map[wire.MachineTypeName]wire.MachineType{"g": typeG},
 	}
 	for i := range specs {
-		s := specs[i]
-		s.ID, s.Team, s.Class, s.Image = wire.JobID(fmt.Sprintf("wk-%06d", i)), "t", "c", "i"
-		if s.Shape == "" {
-			s.Shape = wire.Array
+		spec := specs[i]
+		spec.ID, spec.Team, spec.Class, spec.Image = wire.JobID(fmt.Sprintf("wk-%06d", i)), "t", "c", "i"
+		if spec.Shape == "" {
+			spec.Shape = wire.Array
 		}
-		s.Priority = wire.Normal
-		d := l.NewTransaction()
-		if err := d.Submit(&s, wire.UnixMillis(i)); err != nil {
+		spec.Priority = wire.Normal
+		txn := records.NewTransaction()
+		if err := txn.Submit(&spec, wire.UnixMillis(i)); err != nil {
 			t.Fatal(err)
 		}
-		txn, _ := d.Request()
-		l.Apply(ledger.Event{Key: txn.Then[0].Put, Value: txn.Then[0].Value, Version: wire.Revision(i + 1)})
-		in.Queue = append(in.Queue, placement.Entry{Job: l.Job(s.ID)})
+		request, _ := txn.Request()
+		put := request.Then[0]
+		records.Apply(ledger.Event{Key: put.Put, Value: put.Value, Version: wire.Revision(i + 1)})
+		in.Queue = append(in.Queue, placement.Entry{Job: records.Job(spec.ID)})
 	}
 	return in
 }
 
+// acceleratorInput returns an input with gpuType and, if mixed, plainType, and without jobs and machines.
+func acceleratorInput(mixed bool) *Input {
+	in := &Input{
+		Now:           now,
+		Flavors:       map[wire.MachineTypeName]wire.MachineType{"gpu": gpuType},
+		IdleBoots:     1,
+		TeamRoom:      noQuota,
+		OutOfCapacity: never,
+	}
+	if mixed {
+		in.Flavors["cpu"] = plainType
+	}
+	return in
+}
+
+// scaledOut returns how many spot machines, or how many others, a plan rents.
 func scaledOut(p Plan, spot bool) (n int) {
-	for _, h := range p.ScaleOut {
-		if h.Spot == spot {
-			n += h.Count
+	for _, scaleOut := range p.ScaleOut {
+		if scaleOut.Spot == spot {
+			n += scaleOut.Count
 		}
 	}
 	return n
 }
 
+// TestScaleOut: machines are rented for the tasks that have no room, of the cheapest kind that the job may
+// run on.
 func TestScaleOut(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
 	zone := wire.Zone("b")
+	up := []Machine{{ID: "h", Type: "g", Zone: "a", Usable: true, Total: full}}
+	booting := []Machine{{ID: "h", Type: "g", Zone: "a", Booting: true, Usable: true, Total: full}}
+	noSpot := func(o MachineOption) bool { return o.Spot }
 	for _, tc := range []struct {
-		name      string
-		spec      wire.JobSpec
-		units     []Machine
-		refused   func(MachineOption) bool
-		most      int
-		spot, own int
+		name          string
+		spec          wire.JobSpec
+		machines      []Machine
+		outOfCapacity func(MachineOption) bool
+		maxMachines   int
+		wantSpot      int
+		wantOnDemand  int
 	}{
-		{"packed", wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1, Spot: true}, nil, nil, 0, 2, 0},
-		{"not on spot", wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1}, nil, nil, 0, 0, 2},
-		{"spot refused", wire.JobSpec{Tasks: 4, GPUs: 1, Spot: true}, nil, func(o MachineOption) bool { return o.Spot }, 0, 0, 1},
-		{"one booting is counted", wire.JobSpec{Tasks: 8, GPUs: 1, Spot: true}, []Machine{{ID: "h", Type: "g", Zone: "a", Booting: true, Usable: true, Total: full}}, nil, 0, 1, 0},
-		{"room in the wrong zone does not count", wire.JobSpec{Tasks: 4, GPUs: 1, Spot: true, Zone: &zone}, []Machine{{ID: "h", Type: "g", Zone: "a", Usable: true, Total: full}}, nil, 0, 1, 0},
-		{"bounded", wire.JobSpec{Tasks: 40, GPUs: 1, Spot: true}, nil, nil, 3, 3, 0},
-		// A job that is to be spread once counted room in one zone for all of its tasks, and waited for ever.
-		{"spread", wire.JobSpec{Tasks: 4, GPUs: 1, Shape: wire.Gang, Spread: true}, []Machine{{ID: "h", Type: "g", Zone: "a", Usable: true, Total: full}}, nil, 0, 0, 1},
-		{"nothing fits", wire.JobSpec{Tasks: 4, GPUs: 9, Spot: true}, nil, nil, 0, 0, 0},
+		{name: "packed", spec: wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1, Spot: true}, wantSpot: 2},
+		{name: "not on spot", spec: wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1}, wantOnDemand: 2},
+		{
+			name:          "spot out of capacity",
+			spec:          wire.JobSpec{Tasks: 4, GPUs: 1, Spot: true},
+			outOfCapacity: noSpot,
+			wantOnDemand:  1,
+		},
+		{
+			name:     "one booting is counted",
+			spec:     wire.JobSpec{Tasks: 8, GPUs: 1, Spot: true},
+			machines: booting,
+			wantSpot: 1,
+		},
+		{
+			name:     "room in the wrong zone does not count",
+			spec:     wire.JobSpec{Tasks: 4, GPUs: 1, Spot: true, Zone: &zone},
+			machines: up,
+			wantSpot: 1,
+		},
+		{name: "bounded", spec: wire.JobSpec{Tasks: 40, GPUs: 1, Spot: true}, maxMachines: 3, wantSpot: 3},
+		{
+			// A job that is to be spread once counted room in one zone for all of its tasks, and waited for ever.
+			name:         "spread",
+			spec:         wire.JobSpec{Tasks: 4, GPUs: 1, Shape: wire.Gang, Spread: true},
+			machines:     up,
+			wantOnDemand: 1,
+		},
+		{name: "nothing fits", spec: wire.JobSpec{Tasks: 4, GPUs: 9, Spot: true}},
 	} {
-		in := input(t, tc.spec)
-		in.Units, in.MaxMachines = tc.units, tc.most
-		if tc.refused != nil {
-			in.OutOfCapacity = tc.refused
-		}
-		p := ComputePlan(in)
-		if scaledOut(p, true) != tc.spot || scaledOut(p, false) != tc.own {
-			t.Errorf("%s: %+v, want %d spot and %d others", tc.name, p.ScaleOut, tc.spot, tc.own)
-		}
-		for _, h := range p.ScaleOut {
-			if tc.spec.Zone != nil && h.Zone != *tc.spec.Zone {
-				t.Errorf("%s: hired in %s", tc.name, h.Zone)
+		t.Run(tc.name, func(t *testing.T) {
+			in := input(t, tc.spec)
+			in.Units, in.MaxMachines = tc.machines, tc.maxMachines
+			if tc.outOfCapacity != nil {
+				in.OutOfCapacity = tc.outOfCapacity
 			}
-		}
+			p := ComputePlan(in)
+			if scaledOut(p, true) != tc.wantSpot || scaledOut(p, false) != tc.wantOnDemand {
+				t.Errorf("got %+v, want %d spot and %d others", p.ScaleOut, tc.wantSpot, tc.wantOnDemand)
+			}
+			for _, scaleOut := range p.ScaleOut {
+				if tc.spec.Zone != nil && scaleOut.Zone != *tc.spec.Zone {
+					t.Errorf("got a machine in zone %s, want %s", scaleOut.Zone, *tc.spec.Zone)
+				}
+			}
+		})
 	}
 }
 
+// TestDrain: machines idle for longer than a boot are returned, the most expensive first, but not those
+// that pending work fits on.
 func TestDrain(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
-	unit := func(id string, idle time.Duration, spot bool) Machine {
-		u := Machine{ID: wire.MachineID(id), Type: "g", Zone: "a", Spot: spot, Usable: true, Total: full}
+	idleFor := func(id wire.MachineID, idle time.Duration, spot bool) Machine {
+		m := Machine{ID: id, Type: "g", Zone: "a", Spot: spot, Usable: true, Total: full}
 		if idle > 0 {
-			u.IdleSince = now.Add(-idle)
+			m.IdleSince = now.Add(-idle)
 		}
-		return u
+		return m
 	}
 	in := input(t)
 	in.Units = []Machine{
-		unit("busy", 0, false),
-		unit("new", 30*time.Second, false),
-		unit("spot", 4*time.Minute, true),
-		unit("dear", 90*time.Second, false),
+		idleFor("busy", 0, false),
+		idleFor("new", 30*time.Second, false),
+		idleFor("spot", 4*time.Minute, true),
+		idleFor("expensive", 90*time.Second, false),
 	}
-	if p := ComputePlan(in); len(p.Drain) != 2 || p.Drain[0] != "dear" || p.Drain[1] != "spot" {
-		t.Errorf("drained %v", p.Drain)
+	want := []wire.MachineID{"expensive", "spot"}
+	if got := ComputePlan(in).Drain; !slices.Equal(got, want) {
+		t.Errorf("got %v drained, want %v", got, want)
 	}
 	in = input(t, wire.JobSpec{Tasks: 1, GPUs: 1})
-	in.Units = []Machine{unit("dear", 90*time.Second, false)}
+	in.Units = []Machine{idleFor("expensive", 90*time.Second, false)}
 	if p := ComputePlan(in); len(p.Drain) != 0 || len(p.ScaleOut) != 0 {
-		t.Errorf("a machine that pending work fits on: %+v", p)
+		t.Errorf("with pending work that fits: got %+v, want no change", p)
 	}
 }
 
-// TestRentingForAGangKeepsItsZone: where closeness matters, what is rented for a gang goes to
-// one zone, that of the machines with room for it; not at a higher price, and not if it can't
-// be had there. Without a topology the zones take turns, as they did.
+// TestScaleOutForAGangKeepsItsZone: where a topology is declared, what is rented for a gang is in one zone,
+// that of the machines with room for it; not at a higher price, and not if the zone is out of capacity.
+// Without a topology the zones take turns, as they did.
 func TestScaleOutForAGangKeepsItsZone(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
-	there := []Machine{{ID: "h", Type: "g", Zone: "b", Usable: true, Total: full}}
+	inZoneB := []Machine{{ID: "h", Type: "g", Zone: "b", Usable: true, Total: full}}
 	for _, tc := range []struct {
-		name    string
-		close   bool
-		units   []Machine
-		refused func(MachineOption) bool
-		a, b    int
+		name          string
+		topology      bool
+		machines      []Machine
+		outOfCapacity func(MachineOption) bool
+		wantA, wantB  int
 	}{
-		{"no topology", false, nil, nil, 2, 2},
-		{"none there", true, nil, nil, 4, 0},
-		{"one has room", true, there, nil, 0, 3},
-		{"cheap ones only elsewhere", true, there, func(o MachineOption) bool { return o.Spot && o.Zone == "b" }, 3, 0},
-		{"none to be had there", true, there, func(o MachineOption) bool { return o.Zone == "b" }, 3, 0},
+		{"no topology", false, nil, never, 2, 2},
+		{"none there", true, nil, never, 4, 0},
+		{"one has room", true, inZoneB, never, 0, 3},
+		{"spot only elsewhere", true, inZoneB, func(o MachineOption) bool { return o.Spot && o.Zone == "b" }, 3, 0},
+		{"zone out of capacity", true, inZoneB, func(o MachineOption) bool { return o.Zone == "b" }, 3, 0},
 	} {
-		in := input(t, wire.JobSpec{Shape: wire.Gang, Tasks: 16, GPUs: 1, Spot: true})
-		in.Close, in.Units = tc.close, tc.units
-		if tc.refused != nil {
-			in.OutOfCapacity = tc.refused
-		}
-		got := map[wire.Zone]int{}
-		for _, h := range ComputePlan(in).ScaleOut {
-			got[h.Zone] += h.Count
-		}
-		if got["a"] != tc.a || got["b"] != tc.b {
-			t.Errorf("%s: %v, want %d in a and %d in b", tc.name, got, tc.a, tc.b)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			in := input(t, wire.JobSpec{Shape: wire.Gang, Tasks: 16, GPUs: 1, Spot: true})
+			in.PreferOneZone, in.Units, in.OutOfCapacity = tc.topology, tc.machines, tc.outOfCapacity
+			got := map[wire.Zone]int{}
+			for _, scaleOut := range ComputePlan(in).ScaleOut {
+				got[scaleOut.Zone] += scaleOut.Count
+			}
+			if got["a"] != tc.wantA || got["b"] != tc.wantB {
+				t.Errorf("got %v, want %d in a and %d in b", got, tc.wantA, tc.wantB)
+			}
+		})
 	}
 }
 
-// TestAcceleratorsAreKept: where there are machine types without accelerators, some idle machines with
-// them are not given back; where there are none all that are idle go, as before.
+// TestIdleAcceleratorsAreKept: where there are machine types without accelerators, some idle machines with
+// them are not returned; where there are none all that are idle go, as before.
 func TestIdleAcceleratorsAreKept(t *testing.T) {
-	now := time.Now()
-	gpu := wire.MachineType{Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 32, Price: 4, Boot: 20, Zones: []wire.Zone{"a"}}
+	const machines = 12
 	for _, tc := range []struct {
+		name  string
 		mixed bool
 		want  int
-	}{{true, 12 - 3}, {false, 12}} {
-		in := &Input{
-			Now:           now,
-			Flavors:       map[wire.MachineTypeName]wire.MachineType{"gpu": gpu},
-			IdleBoots:     1,
-			TeamRoom:      func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-			OutOfCapacity: func(MachineOption) bool { return false },
-		}
-		if tc.mixed {
-			in.Flavors["cpu"] = wire.MachineType{
-				Name:     "cpu",
-				CPUs:     4,
-				MemoryGB: 16,
-				Price:    1,
-				Boot:     20,
-				Zones:    []wire.Zone{"a"},
+	}{
+		{"mixed types", true, machines - 3},
+		{"accelerators only", false, machines},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			in := acceleratorInput(tc.mixed)
+			for i := range machines {
+				in.Units = append(in.Units, Machine{
+					ID:        wire.MachineID(fmt.Sprint("host-", i)),
+					Type:      "gpu",
+					Zone:      "a",
+					Usable:    true,
+					Total:     resourcesOf(&gpuType),
+					IdleSince: now.Add(-time.Hour),
+				})
 			}
-		}
-		for i := range 12 {
-			in.Units = append(
-				in.Units,
-				Machine{ID: wire.MachineID(fmt.Sprint("host-", i)), Type: "gpu", Zone: "a", Usable: true,
-					Total: ledger.NewResources(8, 2, 32), IdleSince: now.Add(-time.Hour)},
-			)
-		}
-		if p := ComputePlan(in); len(p.Drain) != tc.want {
-			t.Errorf("mixed %v: %d of 12 are given back, want %d", tc.mixed, len(p.Drain), tc.want)
-		}
+			if got := len(ComputePlan(in).Drain); got != tc.want {
+				t.Errorf("got %d of %d drained, want %d", got, machines, tc.want)
+			}
+		})
 	}
 }
 
-// TestAcceleratorsInReserve: where there are machine types without accelerators, as many machines
-// with them are rented ahead as are left idle anyway, no more than are in use, and only such as any
-// work may run on. Gangs waited for a boot each time that the fleet grew.
+// TestAcceleratorReserveIsScaledOut: where there are machine types without accelerators, as many machines
+// with them are rented ahead as are in reserve anyway, no more than are in use, and only such as any work may
+// run on. Gangs waited for a boot each time that the cluster grew.
 func TestAcceleratorReserveIsScaledOut(t *testing.T) {
-	gpu := wire.MachineType{
-		Name:      "gpu",
-		CPUs:      8,
-		GPUs:      2,
-		MemoryGB:  32,
-		Price:     4,
-		SpotPrice: 1,
-		Boot:      20,
-		Zones:     []wire.Zone{"a"},
-	}
 	for _, tc := range []struct {
-		name                string
-		busy, idle, booting int
-		mixed, refused      bool
-		want                int
+		name                 string
+		busy, idle, booting  int
+		mixed, outOfCapacity bool
+		want                 int
 	}{
 		{"none in use", 0, 1, 0, true, false, 0},
 		{"one in use", 1, 0, 0, true, false, 1},
@@ -217,44 +284,31 @@
 		{"no capacity", 16, 0, 0, true, true, 0},
 		{"only such types", 16, 0, 0, false, false, 0},
 	} {
-		in := &Input{
-			Now:           now,
-			Flavors:       map[wire.MachineTypeName]wire.MachineType{"gpu": gpu},
-			IdleBoots:     1,
-			Spot:          true,
-			TeamRoom:      func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-			OutOfCapacity: func(MachineOption) bool { return tc.refused },
-		}
-		if tc.mixed {
-			in.Flavors["cpu"] = wire.MachineType{
-				Name:     "cpu",
-				CPUs:     4,
-				MemoryGB: 16,
-				Price:    1,
-				Boot:     20,
-				Zones:    []wire.Zone{"a"},
+		t.Run(tc.name, func(t *testing.T) {
+			in := acceleratorInput(tc.mixed)
+			in.Spot = true
+			in.OutOfCapacity = func(MachineOption) bool { return tc.outOfCapacity }
+			for i := range tc.busy + tc.idle + tc.booting {
+				m := Machine{
+					ID:     wire.MachineID(fmt.Sprint("host-", i)),
+					Type:   "gpu",
+					Zone:   "a",
+					Usable: true,
+					Total:  resourcesOf(&gpuType),
+				}
+				switch {
+				case i < tc.busy:
+					m.Busy = []placement.ExpectedRelease{{Until: now.Add(time.Minute), Room: m.Total}}
+				case i < tc.busy+tc.idle:
+					m.IdleSince = now
+				default:
+					m.Booting = true
+				}
+				in.Units = append(in.Units, m)
 			}
-		}
-		for i := range tc.busy + tc.idle + tc.booting {
-			u := Machine{
-				ID:     wire.MachineID(fmt.Sprint("host-", i)),
-				Type:   "gpu",
-				Zone:   "a",
-				Usable: true,
-				Total:  ledger.NewResources(8, 2, 32),
+			if p := ComputePlan(in); scaledOut(p, false) != tc.want || scaledOut(p, true) != 0 {
+				t.Errorf("got %+v, want %d that are not spot", p.ScaleOut, tc.want)
 			}
-			switch {
-			case i < tc.busy:
-				u.Busy = []placement.ExpectedRelease{{Until: now.Add(time.Minute), Room: u.Total}}
-			case i < tc.busy+tc.idle:
-				u.IdleSince = now
-			default:
-				u.Booting = true
-			}
-			in.Units = append(in.Units, u)
-		}
-		if p := ComputePlan(in); scaledOut(p, false) != tc.want || scaledOut(p, true) != 0 {
-			t.Errorf("%s: rented %+v, want %d", tc.name, p.ScaleOut, tc.want)
-		}
+		})
 	}
 }
--- a/internal/leader/autoscale/policy.go
+++ b/internal/leader/autoscale/policy.go
@@ -8,122 +8,150 @@
 	"maddermill/wire"
 )
 
-// ApplyPolicy has a policy decide on a plan: it is told what there is of each kind of machine and
-// what the plan would do, and answers with what is to be done.
+// microsPerUnit converts prices to those of a policy, which are in millionths.
+const microsPerUnit = 1e6
+
+// ApplyPolicy lets a fleet policy decide on a plan. The policy gets how many machines there are of each
+// kind and what the plan would do with them, and returns one change for each kind. Only idle machines are
+// drained: those of the plan first, then those idle for the longest.
 func ApplyPolicy(in *Input, plan Plan, decide func(*policy.Fleet) []policy.Change) Plan {
-	f, kinds := summarize(in, plan)
-	if len(kinds) == 0 {
+	options := in.options()
+	if len(options) == 0 {
 		return plan
 	}
-	out := Plan{}
-	mine := map[wire.MachineID]bool{}
+	decided := Plan{}
+	idle := in.idleForDrain(plan)
+	for i, change := range decide(in.summarize(plan, options)) {
+		option := options[i]
+		if change.Hire > 0 {
+			decided.ScaleOut = append(decided.ScaleOut, ScaleOut{MachineOption: option, Count: int(change.Hire)})
+		}
+		machines := idle[option]
+		for _, m := range machines[:min(len(machines), int(change.Drain))] {
+			decided.Drain = append(decided.Drain, m.ID)
+		}
+	}
+	return decided
+}
+
+// idleForDrain returns the idle machines of each kind in the order in which they go: those that a plan
+// drains, then those idle for the longest.
+func (in *Input) idleForDrain(plan Plan) map[MachineOption][]*Machine {
+	planned := map[wire.MachineID]bool{}
 	for _, id := range plan.Drain {
-		mine[id] = true
+		planned[id] = true
 	}
 	idle := map[MachineOption][]*Machine{}
 	for i := range in.Units {
-		if u := &in.Units[i]; u.isIdle() {
-			idle[u.option()] = append(idle[u.option()], u)
+		if m := &in.Units[i]; m.isIdle() {
+			idle[m.option()] = append(idle[m.option()], m)
 		}
 	}
-	for i, c := range decide(f) {
-		o := kinds[i]
-		if c.Hire > 0 {
-			out.ScaleOut = append(out.ScaleOut, ScaleOut{o, int(c.Hire)})
-		}
-		// Those that the plan gives back go first, then those that are idle for longest.
-		units := idle[o]
-		slices.SortFunc(units, func(a, b *Machine) int {
-			if mine[a.ID] != mine[b.ID] {
-				if mine[a.ID] {
-					return -1
-				}
-				return 1
-			}
-			return cmp.Or(a.IdleSince.Compare(b.IdleSince), cmp.Compare(a.ID, b.ID))
+	for _, machines := range idle {
+		slices.SortFunc(machines, func(a, b *Machine) int {
+			return cmp.Or(
+				compareBool(!planned[a.ID], !planned[b.ID]),
+				a.IdleSince.Compare(b.IdleSince),
+				cmp.Compare(a.ID, b.ID),
+			)
 		})
-		for _, u := range units[:min(len(units), int(c.Drain))] {
-			out.Drain = append(out.Drain, u.ID)
-		}
 	}
-	return out
+	return idle
 }
 
-// idle: it has no task and could be given back.
-func (m *Machine) isIdle() bool { return !m.IdleSince.IsZero() && !m.Booting }
-
-// summarize is what a policy sees of a plan, and the kinds that it sees in their order.
-func summarize(in *Input, plan Plan) (*policy.Fleet, []MachineOption) {
-	f := &policy.Fleet{Now: in.Now.UnixMilli(), Most: uint32(in.MaxMachines)}
-	for i := range in.Queue {
-		f.Waiting += uint32(max(0, in.Queue[i].Job.Pending()))
-	}
-	var kinds []MachineOption
-	for sku, fl := range in.Flavors {
-		for _, z := range fl.Zones {
-			if kinds = append(kinds, MachineOption{sku, z, false}); in.Spot {
-				kinds = append(kinds, MachineOption{sku, z, true})
+// options returns all kinds of machines that may be rented, by type, zone, and spot last.
+func (in *Input) options() []MachineOption {
+	var options []MachineOption
+	for name, machineType := range in.Flavors {
+		for _, zone := range machineType.Zones {
+			options = append(options, MachineOption{Type: name, Zone: zone})
+			if in.Spot {
+				options = append(options, MachineOption{Type: name, Zone: zone, Spot: true})
 			}
 		}
 	}
-	slices.SortFunc(kinds, func(a, b MachineOption) int {
-		spot := func(o MachineOption) int {
-			if o.Spot {
-				return 1
-			}
-			return 0
-		}
-		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(spot(a), spot(b)))
+	slices.SortFunc(options, func(a, b MachineOption) int {
+		return cmp.Or(
+			cmp.Compare(a.Type, b.Type),
+			cmp.Compare(a.Zone, b.Zone),
+			compareBool(a.Spot, b.Spot),
+		)
 	})
+	return options
+}
+
+// summarize returns what a policy sees of a plan, with the kinds of machines in the order of options.
+func (in *Input) summarize(plan Plan, options []MachineOption) *policy.Fleet {
+	fleet := &policy.Fleet{
+		Now:   in.Now.UnixMilli(),
+		Most:  uint32(in.MaxMachines),
+		Kinds: make([]policy.Kind, len(options)),
+	}
+	for i := range in.Queue {
+		fleet.Waiting += uint32(max(0, in.Queue[i].Job.Pending()))
+	}
 	var names policy.Namer
-	at := map[MachineOption]*policy.Kind{}
-	f.Kinds = make([]policy.Kind, len(kinds))
-	for i, o := range kinds {
-		k := &f.Kinds[i]
-		k.Type, k.Zone, k.Price, k.Boot = names.Number(
-			string(o.Type),
-		), names.Number(
-			string(o.Zone),
-		), int64(
-			in.price(o)*1e6,
-		), uint32(
-			in.Flavors[o.Type].Boot.Duration().Seconds(),
-		)
-		if o.Spot {
-			k.Spot = 1
-		}
-		if in.OutOfCapacity != nil && in.OutOfCapacity(o) {
-			k.Refused = 1
-		}
-		at[o] = k
+	kinds := map[MachineOption]*policy.Kind{}
+	for i, option := range options {
+		fleet.Kinds[i] = in.kind(option, &names)
+		kinds[option] = &fleet.Kinds[i]
+	}
+	fleet.Names = names.Names
+	in.countMachines(kinds)
+	countPlan(plan, kinds, in.Units)
+	return fleet
+}
+
+// kind returns a kind of machine in the form of policies, without counts.
+func (in *Input) kind(option MachineOption, names *policy.Namer) policy.Kind {
+	kind := policy.Kind{
+		Type:  names.Number(string(option.Type)),
+		Zone:  names.Number(string(option.Zone)),
+		Price: int64(in.price(option) * microsPerUnit),
+		Boot:  uint32(in.Flavors[option.Type].Boot.Duration().Seconds()),
+	}
+	if option.Spot {
+		kind.Spot = 1
 	}
-	f.Names = names.Names
-	option := map[wire.MachineID]MachineOption{}
+	if in.OutOfCapacity != nil && in.OutOfCapacity(option) {
+		kind.Refused = 1
+	}
+	return kind
+}
+
+// countMachines adds to the kinds how many machines there are.
+func (in *Input) countMachines(kinds map[MachineOption]*policy.Kind) {
 	for i := range in.Units {
-		u := &in.Units[i]
-		k := at[u.option()]
-		if option[u.ID] = u.option(); k == nil {
+		m := &in.Units[i]
+		kind := kinds[m.option()]
+		if kind == nil {
 			continue
 		}
-		switch {
-		case u.Booting:
-			k.Booting++
-		default:
-			k.Up++
+		if m.Booting {
+			kind.Booting++
+		} else {
+			kind.Up++
 		}
-		if u.isIdle() {
-			k.Idle++
+		if m.isIdle() {
+			kind.Idle++
 		}
 	}
-	for _, n := range plan.ScaleOut {
-		if k := at[n.MachineOption]; k != nil {
-			k.Hire += uint32(n.Count)
+}
+
+// countPlan adds to the kinds how many of the machines a plan rents and returns.
+func countPlan(plan Plan, kinds map[MachineOption]*policy.Kind, machines []Machine) {
+	options := make(map[wire.MachineID]MachineOption, len(machines))
+	for i := range machines {
+		options[machines[i].ID] = machines[i].option()
+	}
+	for _, scaleOut := range plan.ScaleOut {
+		if kind := kinds[scaleOut.MachineOption]; kind != nil {
+			kind.Hire += uint32(scaleOut.Count)
 		}
 	}
 	for _, id := range plan.Drain {
-		if k := at[option[id]]; k != nil {
-			k.Drain++
+		if kind := kinds[options[id]]; kind != nil {
+			kind.Drain++
 		}
 	}
-	return f, kinds
 }
--- a/internal/leader/autoscale/policy_test.go
+++ b/internal/leader/autoscale/policy_test.go
@@ -11,65 +11,78 @@
 	"maddermill/wire"
 )
 
-// TestDecide: the built-in policy's answer leaves a plan as it is, and of what another gives
-// back only idle machines go, those of the plan first and then those that idle for longest.
-func TestApplyPolicy(t *testing.T) {
-	rng := rand.New(rand.NewPCG(2, 2))
-	now := time.Unix(1_800_000_000, 0)
-	for range 100 {
-		in := &Input{Now: now, Spot: rng.IntN(2) == 0, Flavors: map[wire.MachineTypeName]wire.MachineType{
-			"g2": {
-				Name:      "g2",
-				Price:     4,
-				SpotPrice: 1,
-				Zones:     []wire.Zone{"a", "b"},
-			},
+// randomPlan returns an input with random machines, and a plan that drains some of the idle ones and may
+// scale out.
+func randomPlan(rng *rand.Rand) (*Input, Plan) {
+	zones := []wire.Zone{"a", "b"}
+	in := &Input{
+		Now:  now,
+		Spot: rng.IntN(2) == 0,
+		Flavors: map[wire.MachineTypeName]wire.MachineType{
+			"g2": {Name: "g2", Price: 4, SpotPrice: 1, Zones: zones},
 			"c8": {Name: "c8", Price: 2, SpotPrice: 1, Zones: []wire.Zone{"b"}},
-		}}
-		var plan Plan
-		for i := range rng.IntN(30) {
-			u := Machine{
-				ID:      wire.MachineID(fmt.Sprintf("host-%02d", i)),
-				Type:    "g2",
-				Zone:    []wire.Zone{"a", "b"}[rng.IntN(2)],
-				Spot:    in.Spot && rng.IntN(2) == 0,
-				Booting: rng.IntN(4) == 0,
-			}
-			if rng.IntN(2) == 0 {
-				u.IdleSince = now.Add(-time.Duration(rng.IntN(900)) * time.Second)
-				if u.isIdle() && rng.IntN(2) == 0 {
-					plan.Drain = append(plan.Drain, u.ID)
-				}
-			}
-			in.Units = append(in.Units, u)
+		},
+	}
+	var plan Plan
+	for i := range rng.IntN(30) {
+		m := Machine{
+			ID:      wire.MachineID(fmt.Sprintf("host-%02d", i)),
+			Type:    "g2",
+			Zone:    zones[rng.IntN(2)],
+			Spot:    in.Spot && rng.IntN(2) == 0,
+			Booting: rng.IntN(4) == 0,
 		}
 		if rng.IntN(2) == 0 {
-			plan.ScaleOut = []ScaleOut{{MachineOption{"c8", "b", false}, 3}, {MachineOption{"g2", "a", false}, 60}}
+			m.IdleSince = now.Add(-time.Duration(rng.IntN(900)) * time.Second)
+			if m.isIdle() && rng.IntN(2) == 0 {
+				plan.Drain = append(plan.Drain, m.ID)
+			}
 		}
+		in.Units = append(in.Units, m)
+	}
+	if rng.IntN(2) == 0 {
+		plan.ScaleOut = []ScaleOut{
+			{MachineOption{Type: "c8", Zone: "b"}, 3},
+			{MachineOption{Type: "g2", Zone: "a"}, 60},
+		}
+	}
+	return in, plan
+}
+
+// drainOneMore is a policy that rents nothing and drains one more idle machine of each kind than the plan.
+func drainOneMore(fleet *policy.Fleet) []policy.Change {
+	changes := policy.BuiltinFleet(fleet)
+	for i, kind := range fleet.Kinds {
+		changes[i] = policy.Change{Drain: min(kind.Idle, kind.Drain+1)}
+	}
+	return changes
+}
+
+// TestApplyPolicy: the built-in policy leaves a plan as it is, and of the machines that another policy
+// drains only idle ones go, those of the plan first.
+func TestApplyPolicy(t *testing.T) {
+	rng := rand.New(rand.NewPCG(2, 2))
+	for range 100 {
+		in, plan := randomPlan(rng)
 		same := ApplyPolicy(in, plan, policy.BuiltinFleet)
 		slices.Sort(same.Drain)
 		slices.Sort(plan.Drain)
 		if fmt.Sprint(same) != fmt.Sprint(plan) {
-			t.Fatalf("%v, want %v", same, plan)
+			t.Fatalf("built-in policy: got %v, want %v", same, plan)
 		}
-		all := ApplyPolicy(in, plan, func(f *policy.Fleet) []policy.Change {
-			out := policy.BuiltinFleet(f)
-			for i, k := range f.Kinds {
-				out[i] = policy.Change{Drain: min(k.Idle, k.Drain+1)}
-			}
-			return out
-		})
-		if len(all.ScaleOut) > 0 {
-			t.Errorf("rents %v", all.ScaleOut)
+		more := ApplyPolicy(in, plan, drainOneMore)
+		if len(more.ScaleOut) > 0 {
+			t.Errorf("scale-out: got %v, want none", more.ScaleOut)
 		}
 		for _, id := range plan.Drain {
-			if !slices.Contains(all.Drain, id) {
-				t.Errorf("%s is not given back, and others are: %v", id, all.Drain)
+			if !slices.Contains(more.Drain, id) {
+				t.Errorf("got %v drained, want %s of the plan among them", more.Drain, id)
 			}
 		}
-		for _, id := range all.Drain {
-			if u := in.Units[slices.IndexFunc(in.Units, func(u Machine) bool { return u.ID == id })]; !u.isIdle() {
-				t.Errorf("%s is given back and not idle", id)
+		for _, id := range more.Drain {
+			at := slices.IndexFunc(in.Units, func(m Machine) bool { return m.ID == id })
+			if !in.Units[at].isIdle() {
+				t.Errorf("got %s drained, want idle machines only", id)
 			}
 		}
 	}
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -61,15 +61,15 @@
 	l := t.leader
 	snapshot := l.Scheduler.Snapshot(now)
 	in := &autoscale.Input{
-		Now:         now,
-		Flavors:     t.machineTypes,
-		Queue:       snapshot.Queue,
-		TeamRoom:    l.records().RemainingTeamQuota,
-		Spot:        l.set.Operators.Spot,
-		MaxMachines: l.set.Operators.MostMachines,
-		IdleBoots:   l.set.Operators.IdleBoots,
-		Headroom:    l.set.Operators.Headroom,
-		Close:       snapshot.Tree != nil,
+		Now:           now,
+		Flavors:       t.machineTypes,
+		Queue:         snapshot.Queue,
+		TeamRoom:      l.records().RemainingTeamQuota,
+		Spot:          l.set.Operators.Spot,
+		MaxMachines:   l.set.Operators.MostMachines,
+		IdleBoots:     l.set.Operators.IdleBoots,
+		Headroom:      l.set.Operators.Headroom,
+		PreferOneZone: snapshot.Tree != nil,
 		OutOfCapacity: func(option autoscale.MachineOption) bool {
 			return now.Before(t.noCapacityUntil[option]) || now.Before(t.silentZonesUntil[option.Zone])
 		},
