--- a/internal/scheduler/estimate/spot_reclaims_test.go
+++ b/internal/scheduler/estimate/spot_reclaims_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// TestTakings: the estimate follows how often machines are taken, stays near the usual where few
-// were watched, and forgets a wave; a watcher that stood still doesn't count the hours.
-func TestTakings(t *testing.T) {
+// TestSpotReclaims: the estimate follows how often machines are reclaimed, stays near the prior where few
+// were observed, and forgets a wave; a process that was paused doesn't count the hours.
+func TestSpotReclaims(t *testing.T) {
 	now := time.Unix(0, 0)
-	var e SpotReclaims
-	watch := func(machines int, length time.Duration, perHour float64) {
+	var s SpotReclaims
+	observe := func(machines int, length time.Duration, perHour float64) {
 		due := 0.0
 		for range int(length / time.Second) {
 			now = now.Add(time.Second)
-			e.CountMachineTime(machines, now)
+			s.CountMachineTime(machines, now)
 			for due += float64(machines) * perHour / 3600; due >= 1; due-- {
-				e.Observe()
+				s.Observe()
 			}
 		}
 	}
-	near := func(what string, low, high float64) {
+	wantBetween := func(what string, low, high float64) {
 		t.Helper()
-		if got := e.PerHour(); got < low || got > high {
-			t.Errorf("%s: %.2f an hour, want %.1f to %.1f", what, got, low, high)
+		if got := s.PerHour(); got < low || got > high {
+			t.Errorf("%s: got %.2f an hour, want %.1f to %.1f", what, got, low, high)
 		}
 	}
-	near("nothing seen", 1, 1)
-	watch(3, 10*time.Minute, 0)
-	near("three quiet machines", 0.8, 1)
-	watch(600, 10*time.Minute, 15)
-	near("many taken", 11, 15)
-	before := e.hours
+	wantBetween("nothing observed", 1, 1)
+	observe(3, 10*time.Minute, 0)
+	wantBetween("three machines and no reclaim", 0.8, 1)
+	observe(600, 10*time.Minute, 15)
+	wantBetween("many reclaims", 11, 15)
+	before := s.machineHours
 	now = now.Add(time.Hour)
-	e.CountMachineTime(600, now)
-	if e.hours > before {
-		t.Error("an hour of standing still counts as watched")
+	s.CountMachineTime(600, now)
+	if s.machineHours > before {
+		t.Errorf("after a pause of an hour: got %.1f machine hours, want at most %.1f", s.machineHours, before)
 	}
-	watch(600, 20*time.Minute, 1.8)
-	near("calm again", 1.4, 2.2)
+	observe(600, 20*time.Minute, 1.8)
+	wantBetween("few reclaims again", 1.4, 2.2)
 }
