--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -59,8 +59,7 @@
 			}
 			for i := range list {
 				if list[i].Machine == wire.MachineID(args[0]) {
-					quarantine.Write(cmd.OutOrStdout(), &list[i])
-					return nil
+					return quarantine.Write(cmd.OutOrStdout(), &list[i])
 				}
 			}
 			return fmt.Errorf("%s: no task failed there that this controller remembers, nor is it slow", args[0])
--- a/internal/scheduler/crashloop/quarantine.go
+++ b/internal/scheduler/crashloop/quarantine.go
@@ -46,8 +46,7 @@
 // cancelled since don't count.
 func (t *Tracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
 	if t.judge != nil {
-		faulty, _, _ := t.judge.Faulty(machine)
-		return faulty
+		return t.judge.Verdict(machine).Faulty
 	}
 	jobs := 0
 	for id, failedAt := range t.failedOn[machine] {
--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -12,155 +12,182 @@
 	"maddermill/wire"
 )
 
-func (p SuspectedCause) name() string {
-	if p.Kind == OfTask {
-		return fmt.Sprintf("%d of %s", p.Task, p.Name)
+// displayName returns the name of a cause for users.
+func (c SuspectedCause) displayName() string {
+	if c.Kind == CauseTask {
+		return fmt.Sprintf("%d of %s", c.Task, c.Name)
 	}
-	return p.Name
+	return c.Name
 }
 
-// Explain tells what is believed of a machine and why; false if there is nothing to tell: no task
-// failed there that is remembered, and it isn't slow.
+// Explain returns the judgement of a machine with the failures and causes that it follows from; false if
+// there is none: no failure there is remembered, and it isn't slow.
 func (j *Judge) Explain(m wire.MachineID) (wire.Judgement, bool) {
 	j.settle()
-	p := SuspectedCause{Kind: OfMachine, Name: string(m)}
+	machine := machineCause(m)
 	out := wire.Judgement{
 		Machine:  m,
-		Before:   j.odds.Faulty,
-		Sure:     j.odds.Faulty,
-		Times:    1,
-		Done:     int(j.done[p]),
-		Accident: j.accident,
+		Before:   j.priors.Faulty,
+		Sure:     j.priors.Faulty,
+		Done:     int(j.completed[machine]),
+		Accident: j.accidentRate,
 	}
 	out.Slow, out.Times = j.Slow(m)
-	b := j.belief[p]
+	b := j.beliefs[machine]
 	if b == nil {
 		return out, out.Slow
 	}
-	out.Faulty, out.Sure, out.Rate = j.Faulty(m)
-	for _, f := range b.fail {
-		x := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
-		for _, o := range f.of[:f.n] {
-			x.Parties = append(
-				x.Parties,
-				wire.JudgedParty{Kind: o.Kind.String(), Name: o.name(), Before: j.prior(o.Kind), Sure: o.sure,
-					Done: int(j.done[o.SuspectedCause]), Failed: len(o.fail)},
-			)
-		}
-		out.Failures = append(out.Failures, x)
+	verdict := j.Verdict(m)
+	out.Faulty, out.Sure, out.Rate = verdict.Faulty, verdict.Probability, verdict.FailureRate
+	for _, f := range b.failures {
+		out.Failures = append(out.Failures, j.explainFailure(f))
 	}
 	return out, true
 }
 
-// mostDigest bounds a digest, in bytes: it goes into a machine's mark, beside little else.
-const mostDigest = 200
+// explainFailure returns a failure with what is believed about its causes.
+func (j *Judge) explainFailure(f *failure) wire.JudgedFailure {
+	out := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
+	for _, b := range f.beliefs() {
+		out.Parties = append(out.Parties, wire.JudgedParty{
+			Kind:   b.Kind.String(),
+			Name:   b.displayName(),
+			Before: j.prior(b.Kind),
+			Sure:   b.probability,
+			Done:   int(j.completed[b.SuspectedCause]),
+			Failed: len(b.failures),
+		})
+	}
+	return out
+}
+
+const (
+	// maxDigest bounds a digest, in bytes: it goes into the record of a machine's phase, beside little else.
+	maxDigest = 200
+	// digestEllipsis ends a digest that doesn't name all jobs.
+	digestEllipsis = " and others"
+)
 
-// Digest is why a machine is judged as it is in a few words, to be kept with its mark.
+// Digest returns in a few words why a machine is judged as it is, for the record of its phase; "" if there
+// is no judgement.
 func (j *Judge) Digest(m wire.MachineID) string {
-	x, ok := j.Explain(m)
+	judgement, ok := j.Explain(m)
 	if !ok {
 		return ""
 	}
-	text := fmt.Sprintf(
-		"fails %.0f%% of its tasks, probability %.4g; %d failed and %d done:",
-		100*x.Rate,
-		x.Sure,
-		len(x.Failures),
-		x.Done,
-	)
-	var seen []wire.JobID
-	for _, f := range x.Failures {
-		if slices.Contains(seen, f.Job) {
+	text := fmt.Sprintf("fails %.0f%% of its tasks, probability %.4g; %d failed and %d done:",
+		100*judgement.Rate, judgement.Sure, len(judgement.Failures), judgement.Done)
+	var named []wire.JobID
+	for _, f := range judgement.Failures {
+		if slices.Contains(named, f.Job) {
 			continue
 		}
-		if len(text)+len(f.Job)+len(" and others") > mostDigest {
-			return text + " and others"
+		if len(text)+len(f.Job)+len(digestEllipsis) > maxDigest {
+			return text + digestEllipsis
 		}
-		seen = append(seen, f.Job)
+		named = append(named, f.Job)
 		text += " " + string(f.Job)
 	}
 	return text
 }
 
-// likely is how sure it must be of a cause that a sentence names it.
-const likely = 0.5
+// Write explains a judgement in sentences and a table. An error is that of w.
+func Write(w io.Writer, j *wire.Judgement) error {
+	var text strings.Builder
+	writeVerdict(&text, j)
+	if len(j.Failures) > 0 {
+		writeCauses(&text, j)
+		if err := writeTable(&text, j); err != nil {
+			return fmt.Errorf("explain %s: %w", j.Machine, err)
+		}
+	}
+	if _, err := io.WriteString(w, text.String()); err != nil {
+		return fmt.Errorf("explain %s: %w", j.Machine, err)
+	}
+	return nil
+}
 
-// Write explains a judgement in sentences and a table.
-func Write(w io.Writer, j *wire.Judgement) {
+// writeVerdict writes whether the machine is faulty, and whether it is slow.
+func writeVerdict(text *strings.Builder, j *wire.Judgement) {
 	switch {
 	case j.Faulty:
-		fmt.Fprintf(w, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.Rate)
+		fmt.Fprintf(text, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.Rate)
 	case j.Sure > likely:
-		fmt.Fprintf(w, "%s is watched: it may be faulty, which has not stood for long enough.\n", j.Machine)
+		fmt.Fprintf(text, "%s is watched: it may be faulty, which has not stood for long enough.\n", j.Machine)
 	case len(j.Failures) > 0:
-		fmt.Fprintf(w, "%s is not held to be faulty.\n", j.Machine)
+		fmt.Fprintf(text, "%s is not held to be faulty.\n", j.Machine)
 	}
 	if j.Slow {
-		fmt.Fprintf(
-			w,
-			"%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n",
-			j.Machine,
-			j.Times,
-		)
-	}
-	if len(j.Failures) == 0 {
-		return
-	}
-	fmt.Fprintf(
-		w,
-		"The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
-		j.Before,
-		j.Sure,
-	)
-	fmt.Fprintf(
-		w,
-		"%d tasks were done there and %d failed that are remembered; %.2g%% of all tasks fail by accident.\n",
-		j.Done,
-		len(j.Failures),
-		100*j.Accident,
-	)
-	type blamed struct {
-		wire.JudgedParty
-		failures int
-	}
-	var list []blamed
+		fmt.Fprintf(text, "%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n",
+			j.Machine, j.Times)
+	}
+}
+
+// causeSummary is a cause of a machine's failures, and of how many of them it may be the cause.
+type causeSummary struct {
+	wire.JudgedParty
+	failures int
+}
+
+// summarizeCauses returns the causes of a machine's failures, the most probable first.
+func summarizeCauses(j *wire.Judgement) []causeSummary {
+	var list []causeSummary
 	for _, f := range j.Failures {
 		for _, p := range f.Parties {
-			at := slices.IndexFunc(list, func(b blamed) bool { return b.Kind == p.Kind && b.Name == p.Name })
+			at := slices.IndexFunc(list, func(c causeSummary) bool { return c.Kind == p.Kind && c.Name == p.Name })
 			if at < 0 {
 				at = len(list)
-				list = append(list, blamed{JudgedParty: p})
+				list = append(list, causeSummary{JudgedParty: p})
 			}
 			list[at].failures++
 		}
 	}
-	slices.SortStableFunc(list, func(a, b blamed) int {
+	slices.SortStableFunc(list, func(a, b causeSummary) int {
 		return cmp.Or(cmp.Compare(b.Sure, a.Sure), cmp.Compare(b.failures, a.failures))
 	})
-	var guilty, out []string
-	for _, b := range list {
-		text := fmt.Sprintf("%s %s", b.Kind, b.Name)
-		if b.Sure > likely {
-			guilty = append(guilty, fmt.Sprintf("%s (%d of its failures, %.3g)", text, b.failures, b.Sure))
-		} else if b.Kind != "machine" && b.failures > 1 || b.Kind == "machine" {
-			out = append(out, fmt.Sprintf("%s (%.2g)", text, b.Sure))
+	return list
+}
+
+// writeCauses writes the probabilities, and which causes the failures are put down to and which are ruled
+// out: the machine, and others that several failures share.
+func writeCauses(text *strings.Builder, j *wire.Judgement) {
+	fmt.Fprintf(text, "The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
+		j.Before, j.Sure)
+	fmt.Fprintf(text, "%d tasks were done there and %d failed that are remembered; %.2g%% of all tasks fail by accident.\n",
+		j.Done, len(j.Failures), 100*j.Accident)
+	var found, ruledOut []string
+	for _, c := range summarizeCauses(j) {
+		switch {
+		case c.Sure > likely:
+			found = append(found, fmt.Sprintf("%s %s (%d of its failures, %.3g)", c.Kind, c.Name, c.failures, c.Sure))
+		case c.Kind == CauseMachine.String() || c.failures > 1:
+			ruledOut = append(ruledOut, fmt.Sprintf("%s %s (%.2g)", c.Kind, c.Name, c.Sure))
 		}
 	}
-	if len(guilty) == 0 {
-		guilty = []string{"nothing that comes again, as far as can be told"}
+	if len(found) == 0 {
+		found = []string{"nothing that comes again, as far as can be told"}
 	}
-	fmt.Fprintf(w, "Its failures are put down to: %s.\n", strings.Join(guilty, "; "))
-	if len(out) > 0 {
-		fmt.Fprintf(w, "Ruled out: %s.\n", strings.Join(out, "; "))
+	fmt.Fprintf(text, "Its failures are put down to: %s.\n", strings.Join(found, "; "))
+	if len(ruledOut) > 0 {
+		fmt.Fprintf(text, "Ruled out: %s.\n", strings.Join(ruledOut, "; "))
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "at\tjob\ttask\tparty\tdone\tfailed\tbefore\tnow")
+}
+
+// writeTable writes a row for each cause of each failure.
+func writeTable(w io.Writer, j *wire.Judgement) error {
+	var rows strings.Builder
+	fmt.Fprintln(&rows, "at\tjob\ttask\tparty\tdone\tfailed\tbefore\tnow")
 	for _, f := range j.Failures {
 		head := fmt.Sprintf("%s\t%s\t%d", f.At.Time().UTC().Format(time.RFC3339), f.Job, f.Task)
 		for _, p := range f.Parties {
-			fmt.Fprintf(t, "%s\t%s %s\t%d\t%d\t%.2g\t%.2g\n", head, p.Kind, p.Name, p.Done, p.Failed, p.Before, p.Sure)
+			fmt.Fprintf(&rows, "%s\t%s %s\t%d\t%d\t%.2g\t%.2g\n",
+				head, p.Kind, p.Name, p.Done, p.Failed, p.Before, p.Sure)
 			head = "\t\t"
 		}
 	}
-	t.Flush()
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(table, rows.String()); err != nil {
+		return err
+	}
+	return table.Flush()
 }
--- a/internal/scheduler/quarantine/explain_test.go
+++ b/internal/scheduler/quarantine/explain_test.go
@@ -32,7 +32,9 @@
 			for m := range 64 {
 				if x, ok := j.Explain(wire.MachineID(fmt.Sprint("host-", m))); ok && len(x.Failures) > most {
 					var b strings.Builder
-					Write(&b, &x)
+					if err := Write(&b, &x); err != nil {
+						t.Fatal(err)
+					}
 					most, text = len(x.Failures), b.String()
 				}
 			}
@@ -53,6 +55,6 @@
 
 func (r watching) see(o *Outcome) { r.Observe(o) }
 func (r watching) faulty(m wire.MachineID) bool {
-	r.Faulty(m) // it keeps judging as it would
+	r.Verdict(m) // it keeps judging as it would
 	return false
 }
--- a/internal/scheduler/quarantine/faults_test.go
+++ b/internal/scheduler/quarantine/faults_test.go
@@ -77,8 +77,7 @@
 
 func (r judges) see(o *Outcome) { r.Observe(o) }
 func (r judges) faulty(m wire.MachineID) bool {
-	yes, _, _ := r.Faulty(m)
-	return yes
+	return r.Verdict(m).Faulty
 }
 
 // played is what came of a world under a rule.
@@ -375,7 +374,7 @@
 			}
 		}
 		see(here, "host-9", "else", false, later)
-		_, s, _ := here.Faulty("host-1")
+		s := here.Verdict("host-1").Probability
 		return s
 	}
 	alone, told, done := sure(false, false), sure(true, false), sure(false, true)
@@ -423,7 +422,7 @@
 	})
 	b.Run("failed", func(b *testing.B) {
 		for b.Loop() {
-			now = now.Add(settleEvery)
+			now = now.Add(settleInterval)
 			see(true)
 			j.settle()
 		}
