--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -153,8 +153,8 @@
 func writeCauses(text *strings.Builder, j *wire.Judgement) {
 	fmt.Fprintf(text, "The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
 		j.Before, j.Sure)
-	fmt.Fprintf(text, "%d tasks were done there and %d failed that are remembered; %.2g%% of all tasks fail by accident.\n",
-		j.Done, len(j.Failures), 100*j.Accident)
+	fmt.Fprintf(text, "%d tasks were done there and %d failed that are remembered; ", j.Done, len(j.Failures))
+	fmt.Fprintf(text, "%.2g%% of all tasks fail by accident.\n", 100*j.Accident)
 	var found, ruledOut []string
 	for _, c := range summarizeCauses(j) {
 		switch {
--- a/internal/scheduler/quarantine/model.go
+++ b/internal/scheduler/quarantine/model.go
@@ -130,7 +130,8 @@
 	Wrong  float64 // the share of machines judged faulty that may be sound
 }
 
-// DefaultPriors are those of a cluster without settings of its own: one machine in a hundred is faulty, and one judgement in 250 is wrong.
+// DefaultPriors are those of a cluster without settings of its own: one machine in a hundred is faulty, and one
+// judgement in 250 is wrong.
 var DefaultPriors = Priors{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
 
 // failureRates are those with which a faulty cause may fail its tasks.
