--- a/internal/scheduler/deadline/promise_test.go
+++ b/internal/scheduler/deadline/deadline_test.go
@@ -12,66 +12,72 @@
 	"maddermill/wire"
 )
 
-const good = `# what was promised
+// goodRegister is a register without mistakes.
+const goodRegister = `# what was promised
 revision: 3
 margin_s: 30
 gallery {
   name: "couple-1"  team: "desk"  promised: "2026-12-05T18:00:00Z"
   job: "wk-000001"
 }
-gallery { name: "couple-2" team: "desk" promised: "2026-12-05T20:00:00+02:00" workflow: "wf-000001" class: "rush" complete: true }
+gallery { name: "couple-2" team: "desk" promised: "2026-12-05T20:00:00+02:00"
+  workflow: "wf-000001" class: "rush" complete: true }
 gallery { name: "couple-3" team: "other" promised: "2026-12-06T18:00:00Z" class: "rush" why: "moved by the bride" }
 `
 
-// TestRegister: a register is read as it is meant, and each mistake is told with its line, its
-// field and the reason, all at once.
+// TestRegister: a register is read as it is meant, and each mistake is reported with its line, its field and the
+// reason.
 func TestRegister(t *testing.T) {
-	r, err := Parse([]byte(good), []wire.Team{"desk", "other"})
+	teams := []wire.Team{"desk", "other"}
+	r, err := Parse([]byte(goodRegister), teams)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := r.Entry(
-		"couple-2",
-	); r.Revision != 3 || r.Margin != 30*time.Second || !e.Promised.Equal(r.Entry("couple-1").Promised) ||
-		!e.Complete {
-		t.Errorf("read %+v", r)
+	entry := r.Entry("couple-2")
+	if r.Revision != 3 || r.Margin != 30*time.Second || !entry.Complete ||
+		!entry.Promised.Equal(r.Entry("couple-1").Promised) {
+		t.Errorf("got %+v", r)
 	}
 	for _, tc := range []struct {
-		spec wire.JobSpec
-		flow wire.WorkflowID
-		want []wire.GalleryName
+		spec     wire.JobSpec
+		workflow wire.WorkflowID
+		want     []wire.GalleryName
 	}{
-		{wire.JobSpec{ID: "wk-000001", Team: "desk", Class: "rush"}, "wf-000001", []wire.GalleryName{"couple-1", "couple-2"}},
+		{
+			wire.JobSpec{ID: "wk-000001", Team: "desk", Class: "rush"},
+			"wf-000001",
+			[]wire.GalleryName{"couple-1", "couple-2"},
+		},
 		{wire.JobSpec{ID: "wk-000002", Team: "desk", Class: "rush"}, "", []wire.GalleryName{"couple-2"}},
 		{wire.JobSpec{ID: "wk-000001", Team: "other", Class: "rush"}, "", []wire.GalleryName{"couple-3"}},
 		{wire.JobSpec{ID: "wk-000002", Team: "other", Class: "calm"}, "", nil},
 	} {
-		if got := r.GalleriesOf(&tc.spec, tc.flow); !slices.Equal(got, tc.want) {
-			t.Errorf("%+v of %q: %v, want %v", tc.spec, tc.flow, got, tc.want)
+		if got := r.GalleriesOf(&tc.spec, tc.workflow); !slices.Equal(got, tc.want) {
+			t.Errorf("%+v of workflow %q: got %v, want %v", tc.spec, tc.workflow, got, tc.want)
 		}
 	}
-	for _, tc := range []struct{ was, is, told string }{
+	for _, tc := range []struct{ old, new, want string }{
 		{"revision: 3", "", "revision: must be given"},
 		{"margin_s: 30", "margin_s: -1", "margin_s: must be 0"},
 		{`name: "couple-1"`, `name: "couple 1"`, `line 4: name: "couple 1" is not`},
 		{`name: "couple-2"`, `name: "couple-1"`, `line 8: name: "couple-1" is given twice`},
-		{`team: "other"`, `team: "nobody"`, `line 9: team: "nobody" is no team`},
-		{"2026-12-06T18:00:00Z", "Friday", `line 9: promised: "Friday" is not a time`},
+		{`team: "other"`, `team: "nobody"`, `line 10: team: "nobody" is no team`},
+		{"2026-12-06T18:00:00Z", "Friday", `line 10: promised: "Friday" is not a time`},
 		{`job: "wk-000001"`, `job: "wk-1"`, `line 4: job: "wk-1" is not an id`},
 		{`job: "wk-000001"`, ``, `line 4: gallery: "couple-1" has neither`},
 		{`class: "rush" complete`, `job: "wk-000001" complete`, `line 8: job: wk-000001 is of "couple-1", too`},
 		{"gallery", "galery", "galery"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tc.was, tc.is, 1)), []wire.Team{"desk", "other"})
-		if err == nil || !strings.Contains(err.Error(), tc.told) {
-			t.Errorf("%q in place of %q: %v, want %q", tc.is, tc.was, err, tc.told)
+		_, err := Parse([]byte(strings.Replace(goodRegister, tc.old, tc.new, 1)), teams)
+		if err == nil || !strings.Contains(err.Error(), tc.want) {
+			t.Errorf("%q in place of %q: got error %v, want %q", tc.new, tc.old, err, tc.want)
 		}
 	}
 }
 
 // FuzzRegister: no file ends the reading, and what is taken is whole.
 func FuzzRegister(f *testing.F) {
-	f.Add(good)
+	f.Add(goodRegister)
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := Parse([]byte(text), nil)
 		if err == nil && r.Revision < 1 {
@@ -87,10 +93,10 @@
 	})
 }
 
-// TestJudgeByTheRecord: whenever it is looked, after a standstill of any length and with clocks off
+// TestEvaluateByTheRecord: whenever it is evaluated, after a pause of any length and with clocks off
 // by the bound, a promise comes to the same end, kept if all was done by the date; and a state
 // that is over is never left.
-func TestJudgeByTheRecord(t *testing.T) {
+func TestEvaluateByTheRecord(t *testing.T) {
 	date := time.Unix(1_800_000_000, 0)
 	const skew = 100 * time.Millisecond
 	for seed := range uint64(2000) {
@@ -107,7 +113,7 @@
 			want = ledger.GalleryBroken
 		}
 		state, ended := ledger.GalleryOpen, ledger.GalleryOpen
-		// Somebody looks now and then, or not for a long time.
+		// It is evaluated now and then, or not for a long time.
 		for at := -300 * time.Second; at < 400*time.Second; at += time.Duration(1+rng.IntN(1+rng.IntN(200))) * time.Second {
 			f := Facts{
 				Date:     date,
@@ -166,7 +172,7 @@
 			Machines: 10 * time.Second,
 		}
 		if got, _ := Evaluate(&f, 30*time.Second, 0, now); got != tc.want {
-			t.Errorf("%+v: %q", tc, got)
+			t.Errorf("%+v: got %q, want %q", tc, got, tc.want)
 		}
 	}
 }
@@ -175,7 +181,7 @@
 // which a plain trial of all orders of a few confirms.
 func TestOvercommitted(t *testing.T) {
 	now := time.Unix(0, 0)
-	some := 0
+	overcommitted := 0
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		var loads []Load
@@ -202,11 +208,11 @@
 			t.Fatalf("seed %d: %v of %v, possible %v", seed, got, loads, possible)
 		}
 		if !possible {
-			some++
+			overcommitted++
 		}
 	}
-	if some < 100 || some > 400 {
-		t.Errorf("%d of 500 are beyond the fleet", some)
+	if overcommitted < 100 || overcommitted > 400 {
+		t.Errorf("got %d of 500 overcommitted, want 100 to 400", overcommitted)
 	}
 }
 
--- a/internal/scheduler/deadline/register.go
+++ b/internal/scheduler/deadline/register.go
@@ -1,13 +1,14 @@
-// Package deadline knows of galleries, work with one promised date each: the operators' register,
-// when a promise is at risk, kept or broken, and what is promised beyond what the fleet can do.
-// It does no I/O and is told the time. docs/promises.md tells why it is so.
+// Package deadline is the pure core of galleries, work with one promised date each: the operators' register
+// (Register, Parse), the state of a gallery (Evaluate), and which dates can't all be met (Overcommitted).
+// docs/promises.md has the reasons for its rules. Package deadlinetracker applies it to the records.
+//
+// It does no I/O, is given the time, and holds no locks; a Register doesn't change once it is parsed.
 package deadline
 
 import (
 	"errors"
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/protocolbuffers/txtpbfmt/ast"
@@ -19,181 +20,224 @@
 	"maddermill/wire"
 )
 
+const (
+	// DefaultMargin is the margin of a register that gives none.
+	DefaultMargin = time.Minute
+	// maxMarginSeconds is the largest margin that a register may give.
+	maxMarginSeconds = 1e6
+	// maxGalleries is how many galleries a register may have.
+	maxGalleries = 20_000
+)
+
 // Entry is a gallery as it is registered.
 type Entry struct {
-	Name      wire.GalleryName
-	Team      wire.Team
-	Promised  time.Time
-	Why       string
+	Name     wire.GalleryName
+	Team     wire.Team
+	Promised time.Time // the date
+	Why      string    // the operators' reason for the date, for the records
+
+	// What belongs to the gallery: jobs by ID, by workflow, and by class.
 	Jobs      []wire.JobID
 	Workflows []wire.WorkflowID
 	Classes   []wire.Class
-	Complete  bool
+
+	Complete bool // no more jobs will come
 }
 
-// Register is a checked register. It doesn't change. The zero register names nothing.
+// Register is a checked register. It doesn't change. A nil register names nothing.
 type Register struct {
 	Revision int
-	Margin   time.Duration
-	Entries  []Entry // by name
+	Margin   time.Duration // the slack below which a gallery is at risk
+	Entries  []Entry       // in the order of the file
 
-	byName  map[wire.GalleryName]*Entry
-	byJob   map[wire.JobID]*Entry
-	byFlow  map[wire.WorkflowID]*Entry
-	byClass map[classOf][]*Entry
+	byName     map[wire.GalleryName]*Entry
+	byJob      map[wire.JobID]*Entry
+	byWorkflow map[wire.WorkflowID]*Entry
+	byClass    map[teamClass][]*Entry
 }
 
-type classOf struct {
+// teamClass is a class of a team's jobs.
+type teamClass struct {
 	team  wire.Team
 	class wire.Class
 }
 
-const (
-	defaultMargin = time.Minute
-	mostGalleries = 20_000
-)
+// registerParser turns the message of a register into a Register and collects what is wrong with it.
+type registerParser struct {
+	register *Register
+	teams    []wire.Team // empty: any team is taken
+	errs     []error
+}
+
+// fail adds an error about a field of a node; nil: of the whole file.
+func (p *registerParser) fail(node *ast.Node, field, format string, args ...any) {
+	p.errs = append(p.errs, configfile.FieldError(node, field, format, args...))
+}
 
-// Parse reads and checks a register in protobuf text format. teams are the platform's; with none
-// given any team is taken. All that is wrong is told at once, each with its line.
+// Parse reads and checks a register in protobuf text format. teams are those of the cluster's settings; with
+// none given any team is taken. The error joins everything that is wrong, each with its line.
 func Parse(text []byte, teams []wire.Team) (*Register, error) {
-	var m promisepb.Register
-	if err := prototext.Unmarshal(text, &m); err != nil {
+	var message promisepb.Register
+	if err := prototext.Unmarshal(text, &message); err != nil {
 		return nil, err
 	}
 	nodes, err := parser.Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	r := &Register{
-		Revision: int(m.GetRevision()),
-		Margin:   defaultMargin,
-		byName:   map[wire.GalleryName]*Entry{},
-		byJob:    map[wire.JobID]*Entry{},
-		byFlow:   map[wire.WorkflowID]*Entry{},
-		byClass:  map[classOf][]*Entry{},
+	p := &registerParser{
+		teams: teams,
+		register: &Register{
+			Revision:   int(message.GetRevision()),
+			Margin:     DefaultMargin,
+			Entries:    make([]Entry, len(message.Gallery)),
+			byName:     map[wire.GalleryName]*Entry{},
+			byJob:      map[wire.JobID]*Entry{},
+			byWorkflow: map[wire.WorkflowID]*Entry{},
+			byClass:    map[teamClass][]*Entry{},
+		},
 	}
-	var errs []error
-	fail := func(n *ast.Node, field, format string, args ...any) {
-		errs = append(errs, configfile.FieldError(n, field, format, args...))
+	p.parseHeader(&message)
+	galleryNodes := configfile.Fields(nodes, "gallery")
+	for i, gallery := range message.Gallery {
+		var node *ast.Node
+		if len(galleryNodes) == len(message.Gallery) {
+			node = galleryNodes[i]
+		}
+		p.parseGallery(&p.register.Entries[i], gallery, node)
 	}
-	if m.Revision == nil || m.GetRevision() == 0 {
-		fail(nil, "revision", "must be given, above 0")
+	if len(p.errs) > 0 {
+		return nil, errors.Join(p.errs...)
 	}
-	if m.MarginS != nil {
-		if r.Margin = wire.Seconds(m.GetMarginS()).Duration(); m.GetMarginS() < 0 || m.GetMarginS() > 1e6 {
-			fail(nil, "margin_s", "must be 0 to 1e6 seconds")
+	return p.register, nil
+}
+
+// parseHeader takes what the register says of itself.
+func (p *registerParser) parseHeader(message *promisepb.Register) {
+	if message.Revision == nil || message.GetRevision() == 0 {
+		p.fail(nil, "revision", "must be given, above 0")
+	}
+	if message.MarginS != nil {
+		seconds := message.GetMarginS()
+		p.register.Margin = wire.Seconds(seconds).Duration()
+		if seconds < 0 || seconds > maxMarginSeconds {
+			p.fail(nil, "margin_s", "must be 0 to 1e6 seconds")
 		}
 	}
-	if len(m.Gallery) > mostGalleries {
-		fail(nil, "gallery", "%d of them; %d at most", len(m.Gallery), mostGalleries)
+	if n := len(message.Gallery); n > maxGalleries {
+		p.fail(nil, "gallery", "%d of them; %d at most", n, maxGalleries)
 	}
-	at := configfile.Fields(nodes, "gallery")
-	r.Entries = make([]Entry, len(m.Gallery))
-	for i, g := range m.Gallery {
-		var n *ast.Node
-		if len(at) == len(m.Gallery) {
-			n = at[i]
-		}
-		e := &r.Entries[i]
-		*e = Entry{
-			Name:     wire.GalleryName(g.GetName()),
-			Team:     wire.Team(g.GetTeam()),
-			Why:      g.GetWhy(),
-			Complete: g.GetComplete(),
-		}
-		if !e.Name.Valid() {
-			fail(n, "name", "%q is not 1 to 64 letters, digits, dots, dashes and underscores", e.Name)
-		} else if r.byName[e.Name] != nil {
-			fail(n, "name", "%q is given twice", e.Name)
-		}
-		r.byName[e.Name] = e
-		if e.Team == "" || len(teams) > 0 && !slices.Contains(teams, e.Team) {
-			fail(n, "team", "%q is no team", e.Team)
-		}
-		var err error
-		if e.Promised, err = time.Parse(time.RFC3339, g.GetPromised()); err != nil {
-			fail(n, "promised", "%q is not a time as 2026-12-05T18:00:00Z", g.GetPromised())
-		}
-		if len(g.Job)+len(g.Workflow)+len(g.Class) == 0 {
-			fail(n, "gallery", "%q has neither job, workflow nor class", e.Name)
-		}
-		for _, id := range g.Job {
-			j := wire.JobID(id)
-			if !j.Valid() {
-				fail(n, "job", "%q is not an id of a job", id)
-			} else if o := r.byJob[j]; o != nil {
-				fail(n, "job", "%s is of %q, too", id, o.Name)
-			}
-			e.Jobs, r.byJob[j] = append(e.Jobs, j), e
-		}
-		for _, id := range g.Workflow {
-			f := wire.WorkflowID(id)
-			if id == "" {
-				fail(n, "workflow", "is empty")
-			} else if o := r.byFlow[f]; o != nil {
-				fail(n, "workflow", "%s is of %q, too", id, o.Name)
-			}
-			e.Workflows, r.byFlow[f] = append(e.Workflows, f), e
+}
+
+// parseGallery fills in an entry from a gallery at a node of the file.
+func (p *registerParser) parseGallery(entry *Entry, gallery *promisepb.Gallery, node *ast.Node) {
+	*entry = Entry{
+		Name:     wire.GalleryName(gallery.GetName()),
+		Team:     wire.Team(gallery.GetTeam()),
+		Why:      gallery.GetWhy(),
+		Complete: gallery.GetComplete(),
+	}
+	if !entry.Name.Valid() {
+		p.fail(node, "name", "%q is not 1 to 64 letters, digits, dots, dashes and underscores", entry.Name)
+	} else if p.register.byName[entry.Name] != nil {
+		p.fail(node, "name", "%q is given twice", entry.Name)
+	}
+	p.register.byName[entry.Name] = entry
+	if entry.Team == "" || len(p.teams) > 0 && !slices.Contains(p.teams, entry.Team) {
+		p.fail(node, "team", "%q is no team", entry.Team)
+	}
+	var err error
+	if entry.Promised, err = time.Parse(time.RFC3339, gallery.GetPromised()); err != nil {
+		p.fail(node, "promised", "%q is not a time as 2026-12-05T18:00:00Z", gallery.GetPromised())
+	}
+	if len(gallery.Job)+len(gallery.Workflow)+len(gallery.Class) == 0 {
+		p.fail(node, "gallery", "%q has neither job, workflow nor class", entry.Name)
+	}
+	p.parseJobs(entry, gallery.Job, node)
+	p.parseWorkflows(entry, gallery.Workflow, node)
+	p.parseClasses(entry, gallery.Class, node)
+}
+
+// parseJobs adds the jobs of an entry, each of which is of one gallery only.
+func (p *registerParser) parseJobs(entry *Entry, ids []string, node *ast.Node) {
+	for _, text := range ids {
+		id := wire.JobID(text)
+		if !id.Valid() {
+			p.fail(node, "job", "%q is not an id of a job", text)
+		} else if other := p.register.byJob[id]; other != nil {
+			p.fail(node, "job", "%s is of %q, too", text, other.Name)
 		}
-		for _, c := range g.Class {
-			if c == "" {
-				fail(n, "class", "is empty")
-			}
-			k := classOf{e.Team, wire.Class(c)}
-			e.Classes, r.byClass[k] = append(e.Classes, wire.Class(c)), append(r.byClass[k], e)
+		entry.Jobs = append(entry.Jobs, id)
+		p.register.byJob[id] = entry
+	}
+}
+
+// parseWorkflows adds the workflows of an entry, each of which is of one gallery only.
+func (p *registerParser) parseWorkflows(entry *Entry, ids []string, node *ast.Node) {
+	for _, text := range ids {
+		id := wire.WorkflowID(text)
+		if text == "" {
+			p.fail(node, "workflow", "is empty")
+		} else if other := p.register.byWorkflow[id]; other != nil {
+			p.fail(node, "workflow", "%s is of %q, too", text, other.Name)
 		}
+		entry.Workflows = append(entry.Workflows, id)
+		p.register.byWorkflow[id] = entry
 	}
-	if len(errs) > 0 {
-		return nil, errors.Join(errs...)
+}
+
+// parseClasses adds the classes of an entry, which may be of several galleries.
+func (p *registerParser) parseClasses(entry *Entry, names []string, node *ast.Node) {
+	for _, name := range names {
+		if name == "" {
+			p.fail(node, "class", "is empty")
+		}
+		key := teamClass{team: entry.Team, class: wire.Class(name)}
+		entry.Classes = append(entry.Classes, key.class)
+		p.register.byClass[key] = append(p.register.byClass[key], entry)
 	}
-	return r, nil
 }
 
 // Entry returns a gallery as registered, or nil.
-func (r *Register) Entry(n wire.GalleryName) *Entry {
+func (r *Register) Entry(name wire.GalleryName) *Entry {
 	if r == nil {
 		return nil
 	}
-	return r.byName[n]
+	return r.byName[name]
 }
 
-// GalleriesOf names the galleries that a job may be tied to, the best first: by its id, by its workflow,
-// by its class if that is clear. One of another team is none.
-func (r *Register) GalleriesOf(s *wire.JobSpec, flow wire.WorkflowID) []wire.GalleryName {
+// GalleriesOf returns the galleries that a job, perhaps of a workflow, may be assigned to, the best first: by
+// the job's ID, by its workflow, and by its class if only one gallery has that. Galleries of other teams are
+// left out.
+func (r *Register) GalleriesOf(spec *wire.JobSpec, workflow wire.WorkflowID) []wire.GalleryName {
 	if r == nil {
 		return nil
 	}
-	var out []wire.GalleryName
-	add := func(e *Entry) {
-		if e != nil && e.Team == s.Team && !slices.Contains(out, e.Name) {
-			out = append(out, e.Name)
+	var names []wire.GalleryName
+	add := func(entry *Entry) {
+		if entry != nil && entry.Team == spec.Team && !slices.Contains(names, entry.Name) {
+			names = append(names, entry.Name)
 		}
 	}
-	add(r.byJob[s.ID])
-	if flow != "" {
-		add(r.byFlow[flow])
+	add(r.byJob[spec.ID])
+	if workflow != "" {
+		add(r.byWorkflow[workflow])
 	}
-	if of := r.byClass[classOf{s.Team, s.Class}]; len(of) == 1 {
-		add(of[0])
+	if ofClass := r.byClass[teamClass{team: spec.Team, class: spec.Class}]; len(ofClass) == 1 {
+		add(ofClass[0])
 	}
-	return out
+	return names
 }
 
-// String is a line of what there is.
+// String returns the revision and how much the register has, in a line.
 func (r *Register) String() string {
-	jobs, flows, classes := 0, 0, 0
+	jobs, workflows, classes := 0, 0, 0
 	for i := range r.Entries {
-		e := &r.Entries[i]
-		jobs, flows, classes = jobs+len(e.Jobs), flows+len(e.Workflows), classes+len(e.Classes)
-	}
-	return strings.TrimSpace(
-		fmt.Sprintf(
-			"revision %d: %d galleries with %d jobs, %d workflows and %d classes",
-			r.Revision,
-			len(r.Entries),
-			jobs,
-			flows,
-			classes,
-		),
-	)
+		entry := &r.Entries[i]
+		jobs += len(entry.Jobs)
+		workflows += len(entry.Workflows)
+		classes += len(entry.Classes)
+	}
+	return fmt.Sprintf("revision %d: %d galleries with %d jobs, %d workflows and %d classes",
+		r.Revision, len(r.Entries), jobs, workflows, classes)
 }
