--- a/cmd/maddermill/cwl.go
+++ b/cmd/maddermill/cwl.go
@@ -244,11 +244,11 @@
 			if terminal && !lines {
 				fmt.Fprintln(out)
 			}
-			if len(st.Out) > 0 && !lines {
-				fmt.Fprintf(out, "%s\n", st.Out)
+			if len(st.Outputs) > 0 && !lines {
+				fmt.Fprintf(out, "%s\n", st.Outputs)
 			}
 			if st.Status != wire.Done {
-				return fmt.Errorf("workflow %s %s: %s", id, st.Status, st.Why)
+				return fmt.Errorf("workflow %s %s: %s", id, st.Status, st.Reason)
 			}
 			return nil
 		}
@@ -265,10 +265,10 @@
 	for _, s := range st.Steps {
 		text := s.Step + " " + s.State
 		if s.Total > 1 {
-			text += fmt.Sprintf(" %d/%d", s.Over, s.Total)
+			text += fmt.Sprintf(" %d/%d", s.Finished, s.Total)
 		}
-		if s.Why != "" {
-			text += " (" + s.Why + ")"
+		if s.Reason != "" {
+			text += " (" + s.Reason + ")"
 		}
 		parts = append(parts, text)
 	}
--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -104,7 +104,7 @@
 			judged = "faulty"
 		case j.Slow:
 			judged = "slow"
-		case j.Sure > 0.5:
+		case j.ProbabilityFaulty > 0.5:
 			judged = "watched"
 		}
 		fmt.Fprintf(
@@ -112,10 +112,10 @@
 			"%s\t%s\t%.3g\t%.2g\t%.1f\t%d\t%d\n",
 			j.Machine,
 			judged,
-			j.Sure,
-			j.Rate,
-			j.Times,
-			j.Done,
+			j.ProbabilityFaulty,
+			j.FailureRate,
+			j.Slowdown,
+			j.Completed,
 			len(j.Failures),
 		)
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -248,7 +248,7 @@
 		err = json.NewDecoder(p.Body).Decode(&a)
 		p.Body.Close()
 		if err == nil && p.StatusCode == 200 {
-			m.Answer(begun, r.Session, &a)
+			m.Answer(begun, r.Epoch, &a)
 		}
 	}
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -284,13 +284,13 @@
 			c.cache.SetForTest(c.cache.Token(), time.Now()) // a few seconds are within what safety allows without
 			c.cache.Unlock()
 			r := &wire.Heartbeat{
-				Machine:  "host-9999999",
-				Type:     "g2",
-				Zone:     "a",
-				Session:  1,
-				Sequence: wire.HeartbeatSequence(n),
-				Token:    1,
-				Tasks:    tasks,
+				Machine:      "host-9999999",
+				Type:         "g2",
+				Zone:         "a",
+				Epoch:        1,
+				Sequence:     wire.HeartbeatSequence(n),
+				FencingToken: 1,
+				Tasks:        tasks,
 			}
 			if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status == 200 {
 				answered++
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -142,7 +142,7 @@
 	now := time.Now()
 	c := quietCore(t, 0)
 	c.cache.SetForTest(1, now.Add(-8*time.Second))
-	r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
+	r := &wire.Heartbeat{Machine: "host-1", Epoch: 1, Sequence: 1}
 	if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 200 {
 		t.Errorf("%d with no peer in touch", a.Status)
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -35,7 +35,7 @@
 		now := time.Now()
 		c.cache.SetForTest(1, now)
 		c.membership.SetRunningForTest(now.Add(-50 * time.Second))
-		r := &wire.Heartbeat{Machine: "host-1", Session: 1, Sequence: 1}
+		r := &wire.Heartbeat{Machine: "host-1", Epoch: 1, Sequence: 1}
 		if a := c.Heartbeats.Heartbeat(t.Context(), r); a.Status != 503 {
 			t.Errorf("%d for a report from before", a.Status)
 		}
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -421,7 +421,7 @@
 			wait.For(ctx, time.Second)
 		case h.isDeaf(m.Type.ID) || !h.calm && h.chance(15) == 0 || h.links[at].Frozen() > 0: // the answer is lost
 		default:
-			m.Answer(begun, r.Session, a.Response)
+			m.Answer(begun, r.Epoch, a.Response)
 		}
 	}
 }
--- a/internal/controller/places_test.go
+++ b/internal/controller/places_test.go
@@ -34,13 +34,13 @@
 			for m := 1; m <= 3; m++ {
 				id := wire.MachineID(fmt.Sprintf("host-%d%d%d", z, rack, m))
 				r := &wire.Heartbeat{
-					Machine:  id,
-					Addr:     fmt.Sprintf("127.%d.%d.%d:9000", z+1, rack, m),
-					Type:     "g2",
-					Zone:     zone,
-					Session:  1,
-					Sequence: 1,
-					Token:    1,
+					Machine:      id,
+					Addr:         fmt.Sprintf("127.%d.%d.%d:9000", z+1, rack, m),
+					Type:         "g2",
+					Zone:         zone,
+					Epoch:        1,
+					Sequence:     1,
+					FencingToken: 1,
 				}
 				if !slices.ContainsFunc(elsewhere, func(net string) bool { return strings.HasPrefix(r.Addr, net) }) {
 					c.registry.Register(r, now).Reconcile(r, nil, 1, now)
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -193,11 +193,11 @@
 			for i := range 3 {
 				st, err := b.core(i).Workflows.Status(b.ctx, "wf-000001")
 				if err != nil || len(st.Steps) != 1 || st.Steps[0].State != "running" || st.Steps[0].Total != 300 ||
-					round == 1 && st.Steps[0].Over < most {
+					round == 1 && st.Steps[0].Finished < most {
 					t.Errorf("m-%d tells %+v, %v; %d were over 3 s ago", i, st, err, most)
 				}
 				if round == 0 && err == nil && len(st.Steps) == 1 {
-					most = max(most, st.Steps[0].Over)
+					most = max(most, st.Steps[0].Finished)
 				}
 			}
 			wait.For(b.ctx, 3*time.Second)
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -231,15 +231,15 @@
 			continue
 		}
 		var got map[string]any
-		if st.Status != final || json.Unmarshal(st.Out, &got) != nil ||
+		if st.Status != final || json.Unmarshal(st.Outputs, &got) != nil ||
 			!reflect.DeepEqual(got, sequential(h.t, doc, inputs)) {
 			h.t.Errorf(
 				"seed %d: %s is %s with %s (%s), want %s with %v",
 				h.seed,
 				id,
 				st.Status,
-				st.Out,
-				st.Why,
+				st.Outputs,
+				st.Reason,
 				final,
 				sequential(h.t, doc, inputs),
 			)
@@ -254,18 +254,18 @@
 			return st, err
 		}} {
 			again, ok := askAny(ctx, h, string(id), ask)
-			if ok && (again.Status != st.Status || !bytes.Equal(again.Out, st.Out)) {
+			if ok && (again.Status != st.Status || !bytes.Equal(again.Outputs, st.Outputs)) {
 				h.t.Errorf("seed %d: %s went back from %s to %s", h.seed, id, st.Status, again.Status)
 			}
 			for _, step := range again.Steps {
-				if want == ledger.WorkflowDone && step.Over != step.Total {
+				if want == ledger.WorkflowDone && step.Finished != step.Total {
 					h.t.Errorf(
 						"seed %d: step %s of %s is %s, %d of %d runs over",
 						h.seed,
 						step.Step,
 						id,
 						step.State,
-						step.Over,
+						step.Finished,
 						step.Total,
 					)
 				}
--- a/internal/leader/scale_out_test.go
+++ b/internal/leader/scale_out_test.go
@@ -78,7 +78,7 @@
 	now := time.Now()
 	l.Cache.SetForTest(7, now)
 	const early, late = wire.MachineID("r-7-1-0"), wire.MachineID("r-7-1-1")
-	heartbeat := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Session: 1, Sequence: 1}
+	heartbeat := &wire.Heartbeat{Machine: early, Type: "g2", Zone: "a", Epoch: 1, Sequence: 1}
 	l.Registry.Register(heartbeat, now).Reconcile(heartbeat, nil, 7, now)
 	active := newTerm(l, &recordingCloud{}, version)
 	active.observe(now)
--- a/internal/scheduler/believe_test.go
+++ b/internal/scheduler/believe_test.go
@@ -32,7 +32,7 @@
 		)
 		name := func(i int) wire.MachineID { return wire.MachineID(fmt.Sprint("host-", i)) }
 		for i := range 20 {
-			r := &wire.Heartbeat{Machine: name(i), Type: "g2", Zone: "a", Session: 1, Sequence: 1, Token: 1}
+			r := &wire.Heartbeat{Machine: name(i), Type: "g2", Zone: "a", Epoch: 1, Sequence: 1, FencingToken: 1}
 			p.Registry.Register(r, now).Reconcile(r, nil, 1, now)
 		}
 		at := now.Add(-time.Hour)
--- a/internal/scheduler/promises_test.go
+++ b/internal/scheduler/promises_test.go
@@ -70,12 +70,12 @@
 		}
 		for i := range 4 {
 			r := &wire.Heartbeat{
-				Machine:  wire.MachineID(fmt.Sprint("host-", i)),
-				Type:     "g2",
-				Zone:     "a",
-				Session:  1,
-				Sequence: 1,
-				Token:    1,
+				Machine:      wire.MachineID(fmt.Sprint("host-", i)),
+				Type:         "g2",
+				Zone:         "a",
+				Epoch:        1,
+				Sequence:     1,
+				FencingToken: 1,
 			}
 			p.Registry.Register(r, now).Reconcile(r, nil, 1, now)
 		}
--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -26,19 +26,19 @@
 	j.settle()
 	machine := machineCause(m)
 	out := wire.Judgement{
-		Machine:  m,
-		Before:   j.priors.Faulty,
-		Sure:     j.priors.Faulty,
-		Done:     int(j.completed[machine]),
-		Accident: j.accidentRate,
+		Machine:           m,
+		PriorFaulty:       j.priors.Faulty,
+		ProbabilityFaulty: j.priors.Faulty,
+		Completed:         int(j.completed[machine]),
+		BackgroundRate:    j.accidentRate,
 	}
-	out.Slow, out.Times = j.Slow(m)
+	out.Slow, out.Slowdown = j.Slow(m)
 	b := j.beliefs[machine]
 	if b == nil {
 		return out, out.Slow
 	}
 	verdict := j.Verdict(m)
-	out.Faulty, out.Sure, out.Rate = verdict.Faulty, verdict.Probability, verdict.FailureRate
+	out.Faulty, out.ProbabilityFaulty, out.FailureRate = verdict.Faulty, verdict.Probability, verdict.FailureRate
 	for _, f := range b.failures {
 		out.Failures = append(out.Failures, j.explainFailure(f))
 	}
@@ -50,12 +50,12 @@
 	out := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
 	for _, b := range f.beliefs() {
 		out.Parties = append(out.Parties, wire.JudgedParty{
-			Kind:   b.Kind.String(),
-			Name:   b.displayName(),
-			Before: j.prior(b.Kind),
-			Sure:   b.probability,
-			Done:   int(j.completed[b.SuspectedCause]),
-			Failed: len(b.failures),
+			Kind:        b.Kind.String(),
+			Name:        b.displayName(),
+			Prior:       j.prior(b.Kind),
+			Probability: b.probability,
+			Completed:   int(j.completed[b.SuspectedCause]),
+			Failed:      len(b.failures),
 		})
 	}
 	return out
@@ -76,7 +76,7 @@
 		return ""
 	}
 	text := fmt.Sprintf("fails %.0f%% of its tasks, probability %.4g; %d failed and %d done:",
-		100*judgement.Rate, judgement.Sure, len(judgement.Failures), judgement.Done)
+		100*judgement.FailureRate, judgement.ProbabilityFaulty, len(judgement.Failures), judgement.Completed)
 	var named []wire.JobID
 	for _, f := range judgement.Failures {
 		if slices.Contains(named, f.Job) {
@@ -111,15 +111,15 @@
 func writeVerdict(text *strings.Builder, j *wire.Judgement) {
 	switch {
 	case j.Faulty:
-		fmt.Fprintf(text, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.Rate)
-	case j.Sure > likely:
+		fmt.Fprintf(text, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.FailureRate)
+	case j.ProbabilityFaulty > likely:
 		fmt.Fprintf(text, "%s is watched: it may be faulty, which has not stood for long enough.\n", j.Machine)
 	case len(j.Failures) > 0:
 		fmt.Fprintf(text, "%s is not held to be faulty.\n", j.Machine)
 	}
 	if j.Slow {
 		fmt.Fprintf(text, "%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n",
-			j.Machine, j.Times)
+			j.Machine, j.Slowdown)
 	}
 }
 
@@ -143,7 +143,7 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b causeSummary) int {
-		return cmp.Or(cmp.Compare(b.Sure, a.Sure), cmp.Compare(b.failures, a.failures))
+		return cmp.Or(cmp.Compare(b.Probability, a.Probability), cmp.Compare(b.failures, a.failures))
 	})
 	return list
 }
@@ -152,16 +152,16 @@
 // out: the machine, and others that several failures share.
 func writeCauses(text *strings.Builder, j *wire.Judgement) {
 	fmt.Fprintf(text, "The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
-		j.Before, j.Sure)
-	fmt.Fprintf(text, "%d tasks were done there and %d failed that are remembered; ", j.Done, len(j.Failures))
-	fmt.Fprintf(text, "%.2g%% of all tasks fail by accident.\n", 100*j.Accident)
+		j.PriorFaulty, j.ProbabilityFaulty)
+	fmt.Fprintf(text, "%d tasks were done there and %d failed that are remembered; ", j.Completed, len(j.Failures))
+	fmt.Fprintf(text, "%.2g%% of all tasks fail by accident.\n", 100*j.BackgroundRate)
 	var found, ruledOut []string
 	for _, c := range summarizeCauses(j) {
 		switch {
-		case c.Sure > likely:
-			found = append(found, fmt.Sprintf("%s %s (%d of its failures, %.3g)", c.Kind, c.Name, c.failures, c.Sure))
+		case c.Probability > likely:
+			found = append(found, fmt.Sprintf("%s %s (%d of its failures, %.3g)", c.Kind, c.Name, c.failures, c.Probability))
 		case c.Kind == CauseMachine.String() || c.failures > 1:
-			ruledOut = append(ruledOut, fmt.Sprintf("%s %s (%.2g)", c.Kind, c.Name, c.Sure))
+			ruledOut = append(ruledOut, fmt.Sprintf("%s %s (%.2g)", c.Kind, c.Name, c.Probability))
 		}
 	}
 	if len(found) == 0 {
@@ -181,7 +181,7 @@
 		head := fmt.Sprintf("%s\t%s\t%d", f.At.Time().UTC().Format(time.RFC3339), f.Job, f.Task)
 		for _, p := range f.Parties {
 			fmt.Fprintf(&rows, "%s\t%s %s\t%d\t%d\t%.2g\t%.2g\n",
-				head, p.Kind, p.Name, p.Done, p.Failed, p.Before, p.Sure)
+				head, p.Kind, p.Name, p.Completed, p.Failed, p.Prior, p.Probability)
 			head = "\t\t"
 		}
 	}
--- a/internal/server/api/api.go
+++ b/internal/server/api/api.go
@@ -294,7 +294,7 @@
 
 func (s *Server) report(ctx context.Context, body []byte) *http1.Response {
 	var r wire.Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
+	if err := json.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Epoch == 0 {
 		return problem(400, "not a report")
 	}
 	a := s.Workers.Heartbeat(ctx, &r)
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -50,7 +50,7 @@
 	return s.Status(ctx, id)
 }
 func (service) Heartbeat(context.Context, *wire.Heartbeat) server.HeartbeatAnswer {
-	return server.HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{Token: 3, Commands: []wire.Command{}}}
+	return server.HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{FencingToken: 3, Commands: []wire.Command{}}}
 }
 func (service) Healthy() bool                        { return true }
 func (service) Judgements() ([]wire.Judgement, bool) { return nil, true }
--- a/internal/server/reconcile/hearing.go
+++ b/internal/server/reconcile/hearing.go
@@ -54,16 +54,16 @@
 	h := &w.hears
 	switch {
 	case h.deaf:
-		if r.Token > h.shown {
+		if r.FencingToken > h.shown {
 			h.deaf, h.missed = false, 0
 		}
 		return
 	case h.tally == 0:
 		return
-	case r.Token > h.token:
+	case r.FencingToken > h.token:
 		h.missed = 0 // it has been elsewhere
 		return
-	case r.Token == h.token && !w.missesStart(held, there):
+	case r.FencingToken == h.token && !w.missesStart(held, there):
 		h.missed = 0
 		return
 	}
@@ -92,7 +92,7 @@
 // none begins, but where the answer did not arrive. sure is a lease, less what a report may be old
 // when it comes.
 func (w *Worker) LeaseExpired(r *wire.Heartbeat, now time.Time, sure time.Duration) {
-	if w.Session != 0 && r.Session > w.Session && !w.hears.at.IsZero() && now.Sub(w.hears.at) < sure {
+	if w.Session != 0 && r.Epoch > w.Session && !w.hears.at.IsZero() && now.Sub(w.hears.at) < sure {
 		w.doubt(r, now)
 	}
 }
@@ -101,7 +101,7 @@
 	if !w.hears.deaf {
 		w.hears.since = now
 	}
-	w.hears.deaf, w.hears.shown = true, r.Token
+	w.hears.deaf, w.hears.shown = true, r.FencingToken
 }
 
 // ProvesAbsence reports whether a token, if the machine shows it, proves that it hears.
--- a/internal/server/reconcile/workers.go
+++ b/internal/server/reconcile/workers.go
@@ -67,7 +67,7 @@
 // Stale reports whether a report is older than one already taken. A network
 // that was cut may deliver reports minutes late.
 func (w *Worker) Stale(r *wire.Heartbeat) bool {
-	return r.Session < w.Session || r.Session == w.Session && r.Sequence <= w.Sequence
+	return r.Epoch < w.Session || r.Epoch == w.Session && r.Sequence <= w.Sequence
 }
 
 // TaskExit is a claim proven to be over.
@@ -143,7 +143,7 @@
 	hold wire.FencingToken,
 	now time.Time,
 ) Reconciliation {
-	if r.Session != w.Session {
+	if r.Epoch != w.Session {
 		clear(w.stop)
 		clear(w.sent)
 		clear(w.dropped)
@@ -153,9 +153,9 @@
 	} else if hold != w.CommandToken {
 		w.tokens = append(w.tokens, w.CommandToken)
 	}
-	w.Session, w.Sequence, w.LastHeartbeat, w.CommandToken = r.Session, r.Sequence, now, hold
+	w.Session, w.Sequence, w.LastHeartbeat, w.CommandToken = r.Epoch, r.Sequence, now, hold
 	w.Addr, w.Type, w.Zone, w.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	w.Fresh = r.Token == hold
+	w.Fresh = r.FencingToken == hold
 	w.ReclaimAt = time.Time{}
 	if r.ReclaimNotice != nil {
 		w.ReclaimAt = now.Add(r.ReclaimNotice.Duration())
@@ -180,10 +180,10 @@
 			task := h.First + wire.TaskIndex(i)
 			id := claimID{wire.TaskID{Job: h.Job.ID, Index: task}, h.Attempt}
 			switch t := there[id]; {
-			case h.Session < r.Session:
+			case h.Session < r.Epoch:
 				// The worker has forgotten how it ended, which may be known all the same.
 				f.Exits = append(f.Exits, ExitOfLostClaim(w.completed, h, task))
-			case h.Session > r.Session:
+			case h.Session > r.Epoch:
 				// The report is from before the claim's session.
 			case t != nil && w.rejoins(h, t):
 				// It is sent again under its claim.
@@ -277,7 +277,7 @@
 	cmds := []wire.Command{}
 	claims := make(map[claimID]ledger.HeldClaim, len(held))
 	for _, h := range held {
-		if h.Session != r.Session {
+		if h.Session != r.Epoch {
 			continue
 		}
 		for i := range h.Count {
@@ -319,7 +319,7 @@
 	var starts []ledger.HeldClaim
 	free := total
 	for _, h := range held {
-		if h.Session != r.Session {
+		if h.Session != r.Epoch {
 			continue
 		}
 		absent := 0
--- a/internal/server/reconcile/workers_test.go
+++ b/internal/server/reconcile/workers_test.go
@@ -29,7 +29,7 @@
 	token wire.FencingToken,
 	tasks ...wire.TaskStatus,
 ) *wire.Heartbeat {
-	return &wire.Heartbeat{Machine: "host-1", Session: session, Sequence: tally, Token: token, Tasks: tasks}
+	return &wire.Heartbeat{Machine: "host-1", Epoch: session, Sequence: tally, FencingToken: token, Tasks: tasks}
 }
 
 func task(state wire.TaskState, attempt wire.Attempt) wire.TaskStatus {
@@ -71,7 +71,7 @@
 		{"running", held(1, 5, ledger.Cancelled), report(1, 9, hold, task(wire.TaskRunning, 3)), 0, 0},
 	} {
 		w := NewWorker(tc.r, nil, time.Time{})
-		w.Session = tc.r.Session
+		w.Session = tc.r.Epoch
 		if tc.sent != 0 {
 			w.sent[claimID{wire.TaskID{Job: "wk-000001"}, 3}] = tc.sent
 		}
@@ -240,7 +240,7 @@
 	w.Reconcile(report(2, 5, 0), nil, hold, time.Time{})
 	for _, r := range []*wire.Heartbeat{report(1, 90, hold), report(2, 5, hold), report(2, 4, hold)} {
 		if !w.Stale(r) {
-			t.Errorf("%d/%d is not taken for stale", r.Session, r.Sequence)
+			t.Errorf("%d/%d is not taken for stale", r.Epoch, r.Sequence)
 		}
 	}
 	if w.Stale(report(2, 6, 0)) || w.Stale(report(3, 1, 0)) {
--- a/internal/server/spread_test.go
+++ b/internal/server/spread_test.go
@@ -56,7 +56,7 @@
 		}
 		report := func(tally wire.HeartbeatSequence) (sent int, to wire.MemberID) {
 			for i := range workers {
-				r := &wire.Heartbeat{Machine: wire.MachineID(fmt.Sprint("host-", i)), Session: 1, Sequence: tally, Token: 1}
+				r := &wire.Heartbeat{Machine: wire.MachineID(fmt.Sprint("host-", i)), Epoch: 1, Sequence: tally, FencingToken: 1}
 				if a := c.Heartbeat(t.Context(), r); a.Status == 421 {
 					sent, to = sent+1, a.Redirect.ReportTo
 				}
@@ -72,7 +72,7 @@
 		if tc.sent == 0 {
 			continue
 		}
-		first := &wire.Heartbeat{Machine: "host-0", Session: 1, Sequence: 3, Token: 1}
+		first := &wire.Heartbeat{Machine: "host-0", Epoch: 1, Sequence: 3, FencingToken: 1}
 		c.surplus.count = 100
 		if a := c.Heartbeat(t.Context(), first); a.Status != 200 {
 			t.Errorf("%s: %d for a worker that has just been sent on and came back", tc.name, a.Status)
@@ -86,7 +86,7 @@
 				),
 			},
 		)
-		busy := &wire.Heartbeat{Machine: "host-20", Session: 1, Sequence: 3, Token: 1}
+		busy := &wire.Heartbeat{Machine: "host-20", Epoch: 1, Sequence: 3, FencingToken: 1}
 		if a := c.Heartbeat(t.Context(), busy); a.Status != 200 || len(a.Response.Commands) != 1 {
 			t.Errorf("%s: %d for a worker whose start is under way", tc.name, a.Status)
 		}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -114,7 +114,7 @@
 	if w == nil {
 		w = c.Registry.Register(r, began)
 		c.log.Info("worker registered",
-			"machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "epoch", r.Session)
+			"machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "epoch", r.Epoch)
 	}
 	if a, ok := c.sendToPeerInTouch(w, began); ok {
 		return a
@@ -176,8 +176,8 @@
 	hold wire.FencingToken,
 	began time.Time,
 ) reconcile.Reconciliation {
-	if w.Session != 0 && r.Session > w.Session {
-		c.log.Info("worker started a new epoch", "machine", r.Machine, "epoch", r.Session)
+	if w.Session != 0 && r.Epoch > w.Session {
+		c.log.Info("worker started a new epoch", "machine", r.Machine, "epoch", r.Epoch)
 	}
 	deaf := w.Unreachable()
 	w.LeaseExpired(r, began, c.set.Cluster.Workers.Lease.Duration()-lateReport)
@@ -195,7 +195,7 @@
 		// A peer may know that they are done; the next report shows them again.
 		f.Exits = slices.DeleteFunc(
 			f.Exits,
-			func(e reconcile.TaskExit) bool { return e.Held.Session < r.Session && e.Cause == "" },
+			func(e reconcile.TaskExit) bool { return e.Held.Session < r.Epoch && e.Cause == "" },
 		)
 	}
 	c.learn(w, &f, began)
@@ -225,7 +225,7 @@
 	began time.Time,
 ) bool {
 	waits := c.enqueueFindings(w, f, began)
-	current := func() bool { return w.Session == r.Session && w.Sequence == r.Sequence }
+	current := func() bool { return w.Session == r.Epoch && w.Sequence == r.Sequence }
 	now := began
 	for tries := 0; tries < mostTries && current(); tries++ {
 		starts, anew := c.startsFor(w, now)
@@ -299,7 +299,7 @@
 	}
 	w.ObserveReachable(began)
 	c.stats.Observe("report_seconds", now.Sub(began))
-	return HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{Token: w.CommandToken, Commands: commands}}
+	return HeartbeatAnswer{Status: 200, Response: &wire.HeartbeatResponse{FencingToken: w.CommandToken, Commands: commands}}
 }
 
 // noteFetch notes that a machine fetches a job's image, unless it is believed to have it.
@@ -323,7 +323,7 @@
 			Task:    t.Task.Index,
 			Attempt: t.Attempt,
 			Machine: r.Machine,
-			Session: r.Session,
+			Session: r.Epoch,
 		}
 		if c.CompletionUnrecorded(done) {
 			c.Completions.Add(done, !c.Cache.SyncedWithin(now, settings.StartContact), now)
@@ -364,7 +364,7 @@
 	w *reconcile.Worker,
 	r *wire.Heartbeat,
 ) (wire.FencingToken, bool) {
-	if w.CommandToken != 0 && r.Token <= w.CommandToken {
+	if w.CommandToken != 0 && r.FencingToken <= w.CommandToken {
 		switch t := c.Cache.Token(); {
 		case w.ProvesAbsence(w.CommandToken):
 		case w.ProvesAbsence(t):
@@ -374,8 +374,8 @@
 		}
 		return w.CommandToken, true
 	}
-	for r.Token > c.Cache.Token() {
-		c.Cache.RequestToken(r.Token)
+	for r.FencingToken > c.Cache.Token() {
+		c.Cache.RequestToken(r.FencingToken)
 		c.Cache.Unlock()
 		wait.For(ctx, 20*time.Millisecond)
 		c.Cache.Lock()
--- a/internal/testing/controllertest/parttest.go
+++ b/internal/testing/controllertest/parttest.go
@@ -266,7 +266,7 @@
 		add("mm1/j/"+job(id), fmt.Sprintf(spec, job(id), shape, "high", tasks, i%20, id, ""))
 	}
 	for i := range machines {
-		r := &wire.Heartbeat{Machine: name(i), Type: "g2", Zone: Zone(i), Session: 1, Sequence: 1, Token: 1}
+		r := &wire.Heartbeat{Machine: name(i), Type: "g2", Zone: Zone(i), Epoch: 1, Sequence: 1, FencingToken: 1}
 		if i%100 != 0 {
 			for k := range 2 {
 				r.Tasks = append(
--- a/internal/testing/emulator/worker.go
+++ b/internal/testing/emulator/worker.go
@@ -282,14 +282,14 @@
 	}
 	m.tally++
 	rep := &wire.Heartbeat{
-		Machine:  m.Type.ID,
-		Addr:     m.Type.Addr,
-		Type:     m.Type.Type,
-		Zone:     m.Type.Zone,
-		Spot:     m.Type.Spot,
-		Session:  m.session,
-		Sequence: m.tally,
-		Token:    m.token,
+		Machine:      m.Type.ID,
+		Addr:         m.Type.Addr,
+		Type:         m.Type.Type,
+		Zone:         m.Type.Zone,
+		Spot:         m.Type.Spot,
+		Epoch:        m.session,
+		Sequence:     m.tally,
+		FencingToken: m.token,
 	}
 	for t, r := range m.tasks {
 		rep.Tasks = append(
@@ -394,12 +394,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.gone || m.hung || session != m.session || p.Token < m.token || now.Sub(begun) > 4*time.Second {
+	if m.gone || m.hung || session != m.session || p.FencingToken < m.token || now.Sub(begun) > 4*time.Second {
 		return
 	}
 	m.World.mu.Lock()
 	defer m.World.mu.Unlock()
-	m.token = p.Token
+	m.token = p.FencingToken
 	m.renewed = begun
 	for _, c := range p.Commands {
 		r := m.tasks[c.Task]
--- a/internal/workflow/runner/requests.go
+++ b/internal/workflow/runner/requests.go
@@ -118,7 +118,7 @@
 	if w == nil {
 		return st, server.ErrNoSuchJob
 	}
-	st.Why = w.Why
+	st.Reason = w.Why
 	if d == nil {
 		st.Steps = c.lookAt(ctx, w)
 	}
@@ -134,7 +134,7 @@
 	}
 	if st.Status == wire.Done || st.Status == wire.Failed {
 		if b, _, err := c.store.Get(ctx, workflow.OutputsName(id)); err == nil && len(b) < 48<<10 {
-			st.Out = b
+			st.Outputs = b
 		}
 	}
 	return st, nil
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -426,11 +426,11 @@
 	}
 	var out []wire.StepStatus
 	r.run.Steps(func(id string, state cwl.StepState, over, total int, behind string) {
-		s := wire.StepStatus{Step: id, State: string(state), Over: over, Total: total}
+		s := wire.StepStatus{Step: id, State: string(state), Finished: over, Total: total}
 		if job, ok := next[id]; ok {
-			s.Why = why(job)
+			s.Reason = why(job)
 		} else if behind != "" {
-			s.Why = "waits for step " + behind
+			s.Reason = "waits for step " + behind
 		}
 		out = append(out, s)
 	})
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -43,9 +43,9 @@
 	Type          MachineTypeName   `json:"build"`
 	Zone          Zone              `json:"yard"`
 	Spot          bool              `json:"loaners"`
-	Session       AgentEpoch        `json:"shift"`
+	Epoch         AgentEpoch        `json:"shift"`
 	Sequence      HeartbeatSequence `json:"tally"`
-	Token         FencingToken      `json:"warrant"`
+	FencingToken  FencingToken      `json:"warrant"`
 	ReclaimNotice *Seconds          `json:"recall_s"`
 	Tasks         []TaskStatus      `json:"pieces"`
 }
@@ -70,8 +70,8 @@
 
 // HeartbeatResponse answers a report with commands under a token.
 type HeartbeatResponse struct {
-	Token    FencingToken `json:"warrant"`
-	Commands []Command    `json:"orders"`
+	FencingToken FencingToken `json:"warrant"`
+	Commands     []Command    `json:"orders"`
 }
 
 // Redirect is the body of a 421: the member to report to, if known.
--- a/wire/workflows.go
+++ b/wire/workflows.go
@@ -66,11 +66,11 @@
 // WorkflowStatus is what users are told of a workflow: GET /api/workflows/{id}, and a line
 // whenever it changes from GET /api/workflows/{id}/events.
 type WorkflowStatus struct {
-	ID     WorkflowID      `json:"id"`
-	Status Status          `json:"status"`
-	Why    string          `json:"why,omitempty"` // of a failure
-	Steps  []StepStatus    `json:"steps,omitempty"`
-	Out    json.RawMessage `json:"outputs,omitempty"`
+	ID      WorkflowID      `json:"id"`
+	Status  Status          `json:"status"`
+	Reason  string          `json:"why,omitempty"` // of a failure
+	Steps   []StepStatus    `json:"steps,omitempty"`
+	Outputs json.RawMessage `json:"outputs,omitempty"`
 }
 
 // Failed is a workflow of which a step failed for good. What does not depend on it has
@@ -79,9 +79,9 @@
 
 // StepStatus is how far a step has come.
 type StepStatus struct {
-	Step  string `json:"step"`
-	State string `json:"state"`
-	Over  int    `json:"over"`          // runs that are over
-	Total int    `json:"total"`         // runs in all, as far as known
-	Why   string `json:"why,omitempty"` // what it, or its next run, waits for
+	Step     string `json:"step"`
+	State    string `json:"state"`
+	Finished int    `json:"over"`          // runs that are over
+	Total    int    `json:"total"`         // runs in all, as far as known
+	Reason   string `json:"why,omitempty"` // what it, or its next run, waits for
 }
