--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -93,8 +93,7 @@
 	}
 	for i := range list {
 		if list[i].Machine == machine {
-			quarantine.Write(out, &list[i])
-			return nil
+			return quarantine.Write(out, &list[i])
 		}
 	}
 	return fmt.Errorf("%s: no task failed there that this controller remembers, nor is it slow", machine)
