--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -101,7 +101,7 @@
 
 // listReturned prints the machines on record that were returned because they were judged faulty.
 func listReturned(ctx context.Context, store *kvstore.Client, out io.Writer) error {
-	return kvstore.Each(ctx, store, ledger.MarksPrefix, listPageItems, func(item wire.Item) error {
+	return kvstore.Each(ctx, store, ledger.MachinePhasesPrefix, listPageItems, func(item wire.Item) error {
 		machine, phase, why, ok := ledger.DecodeMachinePhase(item)
 		if ok && strings.HasPrefix(why, "faulty") {
 			printf(out, "%s  %s  %s\n", machine, phase, why)
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -183,10 +183,10 @@
 // newServer returns the server of users' and workers' requests.
 func newServer(core *controller.Controller, set *settings.Settings, log *slog.Logger, sockets int) *api.Server {
 	return &api.Server{
-		Users:      core.Jobs,
-		Workers:    core.Heartbeats,
+		Jobs:       core.Jobs,
+		Heartbeats: core.Heartbeats,
 		Workflows:  core.Workflows,
-		View:       core,
+		Inspector:  core,
 		Duties:     core.Components.Status,
 		Metrics:    core.Stats.Text,
 		RetryAfter: set.Operators.RetryAfter,
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -59,8 +59,8 @@
 // AllRead reports whether every controller has said that it supports a format of records.
 func (h host) AllRead(format int) bool { return h.c.membership.AllSupportFormat(format) }
 
-// Spare returns how many changes a best-effort transaction may have now.
-func (h host) Spare() int { return h.c.committer.SpareCapacity() }
+// SpareCapacity returns how many changes a best-effort transaction may have now.
+func (h host) SpareCapacity() int { return h.c.committer.SpareCapacity() }
 
 // Commit runs a transaction and waits until the cache shows its outcome.
 func (h host) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -223,7 +223,7 @@
 	}
 	if cluster.archiving {
 		options := archiverOptions(c.set)
-		options.Kept, options.SweepAfter, options.Settle = 0, 1, settlePeriod
+		options.KeptJobs, options.SweepAfter, options.Settle = 0, 1, settlePeriod
 		c.archiver = archiver.New(host{c}, c.store, options, c.Stats, c.log)
 	}
 	if cluster.stepData != nil {
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -52,7 +52,7 @@
 			peer.Ask(ctx, dialer, p.Addr, probe, probeInterval, c.mergeAnswer)
 			return ctx.Err()
 		},
-		Amiss: func(now time.Time) string {
+		HealthProblem: func(now time.Time) string {
 			answer := c.membership.Peer(p.Member)
 			switch {
 			case answer == nil:
@@ -70,12 +70,12 @@
 func (c *Controller) registerComponents(cloud leader.Cloud) {
 	c.Components.Add(
 		supervise.Component{Name: "attention", Run: c.membership.DetectPauses},
-		supervise.Component{Name: "mirror", Run: c.cache.Watch, Amiss: c.loadProblem},
-		supervise.Component{Name: "contact", Run: c.cache.ServeReadIndex, Amiss: c.syncProblem},
-		supervise.Component{Name: "tokens", Run: c.cache.AcquireTokens, Amiss: c.tokenProblem},
-		supervise.Component{Name: "writer", Run: c.committer.Run, Amiss: c.committer.HealthProblem},
+		supervise.Component{Name: "mirror", Run: c.cache.Watch, HealthProblem: c.loadProblem},
+		supervise.Component{Name: "contact", Run: c.cache.ServeReadIndex, HealthProblem: c.syncProblem},
+		supervise.Component{Name: "tokens", Run: c.cache.AcquireTokens, HealthProblem: c.tokenProblem},
+		supervise.Component{Name: "writer", Run: c.committer.Run, HealthProblem: c.committer.HealthProblem},
 		supervise.Component{Name: "completions", Run: c.recorder.Run},
-		supervise.Component{Name: "sweeper", Run: c.Heartbeats.RemoveSilentWorkers},
+		supervise.Component{Name: "sweeper", Run: c.Heartbeats.CompleteFinishedJobs},
 		supervise.Component{Name: "publisher", Run: func(ctx context.Context) error {
 			return c.membership.Publish(ctx, c.store, c.publishedStatus)
 		}},
@@ -87,7 +87,7 @@
 		supervise.Component{Name: "workflows", Run: c.Workflows.Run},
 		supervise.Component{Name: "archive", Run: c.archiver.Run},
 		supervise.Component{Name: "promises", Run: c.Deadlines.Run},
-		supervise.Component{Name: "policies", Run: c.policies.Run, Amiss: c.policyProblem},
+		supervise.Component{Name: "policies", Run: c.policies.Run, HealthProblem: c.policyProblem},
 		supervise.Component{Name: "leader", Run: func(ctx context.Context) error {
 			return c.leader.Run(ctx, cloud)
 		}},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -325,7 +325,7 @@
 	operators, service := set.Operators, set.Cluster.State
 	return archiver.Options{
 		Archive:    operators.Archive,
-		Kept:       operators.KeptJobs,
+		KeptJobs:   operators.KeptJobs,
 		Settle:     operators.Settle,
 		FormatUpTo: operators.FormatUpTo,
 		TxnOps:     service.TxnOps,
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -17,7 +17,7 @@
 	c.Stats.Gauge("duties_amiss", func() float64 {
 		problems := 0
 		for _, status := range c.Components.Status(time.Now()) {
-			if status.Amiss != "" {
+			if status.HealthProblem != "" {
 				problems++
 			}
 		}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	lastContact := c.boot
-	for _, at := range []time.Time{syncedAt, c.membership.LastHeard()} {
+	for _, at := range []time.Time{syncedAt, c.membership.LastStatusAt()} {
 		if at.After(lastContact) {
 			lastContact = at
 		}
--- a/internal/controller/restart_scenario_test.go
+++ b/internal/controller/restart_scenario_test.go
@@ -118,7 +118,7 @@
 		r.recordPoll(spec.ID, user, submitted, status, err)
 		submitted = submitted || err == nil
 		if err == nil {
-			r.world.Told(spec.ID, status.Status)
+			r.world.ObserveAnswer(spec.ID, status.Status)
 			if status.Status == wire.Done {
 				return
 			}
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -202,7 +202,7 @@
 	status := peer.Status{Version: peer.Version, Member: "m-1", Loaded: true}
 	newControllerWithTopology(t, now).registry.Each(func(w *reconcile.Worker) {
 		if c.registry.Worker(w.ID) == nil {
-			machine := peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Session: 1, Token: 1}
+			machine := peer.Machine{ID: w.ID, Zone: w.Zone, Endpoint: w.Addr, Epoch: 1, Token: 1}
 			status.Machines = append(status.Machines, machine)
 		}
 	})
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -60,7 +60,7 @@
 		cluster.t.Errorf("seed %d: status of %s at controller %d: got %q after %q", cluster.seed, id, at, got, before)
 	}
 	if got != unknownJob {
-		cluster.world.Told(id, got)
+		cluster.world.ObserveAnswer(id, got)
 	}
 	return got, true
 }
@@ -119,7 +119,7 @@
 			status, err := c.Jobs.Cancel(limited, id)
 			end()
 			if err == nil && status.Status == wire.Cancelled && cluster.controller(i) == c {
-				cluster.world.Told(id, wire.Cancelled)
+				cluster.world.ObserveAnswer(id, wire.Cancelled)
 				return i, true
 			}
 			if err != nil && errors.Is(err, context.Canceled) {
--- a/internal/leader/autoscale/idle.go
+++ b/internal/leader/autoscale/idle.go
@@ -14,14 +14,14 @@
 // reserve for work that needs them. There are none where all machine types have accelerators.
 func (in *Input) idleReserves() map[MachineOption]int {
 	reserves, hasPlainType := map[MachineOption]int{}, false
-	for _, machineType := range in.Flavors {
+	for _, machineType := range in.MachineTypes {
 		hasPlainType = hasPlainType || machineType.GPUs == 0
 	}
 	if !hasPlainType {
 		return reserves
 	}
-	for i := range in.Units {
-		if m := &in.Units[i]; m.Usable && !m.Booting && m.Total.GPU > 0 {
+	for i := range in.Machines {
+		if m := &in.Machines[i]; m.Usable && !m.Booting && m.Total.GPU > 0 {
 			reserves[MachineOption{Type: m.Type, Zone: m.Zone}]++
 		}
 	}
@@ -100,8 +100,8 @@
 // headroomMachines returns how many idle machines the operators want beside those in use.
 func (in *Input) headroomMachines() int {
 	inUse := 0
-	for i := range in.Units {
-		if m := &in.Units[i]; m.IdleSince.IsZero() && !m.Booting {
+	for i := range in.Machines {
+		if m := &in.Machines[i]; m.IdleSince.IsZero() && !m.Booting {
 			inUse++
 		}
 	}
@@ -111,7 +111,7 @@
 // maxIdle returns for how long a machine may be idle: IdleBoots boot times, and a spot machine longer by
 // as much as it is cheaper, since its cached images cost less to keep.
 func (in *Input) maxIdle(m *Machine) time.Duration {
-	machineType := in.Flavors[m.Type]
+	machineType := in.MachineTypes[m.Type]
 	limit := in.IdleBoots * float64(machineType.Boot.Duration())
 	if price := in.price(m.option()); price > 0 && machineType.Price > price {
 		limit *= machineType.Price / price
--- a/internal/leader/autoscale/job_packing.go
+++ b/internal/leader/autoscale/job_packing.go
@@ -148,7 +148,7 @@
 	if !found {
 		return false
 	}
-	option, machineType := best.option, job.input.Flavors[best.option.Type]
+	option, machineType := best.option, job.input.MachineTypes[best.option.Type]
 	rented := &slot{
 		machine: Machine{
 			Type:  option.Type,
@@ -183,7 +183,7 @@
 // cheapest returns the best kind of machine to rent for the job in a zone, or in any if zone is "", and
 // whether there is one: the lowest price for a task, then the zone with the fewest machines.
 func (job *jobPacking) cheapest(zone wire.Zone) (best offer, found bool) {
-	for _, machineType := range job.input.Flavors {
+	for _, machineType := range job.input.MachineTypes {
 		candidate, ok := job.cheapestOfType(&machineType, zone)
 		if ok && (!found || job.compareOffers(candidate, best) < 0) {
 			best, found = candidate, true
--- a/internal/leader/autoscale/packing.go
+++ b/internal/leader/autoscale/packing.go
@@ -39,11 +39,11 @@
 		smallestNeed:    in.smallestNeed(),
 		latestBoot:      in.Now.Add(in.longestBoot()),
 		scaleOut:        map[MachineOption]int{},
-		machineCount:    len(in.Units),
+		machineCount:    len(in.Machines),
 		machinesPerZone: map[wire.Zone]int{},
 		placedPerTeam:   map[wire.Team]ledger.Resources{},
 	}
-	for _, m := range in.Units {
+	for _, m := range in.Machines {
 		p.machinesPerZone[m.Zone]++
 		if m.Usable {
 			p.slots = append(p.slots, &slot{machine: m})
@@ -111,7 +111,7 @@
 	}
 	j := entry.Job
 	placed := p.placedPerTeam[j.Spec.Team]
-	tasks := p.input.TeamRoom(j, placed, j.Pending())
+	tasks := p.input.RemainingTeamQuota(j, placed, j.Pending())
 	if tasks <= 0 || p.input.Now.Before(entry.Retry) {
 		return
 	}
--- a/internal/leader/autoscale/plan.go
+++ b/internal/leader/autoscale/plan.go
@@ -77,14 +77,14 @@
 
 // Input is what a plan is made from.
 type Input struct {
-	Now     time.Time
-	Flavors map[wire.MachineTypeName]wire.MachineType // the cloud's machine types at current prices
-	Units   []Machine                                 // all machines but those on their way out
-	Queue   []placement.Entry                         // the pending jobs in policy order
+	Now          time.Time
+	MachineTypes map[wire.MachineTypeName]wire.MachineType // the cloud's machine types at current prices
+	Machines     []Machine                                 // all machines but those on their way out
+	Queue        []placement.Entry                         // the pending jobs in policy order
 
 	// TeamRoom returns how many tasks of a job, most of them at the most, its team's quota leaves room
 	// for, beside the resources that the plan has given the team already.
-	TeamRoom func(j *ledger.Job, extra ledger.Resources, most int) int
+	RemainingTeamQuota func(j *ledger.Job, extra ledger.Resources, most int) int
 	// OutOfCapacity reports whether machines of a kind are not to be requested now.
 	OutOfCapacity func(MachineOption) bool
 
@@ -103,7 +103,7 @@
 
 // price returns the current price of a kind of machine.
 func (in *Input) price(option MachineOption) float64 {
-	machineType := in.Flavors[option.Type]
+	machineType := in.MachineTypes[option.Type]
 	if option.Spot {
 		return machineType.SpotPrice
 	}
@@ -128,7 +128,7 @@
 // longestBoot returns the longest boot time of all machine types.
 func (in *Input) longestBoot() time.Duration {
 	var longest time.Duration
-	for _, machineType := range in.Flavors {
+	for _, machineType := range in.MachineTypes {
 		longest = max(longest, machineType.Boot.Duration())
 	}
 	return longest
@@ -138,7 +138,7 @@
 // there is none.
 func (in *Input) shortestBoot(j *ledger.Job) time.Duration {
 	var shortest time.Duration
-	for _, machineType := range in.Flavors {
+	for _, machineType := range in.MachineTypes {
 		if boot := machineType.Boot.Duration(); (shortest == 0 || boot < shortest) &&
 			resourcesOf(&machineType).Fits(j.Need) {
 			shortest = boot
--- a/internal/leader/autoscale/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -56,12 +56,12 @@
 	t.Helper()
 	records := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 	in := &Input{
-		Now:           now,
-		TeamRoom:      records.RemainingTeamQuota,
-		Spot:          true,
-		IdleBoots:     1,
-		OutOfCapacity: never,
-		Flavors:       map[wire.MachineTypeName]wire.MachineType{"g": typeG},
+		Now:                now,
+		RemainingTeamQuota: records.RemainingTeamQuota,
+		Spot:               true,
+		IdleBoots:          1,
+		OutOfCapacity:      never,
+		MachineTypes:       map[wire.MachineTypeName]wire.MachineType{"g": typeG},
 	}
 	for i := range specs {
 		spec := specs[i]
@@ -85,14 +85,14 @@
 // acceleratorInput returns an input with gpuType and, if mixed, plainType, and without jobs and machines.
 func acceleratorInput(mixed bool) *Input {
 	in := &Input{
-		Now:           now,
-		Flavors:       map[wire.MachineTypeName]wire.MachineType{"gpu": gpuType},
-		IdleBoots:     1,
-		TeamRoom:      noQuota,
-		OutOfCapacity: never,
+		Now:                now,
+		MachineTypes:       map[wire.MachineTypeName]wire.MachineType{"gpu": gpuType},
+		IdleBoots:          1,
+		RemainingTeamQuota: noQuota,
+		OutOfCapacity:      never,
 	}
 	if mixed {
-		in.Flavors["cpu"] = plainType
+		in.MachineTypes["cpu"] = plainType
 	}
 	return in
 }
@@ -156,7 +156,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			in := input(t, tc.spec)
-			in.Units, in.MaxMachines = tc.machines, tc.maxMachines
+			in.Machines, in.MaxMachines = tc.machines, tc.maxMachines
 			if tc.outOfCapacity != nil {
 				in.OutOfCapacity = tc.outOfCapacity
 			}
@@ -185,7 +185,7 @@
 		return m
 	}
 	in := input(t)
-	in.Units = []Machine{
+	in.Machines = []Machine{
 		idleFor("busy", 0, false),
 		idleFor("new", 30*time.Second, false),
 		idleFor("spot", 4*time.Minute, true),
@@ -196,7 +196,7 @@
 		t.Errorf("got %v drained, want %v", got, want)
 	}
 	in = input(t, wire.JobSpec{Tasks: 1, GPUs: 1})
-	in.Units = []Machine{idleFor("expensive", 90*time.Second, false)}
+	in.Machines = []Machine{idleFor("expensive", 90*time.Second, false)}
 	if p := ComputePlan(in); len(p.Drain) != 0 || len(p.ScaleOut) != 0 {
 		t.Errorf("with pending work that fits: got %+v, want no change", p)
 	}
@@ -223,7 +223,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			in := input(t, wire.JobSpec{Shape: wire.Gang, Tasks: 16, GPUs: 1, Spot: true})
-			in.PreferOneZone, in.Units, in.OutOfCapacity = tc.topology, tc.machines, tc.outOfCapacity
+			in.PreferOneZone, in.Machines, in.OutOfCapacity = tc.topology, tc.machines, tc.outOfCapacity
 			got := map[wire.Zone]int{}
 			for _, scaleOut := range ComputePlan(in).ScaleOut {
 				got[scaleOut.Zone] += scaleOut.Count
@@ -250,7 +250,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			in := acceleratorInput(tc.mixed)
 			for i := range machines {
-				in.Units = append(in.Units, Machine{
+				in.Machines = append(in.Machines, Machine{
 					ID:        wire.MachineID(fmt.Sprint("host-", i)),
 					Type:      "gpu",
 					Zone:      "a",
@@ -304,7 +304,7 @@
 				default:
 					m.Booting = true
 				}
-				in.Units = append(in.Units, m)
+				in.Machines = append(in.Machines, m)
 			}
 			if p := ComputePlan(in); scaledOut(p, false) != tc.want || scaledOut(p, true) != 0 {
 				t.Errorf("got %+v, want %d that are not spot", p.ScaleOut, tc.want)
--- a/internal/leader/autoscale/policy.go
+++ b/internal/leader/autoscale/policy.go
@@ -42,8 +42,8 @@
 		planned[id] = true
 	}
 	idle := map[MachineOption][]*Machine{}
-	for i := range in.Units {
-		if m := &in.Units[i]; m.isIdle() {
+	for i := range in.Machines {
+		if m := &in.Machines[i]; m.isIdle() {
 			idle[m.option()] = append(idle[m.option()], m)
 		}
 	}
@@ -62,7 +62,7 @@
 // options returns all kinds of machines that may be rented, by type, zone, and spot last.
 func (in *Input) options() []MachineOption {
 	var options []MachineOption
-	for name, machineType := range in.Flavors {
+	for name, machineType := range in.MachineTypes {
 		for _, zone := range machineType.Zones {
 			options = append(options, MachineOption{Type: name, Zone: zone})
 			if in.Spot {
@@ -98,7 +98,7 @@
 	}
 	fleet.Names = names.Names
 	in.countMachines(kinds)
-	countPlan(plan, kinds, in.Units)
+	countPlan(plan, kinds, in.Machines)
 	return fleet
 }
 
@@ -108,7 +108,7 @@
 		Type:  names.Number(string(option.Type)),
 		Zone:  names.Number(string(option.Zone)),
 		Price: int64(in.price(option) * microsPerUnit),
-		Boot:  uint32(in.Flavors[option.Type].Boot.Duration().Seconds()),
+		Boot:  uint32(in.MachineTypes[option.Type].Boot.Duration().Seconds()),
 	}
 	if option.Spot {
 		kind.Spot = 1
@@ -121,8 +121,8 @@
 
 // countMachines adds to the kinds how many machines there are.
 func (in *Input) countMachines(kinds map[MachineOption]*policy.Kind) {
-	for i := range in.Units {
-		m := &in.Units[i]
+	for i := range in.Machines {
+		m := &in.Machines[i]
 		kind := kinds[m.option()]
 		if kind == nil {
 			continue
--- a/internal/leader/autoscale/policy_test.go
+++ b/internal/leader/autoscale/policy_test.go
@@ -18,7 +18,7 @@
 	in := &Input{
 		Now:  now,
 		Spot: rng.IntN(2) == 0,
-		Flavors: map[wire.MachineTypeName]wire.MachineType{
+		MachineTypes: map[wire.MachineTypeName]wire.MachineType{
 			"g2": {Name: "g2", Price: 4, SpotPrice: 1, Zones: zones},
 			"c8": {Name: "c8", Price: 2, SpotPrice: 1, Zones: []wire.Zone{"b"}},
 		},
@@ -38,7 +38,7 @@
 				plan.Drain = append(plan.Drain, m.ID)
 			}
 		}
-		in.Units = append(in.Units, m)
+		in.Machines = append(in.Machines, m)
 	}
 	if rng.IntN(2) == 0 {
 		plan.ScaleOut = []ScaleOut{
@@ -80,8 +80,8 @@
 			}
 		}
 		for _, id := range more.Drain {
-			at := slices.IndexFunc(in.Units, func(m Machine) bool { return m.ID == id })
-			if !in.Units[at].isIdle() {
+			at := slices.IndexFunc(in.Machines, func(m Machine) bool { return m.ID == id })
+			if !in.Machines[at].isIdle() {
 				t.Errorf("got %s drained, want idle machines only", id)
 			}
 		}
--- a/internal/leader/cloud/cloud.go
+++ b/internal/leader/cloud/cloud.go
@@ -33,9 +33,9 @@
 
 // Limits of single requests, in machines.
 const (
-	MaxHire   = 50  // that a scale-out rents
-	MaxReturn = 100 // that a scale-in returns
-	pageSize  = 500 // that a page of the list has
+	MaxScaleOut = 50  // that a scale-out rents
+	MaxReturn   = 100 // that a scale-in returns
+	pageSize    = 500 // that a page of the list has
 )
 
 const (
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -87,7 +87,7 @@
 // that they report to may have placed other tasks there since. The caller holds the cache's lock.
 func (l *Leader) haveRoom(job *ledger.Job, parts []ledger.GangPart) bool {
 	for _, part := range parts {
-		if l.records().Free(part.Site).Times(job.Need, part.Count) < part.Count {
+		if l.records().Free(part.Target).Times(job.Need, part.Count) < part.Count {
 			return false
 		}
 	}
--- a/internal/leader/scale_in_test.go
+++ b/internal/leader/scale_in_test.go
@@ -26,7 +26,7 @@
 					ID:   wire.JobID(fmt.Sprintf("wk-%06d", i)),
 					Spec: &wire.JobSpec{Priority: wire.Normal},
 				},
-				Claim: ledger.Claim{Count: 2, Attempt: 1, Machine: "host-1", Session: 1, Token: 1},
+				Claim: ledger.Claim{Count: 2, Attempt: 1, Machine: "host-1", Epoch: 1, Token: 1},
 			})
 		}
 		active.releaseClaims("host-1", held)
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -61,15 +61,15 @@
 	l := t.leader
 	snapshot := l.Scheduler.Snapshot(now)
 	in := &autoscale.Input{
-		Now:           now,
-		Flavors:       t.machineTypes,
-		Queue:         snapshot.Queue,
-		TeamRoom:      l.records().RemainingTeamQuota,
-		Spot:          l.set.Operators.Spot,
-		MaxMachines:   l.set.Operators.MostMachines,
-		IdleBoots:     l.set.Operators.IdleBoots,
-		Headroom:      l.set.Operators.Headroom,
-		PreferOneZone: snapshot.Tree != nil,
+		Now:                now,
+		MachineTypes:       t.machineTypes,
+		Queue:              snapshot.Queue,
+		RemainingTeamQuota: l.records().RemainingTeamQuota,
+		Spot:               l.set.Operators.Spot,
+		MaxMachines:        l.set.Operators.MostMachines,
+		IdleBoots:          l.set.Operators.IdleBoots,
+		Headroom:           l.set.Operators.Headroom,
+		PreferOneZone:      snapshot.Tree != nil,
 		OutOfCapacity: func(option autoscale.MachineOption) bool {
 			return now.Before(t.noCapacityUntil[option]) || now.Before(t.silentZonesUntil[option.Zone])
 		},
@@ -102,7 +102,7 @@
 			IdleSince: m.idleSince,
 		}
 		addImages(&planned, snapshot.Machine(id))
-		in.Units = append(in.Units, planned)
+		in.Machines = append(in.Machines, planned)
 	}
 	return in, boots
 }
@@ -199,7 +199,7 @@
 				Type:    need.Type,
 				Zone:    need.Zone,
 				Spot:    need.Spot,
-				Count:   min(need.Count, cloud.MaxHire),
+				Count:   min(need.Count, cloud.MaxScaleOut),
 			},
 		})
 	}
--- a/internal/membership/completion/log.go
+++ b/internal/membership/completion/log.go
@@ -93,7 +93,7 @@
 	if l == nil || len(l.known) == 0 {
 		return ""
 	}
-	c := peer.Completion{Job: h.Job.ID, Task: task, Attempt: h.Attempt, Machine: h.Machine, Session: h.Session}
+	c := peer.Completion{Job: h.Job.ID, Task: task, Attempt: h.Attempt, Machine: h.Machine, Epoch: h.Epoch}
 	if _, ok := l.known[c]; !ok {
 		return ""
 	}
@@ -147,7 +147,7 @@
 // ClaimOf returns the claim of a completion; false: the records do not hold it.
 func ClaimOf(records *ledger.Ledger, c peer.Completion) (ledger.HeldClaim, bool) {
 	for _, h := range records.ClaimsOn(c.Machine) {
-		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Session == c.Session && h.Covers(c.Task) {
+		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Epoch == c.Epoch && h.Covers(c.Task) {
 			return h, true
 		}
 	}
--- a/internal/membership/completion/log_test.go
+++ b/internal/membership/completion/log_test.go
@@ -19,7 +19,7 @@
 		Task:    wire.TaskIndex(task),
 		Attempt: attempt,
 		Machine: "host-1",
-		Session: 3,
+		Epoch:   3,
 	}
 }
 
@@ -28,7 +28,7 @@
 func TestCompletionOfAnotherAttempt(t *testing.T) {
 	l := New(4)
 	l.Add(done(2, 5), false, at(0))
-	claim := ledger.Claim{First: 0, Count: 4, Attempt: 5, Machine: "host-1", Session: 3, Token: 9}
+	claim := ledger.Claim{First: 0, Count: 4, Attempt: 5, Machine: "host-1", Epoch: 3, Token: 9}
 	for _, tc := range []struct {
 		name   string
 		change func(h *ledger.HeldClaim)
@@ -40,7 +40,7 @@
 		{"another token", func(h *ledger.HeldClaim) { h.Token = 8 }, 2, wire.CauseDone},
 		{"another task", func(*ledger.HeldClaim) {}, 1, ""},
 		{"another attempt", func(h *ledger.HeldClaim) { h.Attempt = 6 }, 2, ""},
-		{"another session", func(h *ledger.HeldClaim) { h.Session = 4 }, 2, ""},
+		{"another session", func(h *ledger.HeldClaim) { h.Epoch = 4 }, 2, ""},
 		{"another machine", func(h *ledger.HeldClaim) { h.Machine = "host-2" }, 2, ""},
 		{"another job", func(h *ledger.HeldClaim) { h.Job = &ledger.Job{ID: "wk-000002"} }, 2, ""},
 	} {
--- a/internal/membership/peer/status.go
+++ b/internal/membership/peer/status.go
@@ -105,12 +105,12 @@
 
 // Machine is a machine whose heartbeats a controller receives.
 type Machine struct {
-	ID      wire.MachineID       `cbor:"1,keyasint" json:"i"`
-	Type    wire.MachineTypeName `cbor:"2,keyasint" json:"t"`
-	Zone    wire.Zone            `cbor:"3,keyasint" json:"z"`
-	Spot    bool                 `cbor:"4,keyasint,omitempty" json:"l,omitempty"`
-	Session wire.AgentEpoch      `cbor:"5,keyasint" json:"s"`
-	Token   wire.FencingToken    `cbor:"6,keyasint" json:"k"`
+	ID    wire.MachineID       `cbor:"1,keyasint" json:"i"`
+	Type  wire.MachineTypeName `cbor:"2,keyasint" json:"t"`
+	Zone  wire.Zone            `cbor:"3,keyasint" json:"z"`
+	Spot  bool                 `cbor:"4,keyasint,omitempty" json:"l,omitempty"`
+	Epoch wire.AgentEpoch      `cbor:"5,keyasint" json:"s"`
+	Token wire.FencingToken    `cbor:"6,keyasint" json:"k"`
 	// AgeMS is the time since its last heartbeat, in milliseconds.
 	AgeMS  int64 `cbor:"7,keyasint" json:"a"`
 	Usable bool  `cbor:"8,keyasint,omitempty" json:"u,omitempty"`
@@ -138,7 +138,7 @@
 	Task    wire.TaskIndex  `cbor:"2,keyasint,omitempty"`
 	Attempt wire.Attempt    `cbor:"3,keyasint"`
 	Machine wire.MachineID  `cbor:"4,keyasint"`
-	Session wire.AgentEpoch `cbor:"5,keyasint"`
+	Epoch   wire.AgentEpoch `cbor:"5,keyasint"`
 }
 
 // Failure is the error of a task on a machine that a controller held lately, shared where machines are
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// LastHeard returns the time of the most recent status of any peer; zero: there is none.
-func (m *Membership) LastHeard() time.Time {
+// LastStatusAt returns the time of the most recent status of any peer; zero: there is none.
+func (m *Membership) LastStatusAt() time.Time {
 	var last time.Time
 	for _, p := range m.Peers() {
 		if p.AsOf.After(last) {
--- a/internal/plugin/policymanager/manager.go
+++ b/internal/plugin/policymanager/manager.go
@@ -30,7 +30,7 @@
 	// Others lists the other controllers with the modules that they have loaded.
 	Others() []Controller
 	// Spare returns how many changes a best-effort transaction may have now; 0: none.
-	Spare() int
+	SpareCapacity() int
 	// Commit runs a transaction and waits until the watch cache has its outcome.
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
 }
--- a/internal/plugin/policymanager/swap.go
+++ b/internal/plugin/policymanager/swap.go
@@ -50,7 +50,7 @@
 
 // Commit waits until the transaction is in no other change's way.
 func (p pacedStore) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
-	for p.host.Spare() < len(t.Then) {
+	for p.host.SpareCapacity() < len(t.Then) {
 		if wait.For(ctx, interval/5); ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
--- a/internal/scheduler/crashloop_test.go
+++ b/internal/scheduler/crashloop_test.go
@@ -152,11 +152,11 @@
 	plan := autoscale.ComputePlan(&autoscale.Input{
 		Now:   last.Add(time.Hour),
 		Queue: []placement.Entry{*c.entry(last)},
-		Flavors: map[wire.MachineTypeName]wire.MachineType{
+		MachineTypes: map[wire.MachineTypeName]wire.MachineType{
 			"g2": {Name: "g2", CPUs: 8, Price: 1, Boot: 20, Zones: []wire.Zone{"a"}},
 		},
-		TeamRoom:      func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
-		OutOfCapacity: func(autoscale.MachineOption) bool { return false },
+		RemainingTeamQuota: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+		OutOfCapacity:      func(autoscale.MachineOption) bool { return false },
 	})
 	if len(plan.ScaleOut) > 0 {
 		c.t.Errorf("rents %v for a crash-looping job", plan.ScaleOut)
@@ -208,7 +208,7 @@
 	if len(queue) != 1 || queue[0].CrashLooping || queue[0].BackedOff != 1 {
 		t.Fatalf("%+v, want one job that is not crash-looping with one task backed off", queue)
 	}
-	site := ledger.ClaimTarget{Machine: "host-9", Zone: "a", Session: 1, Token: 1}
+	site := ledger.ClaimTarget{Machine: "host-9", Zone: "a", Epoch: 1, Token: 1}
 	got, err := records.NewTransaction().Claim(j, site, 8, c.Failures.BackedOff(j.ID))
 	if got != 6 || err != nil {
 		t.Errorf("%d tasks claimed (%v), want 6: all but the one done and the one backed off", got, err)
--- a/internal/scheduler/deadlines_test.go
+++ b/internal/scheduler/deadlines_test.go
@@ -97,7 +97,7 @@
 	for i := range 4 {
 		m := v.Machine(c.machineName(i))
 		for _, s := range placement.PlaceOnMachine(v, m) {
-			d.all = append(d.all, fmt.Sprint(m.ID, s.Job.ID, s.Count, s.How))
+			d.all = append(d.all, fmt.Sprint(m.ID, s.Job.ID, s.Count, s.Source))
 		}
 	}
 	for _, g := range placement.PlaceGangs(v) {
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -26,18 +26,18 @@
 func (s *Scheduler) MachineSnapshot(w *reconcile.Worker, now time.Time) *placement.Machine {
 	block, up := s.topology.Locate(w.ID, w.Addr, w.Zone)
 	m := &placement.Machine{
-		ID:      w.ID,
-		Type:    w.Type,
-		Zone:    w.Zone,
-		Spot:    w.Spot,
-		Session: w.Session,
-		Token:   w.CommandToken,
-		Block:   block,
-		Images:  s.registry.Images(s.records(), w),
-		Usable:  up && s.Usable(w, now),
-		Owned:   true,
-		Slow:    s.failures.Slow(w.ID),
-		Faulty:  s.failures.Faulty(s.records(), w.ID, now),
+		ID:     w.ID,
+		Type:   w.Type,
+		Zone:   w.Zone,
+		Spot:   w.Spot,
+		Epoch:  w.Epoch,
+		Token:  w.CommandToken,
+		Block:  block,
+		Images: s.registry.Images(s.records(), w),
+		Usable: up && s.Usable(w, now),
+		Owned:  true,
+		Slow:   s.failures.Slow(w.ID),
+		Faulty: s.failures.Faulty(s.records(), w.ID, now),
 	}
 	s.setRoom(m, now)
 	return m
@@ -49,17 +49,17 @@
 	machineType, _ := s.records().MachineType(o.Type)
 	block, up := s.topology.Locate(o.ID, o.Endpoint, o.Zone)
 	m := &placement.Machine{
-		ID:      o.ID,
-		Type:    o.Type,
-		Zone:    o.Zone,
-		Spot:    o.Spot,
-		Session: o.Session,
-		Token:   o.Token,
-		Block:   block,
-		Images:  placement.NewImages(machineType.CacheGB),
-		Usable:  up && o.Usable,
-		Slow:    o.Slow,
-		Faulty:  o.Faulty,
+		ID:     o.ID,
+		Type:   o.Type,
+		Zone:   o.Zone,
+		Spot:   o.Spot,
+		Epoch:  o.Epoch,
+		Token:  o.Token,
+		Block:  block,
+		Images: placement.NewImages(machineType.CacheGB),
+		Usable: up && o.Usable,
+		Slow:   o.Slow,
+		Faulty: o.Faulty,
 	}
 	for _, name := range o.Images {
 		m.Images.Use(name, 0)
--- a/internal/scheduler/placement/cost_test.go
+++ b/internal/scheduler/placement/cost_test.go
@@ -99,11 +99,11 @@
 		t.Errorf("placing gangs examined %d", n)
 	}
 	in := &autoscale.Input{
-		Now:           start,
-		TeamRoom:      l.RemainingTeamQuota,
-		Queue:         v.Queue,
-		OutOfCapacity: func(autoscale.MachineOption) bool { return true },
-		Flavors: map[wire.MachineTypeName]wire.MachineType{
+		Now:                start,
+		RemainingTeamQuota: l.RemainingTeamQuota,
+		Queue:              v.Queue,
+		OutOfCapacity:      func(autoscale.MachineOption) bool { return true },
+		MachineTypes: map[wire.MachineTypeName]wire.MachineType{
 			"g": {Name: "g", CPUs: 8, GPUs: 2, MemoryGB: 16, Price: 1, Boot: 60, Zones: []wire.Zone{"a"}},
 		},
 	}
@@ -112,7 +112,7 @@
 		if i%100 != 0 {
 			u.Busy = []placement.ExpectedRelease{{Until: start.Add(3600e9), Room: m.Total}}
 		}
-		in.Units = append(in.Units, u)
+		in.Machines = append(in.Machines, u)
 	}
 	autoscale.ComputePlan(in)
 	if most := waiting * machines / 100; in.MachinesExamined == 0 || in.MachinesExamined > most {
--- a/internal/scheduler/placement/eligibility.go
+++ b/internal/scheduler/placement/eligibility.go
@@ -36,8 +36,8 @@
 		(e.Avoid == nil || !e.Avoid(m.ID))
 }
 
-// ReservedWhole reports whether a gang of several tasks that may use the machine is waiting.
-func (s *Snapshot) ReservedWhole(m *Machine) bool {
+// WantedByGang reports whether a gang of several tasks that may use the machine is waiting.
+func (s *Snapshot) WantedByGang(m *Machine) bool {
 	return slices.ContainsFunc(s.Queue, func(e Entry) bool {
 		return e.Job.GangSize() > 1 && e.pending() > 0 && m.Total.Fits(e.Job.Need) &&
 			ledger.Allowed(e.Job.Spec, m.Type, m.Zone, m.Spot)
--- a/internal/scheduler/placement/gangs.go
+++ b/internal/scheduler/placement/gangs.go
@@ -70,7 +70,7 @@
 		p.teamTaken[j.Spec.Team] = p.teamTaken[j.Spec.Team].Add(j.Need, j.GangSize())
 	}
 	for _, part := range placed.parts {
-		m := s.Machine(part.Site.Machine)
+		m := s.Machine(part.Target.Machine)
 		m.Free = m.Free.Add(j.Need, -part.Count)
 		if m.Images.rank(j.Spec.Image) == rankAbsent {
 			p.fetches[m.ID] = j.Spec.Image
@@ -98,7 +98,7 @@
 	for _, g := range PlaceGangs(s) {
 		s.gangsWithRoom[g.Entry.Job.ID] = true
 		for _, p := range g.Parts {
-			m := s.Machine(p.Site.Machine)
+			m := s.Machine(p.Target.Machine)
 			placed[m.ID] = placed[m.ID].Add(g.Entry.Job.Need, p.Count)
 			if s.Reserved[m.ID] == nil {
 				s.Reserved[m.ID] = map[wire.JobID]int{}
@@ -241,7 +241,7 @@
 	for _, o := range options {
 		if n := tasks.take(o.m.Zone, o.room); n > 0 {
 			p.rank = max(p.rank, o.rank)
-			p.parts = append(p.parts, ledger.GangPart{Site: o.m.ClaimTarget(), Count: n})
+			p.parts = append(p.parts, ledger.GangPart{Target: o.m.ClaimTarget(), Count: n})
 		}
 	}
 	if tasks.left > 0 {
--- a/internal/scheduler/placement/gangs_test.go
+++ b/internal/scheduler/placement/gangs_test.go
@@ -50,8 +50,8 @@
 			t.Fatalf("seed %d: %+v is refused: %v", seed, parts, err)
 		}
 		for _, p := range parts {
-			if free[p.Site.Machine].Times(j.Need, 100) < p.Count {
-				t.Fatalf("seed %d: %d tasks do not fit on %s", seed, p.Count, p.Site.Machine)
+			if free[p.Target.Machine].Times(j.Need, 100) < p.Count {
+				t.Fatalf("seed %d: %d tasks do not fit on %s", seed, p.Count, p.Target.Machine)
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 		}
 		overdue := 0
 		for _, p := range starts[0].Parts {
-			if v.Machine(p.Site.Machine).Overdue {
+			if v.Machine(p.Target.Machine).Overdue {
 				overdue++
 			}
 		}
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -19,13 +19,13 @@
 
 // Machine is the state of a machine that decisions are made from.
 type Machine struct {
-	ID      wire.MachineID
-	Type    wire.MachineTypeName
-	Zone    wire.Zone
-	Spot    bool
-	Block   topology.Block // where it is, if a topology is declared
-	Session wire.AgentEpoch
-	Token   wire.FencingToken // of the controller that the machine reports to
+	ID    wire.MachineID
+	Type  wire.MachineTypeName
+	Zone  wire.Zone
+	Spot  bool
+	Block topology.Block // where it is, if a topology is declared
+	Epoch wire.AgentEpoch
+	Token wire.FencingToken // of the controller that the machine reports to
 
 	Total   ledger.Resources
 	Free    ledger.Resources
@@ -53,7 +53,7 @@
 		Type:    m.Type,
 		Zone:    m.Zone,
 		Spot:    m.Spot,
-		Session: m.Session,
+		Epoch:   m.Epoch,
 		Token:   m.Token,
 	}
 }
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -61,7 +61,7 @@
 			ID:      wire.MachineID(fmt.Sprintf("host-%03d", i)),
 			Type:    "g",
 			Zone:    []wire.Zone{"a", "b"}[i%2],
-			Session: 1,
+			Epoch:   1,
 			Token:   1,
 			Usable:  true,
 			Owned:   true,
@@ -205,12 +205,12 @@
 
 // start claims tasks on a machine.
 func (s *simulation) start(st placement.Start, m *placement.Machine) {
-	p := ledger.GangPart{Site: m.ClaimTarget(), Count: st.Count}
+	p := ledger.GangPart{Target: m.ClaimTarget(), Count: st.Count}
 	if s.commit(func(d *ledger.Transaction) error {
 		if st.Job.Spec.Shape == wire.Gang {
 			return d.ClaimGang(st.Job, []ledger.GangPart{p})
 		}
-		_, err := d.Claim(st.Job, p.Site, p.Count, nil)
+		_, err := d.Claim(st.Job, p.Target, p.Count, nil)
 		return err
 	}) {
 		s.recordWait(st.Job)
--- a/internal/scheduler/placement/single_tasks.go
+++ b/internal/scheduler/placement/single_tasks.go
@@ -19,10 +19,10 @@
 
 // Start is a decision to start tasks of a job on the machine that was asked for.
 type Start struct {
-	Job   *ledger.Job
-	Count int // tasks
-	How   ImageSource
-	Late  bool // the job is overdue: it must start now to begin within the bound on waiting
+	Job     *ledger.Job
+	Count   int // tasks
+	Source  ImageSource
+	Overdue bool // the job is overdue: it must start now to begin within the bound on waiting
 }
 
 // machinePass is the state of one call of PlaceOnMachine.
--- a/internal/scheduler/placement/topology_packing.go
+++ b/internal/scheduler/placement/topology_packing.go
@@ -100,7 +100,7 @@
 	for i, n := range counts {
 		if n > 0 {
 			p.rank = max(p.rank, options[i].rank)
-			p.parts = append(p.parts, ledger.GangPart{Site: options[i].m.ClaimTarget(), Count: n})
+			p.parts = append(p.parts, ledger.GangPart{Target: options[i].m.ClaimTarget(), Count: n})
 		}
 	}
 	return p
--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -106,7 +106,7 @@
 	var on []topology.Block
 	var counts []int
 	for _, p := range g.Parts {
-		on, counts = append(on, v.Machine(p.Site.Machine).Block), append(counts, p.Count)
+		on, counts = append(on, v.Machine(p.Target.Machine).Block), append(counts, p.Count)
 	}
 	return v.Tree.CostOf(on, counts)
 }
@@ -171,7 +171,7 @@
 		}
 		near := true
 		for _, p := range gangs[0].Parts {
-			near = near && v.Machine(p.Site.Machine).Block == v.Machine(gangs[0].Parts[0].Site.Machine).Block
+			near = near && v.Machine(p.Target.Machine).Block == v.Machine(gangs[0].Parts[0].Target.Machine).Block
 		}
 		if near != close {
 			t.Errorf("%s: in one rack %v, at %v", setting, near, gangs[0].Parts)
@@ -300,7 +300,7 @@
 			v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
 			var out []string
 			for _, p := range placement.PlaceGangs(v)[0].Parts {
-				out = append(out, string(p.Site.Machine))
+				out = append(out, string(p.Target.Machine))
 			}
 			slices.Sort(out)
 			return strings.Join(out, " ")
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -106,10 +106,10 @@
 	s := &testServer{addr: freeAddr(t), shed: make(chan string, 100), blockPolls: make(chan struct{})}
 	services := service{blockPolls: s.blockPolls}
 	apiServer := &api.Server{
-		Users:      services,
-		Workers:    services,
+		Jobs:       services,
+		Heartbeats: services,
 		Workflows:  workflows{},
-		View:       services,
+		Inspector:  services,
 		Duties:     new(supervise.Group).Status,
 		Metrics:    func() []byte { return []byte("x 1\n") },
 		RetryAfter: time.Second,
--- a/internal/server/api/jobs.go
+++ b/internal/server/api/jobs.go
@@ -16,7 +16,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	st, created, err := s.Users.Submit(ctx, &spec)
+	st, created, err := s.Jobs.Submit(ctx, &spec)
 	if err != nil {
 		return s.jobFailure(spec.ID, err)
 	}
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	st, err := s.Users.Status(ctx, id)
+	st, err := s.Jobs.Status(ctx, id)
 	if err != nil {
 		return s.jobFailure(id, err)
 	}
@@ -69,7 +69,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	st, err := s.Users.Cancel(ctx, id)
+	st, err := s.Jobs.Cancel(ctx, id)
 	if err != nil {
 		return s.jobFailure(id, err)
 	}
--- a/internal/server/api/routes.go
+++ b/internal/server/api/routes.go
@@ -55,7 +55,7 @@
 
 // health reports whether the controller is ready.
 func (s *Server) health(context.Context, *http1.Request) *http1.Response {
-	if !s.View.Healthy() {
+	if !s.Inspector.Healthy() {
 		return problem(503, errNotReady)
 	}
 	return reply(200, struct{}{})
@@ -77,7 +77,7 @@
 
 // topology returns the declared topology as JSON lines.
 func (s *Server) topology(context.Context, *http1.Request) *http1.Response {
-	view, ok := s.View.Topology(time.Now())
+	view, ok := s.Inspector.Topology(time.Now())
 	if !ok {
 		return problem(404, errNoTopology)
 	}
@@ -94,7 +94,7 @@
 
 // judgements returns the judgements of machines.
 func (s *Server) judgements(context.Context, *http1.Request) *http1.Response {
-	list, ok := s.View.Judgements()
+	list, ok := s.Inspector.Judgements()
 	if !ok {
 		return problem(404, errNoJudgements)
 	}
@@ -107,7 +107,7 @@
 	if err := json.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Epoch == 0 {
 		return problem(400, errNoHeartbeat)
 	}
-	answer := s.Workers.Heartbeat(ctx, &heartbeat)
+	answer := s.Heartbeats.Heartbeat(ctx, &heartbeat)
 	switch answer.Status {
 	case 200:
 		return reply(200, answer.Response)
--- a/internal/server/api/server.go
+++ b/internal/server/api/server.go
@@ -44,10 +44,10 @@
 
 // Server answers the requests of connections. Its exported fields are set before the first Serve.
 type Server struct {
-	Users      Jobs
-	Workers    Heartbeats
+	Jobs       Jobs
+	Heartbeats Heartbeats
 	Workflows  Workflows
-	View       Inspector
+	Inspector  Inspector
 	Metrics    func() []byte // in the text format of Prometheus
 	Duties     func(time.Time) []supervise.Status
 	RetryAfter time.Duration     // that clients whose request is shed are to wait
--- a/internal/server/completions.go
+++ b/internal/server/completions.go
@@ -33,7 +33,7 @@
 			Task:    task.Task.Index,
 			Attempt: task.Attempt,
 			Machine: r.Machine,
-			Session: r.Epoch,
+			Epoch:   r.Epoch,
 		}
 		if s.CompletionUnrecorded(done) {
 			s.Completions.Add(done, !s.Cache.SyncedWithin(now, settings.StartContact), now)
@@ -54,12 +54,12 @@
 	for _, exit := range exits {
 		job := exit.Held.Job
 		s.log.Info("task exited", "job", job.ID, "task", exit.Task, "attempt", exit.Held.Attempt, "machine", w.ID,
-			"cause", exit.Cause, "saved", exit.Saved, "session", w.Session)
+			"cause", exit.Cause, "saved", exit.Saved, "session", w.Epoch)
 		s.stats.Add("exits_total", 1)
 		switch exit.Cause {
 		case wire.CauseDone:
 			s.Failures.Completed(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.Ran, now)
-			if exit.Held.Session == w.Session {
+			if exit.Held.Epoch == w.Epoch {
 				images.Use(job.Spec.Image, job.Spec.ImageGB)
 			} else {
 				s.stats.Add("completions_recalled_total", 1)
@@ -89,10 +89,10 @@
 	finishedExpiry = time.Second
 )
 
-// RemoveSilentWorkers completes, until ctx ends, the jobs whose tasks are all done but that are still
+// CompleteFinishedJobs completes, until ctx ends, the jobs whose tasks are all done but that are still
 // active: two controllers recorded their last tasks at the same time, so that neither saw the last one. It
 // has nothing to do with workers; the name is kept for its caller. It returns ctx's error.
-func (s *HeartbeatServer) RemoveSilentWorkers(ctx context.Context) error {
+func (s *HeartbeatServer) CompleteFinishedJobs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, finishedSweepInterval)
 		s.Cache.Read(func(records *ledger.Ledger) {
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -153,7 +153,7 @@
 	token wire.FencingToken,
 	now time.Time,
 ) reconcile.Reconciliation {
-	if w.Session != 0 && r.Epoch > w.Session {
+	if w.Epoch != 0 && r.Epoch > w.Epoch {
 		s.log.Info("worker started a new epoch", "machine", r.Machine, "epoch", r.Epoch)
 	}
 	wasUnreachable := w.Unreachable()
@@ -171,7 +171,7 @@
 	if !s.Exchange.Complete(now) {
 		// A peer may have the completions of tasks whose epoch is over; the next heartbeat shows them again.
 		findings.Exits = slices.DeleteFunc(findings.Exits, func(exit reconcile.TaskExit) bool {
-			return exit.Held.Session < r.Epoch && exit.Cause == ""
+			return exit.Held.Epoch < r.Epoch && exit.Cause == ""
 		})
 	}
 	s.observeImages(w, findings.Seen, now)
@@ -207,7 +207,7 @@
 	receivedAt time.Time,
 ) bool {
 	waits := s.enqueueFindings(w, findings, receivedAt)
-	current := func() bool { return w.Session == r.Epoch && w.Sequence == r.Sequence }
+	current := func() bool { return w.Epoch == r.Epoch && w.Sequence == r.Sequence }
 	now := receivedAt
 	for try := 0; try < maxPlacementTries && current(); try++ {
 		offer := s.offerStarts(w, now) //nolint:contextcheck // as above: the snapshot outlives the heartbeat
--- a/internal/server/rebalance_test.go
+++ b/internal/server/rebalance_test.go
@@ -33,7 +33,7 @@
 			for i, n := range tc.theirs {
 				a := controllertest.Answer(wire.MemberID(fmt.Sprintf("m-%d", i+1)), time.Now(), 0, true, tc.syncAge)
 				for range n {
-					a.Status.Machines = append(a.Status.Machines, peer.Machine{Session: 1})
+					a.Status.Machines = append(a.Status.Machines, peer.Machine{Epoch: 1})
 				}
 				s.Membership.ObserveStatus(a.Status, a.AsOf)
 			}
--- a/internal/server/reconcile/claims.go
+++ b/internal/server/reconcile/claims.go
@@ -25,7 +25,7 @@
 // a heartbeat that no other controller's command can have overtaken. In a gang that lacks a task it would
 // wait forever.
 func (w *Worker) mayRejoin(claim *ledger.HeldClaim, status *wire.TaskStatus) bool {
-	return gaveUpOnGang(status) && w.Fresh && wanted(claim) && claim.Job.RunsWholeMachines()
+	return gaveUpOnGang(status) && w.Fresh && wanted(claim) && claim.Job.AllClaimedOrDone()
 }
 
 // rejoins reports whether a task that gave up waiting for its gang is to wait on under the same attempt.
@@ -39,7 +39,7 @@
 // mayBegin reports whether a task that is not on the machine may begin there all the same, whichever
 // controller claimed it: it is of a gang that has all its tasks.
 func (w *Worker) mayBegin(claim *ledger.HeldClaim) bool {
-	return claim.Job.GangSize() > 1 && w.ReclaimAt.IsZero() && wanted(claim) && claim.Job.RunsWholeMachines()
+	return claim.Job.GangSize() > 1 && w.ReclaimAt.IsZero() && wanted(claim) && claim.Job.AllClaimedOrDone()
 }
 
 // withdrawn reports whether this controller alone could have sent the start of a claimed task that is not on
--- a/internal/server/reconcile/commands.go
+++ b/internal/server/reconcile/commands.go
@@ -40,7 +40,7 @@
 	claims := make(map[taskKey]*ledger.HeldClaim, len(held))
 	for c := range held {
 		claim := &held[c]
-		if claim.Session != w.Session {
+		if claim.Epoch != w.Epoch {
 			continue
 		}
 		for i := range claim.Count {
@@ -121,7 +121,7 @@
 	free = total
 	for c := range held {
 		claim := &held[c]
-		if claim.Session != w.Session {
+		if claim.Epoch != w.Epoch {
 			continue
 		}
 		missing := 0
--- a/internal/server/reconcile/commands_test.go
+++ b/internal/server/reconcile/commands_test.go
@@ -68,7 +68,7 @@
 	claims := claimOf(1, ours, "")
 	w := NewWorker(r, nil, time.Time{})
 	w.Stop(claims[0])
-	w.Session = r.Epoch // as a new epoch would clear the mark
+	w.Epoch = r.Epoch // as a new epoch would clear the mark
 	w.Reconcile(r, claims, ours, time.Time{})
 	commands := w.Commands(r, claims, ledger.Resources{}, true)
 	if len(commands) != 1 || commands[0].Op != wire.OpStop || *commands[0].Grace != 3 {
--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -26,7 +26,7 @@
 	for _, job := range order {
 		jobExits := exitsByJob[job]
 		class := committer.ClassRecord
-		if slices.ContainsFunc(jobExits, func(exit TaskExit) bool { return exit.Recalled }) {
+		if slices.ContainsFunc(jobExits, func(exit TaskExit) bool { return exit.LostClaim }) {
 			class = committer.ClassUrgent
 		} else if job.BestEffort() {
 			class = committer.ClassBestEffortRecord
--- a/internal/server/reconcile/reachability.go
+++ b/internal/server/reconcile/reachability.go
@@ -67,7 +67,7 @@
 // a heartbeat when it comes. It is to be called before Reconcile.
 func (w *Worker) ObserveEpoch(r *wire.Heartbeat, now time.Time, minLease time.Duration) {
 	h := &w.reachability
-	if w.Session != 0 && r.Epoch > w.Session && !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < minLease {
+	if w.Epoch != 0 && r.Epoch > w.Epoch && !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < minLease {
 		h.setUnreachable(r.FencingToken, now)
 	}
 }
--- a/internal/server/reconcile/reconciliation.go
+++ b/internal/server/reconcile/reconciliation.go
@@ -17,14 +17,14 @@
 	Saved bool          // a checkpoint was saved
 	Ran   time.Duration // since it was first reported running, 0 if unknown
 	// Recalled: the worker has forgotten the task and can't report its exit again.
-	Recalled bool
+	LostClaim bool
 }
 
 // ExitOfLostClaim is the exit of a claimed task that no worker can report any more: done if the log has its
 // completion, else of no known cause.
 func ExitOfLostClaim(completed *completion.Log, claim ledger.HeldClaim, task wire.TaskIndex) TaskExit {
 	cause := completed.Cause(&claim, task)
-	return TaskExit{Held: claim, Task: task, Cause: cause, Recalled: cause == wire.CauseDone}
+	return TaskExit{Held: claim, Task: task, Cause: cause, LostClaim: cause == wire.CauseDone}
 }
 
 // ObservedTask is a task that its machine reports, in some state, with its claim.
@@ -112,10 +112,10 @@
 		task.claimed = true
 	}
 	switch {
-	case claim.Session < w.Session:
+	case claim.Epoch < w.Epoch:
 		// The worker has forgotten how the task ended; the log of completions may show it.
 		f.Exits = append(f.Exits, ExitOfLostClaim(w.completed, *claim, key.task.Index))
-	case claim.Session > w.Session:
+	case claim.Epoch > w.Epoch:
 		// The heartbeat is from before the claim's epoch.
 	case task.status != nil:
 		w.reconcileReported(f, claim, key.task.Index, task, now)
--- a/internal/server/reconcile/reconciliation_test.go
+++ b/internal/server/reconcile/reconciliation_test.go
@@ -59,7 +59,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := NewWorker(tc.r, nil, time.Time{})
-			w.Session = tc.r.Epoch
+			w.Epoch = tc.r.Epoch
 			if tc.sent != never {
 				task := w.observe(testKey)
 				task.sent, task.sentSequence = true, tc.sent
--- a/internal/server/reconcile/recorder.go
+++ b/internal/server/reconcile/recorder.go
@@ -105,7 +105,7 @@
 			return
 		}
 		if claim, ok := completion.ClaimOf(records, done); ok {
-			exit := TaskExit{Held: claim, Task: done.Task, Cause: wire.CauseDone, Recalled: true}
+			exit := TaskExit{Held: claim, Task: done.Task, Cause: wire.CauseDone, LostClaim: true}
 			exits[done.Job] = append(exits[done.Job], exit)
 		}
 	})
--- a/internal/server/reconcile/registry.go
+++ b/internal/server/reconcile/registry.go
@@ -66,7 +66,7 @@
 // epoch begins without images.
 func (r *Registry) Images(records *ledger.Ledger, w *Worker) *placement.Images {
 	known := r.images[w.ID]
-	if known != nil && known.epoch == w.Session {
+	if known != nil && known.epoch == w.Epoch {
 		return known.images
 	}
 	machineType, _ := records.MachineType(w.Type)
@@ -75,7 +75,7 @@
 		// The worker may have reported to another controller in this epoch.
 		r.addPeersImages(images, w)
 	}
-	r.images[w.ID] = &machineImages{epoch: w.Session, images: images}
+	r.images[w.ID] = &machineImages{epoch: w.Epoch, images: images}
 	return images
 }
 
@@ -84,7 +84,7 @@
 	for _, peer := range r.membership.Peers() {
 		for i := range peer.Status.Machines {
 			m := &peer.Status.Machines[i]
-			if m.ID != w.ID || m.Session != w.Session {
+			if m.ID != w.ID || m.Epoch != w.Epoch {
 				continue
 			}
 			for _, name := range m.Images {
--- a/internal/server/reconcile/tasks.go
+++ b/internal/server/reconcile/tasks.go
@@ -60,14 +60,14 @@
 // observeHeartbeat takes over a heartbeat's fields and tasks. In a new agent epoch nothing that was known
 // of the tasks holds any more.
 func (w *Worker) observeHeartbeat(r *wire.Heartbeat, token wire.FencingToken, now time.Time) {
-	if r.Epoch != w.Session {
+	if r.Epoch != w.Epoch {
 		clear(w.tasks)
 		w.oldTokens = nil
 		w.reachability.answeredSequence = 0
 	} else if token != w.CommandToken {
 		w.oldTokens = append(w.oldTokens, w.CommandToken)
 	}
-	w.Session, w.Sequence, w.LastHeartbeat, w.CommandToken = r.Epoch, r.Sequence, now, token
+	w.Epoch, w.Sequence, w.LastHeartbeat, w.CommandToken = r.Epoch, r.Sequence, now, token
 	w.Addr, w.Type, w.Zone, w.Spot = r.Addr, r.Type, r.Zone, r.Spot
 	w.Fresh = r.FencingToken == token
 	w.ReclaimAt = time.Time{}
--- a/internal/server/reconcile/worker.go
+++ b/internal/server/reconcile/worker.go
@@ -33,7 +33,7 @@
 	Spot bool
 
 	// The latest heartbeat.
-	Session       wire.AgentEpoch
+	Epoch         wire.AgentEpoch
 	Sequence      wire.HeartbeatSequence
 	Fresh         bool      // it was sent after the worker had accepted CommandToken
 	LastHeartbeat time.Time // when it came
@@ -68,7 +68,7 @@
 // Stale reports whether a heartbeat is older than one already reconciled. A network that was cut may
 // deliver heartbeats minutes late.
 func (w *Worker) Stale(r *wire.Heartbeat) bool {
-	return r.Epoch < w.Session || r.Epoch == w.Session && r.Sequence <= w.Sequence
+	return r.Epoch < w.Epoch || r.Epoch == w.Epoch && r.Sequence <= w.Sequence
 }
 
 // Stop marks a claim's tasks as to be stopped, saving a checkpoint first if they can. The commands go out
--- a/internal/server/reconcile/worker_test.go
+++ b/internal/server/reconcile/worker_test.go
@@ -24,7 +24,7 @@
 		State:   state,
 		Claimed: 1,
 	}
-	claim := ledger.Claim{First: 0, Count: 1, Attempt: testAttempt, Machine: "host-1", Session: epoch, Token: token}
+	claim := ledger.Claim{First: 0, Count: 1, Attempt: testAttempt, Machine: "host-1", Epoch: epoch, Token: token}
 	return []ledger.HeldClaim{{Job: job, Claim: claim}}
 }
 
--- a/internal/server/starts.go
+++ b/internal/server/starts.go
@@ -31,7 +31,7 @@
 	snapshot := s.Scheduler.Snapshot(now)
 	machine := snapshot.UpdateMachine(s.Scheduler.MachineSnapshot(w, now))
 	starts := placement.PlaceOnMachine(snapshot, machine)
-	return startOffer{starts: starts, mayOfferFreed: !snapshot.ReservedWhole(machine)}
+	return startOffer{starts: starts, mayOfferFreed: !snapshot.WantedByGang(machine)}
 }
 
 // startChanges returns the changes that claim the starts offered to a machine, at most two: those of
@@ -81,7 +81,7 @@
 ) *committer.Change {
 	target := claimTarget(w)
 	var claimed []placement.Start // by the latest run of the draft
-	overdue := slices.ContainsFunc(starts, func(start placement.Start) bool { return start.Late })
+	overdue := slices.ContainsFunc(starts, func(start placement.Start) bool { return start.Overdue })
 	mostUrgent := slices.MinFunc(starts, func(a, b placement.Start) int {
 		return cmp.Compare(a.Job.Spec.Priority.Rank(), b.Job.Spec.Priority.Rank())
 	})
@@ -92,8 +92,8 @@
 		OnCommit: func() {
 			for _, start := range claimed {
 				s.log.Info("task started",
-					"job", start.Job.ID, "tasks", start.Count, "machine", w.ID, "image", start.How)
-				s.stats.Add("starts_"+string(start.How)+"_total", 1)
+					"job", start.Job.ID, "tasks", start.Count, "machine", w.ID, "image", start.Source)
+				s.stats.Add("starts_"+string(start.Source)+"_total", 1)
 			}
 		},
 		Draft: func(txn *ledger.Transaction) (err error) {
@@ -143,7 +143,7 @@
 	count int,
 ) error {
 	if job.Spec.Shape == wire.Gang {
-		return txn.ClaimGang(job, []ledger.GangPart{{Site: target, Count: count}})
+		return txn.ClaimGang(job, []ledger.GangPart{{Target: target, Count: count}})
 	}
 	_, err := txn.Claim(job, target, count, s.Failures.BackedOff(job.ID))
 	return err
@@ -174,12 +174,12 @@
 // claimTarget is a machine as claims name it, under the token that it is commanded under now.
 func claimTarget(w *reconcile.Worker) ledger.ClaimTarget {
 	m := placement.Machine{
-		ID:      w.ID,
-		Type:    w.Type,
-		Zone:    w.Zone,
-		Spot:    w.Spot,
-		Session: w.Session,
-		Token:   w.CommandToken,
+		ID:    w.ID,
+		Type:  w.Type,
+		Zone:  w.Zone,
+		Spot:  w.Spot,
+		Epoch: w.Epoch,
+		Token: w.CommandToken,
 	}
 	return m.ClaimTarget()
 }
@@ -187,5 +187,5 @@
 // stillHolds reports whether a worker still reports here, in the epoch and under the token that something
 // was decided for. It needs the cache's lock.
 func (s *HeartbeatServer) stillHolds(w *reconcile.Worker, target ledger.ClaimTarget) bool {
-	return s.Registry.Worker(w.ID) == w && w.Session == target.Session && w.CommandToken == target.Token
+	return s.Registry.Worker(w.ID) == w && w.Epoch == target.Epoch && w.CommandToken == target.Token
 }
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -47,7 +47,7 @@
 	AllRead(format int) bool
 	// Spare returns how many changes a transaction may have now without delaying other work;
 	// 0 means none.
-	Spare() int
+	SpareCapacity() int
 	// Commit runs a transaction and waits until the cached records show its outcome.
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
 }
@@ -55,7 +55,7 @@
 // Options are the settings of an Archiver.
 type Options struct {
 	Archive    bool          // jobs, workflows and machines are moved
-	Kept       int           // finished jobs, and finished workflows, that stay on record
+	KeptJobs   int           // finished jobs, and finished workflows, that stay on record
 	Settle     time.Duration // from the upgrade of the format until anything is moved
 	FormatUpTo int           // the newest format to upgrade the records to; 0: the newest known
 	SweepAfter int           // machines of one part that are compacted together; 0: minCompacted
@@ -102,7 +102,7 @@
 			pages:   reader,
 			stats:   stats,
 			log:     log,
-			backlog: backlog{kept: opt.Kept, minCompacted: opt.SweepAfter, log: log},
+			backlog: backlog{kept: opt.KeptJobs, minCompacted: opt.SweepAfter, log: log},
 		},
 	}
 }
--- a/internal/state/archiver/archiver_test.go
+++ b/internal/state/archiver/archiver_test.go
@@ -53,9 +53,9 @@
 	f(h.records)
 }
 
-func (h *testHost) Leading() bool    { return h.leading }
-func (h *testHost) AllRead(int) bool { return h.allRead }
-func (h *testHost) Spare() int       { return limits.TxnOps }
+func (h *testHost) Leading() bool      { return h.leading }
+func (h *testHost) AllRead(int) bool   { return h.allRead }
+func (h *testHost) SpareCapacity() int { return limits.TxnOps }
 
 func (h *testHost) Commit(_ context.Context, t wire.Txn) (wire.Revision, error) {
 	h.mu.Lock()
@@ -142,7 +142,7 @@
 }
 
 // testOptions are options that keep two finished jobs on record.
-var testOptions = Options{Archive: true, Kept: 2, SweepAfter: 10, TxnOps: limits.TxnOps, Requests: 100, Changes: 100}
+var testOptions = Options{Archive: true, KeptJobs: 2, SweepAfter: 10, TxnOps: limits.TxnOps, Requests: 100, Changes: 100}
 
 // archivedKeys returns how many jobs are in the archive.
 func (h *testHost) archivedKeys() int {
@@ -166,11 +166,11 @@
 		runFor(t, h.newArchiver(testOptions), 2*time.Minute)
 
 		known, stillActive := h.records.Counts()
-		if known != active+testOptions.Kept || stillActive != active {
+		if known != active+testOptions.KeptJobs || stillActive != active {
 			t.Errorf("got %d jobs on record, %d of them active, want %d and %d",
-				known, stillActive, active+testOptions.Kept, active)
+				known, stillActive, active+testOptions.KeptJobs, active)
 		}
-		if got, want := h.archivedKeys(), jobs-active-testOptions.Kept; got != want {
+		if got, want := h.archivedKeys(), jobs-active-testOptions.KeptJobs; got != want {
 			t.Errorf("got %d archived jobs, want %d", got, want)
 		}
 		if got := h.records.CountTerminated(); got != 25 {
--- a/internal/state/archiver/mover.go
+++ b/internal/state/archiver/mover.go
@@ -40,7 +40,7 @@
 // move moves one transaction's worth out of the records and returns how many changes that took: 0
 // if there is nothing to be moved, or no change is spare.
 func (m *mover) move(ctx context.Context, now time.Time) (int, error) {
-	spare := m.host.Spare()
+	spare := m.host.SpareCapacity()
 	if spare == 0 {
 		return 0, nil
 	}
--- a/internal/state/backup/backup_test.go
+++ b/internal/state/backup/backup_test.go
@@ -129,7 +129,7 @@
 		f.commit(func(txn *ledger.Transaction) error { return txn.SetMachinePhase(m, ledger.Terminated, "test", by) })
 	default:
 		f.commit(func(txn *ledger.Transaction) error {
-			target := ledger.ClaimTarget{Machine: "host-000002", Type: "g", Zone: "a", Session: 1, Token: 2}
+			target := ledger.ClaimTarget{Machine: "host-000002", Type: "g", Zone: "a", Epoch: 1, Token: 2}
 			_, err := txn.Claim(f.records.Job(id), target, 2, nil)
 			return err
 		})
--- a/internal/state/committer/committer_test.go
+++ b/internal/state/committer/committer_test.go
@@ -62,7 +62,7 @@
 // release returns a change that records the end of a task of a job that host-1 holds.
 func release(l *ledger.Ledger, job, task int) *Change {
 	return &Change{done: make(chan error, 1), Draft: func(txn *ledger.Transaction) error {
-		claim := ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1}
+		claim := ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Epoch: 1, Token: 1}
 		_, err := txn.ReleaseTasks(l.Job(jobID(job)), claim, []wire.TaskIndex{wire.TaskIndex(task)}, true)
 		return err
 	}}
@@ -285,7 +285,7 @@
 				ExpiresAt: now.Add(time.Minute),
 				queuedAt:  now,
 				Draft: func(txn *ledger.Transaction) error {
-					target := ledger.ClaimTarget{Machine: "host-1", Zone: "a", Session: 1, Token: 1}
+					target := ledger.ClaimTarget{Machine: "host-1", Zone: "a", Epoch: 1, Token: 1}
 					_, err := txn.Claim(l.Job(jobID(1)), target, 1, nil)
 					return err
 				},
--- a/internal/state/ledger/claim.go
+++ b/internal/state/ledger/claim.go
@@ -17,7 +17,7 @@
 	Attempt wire.Attempt
 	Machine wire.MachineID
 	Zone    wire.Zone
-	Session wire.AgentEpoch
+	Epoch   wire.AgentEpoch
 	Token   wire.FencingToken // of the controller that held the machine
 }
 
@@ -29,7 +29,7 @@
 
 // sameStart reports whether two claims are pieces of one start.
 func (c *Claim) sameStart(o *Claim) bool {
-	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Session == o.Session &&
+	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Epoch == o.Epoch &&
 		c.Token == o.Token
 }
 
@@ -52,7 +52,7 @@
 			}
 		}
 		firsts = append(firsts, c)
-		starts = append(starts, []any{c.Attempt, c.Machine, c.Zone, c.Session, c.Token, c.First, c.Count})
+		starts = append(starts, []any{c.Attempt, c.Machine, c.Zone, c.Epoch, c.Token, c.First, c.Count})
 	}
 	return json.Marshal(starts)
 }
@@ -75,7 +75,7 @@
 		if s[1][0] != '"' {
 			names, pairs = s[2:], s[:2]
 		}
-		for i, f := range []any{&c.Attempt, &c.Machine, &c.Zone, &c.Session, &c.Token} {
+		for i, f := range []any{&c.Attempt, &c.Machine, &c.Zone, &c.Epoch, &c.Token} {
 			if err := json.Unmarshal(names[i], f); err != nil {
 				return err
 			}
--- a/internal/state/ledger/claims_test.go
+++ b/internal/state/ledger/claims_test.go
@@ -206,8 +206,8 @@
 	var got []ledger.Claim
 	l.Job("wk-000001").Claims(func(c ledger.Claim) bool { got = append(got, c); return true })
 	want := []ledger.Claim{
-		{First: 0, Count: 2, Attempt: 1, Machine: "host-1", Zone: "a", Session: 1, Token: 1},
-		{First: 4, Count: 3, Attempt: 2, Machine: "host-2", Zone: "b", Session: 5, Token: 6},
+		{First: 0, Count: 2, Attempt: 1, Machine: "host-1", Zone: "a", Epoch: 1, Token: 1},
+		{First: 4, Count: 3, Attempt: 2, Machine: "host-2", Zone: "b", Epoch: 5, Token: 6},
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/internal/state/ledger/helpers_test.go
+++ b/internal/state/ledger/helpers_test.go
@@ -28,7 +28,7 @@
 		Machine: wire.MachineID(fmt.Sprintf("host-%d", machine)),
 		Type:    "g2",
 		Zone:    []wire.Zone{"a", "b"}[machine%2],
-		Session: 1,
+		Epoch:   1,
 		Token:   token,
 	}
 }
--- a/internal/state/ledger/history_test.go
+++ b/internal/state/ledger/history_test.go
@@ -275,7 +275,7 @@
 	var parts []ledger.GangPart
 	for left := j.Pending(); left > 0; {
 		n := 1 + h.rng.IntN(left)
-		parts = append(parts, ledger.GangPart{Site: target(h.rng.IntN(6), token), Count: n})
+		parts = append(parts, ledger.GangPart{Target: target(h.rng.IntN(6), token), Count: n})
 		left -= n
 	}
 	if parts != nil {
--- a/internal/state/ledger/job.go
+++ b/internal/state/ledger/job.go
@@ -45,9 +45,9 @@
 	return j.Spec.Tasks - j.Done
 }
 
-// RunsWholeMachines reports whether every task is claimed or done. Of a gang it says that the current
+// AllClaimedOrDone reports whether every task is claimed or done. Of a gang it says that the current
 // attempt has all of its tasks.
-func (j *Job) RunsWholeMachines() bool { return j.Done+j.Claimed == j.Spec.Tasks }
+func (j *Job) AllClaimedOrDone() bool { return j.Done+j.Claimed == j.Spec.Tasks }
 
 // BestEffort reports whether a job only uses the capacity that others leave: of machines, and of the
 // budget of changes to the store.
--- a/internal/state/ledger/keys.go
+++ b/internal/state/ledger/keys.go
@@ -51,8 +51,8 @@
 
 	// GalleryPrefix is where galleries ("promises") that are not archived are: GalleryRecord, by name.
 	GalleryPrefix = Prefix + "p/"
-	// MarksPrefix is what the keys of machines' phases begin with.
-	MarksPrefix = machinePrefix
+	// MachinePhasesPrefix is what the keys of machines' phases begin with.
+	MachinePhasesPrefix = machinePrefix
 )
 
 // Prefixes of records under ArchivePrefix.
--- a/internal/state/ledger/machines.go
+++ b/internal/state/ledger/machines.go
@@ -62,7 +62,7 @@
 func (l *Ledger) Free(s ClaimTarget) Resources {
 	free := l.Total(s.Type)
 	for _, h := range l.ClaimsOn(s.Machine) {
-		if h.Session >= s.Session {
+		if h.Epoch >= s.Epoch {
 			free = free.Add(h.Job.Need, -h.Count)
 		}
 	}
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -13,7 +13,7 @@
 	Type    wire.MachineTypeName
 	Zone    wire.Zone
 	Spot    bool
-	Session wire.AgentEpoch   // the incarnation of its worker
+	Epoch   wire.AgentEpoch   // the incarnation of its worker
 	Token   wire.FencingToken // under which the controller holds the machine
 }
 
@@ -153,8 +153,8 @@
 
 // GangPart is the number of a gang's tasks on one machine.
 type GangPart struct {
-	Site  ClaimTarget
-	Count int
+	Target ClaimTarget
+	Count  int
 }
 
 // ClaimGang claims every task of a gang that is not done at once, as a new attempt. It refuses while any
@@ -182,19 +182,19 @@
 		update.taskRange(0).Attempt = attempt
 		txn.putRange(update, 0)
 		for _, part := range parts {
-			if err := txn.requireTarget(update, part.Site); err != nil {
+			if err := txn.requireTarget(update, part.Target); err != nil {
 				return err
 			}
-			if part.Count > len(remaining) || part.Count > zoneCapacity(j.Spec, part.Site.Zone, update.eachClaim) {
+			if part.Count > len(remaining) || part.Count > zoneCapacity(j.Spec, part.Target.Zone, update.eachClaim) {
 				return ErrPreconditionFailed
 			}
-			txn.claimGangPart(update, remaining[:part.Count], attempt, part.Site)
+			txn.claimGangPart(update, remaining[:part.Count], attempt, part.Target)
 			remaining = remaining[part.Count:]
 		}
 		if len(remaining) > 0 {
 			return ErrPreconditionFailed // all or none
 		}
-		txn.addTeamUse(j, total, parts[0].Site.Token)
+		txn.addTeamUse(j, total, parts[0].Target.Token)
 		return nil
 	})
 }
@@ -256,7 +256,7 @@
 func takeOverClaims(r *taskRangeRecord, attempt wire.Attempt, target ClaimTarget) (changed bool) {
 	for i := range r.Claims {
 		claim := &r.Claims[i]
-		here := claim.Machine == target.Machine && claim.Session == target.Session
+		here := claim.Machine == target.Machine && claim.Epoch == target.Epoch
 		if here && claim.Attempt == attempt && claim.Token < target.Token {
 			claim.Token, changed = target.Token, true
 		}
@@ -311,7 +311,7 @@
 			Attempt: attempt,
 			Machine: target.Machine,
 			Zone:    target.Zone,
-			Session: target.Session,
+			Epoch:   target.Epoch,
 			Token:   target.Token,
 		})
 	}
--- a/internal/state/ledger/transaction_workflows.go
+++ b/internal/state/ledger/transaction_workflows.go
@@ -25,9 +25,9 @@
 	return txn.writeWorkflow(id, 0, r)
 }
 
-// EndWorkflow moves a workflow to a state if that is a legal transition, and returns the state that it is
+// MoveWorkflow moves a workflow to a state if that is a legal transition, and returns the state that it is
 // then in. A failed workflow that becomes active again counts as resumed.
-func (txn *Transaction) EndWorkflow(workflow *Workflow, to WorkflowState, why string) (WorkflowState, error) {
+func (txn *Transaction) MoveWorkflow(workflow *Workflow, to WorkflowState, why string) (WorkflowState, error) {
 	if !slices.Contains(workflowTransitions[workflow.State], to) {
 		return workflow.State, nil
 	}
@@ -39,8 +39,8 @@
 	return to, txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
-// DeleteWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow.
-func (txn *Transaction) DeleteWorkflow(workflow *Workflow) error {
+// SweepWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow.
+func (txn *Transaction) SweepWorkflow(workflow *Workflow) error {
 	if workflow.State != WorkflowCancelled || workflow.Swept {
 		return refuse("delete workflow", workflow.ID)
 	}
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -24,15 +24,15 @@
 	Run  func(ctx context.Context) error
 	// Amiss returns the component's health problem in a few words; "": none. It may be called at
 	// any time and must not block. nil: the component has no health check.
-	Amiss func(now time.Time) string
+	HealthProblem func(now time.Time) string
 }
 
 // Status is the state of a component.
 type Status struct {
-	Name    string    `json:"name"`
-	Running bool      `json:"running"`
-	Since   time.Time `json:"since"`           // when it started or ended; zero: it was not started
-	Amiss   string    `json:"amiss,omitempty"` // its health problem; "": none
+	Name          string    `json:"name"`
+	Running       bool      `json:"running"`
+	Since         time.Time `json:"since"`           // when it started or ended; zero: it was not started
+	HealthProblem string    `json:"amiss,omitempty"` // its health problem; "": none
 }
 
 // Group is the components of a process, in the order in which they were added. Its zero value is
@@ -102,12 +102,12 @@
 		s, err := Status{Name: e.Name, Running: e.running, Since: e.since}, e.err
 		g.mu.Unlock()
 		switch {
-		case s.Running && e.Amiss != nil:
-			s.Amiss = e.Amiss(now)
+		case s.Running && e.HealthProblem != nil:
+			s.HealthProblem = e.HealthProblem(now)
 		case !s.Running && s.Since.IsZero():
-			s.Amiss = "not started"
+			s.HealthProblem = "not started"
 		case err != nil:
-			s.Amiss = "ended: " + err.Error()
+			s.HealthProblem = "ended: " + err.Error()
 		}
 		out = append(out, s)
 	}
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -20,14 +20,14 @@
 			ended++
 			return ctx.Err()
 		}
-		g.Add(Component{Name: "patient", Run: wait, Amiss: func(time.Time) string { return problem }})
+		g.Add(Component{Name: "patient", Run: wait, HealthProblem: func(time.Time) string { return problem }})
 		g.Add(Component{Name: "frail", Run: func(context.Context) error { time.Sleep(time.Minute); return failure }})
 		// One that has nothing to do by its settings.
 		g.Add(Component{Name: "short", Run: func(context.Context) error { return nil }})
 		status := func() string {
 			var out []string
 			for _, s := range g.Status(time.Now()) {
-				out = append(out, s.Name+"="+s.Amiss)
+				out = append(out, s.Name+"="+s.HealthProblem)
 			}
 			return strings.Join(out, " ")
 		}
--- a/internal/testing/controllertest/fleet.go
+++ b/internal/testing/controllertest/fleet.go
@@ -89,7 +89,7 @@
 		if k := i % 3; k > 0 {
 			f.Peers[k-1].Machines = append(
 				f.Peers[k-1].Machines,
-				peer.Machine{ID: r.Machine, Type: r.Type, Zone: r.Zone, Session: 1, Token: 1, Usable: true,
+				peer.Machine{ID: r.Machine, Type: r.Type, Zone: r.Zone, Epoch: 1, Token: 1, Usable: true,
 					Images: []wire.Image{"img-1", "img-2", "img-3", wire.Image(fmt.Sprintf("img-%d", i%20))}},
 			)
 			continue
--- a/internal/testing/controllertest/parts.go
+++ b/internal/testing/controllertest/parts.go
@@ -148,8 +148,8 @@
 // Others implements policymanager.Host.
 func (follower) Others() []policymanager.Controller { return nil }
 
-// Spare implements policymanager.Host.
-func (f follower) Spare() int { return f.p.Committer.SpareCapacity() }
+// SpareCapacity implements policymanager.Host.
+func (f follower) SpareCapacity() int { return f.p.Committer.SpareCapacity() }
 
 // Commit implements policymanager.Host.
 func (f follower) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
--- a/internal/testing/emulator/worker.go
+++ b/internal/testing/emulator/worker.go
@@ -87,8 +87,8 @@
 
 func (w *World) broke(rule string) { w.Broken = append(w.Broken, rule) }
 
-// Told notes what a user was told of a job and checks it.
-func (w *World) Told(id wire.JobID, status wire.Status) {
+// ObserveAnswer notes what a user was told of a job and checks it.
+func (w *World) ObserveAnswer(id wire.JobID, status wire.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before := w.told[id]
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -240,7 +240,7 @@
 	}
 	err = r.Committer.CommitNow(ctx, func(transaction *ledger.Transaction) error {
 		if now := r.records().Workflow(w.ID); now != nil {
-			return transaction.DeleteWorkflow(now)
+			return transaction.SweepWorkflow(now)
 		}
 		return ledger.ErrPreconditionFailed
 	})
--- a/internal/workflow/runner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -127,7 +127,7 @@
 			return ledger.ErrPreconditionFailed
 		}
 		var err error
-		got, err = d.EndWorkflow(w, state, why)
+		got, err = d.MoveWorkflow(w, state, why)
 		return err
 	})
 	if err == nil && got == state {
