--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -218,24 +218,32 @@
 }
 
 // TestSingleTasksLeaveEmptyRacksToGangs: an empty machine among empty ones is left to gangs while a
-// partly used one will do, but not for long, and not if none will do.
+// partly used one will do, but not for long, not if none will do, and not if the others
+// of its rack are full.
 func TestSingleTasksLeaveEmptyRacksToGangs(t *testing.T) {
 	tree, blocks := racks(t, "")
 	for _, tc := range []struct {
 		name    string
 		partly  bool // one machine is partly used
+		alone   bool // the others of the rack are full
 		waiting time.Duration
 		starts  int
 	}{
-		{"a used machine elsewhere", true, 0, 0},
-		{"waited long enough", true, time.Minute, 1},
-		{"all are empty", false, 0, 1},
+		{"a used machine elsewhere", true, false, 0, 0},
+		{"waited long enough", true, false, time.Minute, 1},
+		{"the rack is not empty", true, true, 0, 1},
+		{"all are empty", false, false, 0, 1},
 	} {
 		l := largeLedger()
 		v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 		if tc.partly {
 			v.Machines[60].Free = ledger.NewResources(4, 0, 16)
 		}
+		if tc.alone {
+			for _, m := range v.Machines[1:8] {
+				m.Free = ledger.Resources{}
+			}
+		}
 		s := gangSpec(1, 1)
 		s.Shape = wire.Array
 		v.Queue = []placement.Entry{{Job: submit(t, l, s), Waiting: tc.waiting}}
