--- a/internal/testing/emulator/balancer.go
+++ b/internal/testing/emulator/balancer.go
@@ -9,44 +9,59 @@
 	"maddermill/internal/wait"
 )
 
-// Balancer stands in for the users' load balancer, by the protocol's rules: every node is probed
+// The protocol's rules for the users' load balancer.
+const (
+	probeInterval       = time.Second
+	probeWindow         = 6 // the latest probes that count
+	maxFailuresInRow    = 2 // a node is removed with this many
+	maxFailuresInWindow = 3 // or with this many in the window
+	minSuccessesInRow   = 2 // a removed node returns with this many
+
+	minRemoval    = 3 * time.Second // the shortest time for which a node is removed
+	maxRemoval    = time.Minute     // doubled with each removal up to this
+	removalMemory = 2 * time.Minute // it starts over after this time without a removal
+	resetAfter    = 5 * time.Second // connections to a removed node are reset after this
+
+	maxConnectAttempts = 3               // nodes tried for a connection
+	maxRefusedInRow    = 3               // a node is skipped after this many refused connections
+	skipTime           = 3 * time.Second // for this long
+)
+
+// Balancer emulates the users' load balancer, by the protocol's rules: every node is probed
 // about once a second; one is removed after two failures in a row or three among the last six
-// probes, and comes back after two successes in a row, but no sooner than 3 s after its removal,
-// a pause that doubles with each further removal within two minutes, up to a minute. One success
+// probes, and returns after two successes in a row, but no sooner than 3 s after its removal,
+// a time that doubles with each further removal within two minutes, up to a minute. One success
 // is enough for a node that was never healthy.
 type Balancer struct {
-	Probe func(node int) bool // whether a probe of the node succeeds
+	// Probe reports whether a probe of the node succeeds.
+	Probe func(node int) bool
+	// Removals counts how often nodes were removed.
+	Removals int
+	// Longest is the longest time for which a node was removed.
+	Longest time.Duration
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below, Removals and Longest
 	rng   *rand.Rand
-	nodes []balanced
-	// Removals counts how often nodes were removed, and Longest is the longest pause.
-	Removals int
-	Longest  time.Duration
+	nodes []nodeHealth
 }
 
-type balanced struct {
-	known, healthy   bool
-	failed, answered int    // in a row
-	last             []bool // the last six probes
-	removed          time.Time
-	pause            time.Duration
-	refused          int       // connections in a row
-	skipped          time.Time // until when
+// nodeHealth is what the balancer knows of a node.
+type nodeHealth struct {
+	known        bool // it was healthy once
+	healthy      bool
+	failures     int    // failed probes in a row
+	successes    int    // successful probes in a row
+	window       []bool // the latest probes, probeWindow at most; true: successful
+	removed      time.Time
+	removal      time.Duration // how long it is removed
+	refused      int           // refused connections in a row
+	skippedUntil time.Time
 }
 
-const (
-	probeEvery   = time.Second
-	firstPause   = 3 * time.Second
-	longestPause = time.Minute
-	remembered   = 2 * time.Minute
-	triedAtOnce  = 3
-	resetAfter   = 5 * time.Second
-)
-
-// NewBalancer returns a balancer that has probed nobody.
+// NewBalancer returns a balancer of a number of nodes that has probed none of them. It draws the
+// order in which nodes are tried from the seed.
 func NewBalancer(nodes int, seed uint64, probe func(int) bool) *Balancer {
-	return &Balancer{Probe: probe, rng: rand.New(rand.NewPCG(seed, 4)), nodes: make([]balanced, nodes)}
+	return &Balancer{Probe: probe, rng: rand.New(rand.NewPCG(seed, 4)), nodes: make([]nodeHealth, nodes)}
 }
 
 // Run probes until ctx ends.
@@ -55,37 +70,38 @@
 		for i := range b.nodes {
 			ok := b.Probe(i)
 			b.mu.Lock()
-			b.took(&b.nodes[i], ok, time.Now())
+			b.observe(&b.nodes[i], ok, time.Now())
 			b.mu.Unlock()
 		}
-		wait.For(ctx, probeEvery)
+		wait.For(ctx, probeInterval)
 	}
 }
 
-func (b *Balancer) took(n *balanced, ok bool, now time.Time) {
-	n.last = append(n.last, ok)
-	n.last = n.last[max(0, len(n.last)-6):]
+// observe records the result of a probe and removes or returns the node by it. b.mu is held.
+func (b *Balancer) observe(n *nodeHealth, ok bool, now time.Time) {
+	n.window = append(n.window, ok)
+	n.window = n.window[max(0, len(n.window)-probeWindow):]
 	if ok {
-		n.answered, n.failed = n.answered+1, 0
+		n.successes, n.failures = n.successes+1, 0
 	} else {
-		n.answered, n.failed = 0, n.failed+1
+		n.successes, n.failures = 0, n.failures+1
 	}
-	failures := 0
-	for _, ok := range n.last {
+	failuresInWindow := 0
+	for _, ok := range n.window {
 		if !ok {
-			failures++
+			failuresInWindow++
 		}
 	}
 	switch {
-	case n.healthy && (n.failed >= 2 || failures >= 3):
-		if n.pause = min(2*n.pause, longestPause); n.pause == 0 || now.Sub(n.removed) > remembered {
-			n.pause = firstPause
+	case n.healthy && (n.failures >= maxFailuresInRow || failuresInWindow >= maxFailuresInWindow):
+		if n.removal = min(2*n.removal, maxRemoval); n.removal == 0 || now.Sub(n.removed) > removalMemory {
+			n.removal = minRemoval
 		}
 		n.healthy, n.removed = false, now
 		b.Removals++
-		b.Longest = max(b.Longest, n.pause)
-	case !n.healthy && (!n.known && ok || n.answered >= 2 && now.Sub(n.removed) >= n.pause):
-		n.known, n.healthy, n.last = true, true, nil
+		b.Longest = max(b.Longest, n.removal)
+	case !n.healthy && (!n.known && ok || n.successes >= minSuccessesInRow && now.Sub(n.removed) >= n.removal):
+		n.known, n.healthy, n.window = true, true, nil
 	}
 }
 
@@ -97,25 +113,26 @@
 	return n.known && !n.healthy && time.Since(n.removed) >= resetAfter
 }
 
-// Connect tries healthy nodes, three at the most, and returns the first that accepts, or -1.
+// Connect tries healthy nodes in random order, maxConnectAttempts at most, and returns the first
+// that accepts a connection, or -1.
 func (b *Balancer) Connect(accepts func(node int) bool) int {
 	b.mu.Lock()
-	var fit []int
+	var healthy []int
 	for i := range b.nodes {
-		if n := &b.nodes[i]; n.healthy && !time.Now().Before(n.skipped) {
-			fit = append(fit, i)
+		if n := &b.nodes[i]; n.healthy && !time.Now().Before(n.skippedUntil) {
+			healthy = append(healthy, i)
 		}
 	}
-	b.rng.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
+	b.rng.Shuffle(len(healthy), func(i, j int) { healthy[i], healthy[j] = healthy[j], healthy[i] })
 	b.mu.Unlock()
-	for _, i := range fit[:min(len(fit), triedAtOnce)] {
+	for _, i := range healthy[:min(len(healthy), maxConnectAttempts)] {
 		ok := accepts(i)
 		b.mu.Lock()
 		n := &b.nodes[i]
 		if n.refused++; ok {
 			n.refused = 0
-		} else if n.refused >= 3 {
-			n.refused, n.skipped = 0, time.Now().Add(3*time.Second)
+		} else if n.refused >= maxRefusedInRow {
+			n.refused, n.skippedUntil = 0, time.Now().Add(skipTime)
 		}
 		b.mu.Unlock()
 		if ok {
--- a/internal/testing/emulator/cloud.go
+++ b/internal/testing/emulator/cloud.go
@@ -12,35 +12,59 @@
 	"maddermill/wire"
 )
 
-// Cloud stands in for the cloud. Its list lags.
+// requestTime is how long every request to the cloud takes.
+const requestTime = 50 * time.Millisecond
+
+// racksPerZone is how many racks a zone has. Two at a time share a switch.
+const racksPerZone = 4
+
+// maxMachinesPerRack is how many endpoints a rack has; they are then used again.
+const maxMachinesPerRack = 250
+
+// Cloud emulates the cloud. Its machine list is eventually consistent: it lags.
 type Cloud struct {
-	World   *World
-	Types   []wire.MachineType
-	Lag     time.Duration
-	Lease   time.Duration
-	Most    int
-	Run     func(wire.TaskID) time.Duration
+	World *World
+	// Types are the machine types on offer.
+	Types []wire.MachineType
+	// Lag is how far the list lags behind.
+	Lag time.Duration
+	// Lease is the workers' lease.
+	Lease time.Duration
+	// Most is the largest number of machines at a time.
+	Most int
+	// Run returns how long a task runs.
+	Run func(wire.TaskID) time.Duration
+	// Started is called with every machine that has booted.
 	Started func(*Machine)
+	// Down has the cloud refuse every request. Use SetDown while the cloud is in use.
+	Down bool
 
-	mu     sync.Mutex
-	next   int
-	inZone map[int]int // machines so far
-	all    []*rented
-	hires  map[wire.ScaleOutID][]wire.MachineID
-	Down   bool
+	mu sync.Mutex // guards the fields below and Down; taken before Machine.mu
+
+	nextID          int
+	machinesPerZone map[int]int // ever rented, by the zone's index in its machine type
+	rentals         []*rental
+	scaleOuts       map[wire.ScaleOutID][]wire.MachineID // answered requests, which are idempotent
+}
+
+// rental is a machine that was rented, also after its end.
+type rental struct {
+	machine *Machine
+	begun   time.Time
+	booted  time.Time // when the boot ends
+	deleted time.Time // zero: not yet
 }
 
-type rented struct {
-	m       *Machine
-	at      time.Time
-	up      time.Time
-	deleted time.Time
+// end deletes the machine. Cloud.mu is held.
+func (r *rental) end() {
+	r.deleted = time.Now()
+	r.machine.Destroy()
 }
 
-// travel takes a request's time and refuses it while the cloud is down. It must
-// not be slept under a lock: a fake clock stands still while anyone waits for one.
-func (c *Cloud) travel() error {
-	time.Sleep(50 * time.Millisecond)
+// transit takes a request's time, and fails with cloud.ErrRefused while the cloud is down. It
+// must not be called under a lock: a fake clock does not advance while anyone waits for one.
+func (c *Cloud) transit() error {
+	time.Sleep(requestTime)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.Down {
@@ -49,80 +73,95 @@
 	return nil
 }
 
-// SetDown makes the cloud refuse everything, or ends that.
+// SetDown begins or ends an outage, in which the cloud refuses every request.
 func (c *Cloud) SetDown(down bool) {
 	c.mu.Lock()
 	c.Down = down
 	c.mu.Unlock()
 }
 
-// MachineTypes implements the controllers' view of the cloud.
+// MachineTypes returns the machine types on offer.
 func (c *Cloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
-	return c.Types, c.travel()
+	return c.Types, c.transit()
 }
 
-// ScaleOut implements the controllers' view of the cloud.
-func (c *Cloud) ScaleOut(_ context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error) {
-	if err := c.travel(); err != nil {
+// ScaleOut rents machines, fewer than asked for if there are no more, and returns their IDs. A
+// repeated request gets the same answer. It fails with cloud.ErrNoCapacity if there are none.
+func (c *Cloud) ScaleOut(_ context.Context, request wire.ScaleOutRequest) ([]wire.MachineID, error) {
+	if err := c.transit(); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old, ok := c.hires[h.Request]; ok {
+	if old, ok := c.scaleOuts[request.Request]; ok {
 		return old, nil
 	}
-	var names []wire.MachineID
-	for range h.Count {
-		up := 0
-		for _, r := range c.all {
-			if r.deleted.IsZero() {
-				up++
-			}
-		}
-		if up >= c.Most {
+	var ids []wire.MachineID
+	for range request.Count {
+		if c.running() >= c.Most {
 			break
 		}
-		names = append(names, c.add(h.Type, h.Zone, h.Spot, c.boot(h.Type)))
+		bootTime := c.machineType(request.Type).Boot.Duration()
+		ids = append(ids, c.rent(request.Type, request.Zone, request.Spot, bootTime))
 	}
-	if len(names) == 0 {
+	if len(ids) == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	if c.hires == nil {
-		c.hires = map[wire.ScaleOutID][]wire.MachineID{}
+	if c.scaleOuts == nil {
+		c.scaleOuts = map[wire.ScaleOutID][]wire.MachineID{}
+	}
+	c.scaleOuts[request.Request] = ids
+	return ids, nil
+}
+
+// running returns the number of machines that are not deleted. c.mu is held.
+func (c *Cloud) running() int {
+	n := 0
+	for _, r := range c.rentals {
+		if r.deleted.IsZero() {
+			n++
+		}
 	}
-	c.hires[h.Request] = names
-	return names, nil
+	return n
 }
 
-func (c *Cloud) boot(t wire.MachineTypeName) time.Duration {
-	for _, f := range c.Types {
-		if f.Name == t {
-			return f.Boot.Duration()
+// machineType returns a machine type by its name, or the zero value.
+func (c *Cloud) machineType(name wire.MachineTypeName) wire.MachineType {
+	for _, t := range c.Types {
+		if t.Name == name {
+			return t
 		}
 	}
-	return 0
+	return wire.MachineType{}
 }
 
-// Add rents a machine that nobody asked for, up at once.
+// Add rents a machine without a request, booted at once.
 func (c *Cloud) Add(t wire.MachineTypeName, z wire.Zone, spot bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.add(t, z, spot, 0)
+	c.rent(t, z, spot, 0)
 }
 
-func (c *Cloud) add(t wire.MachineTypeName, z wire.Zone, spot bool, boot time.Duration) wire.MachineID {
-	id := wire.MachineID(fmt.Sprintf("host-%06d", c.next))
-	c.next++
-	var f wire.MachineType
-	for _, o := range c.Types {
-		if o.Name == t {
-			f = o
-		}
+// rent adds a machine and boots it. c.mu is held.
+func (c *Cloud) rent(t wire.MachineTypeName, z wire.Zone, spot bool, boot time.Duration) wire.MachineID {
+	id := wire.MachineID(fmt.Sprintf("host-%06d", c.nextID))
+	c.nextID++
+	machineType := c.machineType(t)
+	m := &Machine{
+		World: c.World,
+		Type: wire.ListedMachine{
+			ID:   id,
+			Type: t,
+			Zone: z,
+			Spot: spot,
+			Addr: c.endpoint(slices.Index(machineType.Zones, z)),
+		},
+		Lease: c.Lease,
+		Run:   c.Run,
+		GPUs:  machineType.GPUs,
 	}
-	m := &Machine{World: c.World, Lease: c.Lease, Run: c.Run, GPUs: f.GPUs,
-		Type: wire.ListedMachine{ID: id, Type: t, Zone: z, Spot: spot, Addr: c.endpoint(slices.Index(f.Zones, z))}}
 	now := time.Now()
-	c.all = append(c.all, &rented{m: m, at: now, up: now.Add(boot)})
+	c.rentals = append(c.rentals, &rental{machine: m, begun: now, booted: now.Add(boot)})
 	time.AfterFunc(boot, func() {
 		m.mu.Lock()
 		gone := m.gone
@@ -137,10 +176,7 @@
 	return id
 }
 
-// racksPerZone is how many racks a zone has. Two at a time share a switch.
-const racksPerZone = 4
-
-// Topology declares, in the form of --topology, where the machines of some zones are.
+// Topology returns a topology file, in the format of --topology, of the machines in some zones.
 func Topology(zones []wire.Zone) string {
 	var b strings.Builder
 	b.WriteString(`# Where the stand-ins' machines are. Their endpoints are 127.ZONE.RACK.MACHINE.
@@ -162,77 +198,75 @@
 	return b.String()
 }
 
-// endpoint makes up where a zone's next machine is: on loopback, a network a rack. It is
-// called 127.ZONE.RACK.MACHINE, both counted from 1.
+// endpoint returns the address of the next machine in a zone: 127.ZONE.RACK.MACHINE, each counted
+// from 1, so that each rack is a network of its own. c.mu is held.
 func (c *Cloud) endpoint(zone int) string {
-	if c.inZone == nil {
-		c.inZone = map[int]int{}
+	if c.machinesPerZone == nil {
+		c.machinesPerZone = map[int]int{}
 	}
-	n := c.inZone[zone]
-	c.inZone[zone]++
-	return fmt.Sprintf("127.%d.%d.%d:9000", zone+1, n%racksPerZone+1, n/racksPerZone%250+1)
+	n := c.machinesPerZone[zone]
+	c.machinesPerZone[zone]++
+	return fmt.Sprintf("127.%d.%d.%d:9000", zone+1, n%racksPerZone+1, n/racksPerZone%maxMachinesPerRack+1)
 }
 
-// ScaleIn implements the controllers' view of the cloud.
-func (c *Cloud) ScaleIn(_ context.Context, names []wire.MachineID) error {
-	if err := c.travel(); err != nil {
+// ScaleIn deletes machines; unknown and deleted ones are passed over.
+func (c *Cloud) ScaleIn(_ context.Context, ids []wire.MachineID) error {
+	if err := c.transit(); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.all {
-		if slices.Contains(names, r.m.Type.ID) && r.deleted.IsZero() {
-			r.deleted = time.Now()
-			r.m.Destroy()
+	for _, r := range c.rentals {
+		if slices.Contains(ids, r.machine.Type.ID) && r.deleted.IsZero() {
+			r.end()
 		}
 	}
 	return nil
 }
 
-// Take takes a spot machine back without notice and returns whether it was up.
+// Take reclaims the spot machine with an index among those that are left, without notice.
 func (c *Cloud) Take(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.all {
-		if r.m.Type.Spot && r.deleted.IsZero() {
+	for _, r := range c.rentals {
+		if r.machine.Type.Spot && r.deleted.IsZero() {
 			if n--; n < 0 {
-				r.deleted = time.Now()
-				r.m.Destroy()
+				r.end()
 				return
 			}
 		}
 	}
 }
 
-// Up lists the machines that are up.
+// Up returns the machines that are booted and not deleted.
 func (c *Cloud) Up() []*Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Machine
-	for _, r := range c.all {
-		if r.deleted.IsZero() && !time.Now().Before(r.up) {
-			out = append(out, r.m)
+	for _, r := range c.rentals {
+		if r.deleted.IsZero() && !time.Now().Before(r.booted) {
+			out = append(out, r.machine)
 		}
 	}
 	return out
 }
 
-// List implements the controllers' view of the cloud, as it was a lag ago.
+// List returns the machines as they were Lag ago.
 func (c *Cloud) List(context.Context) ([]wire.ListedMachine, error) {
-	if err := c.travel(); err != nil {
+	if err := c.transit(); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	then := time.Now().Add(-c.Lag)
 	var out []wire.ListedMachine
-	for _, r := range c.all {
-		if r.at.After(then) || !r.deleted.IsZero() && r.deleted.Before(then) {
+	for _, r := range c.rentals {
+		if r.begun.After(then) || !r.deleted.IsZero() && r.deleted.Before(then) {
 			continue
 		}
-		l := r.m.Type
-		l.State, l.Age = wire.MachineRunning, wire.Seconds(then.Sub(r.at).Seconds())
-		if r.up.After(then) {
+		l := r.machine.Type
+		l.State, l.Age = wire.MachineRunning, wire.Seconds(then.Sub(r.begun).Seconds())
+		if r.booted.After(then) {
 			l.State = wire.MachineBooting
 		}
 		out = append(out, l)
--- a/internal/testing/emulator/http.go
+++ b/internal/testing/emulator/http.go
@@ -13,41 +13,41 @@
 	"maddermill/wire"
 )
 
-// StateHandler serves the state service's protocol from a link.
+// StateHandler serves the state service's HTTP protocol from a link.
 func StateHandler(l *Link) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, r *http.Request) {
 		it, err := l.Get(r.Context(), r.PathValue("key"))
-		answer(w, it, err)
+		respond(w, it, err)
 	})
 	mux.HandleFunc("GET /store", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		most, _ := strconv.Atoi(q.Get("most"))
-		p, err := l.List(r.Context(), q.Get("starts"), q.Get("from"), most)
-		answer(w, p, err)
+		limit, _ := strconv.Atoi(q.Get("most"))
+		p, err := l.List(r.Context(), q.Get("starts"), q.Get("from"), limit)
+		respond(w, p, err)
 	})
 	mux.HandleFunc("GET /changes", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 		wait, _ := strconv.Atoi(q.Get("wait_ms"))
 		ev, err := l.Watch(r.Context(), q.Get("starts"), wire.Revision(from), time.Duration(wait)*time.Millisecond)
-		answer(w, ev, err)
+		respond(w, ev, err)
 	})
 	mux.HandleFunc("POST /multi", func(w http.ResponseWriter, r *http.Request) {
 		var t wire.Txn
-		if !take(w, r, &t) {
+		if !decode(w, r, &t) {
 			return
 		}
 		rev, err := l.Commit(r.Context(), t)
-		answer(w, wire.TxnResult{Revision: rev}, err)
+		respond(w, wire.TxnResult{Revision: rev}, err)
 	})
 	mux.HandleFunc("POST /leases", func(w http.ResponseWriter, r *http.Request) {
 		var q wire.LeaseRequest
-		if !take(w, r, &q) {
+		if !decode(w, r, &q) {
 			return
 		}
 		id, err := l.GrantLease(r.Context(), time.Duration(q.TTLMillis)*time.Millisecond)
-		answer(w, wire.LeaseGrant{Lease: id}, err)
+		respond(w, wire.LeaseGrant{Lease: id}, err)
 	})
 	mux.HandleFunc("POST /leases/{id}/renew", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
@@ -55,91 +55,96 @@
 		if errors.Is(err, kvstore.ErrLeaseNotFound) {
 			err = kvstore.ErrNotFound
 		}
-		answer(w, struct{}{}, err)
+		respond(w, struct{}{}, err)
 	})
 	return mux
 }
 
-// CloudHandler serves the cloud's protocol.
+// CloudHandler serves the cloud's HTTP protocol.
 func CloudHandler(c *Cloud) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, r *http.Request) {
 		f, err := c.MachineTypes(r.Context())
-		answer(w, wire.MachineTypeList{Types: f}, err)
+		respond(w, wire.MachineTypeList{Types: f}, err)
 	})
 	mux.HandleFunc("POST /machines", func(w http.ResponseWriter, r *http.Request) {
 		var h wire.ScaleOutRequest
-		if !take(w, r, &h) {
+		if !decode(w, r, &h) {
 			return
 		}
 		names, err := c.ScaleOut(r.Context(), h)
-		answer(w, wire.MachineIDList{Names: names}, err)
+		respond(w, wire.MachineIDList{Names: names}, err)
 	})
 	mux.HandleFunc("POST /machines/return", func(w http.ResponseWriter, r *http.Request) {
 		var m wire.MachineIDList
-		if !take(w, r, &m) {
+		if !decode(w, r, &m) {
 			return
 		}
-		answer(w, struct{}{}, c.ScaleIn(r.Context(), m.Names))
+		respond(w, struct{}{}, c.ScaleIn(r.Context(), m.Names))
 	})
 	mux.HandleFunc("GET /machines", func(w http.ResponseWriter, r *http.Request) {
 		all, err := c.List(r.Context())
 		q := r.URL.Query()
-		most, _ := strconv.Atoi(q.Get("most"))
+		limit, _ := strconv.Atoi(q.Get("most"))
 		p := wire.MachineList{Machines: []wire.ListedMachine{}}
 		for _, m := range all {
 			if string(m.ID) <= q.Get("from") {
 				continue
 			}
-			if p.More = len(p.Machines) == most; p.More {
+			if p.More = len(p.Machines) == limit; p.More {
 				break
 			}
 			p.Machines = append(p.Machines, m)
 		}
-		answer(w, p, err)
+		respond(w, p, err)
 	})
 	return mux
 }
 
-func take(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(into)
+// maxBodyBytes is the limit of a request's body.
+const maxBodyBytes = 64 << 10
+
+// decode reads a request's JSON body; if it can't, it answers with status 400 and returns false.
+func decode(w http.ResponseWriter, r *http.Request, into any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
-		answer(w, nil, kvstore.ErrInvalid)
+		respond(w, nil, kvstore.ErrInvalid)
 	}
 	return err == nil
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
-	status := 200
+// respond answers with a JSON body, or with the protocol's status and body for an error.
+func respond(w http.ResponseWriter, v any, err error) {
+	status := http.StatusOK
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
-		status, v = 409, wire.TxnResult{Failed: conflict.Failed, Revision: conflict.Revision}
+		status, v = http.StatusConflict, wire.TxnResult{Failed: conflict.Failed, Revision: conflict.Revision}
 	case errors.Is(err, kvstore.ErrNotFound):
-		status, v = 404, wire.TxnResult{}
+		status, v = http.StatusNotFound, wire.TxnResult{}
 	case errors.Is(err, kvstore.ErrRevisionCompacted):
-		status, v = 410, wire.ErrorBody{Error: "too old"}
+		status, v = http.StatusGone, wire.ErrorBody{Error: "too old"}
 	case errors.Is(err, kvstore.ErrLeaseNotFound):
-		status, v = 400, wire.ErrorBody{Error: "no such lease"}
+		status, v = http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"}
 	case errors.Is(err, cloud.ErrNoCapacity):
-		status, v = 503, wire.ErrorBody{Error: "no capacity"}
+		status, v = http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"}
 	case errors.Is(err, kvstore.ErrInvalid):
-		status, v = 400, wire.ErrorBody{Error: "malformed"}
+		status, v = http.StatusBadRequest, wire.ErrorBody{Error: "malformed"}
 	default:
-		status, v = 503, wire.ErrorBody{Error: "trouble"}
+		status, v = http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"}
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
-		status = 500
+		status = http.StatusInternalServerError
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(b)
+	_, _ = w.Write(b) // the client may be gone
 }
 
-// Spec reads a job's description out of a durable record, as users would have
-// uploaded it for the workers.
+// Spec returns the job spec in a change to the records, if it is one of a job: what users
+// upload for the workers beside submitting it.
 func Spec(c wire.Change) (*wire.JobSpec, bool) {
 	if !strings.Contains(c.Put, "/j/") {
 		return nil, false
--- a/internal/testing/emulator/steps.go
+++ b/internal/testing/emulator/steps.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"path"
@@ -16,24 +17,24 @@
 	"maddermill/wire"
 )
 
-// RunStep pretends to run a workflow's step as a machine does: it reads the order of the
-// step's job, makes up what the tool leaves, and writes the result. echo writes its
-// arguments to its standard output, cat the contents of files, touch makes empty files, exit
-// ends with a code. It does nothing for a job that is no step.
+// RunStep emulates a machine's run of a workflow step: it reads the order of the step's job,
+// produces the tool's outputs, and stores the result. The tools are echo (writes its arguments to
+// standard output), cat (the contents of files), touch (makes empty files) and exit (exits with a
+// code). It does nothing for a job that is not a step.
 func RunStep(ctx context.Context, store stepdata.Store, job wire.JobID) error {
 	b, _, err := store.Get(ctx, workflow.OrderName(job))
 	if err != nil {
 		return nil
 	}
-	var o workflow.Order
-	if err := json.Unmarshal(b, &o); err != nil {
+	var order workflow.Order
+	if err := json.Unmarshal(b, &order); err != nil {
 		return err
 	}
-	outputs, err := pretend(ctx, store, job, &o)
+	outputs, err := runTool(ctx, store, job, &order)
 	res := workflow.Result{Outputs: outputs}
 	if err != nil {
 		res.Code, res.Error = 1, err.Error()
-		if exit, ok := err.(*cwl.ErrNotSuccess); ok {
+		if exit := (*cwl.ErrNotSuccess)(nil); errors.As(err, &exit) {
 			res.Code, res.Retry = exit.Code, exit.Retry
 		}
 	}
@@ -44,18 +45,19 @@
 	return err
 }
 
-func pretend(ctx context.Context, store stepdata.Store, job wire.JobID, o *workflow.Order) (map[string]any, error) {
-	p, _, err := cwl.Load(o.Bundle, o.Entry)
+// runTool runs an order's tool and returns its outputs.
+func runTool(ctx context.Context, store stepdata.Store, job wire.JobID, order *workflow.Order) (map[string]any, error) {
+	p, _, err := cwl.Load(order.Bundle, order.Entry)
 	if err != nil {
 		return nil, err
 	}
-	tool := p.ToolAt(o.Step)
-	inputs, _ := cwl.Whole(o.Inputs).(map[string]any)
+	tool := p.ToolAt(order.Step)
+	inputs, _ := cwl.Whole(order.Inputs).(map[string]any)
 	cmd, err := tool.Command(ctx, inputs, map[string]any{"cores": int64(1)})
 	if err != nil {
 		return nil, err
 	}
-	dir, code := workDir{files: map[string]string{}, store: store, at: "files/" + string(job)}, 0
+	dir, code := workDir{files: map[string]string{}, store: store, prefix: "files/" + string(job)}, 0
 	switch cmd.Args[0] {
 	case "echo":
 		dir.files[cmd.Stdout] = strings.Join(cmd.Args[1:], " ") + "\n"
@@ -72,7 +74,7 @@
 			dir.files[name] = ""
 		}
 	case "exit":
-		fmt.Sscan(cmd.Args[1], &code)
+		_, _ = fmt.Sscan(cmd.Args[1], &code) // 0 if it is not a number
 	default:
 		return nil, fmt.Errorf("%q is no tool that this machine pretends to have", cmd.Args[0])
 	}
@@ -82,15 +84,16 @@
 	return tool.Collect(ctx, inputs, cmd, dir, nil)
 }
 
-// workDir is a working directory whose files are kept in the store once they are outputs.
+// workDir is a tool's working directory. Files that become outputs are put into the store.
 type workDir struct {
-	files map[string]string
-	store stepdata.Store
-	at    string
+	files  map[string]string // contents by name
+	store  stepdata.Store
+	prefix string // of the names in the store
 }
 
+// value puts a file into the store and returns its CWL File object.
 func (d workDir) value(name string) (map[string]any, error) {
-	info, err := d.store.Put(context.Background(), d.at+"/"+name, strings.NewReader(d.files[name]))
+	info, err := d.store.Put(context.Background(), d.prefix+"/"+name, strings.NewReader(d.files[name]))
 	return map[string]any{
 		"class":    "File",
 		"path":     info.Name,
@@ -122,17 +125,17 @@
 }
 
 // Read implements cwl.Dir.
-func (d workDir) Read(name string, most int) ([]byte, error) {
-	text, ok := d.files[strings.TrimPrefix(name, d.at+"/")]
+func (d workDir) Read(name string, limit int) ([]byte, error) {
+	text, ok := d.files[strings.TrimPrefix(name, d.prefix+"/")]
 	if !ok {
 		return nil, fmt.Errorf("there is no %q", name)
 	}
-	return []byte(text[:min(most, len(text))]), nil
+	return []byte(text[:min(limit, len(text))]), nil
 }
 
 // Stat implements cwl.Dir.
 func (d workDir) Stat(name string) (map[string]any, error) {
-	name = strings.TrimPrefix(name, d.at+"/")
+	name = strings.TrimPrefix(name, d.prefix+"/")
 	if _, ok := d.files[name]; !ok {
 		return nil, nil
 	}
