--- a/internal/testing/regress/meetings.go
+++ b/internal/testing/regress/meetings.go
@@ -1,6 +1,7 @@
 package regress
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -8,262 +9,287 @@
 	"strings"
 )
 
-// Meetings are days of our own on which two troubles meet (docs/meetings.md). When each begins and
-// for how long is drawn from a seed, so that other seeds play other orders of the same meetings.
+// meetings builds the days of our own on which two kinds of faults meet (docs/meetings.md).
+// When each fault begins and how long it lasts is drawn from the seed, so that other seeds give
+// other orders of the same meetings. The draws and their order must stay: a seed names its days.
+type meetings struct {
+	rng  *rand.Rand
+	seed uint64
+	days []OwnDay
+
+	zones       []string
+	controllers int64
+	lease       float64 // the workers' lease, in seconds
+	cancel      float64 // after how long cancelled tasks must have ended, in seconds
+
+	jobs   []Table // all classes but services, with more cancellations
+	arrays []Table // arrays but their largest jobs, cut down to two or three short tasks
+}
 
-// MeetingDays pairs troubles on a site.
+// MeetingDays returns the days of a seed on a site. It fails if the site has fewer than two
+// controllers or lacks the times of leases and cancellations.
 func MeetingDays(site Table, seed uint64) ([]OwnDay, error) {
+	m, err := newMeetings(site, seed)
+	if err != nil {
+		return nil, fmt.Errorf("%v: %w", site["name"], err)
+	}
+	m.addGap()
+	m.addAlone()
+	m.addLate()
+	m.addDeaf()
+	m.addHandover()
+	m.addSilent()
+	m.addLooks()
+	m.addLeaders()
+	m.addMute()
+	m.addMoment()
+	return m.days, nil
+}
+
+// newMeetings reads what the days need from a site.
+func newMeetings(site Table, seed uint64) (*meetings, error) {
 	nodes, _ := site["nodes"].(Table)
 	workers, _ := site["workers"].(Table)
-	controllers, lease, cancel := int64(number(nodes["count"])), number(workers["lease_s"]), number(workers["cancel_s"])
-	if controllers < 2 || lease <= 0 || cancel <= lease {
-		return nil, fmt.Errorf("%v: too few controllers, or no times of leases and cancellations", site["name"])
+	m := &meetings{
+		rng:         rand.New(rand.NewPCG(seed, 6)),
+		seed:        seed,
+		controllers: int64(number(nodes["count"])),
+		lease:       number(workers["lease_s"]),
+		cancel:      number(workers["cancel_s"]),
+	}
+	if m.controllers < 2 || m.lease <= 0 || m.cancel <= m.lease {
+		return nil, errors.New("too few controllers, or no times of leases and cancellations")
 	}
-	m := &meetings{rng: rand.New(rand.NewPCG(seed, 6)), seed: seed}
 	for _, c := range tables(site["capacity"]) {
-		if z, _ := c["zone"].(string); !slices.Contains(m.zones, z) {
-			m.zones = append(m.zones, z)
+		if zone, _ := c["zone"].(string); !slices.Contains(m.zones, zone) {
+			m.zones = append(m.zones, zone)
 		}
 	}
-	var arrays, all []Table // services run until they are cancelled
 	for _, j := range tables(site["jobs"]) {
 		if j["kind"] == "service" {
-			continue
+			continue // services run until they are cancelled
 		}
-		all = append(all, Table{"name": j["name"], "cancelled": 0.35})
+		m.jobs = append(m.jobs, Table{"name": j["name"], "cancelled": 0.35})
 		if j["kind"] == "array" && !strings.HasSuffix(fmt.Sprint(j["name"]), Largest) {
-			arrays = append(
-				arrays,
-				Table{"name": j["name"], "tasks": Table{"median": int64(2), "p95": int64(3), "max": int64(3)},
-					"run_s": Table{"median": 30.0, "p95": 150.0, "max": 200.0}, "cancelled": 0.1},
-			)
+			m.arrays = append(m.arrays, Table{
+				"name":      j["name"],
+				"tasks":     Table{"median": int64(2), "p95": int64(3), "max": int64(3)},
+				"run_s":     Table{"median": 30.0, "p95": 150.0, "max": 200.0},
+				"cancelled": 0.1,
+			})
 		}
 	}
-	leader := func(more Table) Table {
-		t := Table{"count": int64(1), "busiest": true}
-		maps.Copy(t, more)
-		return t
-	}
-	mode := func() string { return []string{"hold", "reset"}[m.rng.IntN(2)] }
+	return m, nil
+}
 
-	// The state service refuses the leader alone, then it is down for all, twice.
+// addGap: the state service refuses the leader alone, then it is down for all, twice.
+func (m *meetings) addGap() {
 	first, second := m.between(85, 110), m.between(240, 260)
-	m.day("gap", all,
-		m.fault(first, "node_cut", leader(Table{"from_state": true, "mode": "refuse", "for_s": m.between(8, 25)})),
-		m.fault(first+m.between(0.5, 6), "state_outage", Table{"for_s": cancel + m.between(8, 15)}),
-		m.fault(second, "node_cut", leader(Table{"from_state": true, "mode": "refuse", "for_s": m.between(8, 25)})),
-		m.fault(second+m.between(0.5, 6), "state_outage", Table{"for_s": cancel + m.between(8, 15)}))
+	m.day("gap", m.jobs,
+		m.leaderCut(first, "refuse", m.between(8, 25), "from_state"),
+		fault(first+m.between(0.5, 6), "state_outage", Table{"for_s": m.cancel + m.between(8, 15)}),
+		m.leaderCut(second, "refuse", m.between(8, 25), "from_state"),
+		fault(second+m.between(0.5, 6), "state_outage", Table{"for_s": m.cancel + m.between(8, 15)}))
+}
 
-	// The leader loses the state service and the others; workers and users still reach it.
-	alone, again := m.between(95, 115), m.between(230, 250)
-	m.day(
-		"alone",
-		all,
-		m.fault(
-			alone,
-			"node_cut",
-			leader(Table{"from_state": true, "from_peers": true, "mode": mode(), "for_s": m.between(lease, 2*lease)}),
-		),
-		m.fault(alone+m.between(5, 30), "node_crash", Table{"count": int64(1), "busiest": true}),
-		m.fault(
-			again,
-			"node_cut",
-			leader(Table{"from_state": true, "from_peers": true, "mode": mode(), "for_s": m.between(20, lease)}),
-		),
-		m.fault(again+m.between(1, 12), "state_outage", Table{"for_s": m.between(10, 30)}),
-	)
+// addAlone: the leader loses the state service and the others; workers and users still reach it.
+func (m *meetings) addAlone() {
+	first, second := m.between(95, 115), m.between(230, 250)
+	m.day("alone", m.jobs,
+		m.leaderCut(first, m.mode(), m.between(m.lease, 2*m.lease), "from_state", "from_peers"),
+		fault(first+m.between(5, 30), "node_crash", leader(nil)),
+		m.leaderCut(second, m.mode(), m.between(20, m.lease), "from_state", "from_peers"),
+		fault(second+m.between(1, 12), "state_outage", Table{"for_s": m.between(10, 30)}))
+}
 
-	// Transactions are carried out late and reports arrive again while controllers end and return.
-	late := []Table{
-		m.fault(m.between(85, 100), "late_writes", Table{"share": 0.3, "for_s": m.between(40, 80)}),
-		m.fault(m.between(85, 120), "late_reports", Table{"share": 0.3, "for_s": 150.0}),
-		m.fault(m.between(200, 230), "late_writes", Table{"share": 0.5, "for_s": m.between(15, 30)}),
-		m.fault(m.between(220, 240), "node_roll", Table{"every_s": m.between(2, 6)})}
+// addLate: transactions are applied late and heartbeats arrive again while controllers end and
+// return.
+func (m *meetings) addLate() {
+	faults := []Table{
+		fault(m.between(85, 100), "late_writes", Table{"share": 0.3, "for_s": m.between(40, 80)}),
+		fault(m.between(85, 120), "late_reports", Table{"share": 0.3, "for_s": 150.0}),
+		fault(m.between(200, 230), "late_writes", Table{"share": 0.5, "for_s": m.between(15, 30)}),
+		fault(m.between(220, 240), "node_roll", Table{"every_s": m.between(2, 6)}),
+	}
 	for i := range 5 {
-		late = append(late, m.fault(m.between(100+20*float64(i), 118+20*float64(i)), "node_crash", leader(nil)))
+		at := 100 + 20*float64(i)
+		faults = append(faults, fault(m.between(at, at+18), "node_crash", leader(nil)))
 	}
-	m.day(
-		"late",
-		all,
-		append(late, m.fault(m.between(170, 215), "node_crash", Table{"count": controllers, "busiest": true}))...)
+	m.day("late", m.jobs, append(faults, fault(m.between(170, 215), "node_crash", m.everyController()))...)
+}
 
-	// Machines hear no answer while the leader changes.
-	deaf := m.between(95, 110)
-	m.day(
-		"deaf",
-		all,
-		m.fault(deaf, "machine_deaf", Table{"share": 0.2, "for_s": m.between(lease, 2*lease)}),
-		m.fault(deaf+m.between(1, 25), "node_crash", leader(nil)),
-		m.fault(m.between(150, 170), "late_reports", Table{"share": 0.2, "for_s": 100.0}),
-		m.fault(
-			m.between(210, 230),
-			"machine_deaf",
-			Table{"zone": m.zones[m.rng.IntN(len(m.zones))], "for_s": m.between(15, lease+10)},
-		),
-		m.fault(m.between(215, 250), "node_crash", Table{"count": controllers, "busiest": true}),
-	)
+// addDeaf: machines get no responses while the leader changes.
+func (m *meetings) addDeaf() {
+	first := m.between(95, 110)
+	m.day("deaf", m.jobs,
+		fault(first, "machine_deaf", Table{"share": 0.2, "for_s": m.between(m.lease, 2*m.lease)}),
+		fault(first+m.between(1, 25), "node_crash", leader(nil)),
+		fault(m.between(150, 170), "late_reports", Table{"share": 0.2, "for_s": 100.0}),
+		fault(m.between(210, 230), "machine_deaf", Table{"zone": m.zone(), "for_s": m.between(15, m.lease+10)}),
+		fault(m.between(215, 250), "node_crash", m.everyController()))
+}
 
-	// Jobs of two and three tasks end far apart while the lead is handed over and back.
-	var over []Table
+// addHandover: the tasks of small jobs end far apart while leadership changes again and again.
+func (m *meetings) addHandover() {
+	var faults []Table
 	for i := range 6 {
 		begin := 90 + 35*float64(i)
-		switch m.rng.IntN(4) {
+		kind := m.rng.IntN(4)
+		at := m.between(begin, begin+15)
+		switch kind {
 		case 0:
-			over = append(over, m.fault(m.between(begin, begin+15), "node_crash", leader(nil)))
+			faults = append(faults, fault(at, "node_crash", leader(nil)))
 		case 1:
-			over = append(
-				over,
-				m.fault(
-					m.between(begin, begin+15),
-					"node_cut",
-					leader(Table{"from_state": true, "mode": mode(), "for_s": m.between(8, 25)}),
-				),
-			)
+			faults = append(faults, m.leaderCut(at, m.mode(), m.between(8, 25), "from_state"))
 		case 2:
-			over = append(over, m.fault(m.between(begin, begin+15), "node_freeze", leader(Table{"for_s": m.between(5, 20)})))
+			faults = append(faults, fault(at, "node_freeze", leader(Table{"for_s": m.between(5, 20)})))
 		case 3:
-			over = append(
-				over,
-				m.fault(
-					m.between(begin, begin+15),
-					"node_cut",
-					leader(Table{"from_workers": true, "mode": mode(), "for_s": m.between(8, 25)}),
-				),
-			)
+			faults = append(faults, m.leaderCut(at, m.mode(), m.between(8, 25), "from_workers"))
 		}
 	}
-	m.day("handover", arrays, over...)
-
-	// The leader ends while machines can't be reached, and the state service is slow.
-	silent := m.between(95, 110)
-	m.day("silent", all,
-		m.fault(silent, "machine_cut", Table{"count": int64(120), "mode": mode(), "for_s": m.between(lease-6, lease+20)}),
-		m.fault(silent+m.between(2, 30), "node_crash", leader(nil)),
-		m.fault(m.between(180, 200), "machine_hang", Table{"count": int64(120), "for_s": m.between(20, lease+10)}),
-		m.fault(m.between(185, 230), "node_crash", Table{"count": controllers, "busiest": true}),
-		m.fault(m.between(230, 250), "late_writes", Table{"share": 0.2, "for_s": 40.0}))
-	m.days[len(m.days)-1].Day["vary"] = Table{"state_slow": 0.1, "state_slow_times": 60.0, "list_lag": 0.9}
-	m.requestDays(all, arrays, controllers, lease, cancel)
-	return m.days, nil
+	m.day("handover", m.arrays, faults...)
 }
 
-// requestDays are those on which users' requests meet the other troubles.
-func (m *meetings) requestDays(all, arrays []Table, controllers int64, lease, cancel float64) {
-	leader := Table{"count": int64(1), "busiest": true}
-	everybody := Table{"count": controllers, "busiest": true}
-	looks := func() []Table {
-		return []Table{
-			m.fault(60, "close_looks", Table{"for_s": 300.0}),
-			m.fault(60, "odd_requests", Table{"for_s": 300.0}),
-		}
-	}
-	calledOff := func(at float64, count int64, hang float64) Table {
-		t := m.fault(at, "cancel_now", Table{"count": count})
-		if hang > 0 {
-			t["hang_s"] = hang
-		}
-		return t
-	}
+// addSilent: the leader ends while machines can't be reached, and the state service is slow.
+func (m *meetings) addSilent() {
+	first := m.between(95, 110)
+	m.day("silent", m.jobs,
+		fault(first, "machine_cut",
+			Table{"count": int64(120), "mode": m.mode(), "for_s": m.between(m.lease-6, m.lease+20)}),
+		fault(first+m.between(2, 30), "node_crash", leader(nil)),
+		fault(m.between(180, 200), "machine_hang", Table{"count": int64(120), "for_s": m.between(20, m.lease+10)}),
+		fault(m.between(185, 230), "node_crash", m.everyController()),
+		fault(m.between(230, 250), "late_writes", Table{"share": 0.2, "for_s": 40.0}))
+	m.vary(Table{"state_slow": 0.1, "state_slow_times": 60.0, "list_lag": 0.9})
+}
 
-	// Users look closely and call off while answers are lost, reports are kept for the next leader,
-	// controllers are rolled into an outage that lasts longer than a lease, and all end after it.
-	refused, out := m.between(125, 135), m.between(210, 220)
-	m.day("looks", []Table{{"name": all[len(all)-1]["name"], "cancelled": 0.3}}, append(
-		looks(),
-		m.fault(m.between(65, 75), "late_writes", Table{"share": 0.2, "for_s": 60.0, "at_once": true}),
-		m.fault(80, "cancel_at_end", Table{"share": 0.4, "for_s": 200.0}),
-		m.fault(m.between(85, 95), "late_reports", Table{"share": 0.2, "for_s": 100.0, "for_next": true}),
-		m.fault(95, "machine_mute", Table{"share": 0.15, "for_s": m.between(lease, lease+20)}),
-		calledOff(100, 40, 60),
-		m.fault(m.between(100.2, 102), "node_crash", leader),
-		m.fault(
-			refused,
-			"node_cut",
-			Table{"count": int64(1), "busiest": true, "from_state": true, "from_peers": true, "for_s": 40.0, "mode": "refuse"},
-		),
-		calledOff(refused+3, 30, 0),
-		m.fault(150, "machine_deaf", Table{"share": 0.1, "for_s": lease + 9}),
-		m.fault(180, "late_writes", Table{"share": 0.3, "for_s": 40.0}),
-		m.fault(190, "late_commands", Table{"share": 0.5, "for_s": 60.0}),
-		m.fault(out-20, "node_roll", Table{"every_s": 5.0}),
-		calledOff(out-15, 40, 50),
-		m.fault(out, "state_outage", Table{"for_s": cancel + 5}),
-		m.fault(out+cancel+8, "node_crash", everybody),
-		calledOff(out+cancel+9, 30, 0),
+// addLooks: users check closely and cancel while answers are lost, heartbeats are held back for
+// the next leader, controllers are rolled into an outage that lasts longer than a lease, and all
+// end after it.
+func (m *meetings) addLooks() {
+	refused, outage := m.between(125, 135), m.between(210, 220)
+	m.day("looks", []Table{{"name": m.jobs[len(m.jobs)-1]["name"], "cancelled": 0.3}}, append(
+		userChecks(),
+		fault(m.between(65, 75), "late_writes", Table{"share": 0.2, "for_s": 60.0, "at_once": true}),
+		fault(80, "cancel_at_end", Table{"share": 0.4, "for_s": 200.0}),
+		fault(m.between(85, 95), "late_reports", Table{"share": 0.2, "for_s": 100.0, "for_next": true}),
+		fault(95, "machine_mute", Table{"share": 0.15, "for_s": m.between(m.lease, m.lease+20)}),
+		cancelNow(100, 40, 60),
+		fault(m.between(100.2, 102), "node_crash", leader(nil)),
+		m.leaderCut(refused, "refuse", 40, "from_state", "from_peers"),
+		cancelNow(refused+3, 30, 0),
+		fault(150, "machine_deaf", Table{"share": 0.1, "for_s": m.lease + 9}),
+		fault(180, "late_writes", Table{"share": 0.3, "for_s": 40.0}),
+		fault(190, "late_commands", Table{"share": 0.5, "for_s": 60.0}),
+		fault(outage-20, "node_roll", Table{"every_s": 5.0}),
+		cancelNow(outage-15, 40, 50),
+		fault(outage, "state_outage", Table{"for_s": m.cancel + 5}),
+		fault(outage+m.cancel+8, "node_crash", m.everyController()),
+		cancelNow(outage+m.cancel+9, 30, 0),
 	)...)
+}
 
-	// No outage: machines die and are taken, new ones are up at once, and the leader ends again and again.
-	var ends []Table
+// addLeaders: no outage, but machines die and are reclaimed, new ones boot at once, and the
+// leader ends again and again.
+func (m *meetings) addLeaders() {
+	var faults []Table
 	for i := range 9 {
-		ends = append(ends, m.fault(m.between(100+15*float64(i), 112+15*float64(i)), "node_crash", leader))
+		at := 100 + 15*float64(i)
+		faults = append(faults, fault(m.between(at, at+12), "node_crash", leader(nil)))
 	}
-	m.day("leaders", nil, append(ends,
-		m.fault(m.between(95, 105), "machine_die", Table{"count": int64(120)}),
-		m.fault(m.between(170, 190), "spot_taken", Table{"share": 0.5, "notice_s": 0.0, "over_s": 20.0}),
-		m.fault(m.between(110, 130), "late_writes", Table{"share": 0.3, "for_s": 80.0}))...)
-	m.days[len(m.days)-1].Day["vary"] = Table{"boot": 0.3, "boot_slow": 0.0, "speed": 0.1}
+	m.day("leaders", nil, append(faults,
+		fault(m.between(95, 105), "machine_die", Table{"count": int64(120)}),
+		fault(m.between(170, 190), "spot_taken", Table{"share": 0.5, "notice_s": 0.0, "over_s": 20.0}),
+		fault(m.between(110, 130), "late_writes", Table{"share": 0.3, "for_s": 80.0}))...)
+	m.vary(Table{"boot": 0.3, "boot_slow": 0.0, "speed": 0.1})
+}
 
-	// Machines that reach nobody, held up commands and reports while work changes hands.
-	mute := m.between(95, 110)
-	m.day("mute", arrays, append(looks(),
-		m.fault(mute, "machine_mute", Table{"zone": m.zones[m.rng.IntN(len(m.zones))], "for_s": m.between(15, lease+15)}),
-		m.fault(mute+m.between(1, 20), "node_crash", leader),
-		m.fault(mute, "late_commands", Table{"share": 0.5, "for_s": 120.0}),
-		m.fault(m.between(150, 170), "late_reports", Table{"share": 0.3, "for_s": 80.0, "for_next": true}),
-		m.fault(m.between(190, 210), "machine_mute", Table{"count": int64(150), "for_s": m.between(lease-5, 2*lease)}),
-		m.fault(m.between(200, 225), "node_crash", everybody),
-		calledOff(m.between(205, 225), 40, lease+10))...)
+// addMute: machines reach nobody, and commands and heartbeats are late, while the leader changes.
+func (m *meetings) addMute() {
+	first := m.between(95, 110)
+	m.day("mute", m.arrays, append(userChecks(),
+		fault(first, "machine_mute", Table{"zone": m.zone(), "for_s": m.between(15, m.lease+15)}),
+		fault(first+m.between(1, 20), "node_crash", leader(nil)),
+		fault(first, "late_commands", Table{"share": 0.5, "for_s": 120.0}),
+		fault(m.between(150, 170), "late_reports", Table{"share": 0.3, "for_s": 80.0, "for_next": true}),
+		fault(m.between(190, 210), "machine_mute",
+			Table{"count": int64(150), "for_s": m.between(m.lease-5, 2*m.lease)}),
+		fault(m.between(200, 225), "node_crash", m.everyController()),
+		cancelNow(m.between(205, 225), 40, m.lease+10))...)
+}
 
-	// Called off at the moment at which the leader alone is refused, and out for all a second later.
+// addMoment: jobs are cancelled at the moment at which the leader alone is refused, and a second
+// later the state service is down for all.
+func (m *meetings) addMoment() {
 	first, second := m.between(95, 105), m.between(230, 245)
-	m.day("moment", all, append(
-		looks(),
-		m.fault(
-			first,
-			"node_cut",
-			Table{"count": int64(1), "busiest": true, "from_state": true, "for_s": m.between(8, 25), "mode": "refuse"},
-		),
-		calledOff(first, 40, 0),
-		m.fault(first+1, "state_outage", Table{"for_s": cancel + m.between(3, 12)}),
-		m.fault(
-			second,
-			"node_cut",
-			Table{"count": int64(1), "busiest": true, "from_state": true, "for_s": m.between(8, 25), "mode": "refuse"},
-		),
-		calledOff(second, 40, 30),
-		m.fault(second+1, "state_outage", Table{"for_s": cancel + m.between(3, 12)}),
-		m.fault(second+m.between(10, 40), "node_crash", leader),
+	m.day("moment", m.jobs, append(
+		userChecks(),
+		m.leaderCut(first, "refuse", m.between(8, 25), "from_state"),
+		cancelNow(first, 40, 0),
+		fault(first+1, "state_outage", Table{"for_s": m.cancel + m.between(3, 12)}),
+		m.leaderCut(second, "refuse", m.between(8, 25), "from_state"),
+		cancelNow(second, 40, 30),
+		fault(second+1, "state_outage", Table{"for_s": m.cancel + m.between(3, 12)}),
+		fault(second+m.between(10, 40), "node_crash", leader(nil)),
 	)...)
 }
 
-type meetings struct {
-	rng   *rand.Rand
-	seed  uint64
-	days  []OwnDay
-	zones []string
+// day adds a day with changes to the site's classes of jobs, if any, and faults.
+func (m *meetings) day(name string, jobs []Table, faults ...Table) {
+	d := scaleDay(name, int64(950+len(m.days)+20*int(m.seed)), faults)
+	if len(jobs) > 0 {
+		d["jobs"] = asAny(jobs)
+	}
+	m.days = append(m.days, OwnDay{Name: fmt.Sprintf("%s-%d", name, m.seed), Day: d})
 }
 
-// between draws a number of tenths.
+// vary sets the variations of the day that was added last.
+func (m *meetings) vary(v Table) { m.days[len(m.days)-1].Day["vary"] = v }
+
+// between draws a number from low up to, but not including, high, in steps of a tenth.
 func (m *meetings) between(low, high float64) float64 {
 	return low + float64(m.rng.IntN(max(1, int((high-low)*10))))/10
 }
 
-func (m *meetings) fault(at float64, kind string, fields Table) Table {
-	t := Table{"at_s": at, "kind": kind}
+// mode draws what happens to connections in a network partition.
+func (m *meetings) mode() string { return []string{"hold", "reset"}[m.rng.IntN(2)] }
+
+// zone draws a zone.
+func (m *meetings) zone() string { return m.zones[m.rng.IntN(len(m.zones))] }
+
+// everyController selects all controllers in a fault.
+func (m *meetings) everyController() Table { return Table{"count": m.controllers, "busiest": true} }
+
+// leaderCut is a partition of the leader from others, for a time in seconds.
+func (m *meetings) leaderCut(at float64, mode string, length float64, from ...string) Table {
+	t := leader(Table{"mode": mode, "for_s": length})
+	for _, f := range from {
+		t[f] = true
+	}
+	return fault(at, "node_cut", t)
+}
+
+// leader selects the leader, which is the busiest controller, in a fault with more fields.
+func leader(fields Table) Table {
+	t := Table{"count": int64(1), "busiest": true}
 	maps.Copy(t, fields)
 	return t
 }
 
-func (m *meetings) day(name string, jobs []Table, faults ...Table) {
-	d := Table{
-		"name":   "own-" + name,
-		"seed":   int64(950 + len(m.days) + 20*int(m.seed)),
-		"slot":   "scale",
-		"light":  false,
-		"faults": asAny(faults),
+// userChecks has users check closely and send odd requests.
+func userChecks() []Table {
+	return []Table{
+		fault(60, "close_looks", Table{"for_s": 300.0}),
+		fault(60, "odd_requests", Table{"for_s": 300.0}),
 	}
-	if len(jobs) > 0 {
-		d["jobs"] = asAny(jobs)
+}
+
+// cancelNow has users cancel running jobs at a time, whose machines then hang for a time if that
+// is not 0.
+func cancelNow(at float64, count int64, hang float64) Table {
+	t := fault(at, "cancel_now", Table{"count": count})
+	if hang > 0 {
+		t["hang_s"] = hang
 	}
-	m.days = append(m.days, OwnDay{fmt.Sprintf("%s-%d", name, m.seed), d})
+	return t
 }
--- a/internal/testing/regress/own_test.go
+++ b/internal/testing/regress/own_test.go
@@ -8,10 +8,9 @@
 	"testing"
 )
 
-// TestOwnSite: a site made our own has half as many machines and jobs again, its classes'
-// largest jobs apart with the aims of the whole, and no days of the operators'.
-func TestOwnSite(t *testing.T) {
-	site := Table{"name": "mill", "nodes": Table{"count": int64(3), "zones": []any{"a", "b"}, "restart_delay_s": 4.0},
+// ownTestSite is a site with a class of gangs and one of arrays.
+func ownTestSite() Table {
+	return Table{"name": "mill", "nodes": Table{"count": int64(3), "zones": []any{"a", "b"}, "restart_delay_s": 4.0},
 		"capacity": []any{Table{"count": int64(100), "spot": int64(40)}}, "day": []any{Table{"name": "calm"}},
 		"teams": []any{Table{"name": "t", "gpus": 10.0}},
 		"jobs": []any{
@@ -31,7 +30,12 @@
 			},
 		},
 		"targets": []any{Table{"kind": "wait", "class": "weave", "within_s": 50.0}, Table{"kind": "price"}}}
-	own, err := OwnSite(site)
+}
+
+// TestOwnSite: a site made our own has half as many machines and jobs again, its classes'
+// largest jobs apart with the aims of the whole, and no days of the operators'.
+func TestOwnSite(t *testing.T) {
+	own, err := OwnSite(ownTestSite())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,39 +54,49 @@
 	if d := rate("spin") + rate("spin-largest"); d != 3 {
 		t.Errorf("jobs of spin come at %v", d)
 	}
-	if !slices.ContainsFunc(
-		tables(own["targets"]),
-		func(x Table) bool { return x["class"] == "weave-largest" && x["within_s"] == 50.0 },
-	) {
+	isLargestTarget := func(x Table) bool { return x["class"] == "weave-largest" && x["within_s"] == 50.0 }
+	if !slices.ContainsFunc(tables(own["targets"]), isLargestTarget) {
 		t.Errorf("targets %v", own["targets"])
 	}
+	if _, err := OwnSite(Table{}); err == nil {
+		t.Error("a site without a name is taken")
+	}
+}
+
+// TestOwnDays: each day of an own site stacks several faults.
+func TestOwnDays(t *testing.T) {
+	own, err := OwnSite(ownTestSite())
+	if err != nil {
+		t.Fatal(err)
+	}
 	days, err := OwnDays(own)
 	if err != nil || len(days) < 6 {
 		t.Fatalf("%d days, %v", len(days), err)
 	}
 	for _, d := range days {
-		faults := tables(d.Day["faults"])
-		if len(faults) < 4 {
+		if faults := tables(d.Day["faults"]); len(faults) < 4 {
 			t.Errorf("%s stacks %d troubles", d.Name, len(faults))
 		}
 	}
-	if _, err := OwnSite(Table{}); err == nil {
-		t.Error("a site without a name is taken")
-	}
 }
 
 // TestFaultsOfADay: each way in which a day of our own fails is told.
 func TestFaultsOfADay(t *testing.T) {
 	r, err := ParseReport(
 		[]byte(`{"rules_broken":{"total":1},"idle":{"neglected":3},"targets":[{"kind":"node_restarts","value":2}],
-		"classes":{"weave":{"jobs":9,"started":4},"weave-largest":{"jobs":2,"started":2,"wait_s":{"p50":100,"p95":230,"p98":250,"max":251}},"wind-largest":{"jobs":2,"started":2,"wait_s":{"p50":241,"max":250}},"spin-largest":{"jobs":2,"started":2,"wait_s":{"max":239}}},
+		"classes":{"weave":{"jobs":9,"started":4},
+			"weave-largest":{"jobs":2,"started":2,"wait_s":{"p50":100,"p95":230,"p98":250,"max":251}},
+			"wind-largest":{"jobs":2,"started":2,"wait_s":{"p50":241,"max":250}},
+			"spin-largest":{"jobs":2,"started":2,"wait_s":{"max":239}}},
 		"teams":{"t":{"jobs":4,"started":1}}}`),
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := strings.Join(r.Faults(), "; ")
-	want := "1 broken rules; 2 controllers ended by themselves; 3 jobs left waiting beside room; class weave: 4 of 9 jobs begun; class wind-largest: half of those begun waited 241 s or more; team t: 1 of 4 jobs begun"
+	want := "1 broken rules; 2 controllers ended by themselves; 3 jobs left waiting beside room; " +
+		"class weave: 4 of 9 jobs begun; class wind-largest: half of those begun waited 241 s or more; " +
+		"team t: 1 of 4 jobs begun"
 	if got != want {
 		t.Errorf("told %q, want %q", got, want)
 	}
@@ -92,38 +106,56 @@
 	}
 }
 
-// TestMeetingDays: the days on which troubles meet follow from their seed, another seed plays another
-// order of the same troubles, and a site without what they need is refused.
-func TestMeetingDays(t *testing.T) {
-	site := func() Table {
-		return Table{"name": "mill", "nodes": Table{"count": int64(3)}, "workers": Table{"lease_s": 30.0, "cancel_s": 60.0},
-			"capacity": []any{Table{"zone": "a"}, Table{"zone": "b"}},
-			"jobs":     []any{Table{"name": "spin", "kind": "array"}, Table{"name": "serve", "kind": "service"}}}
-	}
-	kinds := func(seed uint64) (all []string, days []OwnDay) {
-		days, err := MeetingDays(site(), seed)
-		if err != nil {
-			t.Fatal(err)
+// TestParseReportRefuses: a report that is malformed or has no classes is refused.
+func TestParseReportRefuses(t *testing.T) {
+	for _, text := range []string{"", "{", `{"classes":{}}`} {
+		if _, err := ParseReport([]byte(text)); err == nil {
+			t.Errorf("report %q is taken", text)
 		}
-		for _, d := range days {
-			faults := tables(d.Day["faults"])
-			if len(faults) < 4 {
-				t.Errorf("%s has %d troubles", d.Name, len(faults))
-			}
-			for _, f := range faults {
-				all = append(all, fmt.Sprint(f["kind"]))
-			}
-			for _, j := range tables(d.Day["jobs"]) {
-				if j["name"] == "serve" {
-					t.Errorf("%s changes a service", d.Name)
-				}
+	}
+}
+
+// meetingSite is a site with what MeetingDays needs.
+func meetingSite() Table {
+	return Table{
+		"name":     "mill",
+		"nodes":    Table{"count": int64(3)},
+		"workers":  Table{"lease_s": 30.0, "cancel_s": 60.0},
+		"capacity": []any{Table{"zone": "a"}, Table{"zone": "b"}},
+		"jobs":     []any{Table{"name": "spin", "kind": "array"}, Table{"name": "serve", "kind": "service"}},
+	}
+}
+
+// meetingDays returns the days of a seed and the kinds of all their faults, and checks each day.
+func meetingDays(t *testing.T, seed uint64) (kinds []string, days []OwnDay) {
+	t.Helper()
+	days, err := MeetingDays(meetingSite(), seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, d := range days {
+		faults := tables(d.Day["faults"])
+		if len(faults) < 4 {
+			t.Errorf("%s has %d troubles", d.Name, len(faults))
+		}
+		for _, f := range faults {
+			kinds = append(kinds, fmt.Sprint(f["kind"]))
+		}
+		for _, j := range tables(d.Day["jobs"]) {
+			if j["name"] == "serve" {
+				t.Errorf("%s changes a service", d.Name)
 			}
 		}
-		return all, days
 	}
-	first, one := kinds(1)
-	_, again := kinds(1)
-	_, other := kinds(2)
+	return kinds, days
+}
+
+// TestMeetingDays: the days on which troubles meet follow from their seed, another seed plays another
+// order of the same troubles, and a site without what they need is refused.
+func TestMeetingDays(t *testing.T) {
+	first, one := meetingDays(t, 1)
+	_, again := meetingDays(t, 1)
+	_, other := meetingDays(t, 2)
 	if len(one) != 10 || !reflect.DeepEqual(one, again) || reflect.DeepEqual(one, other) {
 		t.Errorf(
 			"%d days; the same again %v, as another seed's %v",
@@ -138,14 +170,9 @@
 			t.Errorf("no day has %s", kind)
 		}
 	}
-	bad := site()
+	bad := meetingSite()
 	delete(bad, "workers")
 	if _, err := MeetingDays(bad, 1); err == nil {
 		t.Error("a site without leases is taken")
 	}
-	for _, text := range []string{"", "{", `{"classes":{}}`} {
-		if _, err := ParseReport([]byte(text)); err == nil {
-			t.Errorf("report %q is taken", text)
-		}
-	}
 }
--- a/internal/testing/regress/regress_test.go
+++ b/internal/testing/regress/regress_test.go
@@ -7,18 +7,27 @@
 )
 
 const journal = `{"site":"mill","ok":true,"days":[
- {"name":"calm","score":0.70,"rules":{},"fault":null,"aims":[["wait a 50 s: 0.7 (aim 0.8)",0.5],["price: 2 (aim 2)",0.9]]},
+ {"name":"calm","score":0.70,"rules":{},"fault":null,
+  "aims":[["wait a 50 s: 0.7 (aim 0.8)",0.5],["price: 2 (aim 2)",0.9]]},
  {"name":"storm --seed 4","score":0.0,"rules":{"ran_twice":2},"fault":null,"aims":[]},
- {"name":"gale","score":0.6,"rules":{},"fault":null,"aims":[],"idle":{"neglected":1},"served":[["wool",0.4,0.49],["team t",1,0.5]]},
+ {"name":"gale","score":0.6,"rules":{},"fault":null,"aims":[],"idle":{"neglected":1},
+  "served":[["wool",0.4,0.49],["team t",1,0.5]]},
  {"name":"flood","score":0.0,"rules":{},"fault":"too slow","aims":[]}]}`
 
-// TestFallsAreNamed: a figure that fell is told with its site, day and aim, a broken rule
-// by its name, and a change within noise or a day that is not on record is not told.
-func TestFallsAreNamed(t *testing.T) {
+// parseJournal returns the days of the journal.
+func parseJournal(t *testing.T) []Played {
+	t.Helper()
 	days, err := Parse([]byte(journal))
 	if err != nil || len(days) != 4 {
-		t.Fatal(days, err)
+		t.Fatalf("got %d days and error %v, want 4 days: %v", len(days), err, days)
 	}
+	return days
+}
+
+// TestParseNamesFailures: each way in which a played day failed is told, and a run that did not
+// finish is refused.
+func TestParseNamesFailures(t *testing.T) {
+	days := parseJournal(t)
 	if b := strings.Join(days[2].Broken, "; "); b != "wool: only 0.49 served; 1 jobs left waiting beside room" {
 		t.Errorf("of the gale %q", b)
 	}
@@ -28,6 +37,15 @@
 	if b := days[1].Broken; days[1].Name != "storm" || len(b) != 1 || !strings.Contains(b[0], "ran_twice") {
 		t.Errorf("read %+v", days[1])
 	}
+	if _, err := Parse([]byte(`{"site":null,"ok":false}`)); err == nil {
+		t.Error("a run that did not finish is taken for one without days")
+	}
+}
+
+// TestFallsAreNamed: a figure that fell is told with its site, day and aim, and a change within
+// noise or a day that is not on record is not told.
+func TestFallsAreNamed(t *testing.T) {
+	days := parseJournal(t)
 	now := Record{}
 	now.Add(days[0])
 	for _, tc := range []struct {
@@ -53,7 +71,4 @@
 	if now.Add(days[0]); math.Abs(now["mill"]["calm"].Figure-0.65) > 1e-9 {
 		t.Errorf("mean of two runs: %v", now["mill"]["calm"])
 	}
-	if _, err := Parse([]byte(`{"site":null,"ok":false}`)); err == nil {
-		t.Error("a run that did not finish is taken for one without days")
-	}
 }
