--- a/internal/testing/emulator/machine.go
+++ b/internal/testing/emulator/machine.go
@@ -107,14 +107,14 @@
 	}
 	m.sequence++
 	heartbeat = &wire.Heartbeat{
-		Machine:  m.Type.ID,
-		Addr:     m.Type.Addr,
-		Type:     m.Type.Type,
-		Zone:     m.Type.Zone,
-		Spot:     m.Type.Spot,
-		Epoch:  m.epoch,
-		Sequence: m.sequence,
-		FencingToken:    m.token,
+		Machine:      m.Type.ID,
+		Addr:         m.Type.Addr,
+		Type:         m.Type.Type,
+		Zone:         m.Type.Zone,
+		Spot:         m.Type.Spot,
+		Epoch:        m.epoch,
+		Sequence:     m.sequence,
+		FencingToken: m.token,
 	}
 	for id, t := range m.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks,
