--- a/internal/workflow/cwl/expr.go
+++ b/internal/workflow/cwl/expr.go
@@ -81,8 +81,8 @@
 	return out, nil
 }
 
-// closing is the length of a bracketed part: strings, comments and inner brackets are
-// passed over.
+// closing returns the length of the bracketed part that a text begins with. Strings,
+// comments and inner brackets are passed over.
 func closing(s string) (int, error) {
 	var open []byte
 	for i := 0; i < len(s); i++ {
@@ -90,36 +90,58 @@
 		case '(', '[', '{':
 			open = append(open, c)
 		case ')', ']', '}':
-			want := map[byte]byte{')': '(', ']': '[', '}': '{'}[c]
-			if len(open) == 0 || open[len(open)-1] != want {
+			if len(open) == 0 || open[len(open)-1] != openingOf[c] {
 				return 0, fmt.Errorf("the brackets of the expression %q don't match", shorten(s))
 			}
 			if open = open[:len(open)-1]; len(open) == 0 {
 				return i + 1, nil
 			}
 		case '\'', '"', '`':
-			for i++; i < len(s) && s[i] != c; i++ {
-				if s[i] == '\\' {
-					i++
-				}
-			}
+			i = endOfString(s, i)
 		case '/':
-			if strings.HasPrefix(s[i:], "//") {
-				for i < len(s) && s[i] != '\n' {
-					i++
-				}
-			} else if strings.HasPrefix(s[i:], "/*") {
-				end := strings.Index(s[i+2:], "*/")
-				if end < 0 {
-					return 0, fmt.Errorf("a comment in the expression %q does not end", shorten(s))
-				}
-				i += end + 3
+			end, ok := endOfComment(s, i)
+			if !ok {
+				return 0, fmt.Errorf("a comment in the expression %q does not end", shorten(s))
 			}
+			i = end
 		}
 	}
 	return 0, fmt.Errorf("the expression %q does not end", shorten(s))
 }
 
+// openingOf is the opening bracket of each closing one.
+var openingOf = map[byte]byte{')': '(', ']': '[', '}': '{'}
+
+// endOfString returns the index of the quote that ends the JavaScript string whose opening
+// quote is at start, an index behind the text if there is none.
+func endOfString(s string, start int) int {
+	quote, i := s[start], start+1
+	for ; i < len(s) && s[i] != quote; i++ {
+		if s[i] == '\\' {
+			i++
+		}
+	}
+	return i
+}
+
+// endOfComment returns the index of the last byte of the comment that begins with the slash
+// at start: the line's end, or the slash behind the star. A slash that begins no comment is
+// its own end. It reports false if the comment does not end.
+func endOfComment(s string, start int) (int, bool) {
+	rest := s[start:]
+	switch {
+	case strings.HasPrefix(rest, "//"):
+		if length := strings.IndexByte(rest, '\n'); length >= 0 {
+			return start + length, true
+		}
+		return len(s), true
+	case strings.HasPrefix(rest, "/*"):
+		length := strings.Index(rest[2:], "*/")
+		return start + length + 3, length >= 0
+	}
+	return start, true
+}
+
 // HasExpression reports whether a text has expressions in it.
 func HasExpression(s string) bool { return strings.Contains(s, "$(") || strings.Contains(s, "${") }
 
@@ -137,7 +159,7 @@
 		case p.expr == "":
 		case javascript:
 			if _, err := goja.Compile("", program(p), true); err != nil {
-				return fmt.Errorf("%q is not JavaScript: %v", shorten(p.expr), err)
+				return fmt.Errorf("%q is not JavaScript: %w", shorten(p.expr), err)
 			}
 		case p.body:
 			return fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", shorten(p.expr))
@@ -262,102 +284,128 @@
 
 // parseReference reads "(inputs.reads[0]['left file'].size)" ("Parameter references").
 func parseReference(expr string) (*reference, error) {
-	s := strings.TrimSpace(strings.TrimSuffix(strings.TrimPrefix(expr, "("), ")"))
-	bad := fmt.Errorf("%q is not a parameter reference, and there is no InlineJavascriptRequirement", shorten("$"+expr))
-	ident := func() string {
-		i := 0
-		for i < len(s) && (s[i] == '_' || s[i] >= 'a' && s[i] <= 'z' || s[i] >= 'A' && s[i] <= 'Z' || s[i] >= '0' && s[i] <= '9' || s[i] >= 0x80) {
-			i++
-		}
-		id := s[:i]
-		s = s[i:]
-		return id
-	}
-	r := &reference{text: expr, root: ident()}
-	switch r.root {
+	invalid := fmt.Errorf(
+		"%q is not a parameter reference, and there is no InlineJavascriptRequirement",
+		shorten("$"+expr),
+	)
+	rest := strings.TrimSpace(strings.TrimSuffix(strings.TrimPrefix(expr, "("), ")"))
+	root, rest := cutIdentifier(rest)
+	switch root {
 	case "inputs", "self", "runtime", "null":
 	default:
-		return nil, bad
+		return nil, invalid
 	}
-	for s != "" {
-		switch {
-		case s[0] == '.':
-			s = s[1:]
-			id := ident()
-			if id == "" {
-				return nil, bad
-			}
-			r.path = append(r.path, id)
-		case len(s) > 1 && s[0] == '[' && (s[1] == '\'' || s[1] == '"'):
-			quote := s[1]
-			var b strings.Builder
-			i := 2
-			for ; i < len(s) && s[i] != quote; i++ {
-				if s[i] == '\\' && i+1 < len(s) {
-					i++
-				}
-				b.WriteByte(s[i])
-			}
-			if !strings.HasPrefix(s[min(i, len(s)):], string(quote)+"]") {
-				return nil, bad
-			}
-			r.path = append(r.path, b.String())
-			s = s[i+2:]
-		case s[0] == '[':
-			digits, rest, ok := strings.Cut(s[1:], "]")
-			i, err := strconv.Atoi(digits)
-			if !ok || err != nil || i < 0 {
-				return nil, bad
-			}
-			r.path = append(r.path, i)
-			s = rest
-		default:
-			return nil, bad
+	parsed := &reference{text: expr, root: root}
+	for rest != "" {
+		selector, behind, ok := cutSelector(rest)
+		if !ok {
+			return nil, invalid
 		}
+		parsed.path = append(parsed.path, selector)
+		rest = behind
 	}
-	if r.root == "null" && len(r.path) > 0 {
-		return nil, bad
+	if parsed.root == "null" && len(parsed.path) > 0 {
+		return nil, invalid
 	}
-	return r, nil
+	return parsed, nil
 }
 
-func (r *reference) follow(sc Scope) (any, error) {
-	var v any
+// cutIdentifier returns the identifier that a text begins with, "" if there is none, and
+// what is behind it.
+func cutIdentifier(s string) (identifier, rest string) {
+	i := 0
+	for i < len(s) && isIdentifierByte(s[i]) {
+		i++
+	}
+	return s[:i], s[i:]
+}
+
+// isIdentifierByte reports whether a byte may be in an identifier. Any part of a character
+// outside ASCII may.
+func isIdentifierByte(c byte) bool {
+	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c >= 0x80
+}
+
+// cutSelector returns the selector that a text begins with, and what is behind it. ".name"
+// and "['name']" are a string, "[0]" is an int. It reports false if there is no selector.
+// The text must not be empty.
+func cutSelector(s string) (selector any, rest string, ok bool) {
+	switch {
+	case s[0] == '.':
+		identifier, rest := cutIdentifier(s[1:])
+		return identifier, rest, identifier != ""
+	case len(s) > 1 && s[0] == '[' && (s[1] == '\'' || s[1] == '"'):
+		return cutQuotedSelector(s)
+	case s[0] == '[':
+		digits, rest, closed := strings.Cut(s[1:], "]")
+		index, err := strconv.Atoi(digits)
+		return index, rest, closed && err == nil && index >= 0
+	}
+	return nil, "", false
+}
+
+// cutQuotedSelector returns the name in a selector such as "['left file']", with a backslash
+// before a byte that stands for itself, and what is behind the selector.
+func cutQuotedSelector(s string) (selector, rest string, ok bool) {
+	quote := s[1]
+	var b strings.Builder
+	i := 2
+	for ; i < len(s) && s[i] != quote; i++ {
+		if s[i] == '\\' && i+1 < len(s) {
+			i++
+		}
+		b.WriteByte(s[i])
+	}
+	rest, ok = strings.CutPrefix(s[min(i, len(s)):], string(quote)+"]")
+	return b.String(), rest, ok
+}
+
+// follow returns the value that the reference selects in a scope.
+func (r *reference) follow(scope Scope) (any, error) {
+	var value any
 	switch r.root {
 	case "inputs":
-		v = sc.Inputs
+		value = scope.Inputs
 	case "self":
-		v = sc.Self
+		value = scope.Self
 	case "runtime":
-		v = sc.Runtime
+		value = scope.Runtime
 	}
-	for i, p := range r.path {
-		switch x := v.(type) {
+	for i, selector := range r.path {
+		var err error
+		switch x := value.(type) {
 		case map[string]any:
-			key, ok := p.(string)
-			next, there := x[key]
-			if !ok || !there {
-				return nil, fmt.Errorf("%q: there is no %v", "$"+r.text, p)
+			key, isName := selector.(string)
+			next, exists := x[key]
+			if !isName || !exists {
+				return nil, fmt.Errorf("%q: there is no %v", "$"+r.text, selector)
 			}
-			v = next
+			value = next
 		case []any:
-			switch k := p.(type) {
-			case int:
-				if k >= len(x) {
-					return nil, fmt.Errorf("%q: the list has %d elements", "$"+r.text, len(x))
-				}
-				v = x[k]
-			default:
-				if k != "length" || i != len(r.path)-1 {
-					return nil, fmt.Errorf("%q: a list has no %v", "$"+r.text, p)
-				}
-				v = int64(len(x))
+			isLast := i == len(r.path)-1
+			if value, err = r.selectInList(x, selector, isLast); err != nil {
+				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("%q: %s has no %v", "$"+r.text, describe(v), p)
+			return nil, fmt.Errorf("%q: %s has no %v", "$"+r.text, describe(value), selector)
 		}
 	}
-	return v, nil
+	return value, nil
+}
+
+// selectInList returns an element of a list, or its length where the selector "length" is
+// the last.
+func (r *reference) selectInList(list []any, selector any, isLast bool) (any, error) {
+	if index, ok := selector.(int); ok {
+		if index >= len(list) {
+			return nil, fmt.Errorf("%q: the list has %d elements", "$"+r.text, len(list))
+		}
+		return list[index], nil
+	}
+	if selector != "length" || !isLast {
+		return nil, fmt.Errorf("%q: a list has no %v", "$"+r.text, selector)
+	}
+	return int64(len(list)), nil
 }
 
 // run evaluates JavaScript in a runtime of its own, without input or output, within the
--- a/internal/workflow/cwl/load.go
+++ b/internal/workflow/cwl/load.go
@@ -1,6 +1,7 @@
 package cwl
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -40,51 +41,62 @@
 func (r *reading) load(from at, file, fragment string, inherited Needs, outer []string) *Process {
 	n, err := r.open(file)
 	if err != nil {
-		var p Problems
-		if errors.As(err, &p) {
-			r.problems = append(r.problems, p...)
+		var problems Problems
+		if errors.As(err, &problems) {
+			r.problems = append(r.problems, problems...)
 		} else {
 			r.fail(from, "%v", err)
 		}
 		return nil
 	}
-	a := at{file: file, n: n}
-	version := ""
-	if n.Kind == yaml.MappingNode {
-		for _, e := range entries(n) {
-			if e.key.Value == "cwlVersion" {
-				version = r.text(a.in("cwlVersion", e.node))
-			}
-		}
-		for _, e := range entries(n) {
-			if e.key.Value != "$graph" {
-				continue
-			}
-			if e.node.Kind != yaml.SequenceNode {
-				r.fail(a.in("$graph", e.node), "expected a list of processes, found %s", kindOf(e.node))
-				return nil
-			}
-			want := fragment
-			if want == "" {
-				want = "main"
-			}
-			for i, c := range e.node.Content {
-				x := a.in(fmt.Sprintf("$graph[%d]", i), c)
-				if c.Kind == yaml.MappingNode && idOf(c) == want {
-					return r.process(x, version, inherited, append(outer, file+"#"+want))
-				}
-			}
-			r.fail(at{file, from.field, from.n}, "$graph has no process %q", want)
+	document := at{file: file, n: n}
+	version := r.textField(document, "cwlVersion")
+	if graph, ok := field(document, "$graph"); ok {
+		want := cmp.Or(fragment, "main")
+		process, ok := r.findInGraph(graph, want, from)
+		if !ok {
 			return nil
 		}
+		return r.process(process, version, inherited, append(outer, file+"#"+want))
 	}
 	if fragment != "" && idOf(n) != fragment {
 		r.fail(from, "%s has no process %q", file, fragment)
 		return nil
 	}
-	return r.process(a, version, inherited, append(outer, file+"#"))
+	return r.process(document, version, inherited, append(outer, file+"#"))
+}
+
+// field returns the first field of a name in a mapping. It reports false if there is none,
+// or a is no mapping.
+func field(a at, fieldName string) (at, bool) {
+	if a.n.Kind != yaml.MappingNode {
+		return at{}, false
+	}
+	for _, e := range entries(a.n) {
+		if e.key.Value == fieldName {
+			return a.in(fieldName, e.node), true
+		}
+	}
+	return at{}, false
+}
+
+// findInGraph returns the process with an id in a document's $graph. If there is none it
+// reports that, at the reference from, and returns false.
+func (r *reading) findInGraph(graph at, id string, from at) (at, bool) {
+	if graph.n.Kind != yaml.SequenceNode {
+		r.fail(graph, "expected a list of processes, found %s", kindOf(graph.n))
+		return at{}, false
+	}
+	for i, node := range graph.n.Content {
+		if node.Kind == yaml.MappingNode && idOf(node) == id {
+			return graph.in(fmt.Sprintf("[%d]", i), node), true
+		}
+	}
+	r.fail(at{graph.file, from.field, from.n}, "$graph has no process %q", id)
+	return at{}, false
 }
 
+// idOf returns the id of a process or an output without what is before it, "" if it has none.
 func idOf(n *yaml.Node) string {
 	for _, e := range entries(n) {
 		if e.key.Value == "id" {
@@ -94,95 +106,56 @@
 	return ""
 }
 
+// commonFields are the fields that processes of all classes have.
 var commonFields = []string{
-	"cwlVersion",
-	"class",
-	"id",
-	"label",
-	"doc",
-	"inputs",
-	"outputs",
-	"requirements",
-	"hints",
-	"intent",
-	"$namespaces",
-	"$schemas",
+	"cwlVersion", "class", "id", "label", "doc", "inputs", "outputs", "requirements", "hints", "intent",
+	"$namespaces", "$schemas",
+}
+
+// fieldsOfClass are the fields that only processes of a class have.
+var fieldsOfClass = map[string][]string{
+	"CommandLineTool": {
+		"baseCommand", "arguments", "stdin", "stdout", "stderr",
+		"successCodes", "temporaryFailCodes", "permanentFailCodes",
+	},
+	"ExpressionTool": {"expression"},
+	"Workflow":       {"steps"},
 }
 
-// process reads a process where it stands.
+// process reads a process where it stands. version is the cwlVersion of the document around
+// it; outer ends with the process itself.
 func (r *reading) process(a at, version string, inherited Needs, outer []string) *Process {
 	if len(outer) > mostNesting || slices.Contains(outer[:max(0, len(outer)-1)], outer[len(outer)-1]) {
 		r.fail(a, "is within itself")
 		return nil
 	}
-	class := ""
-	if a.n != nil && a.n.Kind == yaml.MappingNode {
-		for _, e := range entries(a.n) {
-			switch e.key.Value {
-			case "class":
-				class = r.oneOf(a.in("class", e.node), "", "CommandLineTool", "ExpressionTool", "Workflow")
-				if class == "" && !isNull(e.node) {
-					return nil
-				}
-			case "cwlVersion":
-				version = r.text(a.in("cwlVersion", e.node))
-			}
-		}
+	class, ownVersion, ok := r.classAndVersion(a)
+	if !ok {
+		return nil
 	}
-	var own []string
-	switch class {
-	case "CommandLineTool":
-		own = []string{
-			"baseCommand",
-			"arguments",
-			"stdin",
-			"stdout",
-			"stderr",
-			"successCodes",
-			"temporaryFailCodes",
-			"permanentFailCodes",
-		}
-	case "ExpressionTool":
-		own = []string{"expression"}
-	case "Workflow":
-		own = []string{"steps"}
-	default:
+	if ownVersion != nil {
+		version = *ownVersion
+	}
+	classFields, ok := fieldsOfClass[class]
+	if !ok {
 		r.fail(a, "class is missing; expected CommandLineTool, ExpressionTool or Workflow")
 		return nil
 	}
-	f := r.fields(a, append(own, commonFields...)...)
-	switch version {
-	case "v1.2", "v1.1", "v1.0":
-	case "":
-		r.fail(a, "cwlVersion is missing; expected v1.2")
-	default:
-		r.fail(f["cwlVersion"].orSelf(a), "version %q is not supported; expected v1.2", version)
-	}
+	f := r.fields(a, slices.Concat(classFields, commonFields)...)
+	r.checkVersion(a, f, version)
 	p := &Process{Class: class, ID: idOf(a.n), Needs: inherited, where: a}
-	if l, ok := f["label"]; ok {
-		p.Label = r.text(l)
+	if label, ok := f["label"]; ok {
+		p.Label = r.text(label)
 	}
 	r.needs(&p.Needs, f["requirements"], true)
 	r.needs(&p.Needs, f["hints"], false)
-	for _, field := range []string{"inputs", "outputs"} {
-		if _, ok := f[field]; !ok {
-			r.fail(a, "%s is missing", field)
-		}
-	}
-	r.named(f["inputs"], "id", "type", func(id string, x at) {
-		p.Inputs = append(p.Inputs, r.parameter(id, p.ID, x, class, true))
-	})
-	r.named(f["outputs"], "id", "type", func(id string, x at) {
-		p.Outputs = append(p.Outputs, r.parameter(id, p.ID, x, class, false))
-	})
-	r.unique(a, p.Inputs, "inputs")
-	r.unique(a, p.Outputs, "outputs")
+	r.readParameters(p, f)
 	switch class {
 	case "CommandLineTool":
 		p.Tool = r.tool(a, f)
 	case "ExpressionTool":
-		if e, ok := f["expression"]; ok {
-			p.Expression = r.text(e)
+		if expression, ok := f["expression"]; ok {
+			p.Expression = r.text(expression)
 		} else {
 			r.fail(a, "expression is missing")
 		}
@@ -191,14 +164,65 @@
 			r.fail(a, "steps is missing")
 		}
 		r.named(f["steps"], "id", "", func(id string, x at) {
-			if s := r.step(id, p.ID, x, p.Needs, version, outer); s != nil {
-				p.Steps = append(p.Steps, s)
+			if step := r.step(id, x, p, version, outer); step != nil {
+				p.Steps = append(p.Steps, step)
 			}
 		})
 	}
 	return p
 }
 
+// classAndVersion reads the class of a process, "" if it has none, and its cwlVersion, nil if
+// it has none of its own. It reports false if the class is not known; reading can't go on then.
+func (r *reading) classAndVersion(a at) (class string, version *string, ok bool) {
+	if a.n == nil || a.n.Kind != yaml.MappingNode {
+		return "", nil, true
+	}
+	for _, e := range entries(a.n) {
+		switch e.key.Value {
+		case "class":
+			class = r.oneOf(a.in("class", e.node), "CommandLineTool", "ExpressionTool", "Workflow")
+			if class == "" && !isNull(e.node) {
+				return "", nil, false
+			}
+		case "cwlVersion":
+			text := r.text(a.in("cwlVersion", e.node))
+			version = &text
+		}
+	}
+	return class, version, true
+}
+
+// checkVersion reports a version that is missing or not supported. f are the fields of the
+// process at a.
+func (r *reading) checkVersion(a at, f map[string]at, version string) {
+	switch version {
+	case "v1.2", "v1.1", "v1.0":
+	case "":
+		r.fail(a, "cwlVersion is missing; expected v1.2")
+	default:
+		r.fail(f["cwlVersion"].orSelf(a), "version %q is not supported; expected v1.2", version)
+	}
+}
+
+// readParameters reads the inputs and outputs of a process from its fields.
+func (r *reading) readParameters(p *Process, f map[string]at) {
+	for _, fieldName := range []string{"inputs", "outputs"} {
+		if _, ok := f[fieldName]; !ok {
+			r.fail(p.where, "%s is missing", fieldName)
+		}
+	}
+	r.named(f["inputs"], "id", "type", func(id string, x at) {
+		p.Inputs = append(p.Inputs, r.parameter(id, p.ID, x, p.Class, true))
+	})
+	r.named(f["outputs"], "id", "type", func(id string, x at) {
+		p.Outputs = append(p.Outputs, r.parameter(id, p.ID, x, p.Class, false))
+	})
+	r.unique(p.Inputs, "inputs")
+	r.unique(p.Outputs, "outputs")
+}
+
+// orSelf returns the place, and self where the field is missing.
 func (a at) orSelf(self at) at {
 	if a.n == nil {
 		return self
@@ -206,11 +230,12 @@
 	return a
 }
 
-func (r *reading) unique(a at, list []Parameter, field string) {
+// unique reports parameters whose id is given twice. fieldName is "inputs" or "outputs".
+func (r *reading) unique(parameters []Parameter, fieldName string) {
 	seen := map[string]bool{}
-	for _, p := range list {
+	for _, p := range parameters {
 		if seen[p.ID] {
-			r.fail(p.where, "%s %q is given twice", field, p.ID)
+			r.fail(p.where, "%s %q is given twice", fieldName, p.ID)
 		}
 		seen[p.ID] = true
 	}
@@ -265,8 +290,8 @@
 	for _, s := range r.texts(f["outputSource"]) {
 		p.Source = append(p.Source, sourceName(s, of))
 	}
-	p.LinkMerge = r.oneOf(f["linkMerge"], "", MergeNested, MergeFlattened)
-	p.PickValue = r.oneOf(f["pickValue"], "", PickFirst, PickOnly, PickAll)
+	p.LinkMerge = r.oneOf(f["linkMerge"], MergeNested, MergeFlattened)
+	p.PickValue = r.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll)
 	return p
 }
 
@@ -360,6 +385,7 @@
 	return b
 }
 
+// tool reads what is particular to a command line tool from the fields of the process at a.
 func (r *reading) tool(a at, f map[string]at) *Tool {
 	t := &Tool{
 		Command: r.texts(f["baseCommand"]),
@@ -367,28 +393,20 @@
 		Retry:   r.ints(f["temporaryFailCodes"]),
 		Failed:  r.ints(f["permanentFailCodes"]),
 	}
-	for field, to := range map[string]*string{"stdin": &t.Stdin, "stdout": &t.Stdout, "stderr": &t.Stderr} {
-		if x, ok := f[field]; ok && !isNull(x.n) {
-			*to = r.text(x)
+	for _, stream := range []struct {
+		field string
+		to    *string
+	}{{"stdin", &t.Stdin}, {"stdout", &t.Stdout}, {"stderr", &t.Stderr}} {
+		if x, ok := f[stream.field]; ok && !isNull(x.n) {
+			*stream.to = r.text(x)
 		}
 	}
-	if args, ok := f["arguments"]; ok {
-		if args.n.Kind != yaml.SequenceNode {
-			r.fail(args, "expected a list, found %s", kindOf(args.n))
+	if arguments, ok := f["arguments"]; ok {
+		if arguments.n.Kind != yaml.SequenceNode {
+			r.fail(arguments, "expected a list, found %s", kindOf(arguments.n))
 			return t
 		}
-		for i, c := range args.n.Content {
-			x := args.in(fmt.Sprintf("[%d]", i), c)
-			if c.Kind == yaml.ScalarNode {
-				t.Arguments = append(t.Arguments, Argument{Text: c.Value})
-				continue
-			}
-			b := r.readBinding(x)
-			if b.ValueFrom == "" {
-				r.fail(x, "valueFrom is missing in an argument")
-			}
-			t.Arguments = append(t.Arguments, Argument{Binding: b})
-		}
+		t.Arguments = r.arguments(arguments)
 	}
 	if len(t.Command) == 0 && len(t.Arguments) == 0 {
 		r.fail(a, "a tool needs a baseCommand or arguments")
@@ -396,121 +414,129 @@
 	return t
 }
 
-func (r *reading) step(id, of string, a at, inherited Needs, version string, outer []string) *Step {
+// arguments reads a list of arguments, each a text or a binding with a valueFrom.
+func (r *reading) arguments(list at) []Argument {
+	var arguments []Argument
+	for i, node := range list.n.Content {
+		if node.Kind == yaml.ScalarNode {
+			arguments = append(arguments, Argument{Text: node.Value})
+			continue
+		}
+		x := list.in(fmt.Sprintf("[%d]", i), node)
+		binding := r.readBinding(x)
+		if binding.ValueFrom == "" {
+			r.fail(x, "valueFrom is missing in an argument")
+		}
+		arguments = append(arguments, Argument{Binding: binding})
+	}
+	return arguments
+}
+
+// step reads a step of a workflow and the process that it runs. version is the workflow's
+// cwlVersion; outer are the processes that the step is in. It returns nil if the process
+// can't be read.
+func (r *reading) step(id string, a at, workflow *Process, version string, outer []string) *Step {
 	f := r.fields(
 		a,
-		"id",
-		"label",
-		"doc",
-		"in",
-		"out",
-		"run",
-		"when",
-		"scatter",
-		"scatterMethod",
-		"requirements",
-		"hints",
+		"id", "label", "doc", "in", "out", "run", "when", "scatter", "scatterMethod", "requirements", "hints",
 	)
-	s := &Step{ID: id, Needs: inherited, where: a}
+	s := &Step{ID: id, Needs: workflow.Needs, where: a}
 	r.needs(&s.Needs, f["requirements"], true)
 	r.needs(&s.Needs, f["hints"], false)
-	r.named(f["in"], "id", "source", func(name string, x at) {
-		ff := r.fields(
-			x,
-			"id",
-			"label",
-			"source",
-			"linkMerge",
-			"pickValue",
-			"default",
-			"valueFrom",
-			"loadContents",
-			"loadListing",
-		)
-		in := StepInput{
-			ID:        name,
-			where:     x,
-			LinkMerge: r.oneOf(ff["linkMerge"], "", MergeNested, MergeFlattened),
-			PickValue: r.oneOf(
-				ff["pickValue"],
-				"",
-				PickFirst,
-				PickOnly,
-				PickAll,
-			),
-			LoadContents: r.boolean(ff["loadContents"], false),
-		}
-		if src, ok := ff["source"]; ok {
-			in.List = src.n.Kind == yaml.SequenceNode
-			for _, t := range r.texts(src) {
-				in.Source = append(in.Source, sourceName(t, of))
-			}
-		}
-		if d, ok := ff["default"]; ok {
-			in.Default = value(d.n)
-		}
-		if v, ok := ff["valueFrom"]; ok {
-			in.ValueFrom = v.n.Value
-		}
-		s.In = append(s.In, in)
+	r.named(f["in"], "id", "source", func(inputID string, x at) {
+		s.In = append(s.In, r.stepInput(inputID, workflow.ID, x))
 	})
-	out, ok := f["out"]
-	if !ok {
-		r.fail(a, "out is missing")
-	} else if out.n.Kind != yaml.SequenceNode {
-		r.fail(out, "expected a list of outputs, found %s", kindOf(out.n))
+	if out, ok := f["out"]; ok {
+		s.Out = r.stepOutputs(out)
 	} else {
-		for i, c := range out.n.Content {
-			x := out.in(fmt.Sprintf("[%d]", i), c)
-			if c.Kind == yaml.MappingNode {
-				s.Out = append(s.Out, idOf(c))
-			} else {
-				s.Out = append(s.Out, localName(r.text(x)))
-			}
-		}
+		r.fail(a, "out is missing")
 	}
-	if w, ok := f["when"]; ok && !isNull(w.n) {
-		s.When = r.text(w)
+	if when, ok := f["when"]; ok && !isNull(when.n) {
+		s.When = r.text(when)
 	}
-	for _, x := range r.texts(f["scatter"]) {
-		s.Scatter = append(s.Scatter, localName(x))
+	for _, input := range r.texts(f["scatter"]) {
+		s.Scatter = append(s.Scatter, localName(input))
 	}
-	s.Method = r.oneOf(f["scatterMethod"], "", DotProduct, NestedCrossProduct, FlatCrossProduct)
+	s.Method = r.oneOf(f["scatterMethod"], DotProduct, NestedCrossProduct, FlatCrossProduct)
 	if len(s.Scatter) > 1 && s.Method == "" {
 		r.fail(
 			a,
 			"scatterMethod is missing; with several inputs expected one of %s, %s, %s",
-			DotProduct,
-			NestedCrossProduct,
-			FlatCrossProduct,
+			DotProduct, NestedCrossProduct, FlatCrossProduct,
 		)
 	}
 	run, ok := f["run"]
-	switch {
-	case !ok:
+	if !ok {
 		r.fail(a, "run is missing")
 		return nil
-	case run.n.Kind == yaml.MappingNode:
-		s.Run = r.process(
-			run,
-			version,
-			s.Needs,
-			append(slices.Clone(outer), fmt.Sprintf("%s#%d:%d", a.file, run.n.Line, run.n.Column)),
-		)
-	default:
-		file, fragment, err := resolve(a.file, r.text(run))
-		if err != nil {
-			r.fail(run, "%v", err)
-			return nil
-		}
-		s.Run = r.load(run, file, fragment, s.Needs, slices.Clone(outer))
 	}
-	if s.Run == nil {
+	if s.Run = r.stepProcess(run, s.Needs, version, outer); s.Run == nil {
 		return nil
 	}
 	return s
 }
 
+// stepInput reads an input of a step in the workflow with the id given.
+func (r *reading) stepInput(id, workflowID string, a at) StepInput {
+	f := r.fields(
+		a,
+		"id", "label", "source", "linkMerge", "pickValue", "default", "valueFrom", "loadContents", "loadListing",
+	)
+	in := StepInput{
+		ID:           id,
+		where:        a,
+		LinkMerge:    r.oneOf(f["linkMerge"], MergeNested, MergeFlattened),
+		PickValue:    r.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll),
+		LoadContents: r.boolean(f["loadContents"], false),
+	}
+	if source, ok := f["source"]; ok {
+		in.List = source.n.Kind == yaml.SequenceNode
+		for _, text := range r.texts(source) {
+			in.Source = append(in.Source, sourceName(text, workflowID))
+		}
+	}
+	if x, ok := f["default"]; ok {
+		in.Default = value(x.n)
+	}
+	if x, ok := f["valueFrom"]; ok {
+		in.ValueFrom = x.n.Value
+	}
+	return in
+}
+
+// stepOutputs reads the names of the outputs that a step lists, each a text or a mapping
+// with an id.
+func (r *reading) stepOutputs(out at) []string {
+	if out.n.Kind != yaml.SequenceNode {
+		r.fail(out, "expected a list of outputs, found %s", kindOf(out.n))
+		return nil
+	}
+	var names []string
+	for i, node := range out.n.Content {
+		if node.Kind == yaml.MappingNode {
+			names = append(names, idOf(node))
+		} else {
+			names = append(names, localName(r.text(out.in(fmt.Sprintf("[%d]", i), node))))
+		}
+	}
+	return names
+}
+
+// stepProcess reads the process that a step runs, which stands in its field run or is
+// referred to there. It returns nil if it can't be read.
+func (r *reading) stepProcess(run at, inherited Needs, version string, outer []string) *Process {
+	if run.n.Kind == yaml.MappingNode {
+		place := fmt.Sprintf("%s#%d:%d", run.file, run.n.Line, run.n.Column)
+		return r.process(run, version, inherited, append(slices.Clone(outer), place))
+	}
+	file, fragment, err := resolve(run.file, r.text(run))
+	if err != nil {
+		r.fail(run, "%v", err)
+		return nil
+	}
+	return r.load(run, file, fragment, inherited, slices.Clone(outer))
+}
+
 // value turns a node into a value: nil, bool, int64, float64, string, []any or
 // map[string]any.
 func value(n *yaml.Node) any {
--- a/internal/workflow/cwl/needs.go
+++ b/internal/workflow/cwl/needs.go
@@ -15,154 +15,169 @@
 	if isNull(a.n) {
 		return
 	}
-	one := func(class string, x at) {
-		apply := r.need(class, x, n, required)
-		switch {
-		case apply == nil && required:
-			r.fail(x, "requirement %s is not supported", class)
-		case apply == nil:
-			r.warn(x, "hint %s is not supported and passed over", class)
-		default:
-			apply()
-		}
-	}
 	switch a.n.Kind {
 	case yaml.MappingNode:
 		for _, e := range entries(a.n) {
-			v := e.node
-			if isNull(v) {
-				v = &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: e.key.Line, Column: e.key.Column}
+			node := e.node
+			if isNull(node) {
+				node = emptyMapping(e.key)
 			}
-			one(e.key.Value, a.in(e.key.Value, v))
+			r.applyRequirement(n, e.key.Value, a.in(e.key.Value, node), required)
 		}
 	case yaml.SequenceNode:
-		for i, c := range a.n.Content {
-			x := a.in(fmt.Sprintf("[%d]", i), c)
-			class := ""
-			if c.Kind == yaml.MappingNode {
-				for _, e := range entries(c) {
-					if e.key.Value == "class" {
-						class = r.text(x.in("class", e.node))
-					}
-				}
-			}
+		for i, node := range a.n.Content {
+			item := a.in(fmt.Sprintf("[%d]", i), node)
+			class := r.textField(item, "class")
 			if class == "" {
-				r.fail(x, "class is missing")
+				r.fail(item, "class is missing")
 				continue
 			}
-			one(class, x)
+			r.applyRequirement(n, class, item, required)
 		}
 	default:
 		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.n))
 	}
 }
 
+// applyRequirement reads one requirement, or hint, and applies it to n.
+func (r *reading) applyRequirement(n *Needs, class string, a at, required bool) {
+	apply := r.need(class, a, n, required)
+	switch {
+	case apply == nil && required:
+		r.fail(a, "requirement %s is not supported", class)
+	case apply == nil:
+		r.warn(a, "hint %s is not supported and passed over", class)
+	default:
+		apply()
+	}
+}
+
 // need returns what a requirement changes, nil if it isn't supported.
 func (r *reading) need(class string, a at, n *Needs, required bool) func() {
 	if i := strings.LastIndexAny(class, "#:"); i >= 0 {
 		class = class[i+1:]
 	}
 	known := func(names ...string) map[string]at { return r.fields(a, append(names, "class")...) }
+	if feature := n.feature(class); feature != nil {
+		known()
+		return func() { *feature = true }
+	}
 	switch class {
 	case "InlineJavascriptRequirement":
 		f := known("expressionLib")
 		return func() { n.JavaScript = &JavaScript{Lib: r.texts(f["expressionLib"])} }
-	case "StepInputExpressionRequirement":
-		known()
-		return func() { n.StepInputs = true }
-	case "ScatterFeatureRequirement":
-		known()
-		return func() { n.Scatter = true }
-	case "SubworkflowFeatureRequirement":
-		known()
-		return func() { n.Subworkflow = true }
-	case "MultipleInputFeatureRequirement":
-		known()
-		return func() { n.MultiInput = true }
 	case "SchemaDefRequirement":
 		f := known("types")
 		return func() { r.defineTypes(f["types"]) }
 	case "DockerRequirement":
 		f := known("dockerPull", "dockerLoad", "dockerFile", "dockerImport", "dockerImageId", "dockerOutputDirectory")
-		for _, x := range []string{"dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"} {
-			if v, ok := f[x]; ok && required {
-				r.fail(v, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
-			}
-		}
-		name := f["dockerPull"]
-		if id, ok := f["dockerImageId"]; ok {
-			name = id
-		}
-		if name.n == nil {
-			return func() {}
-		}
-		return func() {
-			if required || n.Image == "" || n.ImageHinted {
-				n.Image, n.ImageHinted = r.text(name), !required
-			}
-		}
+		return func() { r.setImage(n, f, required) }
 	case "EnvVarRequirement":
 		f := known("envDef")
-		return func() {
-			r.named(f["envDef"], "envName", "envValue", func(name string, x at) {
-				ff := r.fields(x, "envName", "envValue")
-				v := EnvVar{Name: name}
-				if val, ok := ff["envValue"]; ok {
-					v.Value = val.n.Value
-				}
-				if i := slices.IndexFunc(n.Env, func(e EnvVar) bool { return e.Name == name }); i >= 0 {
-					n.Env = slices.Clone(n.Env)
-					n.Env[i] = v
-				} else {
-					n.Env = append(slices.Clone(n.Env), v)
-				}
-			})
-		}
+		return func() { r.setEnv(n, f["envDef"]) }
 	case "ResourceRequirement":
 		f := known("coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax")
-		return func() {
-			res := Resources{}
-			for field, to := range map[string]*string{"coresMin": &res.CoresMin, "coresMax": &res.CoresMax, "ramMin": &res.RAMMin, "ramMax": &res.RAMMax,
-				"tmpdirMin": &res.TmpMin, "tmpdirMax": &res.TmpMax, "outdirMin": &res.OutMin, "outdirMax": &res.OutMax} {
-				*to = r.scalar(f[field])
-			}
-			n.Resources = res
-		}
+		return func() { n.Resources = r.resources(f) }
 	case "CUDARequirement":
 		f := known("cudaVersionMin", "cudaComputeCapability", "cudaDeviceCountMin", "cudaDeviceCountMax")
-		return func() {
-			n.Accelerator = "1"
-			if c, ok := f["cudaDeviceCountMin"]; ok {
-				n.Accelerator = r.scalar(c)
-			}
-		}
+		return func() { n.Accelerator = r.accelerators(f) }
 	case "ToolTimeLimit":
 		f := known("timelimit")
 		return func() { n.TimeLimit = r.scalar(f["timelimit"]) }
 	case "WorkReuse":
 		f := known("enableReuse")
-		return func() {
-			n.Reuse = "true"
-			if e, ok := f["enableReuse"]; ok {
-				n.Reuse = e.n.Value
-			}
-		}
+		return func() { n.Reuse = valueOr(f, "enableReuse", "true") }
 	case "NetworkAccess":
 		f := known("networkAccess")
-		return func() {
-			if e, ok := f["networkAccess"]; ok {
-				n.Network = e.n.Value
-			}
-		}
+		return func() { n.Network = valueOr(f, "networkAccess", n.Network) }
 	case "InitialWorkDirRequirement":
 		f := known("listing")
 		return func() { n.WorkDir = r.workDir(f["listing"].orSelf(a)) }
-	case "LoadListingRequirement", "InplaceUpdateRequirement":
-		return nil
 	}
 	return nil
 }
 
+// feature returns the flag that a requirement without fields sets, nil for other requirements.
+func (n *Needs) feature(class string) *bool {
+	switch class {
+	case "StepInputExpressionRequirement":
+		return &n.StepInputs
+	case "ScatterFeatureRequirement":
+		return &n.Scatter
+	case "SubworkflowFeatureRequirement":
+		return &n.Subworkflow
+	case "MultipleInputFeatureRequirement":
+		return &n.MultiInput
+	}
+	return nil
+}
+
+// valueOr returns the text of a field as it is written, fallback if the field is missing.
+func valueOr(f map[string]at, field, fallback string) string {
+	if x, ok := f[field]; ok {
+		return x.n.Value
+	}
+	return fallback
+}
+
+// setImage applies the fields of DockerRequirement. A hint does not replace an image that a
+// requirement names.
+func (r *reading) setImage(n *Needs, f map[string]at, required bool) {
+	for _, field := range []string{"dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"} {
+		if x, ok := f[field]; ok && required {
+			r.fail(x, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
+		}
+	}
+	image := f["dockerPull"]
+	if id, ok := f["dockerImageId"]; ok {
+		image = id
+	}
+	if image.n == nil {
+		return
+	}
+	if required || n.Image == "" || n.ImageHinted {
+		n.Image, n.ImageHinted = r.text(image), !required
+	}
+}
+
+// setEnv applies the definitions of EnvVarRequirement, over those of the same name. The
+// slice that n had is shared with the process around it and is not changed.
+func (r *reading) setEnv(n *Needs, definitions at) {
+	r.named(definitions, "envName", "envValue", func(envName string, x at) {
+		f := r.fields(x, "envName", "envValue")
+		variable := EnvVar{Name: envName, Value: valueOr(f, "envValue", "")}
+		n.Env = slices.Clone(n.Env)
+		if i := slices.IndexFunc(n.Env, func(e EnvVar) bool { return e.Name == envName }); i >= 0 {
+			n.Env[i] = variable
+		} else {
+			n.Env = append(n.Env, variable)
+		}
+	})
+}
+
+// resources reads the fields of ResourceRequirement.
+func (r *reading) resources(f map[string]at) Resources {
+	return Resources{
+		CoresMin: r.scalar(f["coresMin"]),
+		CoresMax: r.scalar(f["coresMax"]),
+		RAMMin:   r.scalar(f["ramMin"]),
+		RAMMax:   r.scalar(f["ramMax"]),
+		TmpMin:   r.scalar(f["tmpdirMin"]),
+		TmpMax:   r.scalar(f["tmpdirMax"]),
+		OutMin:   r.scalar(f["outdirMin"]),
+		OutMax:   r.scalar(f["outdirMax"]),
+	}
+}
+
+// accelerators reads the number of accelerators of CUDARequirement, one if it is not stated.
+func (r *reading) accelerators(f map[string]at) string {
+	if count, ok := f["cudaDeviceCountMin"]; ok {
+		return r.scalar(count)
+	}
+	return "1"
+}
+
+// workDir reads the listing of InitialWorkDirRequirement: an expression or a list of entries.
 func (r *reading) workDir(a at) *WorkDir {
 	if a.n.Kind == yaml.ScalarNode {
 		return &WorkDir{Listing: r.text(a)}
@@ -172,23 +187,23 @@
 		r.fail(a, "expected an expression or a list, found %s", kindOf(a.n))
 		return w
 	}
-	for i, c := range a.n.Content {
-		x := a.in(fmt.Sprintf("[%d]", i), c)
-		if c.Kind == yaml.ScalarNode {
+	for i, node := range a.n.Content {
+		x := a.in(fmt.Sprintf("[%d]", i), node)
+		if node.Kind == yaml.ScalarNode {
 			w.Entries = append(w.Entries, Dirent{Entry: r.text(x)})
 			continue
 		}
 		f := r.fields(x, "class", "entryname", "entry", "writable")
-		d := Dirent{Writable: r.boolean(f["writable"], false)}
+		entry := Dirent{Writable: r.boolean(f["writable"], false)}
 		if e, ok := f["entry"]; ok {
-			d.Entry = r.text(e)
+			entry.Entry = r.text(e)
 		} else {
 			r.fail(x, "entry is missing")
 		}
 		if e, ok := f["entryname"]; ok {
-			d.Name = r.text(e)
+			entry.Name = r.text(e)
 		}
-		w.Entries = append(w.Entries, d)
+		w.Entries = append(w.Entries, entry)
 	}
 	return w
 }
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -36,7 +36,7 @@
 }
 
 // Problems are all that is wrong, in the order of the text.
-type Problems []Problem
+type Problems []Problem //nolint:errname // a list that is also an error; other packages use the name
 
 // Error lists the problems, one a line.
 func (p Problems) Error() string {
@@ -75,6 +75,7 @@
 	n     *yaml.Node
 }
 
+// in returns the place of a field, or of an element such as "[0]", within this one.
 func (a at) in(field string, n *yaml.Node) at {
 	if a.field != "" && !strings.HasPrefix(field, "[") {
 		field = "." + field
@@ -82,6 +83,7 @@
 	return at{a.file, a.field + field, n}
 }
 
+// problem returns a problem at the place.
 func (a at) problem(format string, args ...any) Problem {
 	p := Problem{File: a.file, Field: a.field, Reason: fmt.Sprintf(format, args...)}
 	if a.n != nil {
@@ -90,6 +92,7 @@
 	return p
 }
 
+// fail reports a mistake at a place, once.
 func (r *reading) fail(a at, format string, args ...any) {
 	p := a.problem(format, args...)
 	if !slices.Contains(r.problems, p) {
@@ -97,6 +100,7 @@
 	}
 }
 
+// warn reports a warning at a place.
 func (r *reading) warn(a at, format string, args ...any) {
 	r.warnings = append(r.warnings, a.problem(format, args...))
 }
@@ -155,34 +159,15 @@
 		n = n.Alias
 	}
 	if n.Kind == yaml.MappingNode && len(n.Content) == 2 {
-		what, ref := n.Content[0].Value, n.Content[1]
-		if what == "$import" || what == "$include" {
-			name, _, err := resolve(file, ref.Value)
-			if err != nil {
-				return nil, Problems{at{file, what, ref}.problem("%v", err)}
-			}
-			if what == "$include" {
-				b, ok := r.bundle[name]
-				if !ok {
-					return nil, Problems{at{file, what, ref}.problem("there is no %q in the bundle", name)}
-				}
-				return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: string(b), Line: ref.Line, Column: ref.Column}, nil
-			}
-			b, ok := r.bundle[name]
-			if !ok {
-				return nil, Problems{at{file, what, ref}.problem("there is no %q in the bundle", name)}
-			}
-			imported, err := parseYAML(name, b)
-			if err != nil {
-				return nil, err
-			}
-			return r.directives(name, imported, depth+1)
+		directive, ref := n.Content[0].Value, n.Content[1]
+		if directive == "$import" || directive == "$include" {
+			return r.insert(at{file, directive, ref}, directive, depth)
 		}
 	}
 	out := *n
 	out.Alias, out.Anchor, out.Content = nil, "", nil
-	for _, c := range n.Content {
-		x, err := r.directives(file, c, depth+1)
+	for _, child := range n.Content {
+		x, err := r.directives(file, child, depth+1)
 		if err != nil {
 			return nil, err
 		}
@@ -191,6 +176,37 @@
 	return &out, nil
 }
 
+// insert returns what the directive $import or $include at a place stands for: the parsed
+// document, or the text of the file, that it refers to.
+func (r *reading) insert(ref at, directive string, depth int) (*yaml.Node, error) {
+	target, _, err := resolve(ref.file, ref.n.Value)
+	if err != nil {
+		return nil, Problems{ref.problem("%v", err)}
+	}
+	text, ok := r.bundle[target]
+	if !ok {
+		return nil, Problems{ref.problem("there is no %q in the bundle", target)}
+	}
+	if directive == "$include" {
+		return stringNode(string(text), ref.n), nil
+	}
+	imported, err := parseYAML(target, text)
+	if err != nil {
+		return nil, err
+	}
+	return r.directives(target, imported, depth+1)
+}
+
+// stringNode returns a string that stands where place does.
+func stringNode(text string, place *yaml.Node) *yaml.Node {
+	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text, Line: place.Line, Column: place.Column}
+}
+
+// emptyMapping returns a mapping without fields that stands where place does.
+func emptyMapping(place *yaml.Node) *yaml.Node {
+	return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: place.Line, Column: place.Column}
+}
+
 // resolve is the file and fragment that a reference in a file leads to.
 func resolve(file, ref string) (name, fragment string, err error) {
 	name, fragment, _ = strings.Cut(ref, "#")
@@ -239,6 +255,7 @@
 	return out
 }
 
+// entries returns the fields of a mapping in the order of the text.
 func entries(n *yaml.Node) []entry {
 	var out []entry
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -247,6 +264,7 @@
 	return out
 }
 
+// kindOf names what a node is, for messages.
 func kindOf(n *yaml.Node) string {
 	if n == nil {
 		return "nothing"
@@ -268,6 +286,7 @@
 	return fmt.Sprintf("%q", shorten(n.Value))
 }
 
+// shorten cuts a text for messages to 60 bytes.
 func shorten(s string) string {
 	if len(s) > 60 {
 		return s[:57] + "..."
@@ -275,6 +294,7 @@
 	return s
 }
 
+// isNull reports whether a node is missing or null.
 func isNull(n *yaml.Node) bool {
 	return n == nil || n.Kind == yaml.ScalarNode && n.ShortTag() == "!!null"
 }
@@ -306,19 +326,21 @@
 	return out
 }
 
-func (r *reading) boolean(a at, otherwise bool) bool {
+// boolean reads true or false, fallback if the field is missing or null.
+func (r *reading) boolean(a at, fallback bool) bool {
 	if isNull(a.n) {
-		return otherwise
+		return fallback
 	}
 	if a.n.ShortTag() != "!!bool" {
 		r.fail(a, "expected true or false, found %s", kindOf(a.n))
-		return otherwise
+		return fallback
 	}
 	var v bool
 	_ = a.n.Decode(&v)
 	return v
 }
 
+// ints reads a list of whole numbers.
 func (r *reading) ints(a at) []int {
 	var out []int
 	if isNull(a.n) {
@@ -339,74 +361,90 @@
 	return out
 }
 
-func (r *reading) oneOf(a at, otherwise string, allowed ...string) string {
+// oneOf reads a string out of those allowed, "" if the field is missing or has another value.
+func (r *reading) oneOf(a at, allowed ...string) string {
 	if isNull(a.n) {
-		return otherwise
+		return ""
 	}
 	if a.n.Kind != yaml.ScalarNode || !slices.Contains(allowed, a.n.Value) {
 		r.fail(a, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(a.n))
-		return otherwise
+		return ""
 	}
 	return a.n.Value
 }
 
 // named reads a list of things with an id, or the same as a mapping from ids ("Identifier
-// maps"); a value that isn't a mapping stands for the field that predicate names.
+// maps"), and calls f for each. key is the field that has the id; a value in a mapping that
+// isn't a mapping itself stands for the field that predicate names, "" for none.
 func (r *reading) named(a at, key, predicate string, f func(id string, a at)) {
 	if isNull(a.n) {
 		return
 	}
 	switch a.n.Kind {
 	case yaml.MappingNode:
-		seen := map[string]bool{}
-		for _, e := range entries(a.n) {
-			if seen[e.key.Value] {
-				r.fail(a.in(e.key.Value, e.key), "is given twice")
-				continue
-			}
-			seen[e.key.Value] = true
-			v := e.node
-			if v.Kind != yaml.MappingNode && predicate != "" && !isNull(v) {
-				v = &yaml.Node{
-					Kind:   yaml.MappingNode,
-					Tag:    "!!map",
-					Line:   v.Line,
-					Column: v.Column,
-					Content: []*yaml.Node{
-						{Kind: yaml.ScalarNode, Tag: "!!str", Value: predicate, Line: v.Line, Column: v.Column},
-						v,
-					},
-				}
-			}
-			if isNull(v) {
-				v = &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: e.key.Line, Column: e.key.Column}
-			}
-			f(e.key.Value, a.in(e.key.Value, v))
-		}
+		r.namedInMapping(a, predicate, f)
 	case yaml.SequenceNode:
-		for i, c := range a.n.Content {
-			x := a.in(fmt.Sprintf("[%d]", i), c)
-			if c.Kind != yaml.MappingNode {
-				r.fail(x, "expected fields and values, found %s", kindOf(c))
-				continue
-			}
-			id := ""
-			for _, e := range entries(c) {
-				if e.key.Value == key {
-					id = r.text(x.in(key, e.node))
-				}
-			}
-			if id == "" {
-				r.fail(x, "%s is missing", key)
-				continue
-			}
-			f(localName(id), a.in(localName(id), c))
-		}
+		r.namedInList(a, key, f)
 	default:
 		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.n))
 	}
 }
 
+// namedInMapping is named for a mapping from ids.
+func (r *reading) namedInMapping(a at, predicate string, f func(id string, a at)) {
+	seen := map[string]bool{}
+	for _, e := range entries(a.n) {
+		id := e.key.Value
+		if seen[id] {
+			r.fail(a.in(id, e.key), "is given twice")
+			continue
+		}
+		seen[id] = true
+		node := e.node
+		switch {
+		case isNull(node):
+			node = emptyMapping(e.key)
+		case node.Kind != yaml.MappingNode && predicate != "":
+			short := node
+			node = emptyMapping(short)
+			node.Content = []*yaml.Node{stringNode(predicate, short), short}
+		}
+		f(id, a.in(id, node))
+	}
+}
+
+// namedInList is named for a list.
+func (r *reading) namedInList(a at, key string, f func(id string, a at)) {
+	for i, node := range a.n.Content {
+		item := a.in(fmt.Sprintf("[%d]", i), node)
+		if node.Kind != yaml.MappingNode {
+			r.fail(item, "expected fields and values, found %s", kindOf(node))
+			continue
+		}
+		id := r.textField(item, key)
+		if id == "" {
+			r.fail(item, "%s is missing", key)
+			continue
+		}
+		f(localName(id), a.in(localName(id), node))
+	}
+}
+
+// textField reads one field of a mapping as a string, "" if the field is missing or a is no
+// mapping. Of a field given several times it is the last.
+func (r *reading) textField(a at, field string) string {
+	text := ""
+	if a.n.Kind != yaml.MappingNode {
+		return text
+	}
+	for _, e := range entries(a.n) {
+		if e.key.Value == field {
+			text = r.text(a.in(field, e.node))
+		}
+	}
+	return text
+}
+
 // localName is the last part of an identifier: "#main/read" is "read".
 func localName(id string) string {
 	if i := strings.LastIndexAny(id, "#/"); i >= 0 {
