--- a/internal/workflow/cwl/check.go
+++ b/internal/workflow/cwl/check.go
@@ -17,6 +17,31 @@
 		}
 		return
 	}
+	types := r.sourceTypes(p)
+	for _, s := range p.Steps {
+		r.checkStep(p, s, types)
+		r.check(s.Run)
+	}
+	for i := range p.Outputs {
+		o := &p.Outputs[i]
+		if len(o.Source) == 0 {
+			r.fail(o.where, "outputSource is missing")
+		}
+		r.checkLink(p, types, link{
+			where:   o.where,
+			sources: o.Source,
+			several: len(o.Source) > 1,
+			merge:   o.LinkMerge,
+			pick:    o.PickValue,
+		}, o.Type)
+	}
+	r.checkCycles(p)
+}
+
+// sourceTypes returns the types of what may be a source in a workflow: its inputs by their
+// names, the outputs of its steps by "step/output". It reports steps given twice and outputs
+// that a step's process does not have.
+func (r *reading) sourceTypes(p *Process) map[string]*Type {
 	types := map[string]*Type{}
 	for _, in := range p.Inputs {
 		types[in.ID] = in.Type
@@ -27,37 +52,37 @@
 			r.fail(s.where, "is given twice")
 		}
 		seen[s.ID] = true
-		for _, out := range s.Out {
-			o := s.Run.output(out)
-			if o == nil {
-				r.fail(s.where.in("out", s.where.n), "%s has no output %q", name(s.Run), out)
+		for _, outputID := range s.Out {
+			output := s.Run.output(outputID)
+			if output == nil {
+				r.fail(s.where.in("out", s.where.n), "%s has no output %q", name(s.Run), outputID)
 				continue
 			}
-			t := o.Type
-			if s.When != "" {
-				t = &Type{Kind: KindUnion, Union: []*Type{{Kind: KindNull}, t}}
-			}
-			for range s.dimensions() {
-				t = &Type{Kind: KindArray, Items: t}
-			}
-			types[s.ID+"/"+out] = t
+			types[s.ID+"/"+outputID] = s.outputType(output)
 		}
 	}
-	for _, s := range p.Steps {
-		r.checkStep(p, s, types)
-		r.check(s.Run)
+	return types
+}
+
+// outputType returns the type of an output of the step's process as the step gives it: null
+// as well if the step is conditional, in as many arrays as it is scattered over.
+func (s *Step) outputType(output *Parameter) *Type {
+	t := output.Type
+	if s.When != "" {
+		t = orNull(t)
 	}
-	for i := range p.Outputs {
-		o := &p.Outputs[i]
-		if len(o.Source) == 0 {
-			r.fail(o.where, "outputSource is missing")
-		}
-		r.checkLink(o.where, p, o.Source, len(o.Source) > 1, o.LinkMerge, o.PickValue, o.Type, types)
+	for range s.dimensions() {
+		t = &Type{Kind: KindArray, Items: t}
 	}
-	r.checkCycles(p)
+	return t
+}
+
+// orNull returns the union of null and a type.
+func orNull(t *Type) *Type {
+	return &Type{Kind: KindUnion, Union: []*Type{{Kind: KindNull}, t}}
 }
 
-// dimensions is how many arrays a scatter nests its outputs in.
+// dimensions returns how many arrays a scatter nests the step's outputs in.
 func (s *Step) dimensions() int {
 	switch {
 	case len(s.Scatter) == 0:
@@ -68,6 +93,7 @@
 	return 1
 }
 
+// name names a process in messages: its class, and its id if it has one.
 func name(p *Process) string {
 	if p.ID != "" {
 		return p.Class + " " + p.ID
@@ -75,6 +101,8 @@
 	return p.Class
 }
 
+// checkStep checks a step of a workflow: the features that it uses, its inputs against their
+// sources and against those of the process that it runs. types are those of sourceTypes.
 func (r *reading) checkStep(p *Process, s *Step, types map[string]*Type) {
 	if s.Run.Class == "Workflow" && !s.Needs.Subworkflow {
 		r.fail(s.where.in("run", s.where.n), "is a workflow; SubworkflowFeatureRequirement is missing")
@@ -82,98 +110,121 @@
 	if len(s.Scatter) > 0 && !s.Needs.Scatter {
 		r.fail(s.where.in("scatter", s.where.n), "ScatterFeatureRequirement is missing")
 	}
-	given := map[string]*StepInput{}
+	given := map[string]bool{}
 	for i := range s.In {
 		in := &s.In[i]
-		if given[in.ID] != nil {
+		if given[in.ID] {
 			r.fail(in.where, "is given twice")
 		}
-		given[in.ID] = in
-		if in.ValueFrom != "" && !s.Needs.StepInputs {
-			r.fail(in.where, "valueFrom is used; StepInputExpressionRequirement is missing")
-		}
-		if len(in.Source) > 1 && !s.Needs.MultiInput {
-			r.fail(in.where, "has several sources; MultipleInputFeatureRequirement is missing")
-		}
-		param := s.Run.input(in.ID)
-		var want *Type
-		if param != nil && in.ValueFrom == "" {
-			want = param.Type
-			if param.Default != nil || in.Default != nil {
-				want = &Type{Kind: KindUnion, Union: []*Type{{Kind: KindNull}, want}}
-			}
-		}
-		if want != nil && slices.Contains(s.Scatter, in.ID) {
-			want = &Type{Kind: KindArray, Items: want}
-		}
-		r.checkLink(in.where, p, in.Source, in.List && len(in.Source) > 1, in.LinkMerge, in.PickValue, want, types)
+		given[in.ID] = true
+		r.checkStepInput(p, s, in, types)
 	}
-	for _, x := range s.Scatter {
-		if given[x] == nil {
-			r.fail(s.where.in("scatter", s.where.n), "%q is not an input of the step", x)
+	for _, input := range s.Scatter {
+		if !given[input] {
+			r.fail(s.where.in("scatter", s.where.n), "%q is not an input of the step", input)
 		}
 	}
 	for _, param := range s.Run.Inputs {
-		if given[param.ID] == nil && param.Default == nil && !param.Type.Optional() {
+		if !given[param.ID] && param.Default == nil && !param.Type.Optional() {
 			r.fail(s.where.in("in", s.where.n), "input %q of %s is missing", param.ID, name(s.Run))
 		}
 	}
 }
 
-// checkLink checks where a value comes from against what is expected, nil for anything.
-func (r *reading) checkLink(
-	a at,
-	p *Process,
-	sources []string,
-	several bool,
-	merge, pick string,
-	want *Type,
-	types map[string]*Type,
-) {
+// checkStepInput checks one input of a step: the features that it uses, and its sources
+// against the type that the step's process expects.
+func (r *reading) checkStepInput(p *Process, s *Step, in *StepInput, types map[string]*Type) {
+	if in.ValueFrom != "" && !s.Needs.StepInputs {
+		r.fail(in.where, "valueFrom is used; StepInputExpressionRequirement is missing")
+	}
+	if len(in.Source) > 1 && !s.Needs.MultiInput {
+		r.fail(in.where, "has several sources; MultipleInputFeatureRequirement is missing")
+	}
+	r.checkLink(p, types, link{
+		where:   in.where,
+		sources: in.Source,
+		several: in.List && len(in.Source) > 1,
+		merge:   in.LinkMerge,
+		pick:    in.PickValue,
+	}, s.expectedType(in))
+}
+
+// expectedType returns the type that the sources of a step's input must have, nil for any:
+// where the process has no such input, or an expression makes its value.
+func (s *Step) expectedType(in *StepInput) *Type {
+	param := s.Run.input(in.ID)
+	if param == nil || in.ValueFrom != "" {
+		return nil
+	}
+	want := param.Type
+	if param.Default != nil || in.Default != nil {
+		want = orNull(want)
+	}
+	if slices.Contains(s.Scatter, in.ID) {
+		want = &Type{Kind: KindArray, Items: want}
+	}
+	return want
+}
+
+// link is where a value in a workflow comes from.
+type link struct {
+	where   at
+	sources []string
+	several bool   // the value is a list with an item for each source
+	merge   string // linkMerge, "" if not stated
+	pick    string // pickValue, "" if not stated
+}
+
+// checkLink checks that the sources of a link exist, and that their value may be one of the
+// type want, nil for anything. types are those of sourceTypes.
+func (r *reading) checkLink(p *Process, types map[string]*Type, l link, want *Type) {
 	var from []*Type
-	for _, src := range sources {
-		t := types[src]
+	for _, source := range l.sources {
+		t := types[source]
 		if t == nil {
-			reason := fmt.Sprintf("there is no input or step output %q", src)
-			if step, _, ok := strings.Cut(src, "/"); ok && p.Step(step) != nil {
-				reason = fmt.Sprintf("step %q does not list an output %q in out", step, localName(src))
+			reason := fmt.Sprintf("there is no input or step output %q", source)
+			if step, _, ok := strings.Cut(source, "/"); ok && p.Step(step) != nil {
+				reason = fmt.Sprintf("step %q does not list an output %q in out", step, localName(source))
 			}
-			r.fail(a, "%s", reason)
+			r.fail(l.where, "%s", reason)
 			continue
 		}
 		from = append(from, t)
 	}
-	if len(from) != len(sources) || len(from) == 0 || want == nil {
+	if len(from) != len(l.sources) || len(from) == 0 || want == nil {
 		return
 	}
-	var got *Type
-	switch {
-	case !several && merge == "":
-		got = from[0]
-	default:
-		items := &Type{Kind: KindUnion, Union: nil}
-		for _, t := range from {
-			if merge == MergeFlattened && t.Kind == KindArray {
-				t = t.Items
-			}
-			items.Union = append(items.Union, t)
-		}
-		got = &Type{Kind: KindArray, Items: items}
-	}
-	if pick != "" {
+	got := l.mergedType(from)
+	if l.pick != "" {
 		if got.Kind != KindArray {
-			if !(got.Kind == KindAny) {
-				r.fail(a, "pickValue needs a list, found %s", got)
+			if got.Kind != KindAny {
+				r.fail(l.where, "pickValue needs a list, found %s", got)
 			}
 			return
 		}
-		if pick != PickAll {
+		if l.pick != PickAll {
 			got = got.Items
 		}
 	}
 	if !mayFlow(got, want) {
-		r.fail(a, "expected %s, but %s gives %s", want, strings.Join(sources, ", "), got)
+		r.fail(l.where, "expected %s, but %s gives %s", want, strings.Join(l.sources, ", "), got)
+	}
+}
+
+// mergedType returns the type of a link's value before one is picked, from the types of its
+// sources, at least one.
+func (l link) mergedType(from []*Type) *Type {
+	if !l.several && l.merge == "" {
+		return from[0]
 	}
+	items := &Type{Kind: KindUnion}
+	for _, t := range from {
+		if l.merge == MergeFlattened && t.Kind == KindArray {
+			t = t.Items
+		}
+		items.Union = append(items.Union, t)
+	}
+	return &Type{Kind: KindArray, Items: items}
 }
 
 func (r *reading) checkCycles(p *Process) {
@@ -209,70 +260,72 @@
 
 // checkExpressions parses all expressions of a process.
 func (r *reading) checkExpressions(p *Process) {
-	one := func(a at, n *Needs, texts ...string) {
-		for _, t := range texts {
-			if err := Syntax(t, n.JavaScript != nil); err != nil {
-				r.fail(a, "%v", err)
-			}
-		}
-	}
-	param := func(q *Parameter) {
-		if b := q.Binding; b != nil {
-			one(q.where, &p.Needs, b.Position, b.ValueFrom)
-		}
-		if b := q.OutputBinding; b != nil {
-			one(q.where, &p.Needs, b.OutputEval)
-			one(q.where, &p.Needs, b.Glob...)
-		}
-		for _, s := range q.SecondaryFiles {
-			one(q.where, &p.Needs, s.Pattern, s.Required)
-		}
-	}
 	for i := range p.Inputs {
-		param(&p.Inputs[i])
+		r.checkParameterSyntax(p, &p.Inputs[i])
 	}
 	for i := range p.Outputs {
-		param(&p.Outputs[i])
-	}
-	res := p.Needs.Resources
-	one(
-		p.where,
-		&p.Needs,
-		res.CoresMin,
-		res.CoresMax,
-		res.RAMMin,
-		res.RAMMax,
-		res.TmpMin,
-		res.TmpMax,
-		res.OutMin,
-		res.OutMax,
-		p.Needs.TimeLimit,
-		p.Needs.Reuse,
-		p.Needs.Accelerator,
-	)
-	for _, e := range p.Needs.Env {
-		one(p.where, &p.Needs, e.Value)
-	}
-	if w := p.Needs.WorkDir; w != nil {
-		one(p.where, &p.Needs, w.Listing)
-		for _, d := range w.Entries {
-			one(p.where, &p.Needs, d.Name, d.Entry)
-		}
+		r.checkParameterSyntax(p, &p.Outputs[i])
 	}
+	r.checkNeedsSyntax(p)
 	if t := p.Tool; t != nil {
-		one(p.where, &p.Needs, t.Stdin, t.Stdout, t.Stderr)
-		for _, a := range t.Arguments {
-			one(p.where, &p.Needs, a.Text)
-			if a.Binding != nil {
-				one(a.Binding.where, &p.Needs, a.Binding.Position, a.Binding.ValueFrom)
+		r.checkSyntax(p.where, &p.Needs, t.Stdin, t.Stdout, t.Stderr)
+		for _, argument := range t.Arguments {
+			r.checkSyntax(p.where, &p.Needs, argument.Text)
+			if b := argument.Binding; b != nil {
+				r.checkSyntax(b.where, &p.Needs, b.Position, b.ValueFrom)
 			}
 		}
 	}
-	one(p.where, &p.Needs, p.Expression)
+	r.checkSyntax(p.where, &p.Needs, p.Expression)
 	for _, s := range p.Steps {
-		one(s.where, &s.Needs, s.When)
+		r.checkSyntax(s.where, &s.Needs, s.When)
 		for _, in := range s.In {
-			one(in.where, &s.Needs, in.ValueFrom)
+			r.checkSyntax(in.where, &s.Needs, in.ValueFrom)
+		}
+	}
+}
+
+// checkSyntax parses the expressions of texts that stand at a place where needs apply.
+func (r *reading) checkSyntax(a at, needs *Needs, texts ...string) {
+	for _, text := range texts {
+		if err := Syntax(text, needs.JavaScript != nil); err != nil {
+			r.fail(a, "%v", err)
+		}
+	}
+}
+
+// checkParameterSyntax parses the expressions of an input or an output of a process.
+func (r *reading) checkParameterSyntax(p *Process, param *Parameter) {
+	if b := param.Binding; b != nil {
+		r.checkSyntax(param.where, &p.Needs, b.Position, b.ValueFrom)
+	}
+	if b := param.OutputBinding; b != nil {
+		r.checkSyntax(param.where, &p.Needs, b.OutputEval)
+		r.checkSyntax(param.where, &p.Needs, b.Glob...)
+	}
+	for _, s := range param.SecondaryFiles {
+		r.checkSyntax(param.where, &p.Needs, s.Pattern, s.Required)
+	}
+}
+
+// checkNeedsSyntax parses the expressions of a process's requirements and hints.
+func (r *reading) checkNeedsSyntax(p *Process) {
+	needs, res := &p.Needs, &p.Needs.Resources
+	r.checkSyntax(
+		p.where, needs,
+		res.CoresMin, res.CoresMax,
+		res.RAMMin, res.RAMMax,
+		res.TmpMin, res.TmpMax,
+		res.OutMin, res.OutMax,
+		needs.TimeLimit, needs.Reuse, needs.Accelerator,
+	)
+	for _, variable := range needs.Env {
+		r.checkSyntax(p.where, needs, variable.Value)
+	}
+	if workDir := needs.WorkDir; workDir != nil {
+		r.checkSyntax(p.where, needs, workDir.Listing)
+		for _, entry := range workDir.Entries {
+			r.checkSyntax(p.where, needs, entry.Name, entry.Entry)
 		}
 	}
 }
--- a/internal/workflow/cwl/outputs.go
+++ b/internal/workflow/cwl/outputs.go
@@ -20,23 +20,31 @@
 	Stat(path string) (map[string]any, error)
 }
 
-// mostContents is how much of a file loadContents reads; a larger one is an error
-// ("loadContents").
-const mostContents = 64 << 10
+// Limits of what is read of files, in bytes.
+const (
+	// maxContents is how much of a file loadContents reads; a larger one is an error
+	// ("loadContents").
+	maxContents = 64 << 10
+	// maxOutputObject is how much of the output object is read.
+	maxOutputObject = 16 << 20
+)
 
 // outputObject is the file that, where a tool writes it, takes the place of all bindings
 // ("Output binding").
 const outputObject = "cwl.output.json"
 
-// ErrNotSuccess tells of an exit code; Retry tells whether another try may help.
-type ErrNotSuccess struct {
+// ErrNotSuccess is the error of a tool whose exit code is not one of success.
+type ErrNotSuccess struct { //nolint:errname // other packages use the name
 	Code  int
-	Retry bool
+	Retry bool // another try may help
 }
 
+// Error says which code the tool ended with.
 func (e *ErrNotSuccess) Error() string { return fmt.Sprintf("the tool ended with code %d", e.Code) }
 
-// Exit judges a tool's exit code by the codes that it states.
+// Exit returns nil if an exit code is one of success by the codes that the tool states, else
+// an *ErrNotSuccess. A code that the tool does not state is a failure, 0 excepted where no
+// codes of success are stated.
 func (t *Tool) Exit(code int) error {
 	success := t.Success
 	if len(success) == 0 {
@@ -83,6 +91,7 @@
 	return out, p.checkOutputs(out)
 }
 
+// checkOutputs returns an error for each output that is not of its type.
 func (p *Process) checkOutputs(out map[string]any) error {
 	var errs []error
 	for i := range p.Outputs {
@@ -93,8 +102,9 @@
 	return errors.Join(errs...)
 }
 
+// outputsFrom reads the outputs from the object that the tool has written itself.
 func (p *Process) outputsFrom(dir Dir) (map[string]any, error) {
-	b, err := dir.Read(outputObject, 16<<20)
+	b, err := dir.Read(outputObject, maxOutputObject)
 	if err != nil {
 		return nil, err
 	}
@@ -102,118 +112,147 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", outputObject, err)
 	}
-	m, ok := v.(map[string]any)
+	object, ok := v.(map[string]any)
 	if !ok {
 		return nil, fmt.Errorf("%s: expected outputs by name, found %s", outputObject, describe(v))
 	}
 	out := map[string]any{}
-	for _, o := range p.Outputs {
-		if out[o.ID], err = found(m[o.ID], dir); err != nil {
-			return nil, fmt.Errorf("%s: %s: %w", outputObject, o.ID, err)
+	for _, output := range p.Outputs {
+		if out[output.ID], err = completeFiles(object[output.ID], dir); err != nil {
+			return nil, fmt.Errorf("%s: %s: %w", outputObject, output.ID, err)
 		}
 	}
 	return out, p.checkOutputs(out)
 }
 
-// found completes the files of a value with what is there.
-func found(v any, dir Dir) (any, error) {
+// completeFiles completes the files of a value with what dir has of them. Lists and records
+// in it are changed in place. A file that does not exist is an error.
+func completeFiles(v any, dir Dir) (any, error) {
+	var err error
 	switch x := v.(type) {
 	case []any:
 		for i := range x {
-			var err error
-			if x[i], err = found(x[i], dir); err != nil {
+			if x[i], err = completeFiles(x[i], dir); err != nil {
 				return nil, err
 			}
 		}
 	case map[string]any:
-		if classOf(x) == "" {
-			for k := range x {
-				var err error
-				if x[k], err = found(x[k], dir); err != nil {
-					return nil, err
-				}
-			}
-			return x, nil
-		}
-		name, _ := x["path"].(string)
-		if name == "" {
-			name, _ = x["location"].(string)
+		if classOf(x) != "" {
+			return completeFile(x, dir)
 		}
-		f, err := dir.Stat(name)
-		if err != nil {
-			return nil, err
-		}
-		if f == nil {
-			return nil, fmt.Errorf("there is no %q", shorten(name))
-		}
-		for k, val := range x {
-			if _, ok := f[k]; !ok {
-				f[k] = val
+		for k := range x {
+			if x[k], err = completeFiles(x[k], dir); err != nil {
+				return nil, err
 			}
 		}
-		return f, nil
 	}
 	return v, nil
 }
 
+// completeFile returns what dir has of a File or a Directory, with the fields of file that
+// it does not state.
+func completeFile(file map[string]any, dir Dir) (any, error) {
+	name, _ := file["path"].(string)
+	if name == "" {
+		name, _ = file["location"].(string)
+	}
+	actual, err := dir.Stat(name)
+	if err != nil {
+		return nil, err
+	}
+	if actual == nil {
+		return nil, fmt.Errorf("there is no %q", shorten(name))
+	}
+	for k, v := range file {
+		if _, ok := actual[k]; !ok {
+			actual[k] = v
+		}
+	}
+	return actual, nil
+}
+
+// collect finds the value of one output, or of one field of an output that is a record.
+// Without a binding the value is null.
 func (p *Process) collect(
 	ctx context.Context,
 	t *Type,
-	b *OutputBinding,
+	binding *OutputBinding,
 	secondary []SecondaryFile,
-	sc Scope,
+	scope Scope,
 	dir Dir,
 ) (any, error) {
-	if t.Kind == KindRecord && b == nil {
-		m := map[string]any{}
-		for _, f := range t.Fields {
-			v, err := p.collect(ctx, f.Type, f.OutputBinding, f.SecondaryFiles, sc, dir)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", f.Name, err)
-			}
-			m[f.Name] = v
+	if binding == nil {
+		if t.Kind == KindRecord {
+			return p.collectRecord(ctx, t, scope, dir)
 		}
-		return m, nil
-	}
-	if b == nil {
 		return nil, nil
 	}
-	files, err := p.globAll(ctx, b, sc, dir)
+	files, err := p.globAll(ctx, binding, scope, dir)
 	if err != nil {
 		return nil, err
 	}
+	list, err := outputFiles(files, binding.LoadContents, dir)
+	if err != nil {
+		return nil, err
+	}
+	var value any
+	if binding.OutputEval != "" {
+		scope.Self = list
+		value, err = p.Needs.Eval(ctx, binding.OutputEval, scope)
+	} else {
+		value, err = t.fromMatches(list, binding.Glob)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if value == nil && !t.Optional() && len(binding.Glob) > 0 {
+		return nil, fmt.Errorf("nothing matches %s", strings.Join(binding.Glob, ", "))
+	}
+	return value, p.addSecondary(ctx, value, secondary, scope, dir)
+}
+
+// collectRecord finds the fields of an output that is a record.
+func (p *Process) collectRecord(ctx context.Context, t *Type, scope Scope, dir Dir) (any, error) {
+	record := map[string]any{}
+	for _, field := range t.Fields {
+		v, err := p.collect(ctx, field.Type, field.OutputBinding, field.SecondaryFiles, scope, dir)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", field.Name, err)
+		}
+		record[field.Name] = v
+	}
+	return record, nil
+}
+
+// outputFiles returns files as a value, with their contents if those are to be loaded.
+func outputFiles(files []map[string]any, loadContents bool, dir Dir) ([]any, error) {
 	list := make([]any, len(files))
-	for i, f := range files {
-		if b.LoadContents {
-			name, _ := f["path"].(string)
+	for i, file := range files {
+		if loadContents {
+			name, _ := file["path"].(string)
 			text, err := contents(dir, name)
 			if err != nil {
 				return nil, err
 			}
-			f["contents"] = text
+			file["contents"] = text
 		}
-		list[i] = f
+		list[i] = file
 	}
-	var v any = list
-	if b.OutputEval != "" {
-		sc.Self = list
-		if v, err = p.Needs.Eval(ctx, b.OutputEval, sc); err != nil {
-			return nil, err
-		}
-	} else if !t.takesList() {
-		switch len(list) {
-		case 0:
-			v = nil
-		case 1:
-			v = list[0]
-		default:
-			return nil, fmt.Errorf("%s matches %d files, and the type is %s", strings.Join(b.Glob, ", "), len(list), t)
-		}
-	}
-	if v == nil && !t.Optional() && len(b.Glob) > 0 {
-		return nil, fmt.Errorf("nothing matches %s", strings.Join(b.Glob, ", "))
+	return list, nil
+}
+
+// fromMatches returns the value of the type that the files matched by patterns make: all of
+// them if a list is one, else the only one, or null if there is none.
+func (t *Type) fromMatches(files []any, patterns []string) (any, error) {
+	switch {
+	case t.takesList():
+		return files, nil
+	case len(files) == 0:
+		return nil, nil
+	case len(files) == 1:
+		return files[0], nil
 	}
-	return v, p.addSecondary(ctx, v, secondary, sc, dir)
+	return nil, fmt.Errorf("%s matches %d files, and the type is %s", strings.Join(patterns, ", "), len(files), t)
 }
 
 // takesList reports whether a list is a value of the type.
@@ -222,10 +261,16 @@
 		t.Kind == KindUnion && slices.ContainsFunc(t.Union, (*Type).takesList)
 }
 
-func (p *Process) globAll(ctx context.Context, b *OutputBinding, sc Scope, dir Dir) ([]map[string]any, error) {
+// globAll returns the files that the patterns of a binding match, in the patterns' order.
+func (p *Process) globAll(
+	ctx context.Context,
+	binding *OutputBinding,
+	scope Scope,
+	dir Dir,
+) ([]map[string]any, error) {
 	var out []map[string]any
-	for _, text := range b.Glob {
-		v, err := p.Needs.Eval(ctx, text, sc)
+	for _, text := range binding.Glob {
+		v, err := p.Needs.Eval(ctx, text, scope)
 		if err != nil {
 			return nil, err
 		}
@@ -248,63 +293,86 @@
 	return out, nil
 }
 
+// contents returns the text of a file that loadContents may read whole.
 func contents(dir Dir, name string) (string, error) {
-	b, err := dir.Read(name, mostContents+1)
+	b, err := dir.Read(name, maxContents+1)
 	if err != nil {
 		return "", err
 	}
-	if len(b) > mostContents {
-		return "", fmt.Errorf("%q has more than the %d bytes that loadContents reads", name, mostContents)
+	if len(b) > maxContents {
+		return "", fmt.Errorf("%q has more than the %d bytes that loadContents reads", name, maxContents)
 	}
 	return string(b), nil
 }
 
-// addSecondary finds the files that go with the files of a value.
-func (p *Process) addSecondary(ctx context.Context, v any, secondary []SecondaryFile, sc Scope, dir Dir) error {
+// addSecondary adds to a file, or to each file of a list, the files that go with it. Other
+// values stay as they are.
+func (p *Process) addSecondary(
+	ctx context.Context,
+	value any,
+	secondary []SecondaryFile,
+	scope Scope,
+	dir Dir,
+) error {
 	if len(secondary) == 0 {
 		return nil
 	}
-	if list, ok := v.([]any); ok {
-		for _, x := range list {
-			if err := p.addSecondary(ctx, x, secondary, sc, dir); err != nil {
+	if list, ok := value.([]any); ok {
+		for _, item := range list {
+			if err := p.addSecondary(ctx, item, secondary, scope, dir); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	f, ok := v.(map[string]any)
-	if !ok || classOf(v) != "File" {
+	file, ok := value.(map[string]any)
+	if !ok || classOf(value) != "File" {
 		return nil
 	}
-	own, _ := f["path"].(string)
 	for _, s := range secondary {
-		names, err := p.secondaryNames(ctx, s, f, own, sc)
+		if err := p.addSecondaryTo(ctx, file, s, scope, dir); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addSecondaryTo adds the files that one pattern gives to a file. One that does not exist is
+// an error if it is required.
+func (p *Process) addSecondaryTo(
+	ctx context.Context,
+	file map[string]any,
+	secondary SecondaryFile,
+	scope Scope,
+	dir Dir,
+) error {
+	filePath, _ := file["path"].(string)
+	names, err := p.secondaryNames(ctx, secondary, file, filePath, scope)
+	if err != nil {
+		return err
+	}
+	required := secondary.Required != "false"
+	if HasExpression(secondary.Required) {
+		scope.Self = file
+		v, err := p.Needs.Eval(ctx, secondary.Required, scope)
 		if err != nil {
 			return err
 		}
-		needed := s.Required != "false"
-		if HasExpression(s.Required) {
-			sc.Self = f
-			x, err := p.Needs.Eval(ctx, s.Required, sc)
-			if err != nil {
-				return err
-			}
-			needed = x == true
+		required = v == true
+	}
+	for _, name := range names {
+		companion, err := dir.Stat(name)
+		if err != nil {
+			return err
 		}
-		for _, name := range names {
-			got, err := dir.Stat(name)
-			if err != nil {
-				return err
-			}
-			if got == nil {
-				if needed {
-					return fmt.Errorf("secondary file %q of %q is missing", name, own)
-				}
-				continue
+		if companion == nil {
+			if required {
+				return fmt.Errorf("secondary file %q of %q is missing", name, filePath)
 			}
-			have, _ := f["secondaryFiles"].([]any)
-			f["secondaryFiles"] = append(have, got)
+			continue
 		}
+		companions, _ := file["secondaryFiles"].([]any)
+		file["secondaryFiles"] = append(companions, companion)
 	}
 	return nil
 }
@@ -322,22 +390,24 @@
 	return name + pattern
 }
 
+// secondaryNames returns the paths that a pattern gives for the file with the path filePath.
+// Names that an expression gives are in the file's folder.
 func (p *Process) secondaryNames(
 	ctx context.Context,
-	s SecondaryFile,
-	f map[string]any,
-	own string,
-	sc Scope,
+	secondary SecondaryFile,
+	file map[string]any,
+	filePath string,
+	scope Scope,
 ) ([]string, error) {
-	if !HasExpression(s.Pattern) {
-		return []string{SecondaryName(own, s.Pattern)}, nil
+	if !HasExpression(secondary.Pattern) {
+		return []string{SecondaryName(filePath, secondary.Pattern)}, nil
 	}
-	sc.Self = f
-	v, err := p.Needs.Eval(ctx, s.Pattern, sc)
+	scope.Self = file
+	v, err := p.Needs.Eval(ctx, secondary.Pattern, scope)
 	if err != nil {
 		return nil, err
 	}
-	dir := own[:strings.LastIndex(own, "/")+1]
+	folder := filePath[:strings.LastIndex(filePath, "/")+1]
 	var out []string
 	list, ok := v.([]any)
 	if !ok {
@@ -346,7 +416,7 @@
 	for _, x := range list {
 		switch y := x.(type) {
 		case string:
-			out = append(out, dir+y)
+			out = append(out, folder+y)
 		case map[string]any:
 			name, _ := y["path"].(string)
 			out = append(out, name)
@@ -358,6 +428,7 @@
 	return out, nil
 }
 
+// jsonText returns a value as JSON. Values of expressions and inputs can always be encoded.
 func jsonText(v any) string {
 	b, _ := json.Marshal(v)
 	return string(b)
