--- a/internal/workflow/cwl/cases_test.go
+++ b/internal/workflow/cwl/cases_test.go
@@ -20,72 +20,89 @@
 
 // suite is a file of cases made from the standard's text; see testdata/README.md.
 type suite struct {
-	Expressions []struct {
-		Name, Text string
-		JS         bool
-		Lib        []string
-		Inputs     map[string]any
-		Self       any
-		Want       any
-		Error      string
-	}
-	Documents []struct {
-		Name   string
-		Doc    string
-		Bundle map[string]string
-		Entry  string
-		Errors []string // each a part of a problem's line, in order
-		Warn   []string
-	}
-	Commands []struct {
-		Name   string
-		Doc    string
-		Inputs string
-		Args   []string
-		Stdin  string
-		Stdout string
-		Env    map[string]string
-		Files  map[string]string
-		Needs  []float64 // cores, MiB, accelerators
-		Error  string
-	}
-	Outputs []struct {
-		Name   string
-		Doc    string
-		Inputs string
-		Files  map[string]string
-		Want   any
-		Error  string
-	}
-	Runs []struct {
-		Name   string
-		Doc    string
-		Bundle map[string]string
-		Entry  string
-		Inputs string
-		Want   any
-		States string // "a done, b failed"
-		Error  string
-		Tasks  int // tools that ran, 0: not looked at
-	}
+	Expressions []expressionCase
+	Documents   []documentCase
+	Commands    []commandCase
+	Outputs     []outputCase
+	Runs        []runCase
+}
+
+// expressionCase is an evaluation of one text, with what it must give.
+type expressionCase struct {
+	Name, Text string
+	JS         bool
+	Lib        []string
+	Inputs     map[string]any
+	Self       any
+	Want       any
+	Error      string
+}
+
+// documentCase is a load of one document or bundle, with what it must give.
+type documentCase struct {
+	Name   string
+	Doc    string
+	Bundle map[string]string
+	Entry  string
+	Errors []string // each a part of a problem's line, in order
+	Warn   []string
+}
+
+// commandCase is the command line of one tool, with what it must give.
+type commandCase struct {
+	Name   string
+	Doc    string
+	Inputs string
+	Args   []string
+	Stdin  string
+	Stdout string
+	Env    map[string]string
+	Files  map[string]string
+	Needs  []float64 // cores, MiB, accelerators
+	Error  string
+}
+
+// outputCase is the outputs of one tool, collected from files, with what it must give.
+type outputCase struct {
+	Name   string
+	Doc    string
+	Inputs string
+	Files  map[string]string
+	Want   any
+	Error  string
+}
+
+// runCase is a run of one process to its end, with what it must give.
+type runCase struct {
+	Name   string
+	Doc    string
+	Bundle map[string]string
+	Entry  string
+	Inputs string
+	Want   any
+	States string // "a done, b failed"
+	Error  string
+	Tasks  int // tools that ran, 0: not looked at
 }
 
-func suitesOf(t testing.TB) map[string]suite {
+// suitesOf reads the suites in testdata, by file.
+func suitesOf(tb testing.TB) map[string]suite {
+	tb.Helper()
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no cases", err)
+		tb.Fatal("no cases", err)
 	}
 	out := map[string]suite{}
 	for _, f := range files {
 		b, err := os.ReadFile(f)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		var s suite
 		d := yaml.NewDecoder(strings.NewReader(string(b)))
 		d.KnownFields(true)
 		if err := d.Decode(&s); err != nil {
-			t.Fatalf("%s: %v", f, err)
+			tb.Fatalf("%s: %v", f, err)
 		}
 		out[f] = s
 	}
@@ -169,7 +186,9 @@
 			dir[f] = ""
 		}
 	case "exit":
-		fmt.Sscan(cmd.Args[1], &code)
+		if _, err := fmt.Sscan(cmd.Args[1], &code); err != nil {
+			return nil, err
+		}
 	}
 	if err := task.Tool.Tool.Exit(code); err != nil {
 		return nil, err
@@ -191,144 +210,170 @@
 	return Load(b, entry)
 }
 
+// TestCases checks every case of the suites in testdata.
 func TestCases(t *testing.T) {
 	count := 0
 	for file, s := range suitesOf(t) {
 		base := strings.TrimSuffix(filepath.Base(file), ".yaml")
-		run := func(name string, f func(t *testing.T)) {
+		run := func(name string, check func(t *testing.T)) {
 			count++
-			t.Run(base+"/"+name, f)
+			t.Run(base+"/"+name, check)
 		}
 		for _, c := range s.Expressions {
-			run(c.Name, func(t *testing.T) {
-				var n Needs
-				if c.JS || c.Lib != nil {
-					n.JavaScript = &JavaScript{Lib: c.Lib}
-				}
-				inputs, _ := normal(c.Inputs).(map[string]any)
-				got, err := n.Eval(
-					t.Context(),
-					c.Text,
-					Scope{Inputs: inputs, Self: normal(c.Self), Runtime: map[string]any{"cores": int64(4)}},
-				)
-				judge(t, got, err, c.Want, c.Error)
-			})
+			run(c.Name, c.check)
 		}
 		for _, c := range s.Documents {
-			run(c.Name, func(t *testing.T) {
-				_, warnings, err := load(c.Doc, c.Bundle, c.Entry)
-				var problems Problems
-				if errors.As(err, &problems); len(problems) != len(c.Errors) {
-					t.Fatalf("%d problems, want %d: %v", len(problems), len(c.Errors), err)
-				}
-				for i, want := range c.Errors {
-					if got := problems[i].String(); !strings.Contains(got, want) {
-						t.Errorf("problem %q, want %q in it", got, want)
-					}
-				}
-				if len(warnings) != len(c.Warn) || len(c.Warn) > 0 && !strings.Contains(warnings.Error(), c.Warn[0]) {
-					t.Errorf("warnings %v, want %v", warnings, c.Warn)
-				}
-			})
+			run(c.Name, c.check)
 		}
 		for _, c := range s.Commands {
-			run(c.Name, func(t *testing.T) {
-				got, err := command(t.Context(), c.Doc, c.Inputs)
-				if c.Error != "" || err != nil {
-					judge(t, got, err, nil, c.Error)
-					return
-				}
-				judge(t, got.Args, nil, c.Args, "")
-				if got.Stdin != c.Stdin || c.Stdout != "" && got.Stdout != c.Stdout ||
-					c.Env != nil && !maps.Equal(got.Env, c.Env) {
-					t.Errorf("stdin %q, stdout %q, environment %v", got.Stdin, got.Stdout, got.Env)
-				}
-				for _, f := range got.Files {
-					if want, ok := c.Files[f.Name]; !ok || f.From == nil && f.Contents != want {
-						t.Errorf("working directory has %q: %q", f.Name, f.Contents)
-					}
-				}
-				if len(got.Files) != len(c.Files) {
-					t.Errorf("working directory has %v", got.Files)
-				}
-				if c.Needs != nil && !slices.Equal(c.Needs, []float64{got.Cores, got.RAM, got.Accelerators}) {
-					t.Errorf("needs %g cores, %g MiB, %g accelerators", got.Cores, got.RAM, got.Accelerators)
-				}
-			})
+			run(c.Name, c.check)
 		}
 		for _, c := range s.Outputs {
-			run(c.Name, func(t *testing.T) {
-				p, _, err := load(c.Doc, nil, "")
-				if err != nil {
-					t.Fatal(err)
-				}
-				in, err := p.ReadInputs("in.yml", []byte(cmp.Or(c.Inputs, "{}")))
-				if err != nil {
-					t.Fatal(err)
-				}
-				cmd, err := p.Command(t.Context(), in, nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				got, err := p.Collect(t.Context(), in, cmd, memDir(c.Files), nil)
-				judge(t, got, err, c.Want, c.Error)
-			})
+			run(c.Name, c.check)
 		}
 		for _, c := range s.Runs {
-			run(c.Name, func(t *testing.T) {
-				p, _, err := load(c.Doc, c.Bundle, c.Entry)
-				if err != nil {
-					t.Fatal(err)
-				}
-				in := map[string]any{}
-				if c.Inputs != "" {
-					if in, err = p.ReadInputs("in.yml", []byte(c.Inputs)); err != nil {
-						judge(t, nil, err, nil, c.Error)
-						return
-					}
-				}
-				r, err := Start(t.Context(), p, in)
-				if err != nil {
-					judge(t, nil, err, nil, c.Error)
-					return
-				}
-				tasks := 0
-				for work := r.Ready(3); len(work) > 0; work = r.Ready(3) {
-					for _, task := range work {
-						tasks++
-						out, err := pretend(t.Context(), task)
-						r.Finish(task.ID, out, err)
-						r.Finish(task.ID, nil, errors.New("told twice")) // changes nothing
-					}
-				}
-				out, err, over := r.Over()
-				if !over {
-					t.Fatal("nothing is ready and it isn't over")
-				}
-				if c.States != "" {
-					var states []string
-					r.Steps(func(id string, state StepState, _, _ int, _ string) { states = append(states, id+" "+string(state)) })
-					if got := strings.Join(states, ", "); got != c.States {
-						t.Errorf("steps: %s; want %s", got, c.States)
-					}
-				}
-				if c.Tasks > 0 && tasks != c.Tasks {
-					t.Errorf("%d tools ran, want %d", tasks, c.Tasks)
-				}
-				if err != nil && c.Error != "" {
-					for _, f := range r.Failures() {
-						err = errors.Join(err, fmt.Errorf("%s: %w", f.ID, f.Err))
-					}
-					judge(t, nil, err, nil, c.Error)
-					err = nil
-				}
-				judge(t, out, err, c.Want, "")
-			})
+			run(c.Name, c.check)
 		}
 	}
 	t.Logf("%d cases", count)
 }
 
+func (c expressionCase) check(t *testing.T) {
+	t.Helper()
+	var n Needs
+	if c.JS || c.Lib != nil {
+		n.JavaScript = &JavaScript{Lib: c.Lib}
+	}
+	inputs, _ := normal(c.Inputs).(map[string]any)
+	got, err := n.Eval(
+		t.Context(),
+		c.Text,
+		Scope{Inputs: inputs, Self: normal(c.Self), Runtime: map[string]any{"cores": int64(4)}},
+	)
+	judge(t, got, err, c.Want, c.Error)
+}
+
+func (c documentCase) check(t *testing.T) {
+	t.Helper()
+	_, warnings, err := load(c.Doc, c.Bundle, c.Entry)
+	var problems Problems
+	if errors.As(err, &problems); len(problems) != len(c.Errors) {
+		t.Fatalf("%d problems, want %d: %v", len(problems), len(c.Errors), err)
+	}
+	for i, want := range c.Errors {
+		if got := problems[i].String(); !strings.Contains(got, want) {
+			t.Errorf("problem %q, want %q in it", got, want)
+		}
+	}
+	if len(warnings) != len(c.Warn) || len(c.Warn) > 0 && !strings.Contains(warnings.Error(), c.Warn[0]) {
+		t.Errorf("warnings %v, want %v", warnings, c.Warn)
+	}
+}
+
+func (c commandCase) check(t *testing.T) {
+	t.Helper()
+	got, err := command(t.Context(), c.Doc, c.Inputs)
+	if c.Error != "" || err != nil {
+		judge(t, got, err, nil, c.Error)
+		return
+	}
+	judge(t, got.Args, nil, c.Args, "")
+	if got.Stdin != c.Stdin || c.Stdout != "" && got.Stdout != c.Stdout ||
+		c.Env != nil && !maps.Equal(got.Env, c.Env) {
+		t.Errorf("stdin %q, stdout %q, environment %v", got.Stdin, got.Stdout, got.Env)
+	}
+	for _, f := range got.Files {
+		if want, ok := c.Files[f.Name]; !ok || f.From == nil && f.Contents != want {
+			t.Errorf("working directory has %q: %q", f.Name, f.Contents)
+		}
+	}
+	if len(got.Files) != len(c.Files) {
+		t.Errorf("working directory has %v", got.Files)
+	}
+	if c.Needs != nil && !slices.Equal(c.Needs, []float64{got.Cores, got.RAM, got.Accelerators}) {
+		t.Errorf("needs %g cores, %g MiB, %g accelerators", got.Cores, got.RAM, got.Accelerators)
+	}
+}
+
+func (c outputCase) check(t *testing.T) {
+	t.Helper()
+	p, _, err := load(c.Doc, nil, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	in, err := p.ReadInputs("in.yml", []byte(cmp.Or(c.Inputs, "{}")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd, err := p.Command(t.Context(), in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := p.Collect(t.Context(), in, cmd, memDir(c.Files), nil)
+	judge(t, got, err, c.Want, c.Error)
+}
+
+func (c runCase) check(t *testing.T) {
+	t.Helper()
+	p, _, err := load(c.Doc, c.Bundle, c.Entry)
+	if err != nil {
+		t.Fatal(err)
+	}
+	in := map[string]any{}
+	if c.Inputs != "" {
+		if in, err = p.ReadInputs("in.yml", []byte(c.Inputs)); err != nil {
+			judge(t, nil, err, nil, c.Error)
+			return
+		}
+	}
+	r, err := Start(t.Context(), p, in)
+	if err != nil {
+		judge(t, nil, err, nil, c.Error)
+		return
+	}
+	tasks := runTasks(t, r)
+	out, err, over := r.Over()
+	if !over {
+		t.Fatal("nothing is ready and it isn't over")
+	}
+	if got := stepStates(r); c.States != "" && got != c.States {
+		t.Errorf("steps: %s; want %s", got, c.States)
+	}
+	if c.Tasks > 0 && tasks != c.Tasks {
+		t.Errorf("%d tools ran, want %d", tasks, c.Tasks)
+	}
+	if err != nil && c.Error != "" {
+		for _, f := range r.Failures() {
+			err = errors.Join(err, fmt.Errorf("%s: %w", f.ID, f.Err))
+		}
+		judge(t, nil, err, nil, c.Error)
+		err = nil
+	}
+	judge(t, out, err, c.Want, "")
+}
+
+// runTasks runs the tasks of a run until none is ready, and returns how many there were.
+func runTasks(t *testing.T, r *Run) int {
+	t.Helper()
+	tasks := 0
+	for work := r.Ready(3); len(work) > 0; work = r.Ready(3) {
+		for _, task := range work {
+			tasks++
+			out, err := pretend(t.Context(), task)
+			r.Finish(task.ID, out, err)
+			r.Finish(task.ID, nil, errors.New("told twice")) // changes nothing
+		}
+	}
+	return tasks
+}
+
+// stepStates lists the steps of a run with their states: "a done, b failed".
+func stepStates(r *Run) string {
+	var states []string
+	r.Steps(func(id string, state StepState, _, _ int, _ string) { states = append(states, id+" "+string(state)) })
+	return strings.Join(states, ", ")
+}
+
 func command(ctx context.Context, doc, inputs string) (*Command, error) {
 	p, _, err := load(doc, nil, "")
 	if err != nil {
--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -215,55 +215,73 @@
 	return full[0], nil
 }
 
-// begin works out what a step's elements are.
+// begin starts a step whose sources are there: it works out its inputs and its elements.
 func (r *Run) begin(st *stepRun) {
-	st.state, st.links, st.total = StepRunning, map[string]any{}, 1
+	st.state, st.total = StepRunning, 1
+	var err error
+	if st.links, err = r.linkedInputs(st); err == nil {
+		err = st.scatter()
+	}
+	if err != nil {
+		r.fail(st, err)
+		return
+	}
+	st.left = st.total
+	if st.total == 0 {
+		st.state = StepDone
+		st.in.left--
+		return
+	}
+	st.elements = make([]*element, st.total)
+	r.open = append(r.open, st)
+}
+
+// linkedInputs returns a step's inputs before scattering, from its links and defaults. On an
+// error it returns those before the one that failed.
+func (r *Run) linkedInputs(st *stepRun) (map[string]any, error) {
+	inputs := map[string]any{}
 	for i := range st.s.In {
 		in := &st.s.In[i]
 		v, err := st.in.link(in.Source, in.LinkMerge, in.PickValue)
 		if err != nil {
-			r.fail(st, fmt.Errorf("%s: %w", in.ID, err))
-			return
+			return inputs, fmt.Errorf("%s: %w", in.ID, err)
 		}
 		if v == nil {
 			v = in.Default
 		}
-		if f, ok := v.(map[string]any); ok && in.LoadContents && classOf(v) == "File" {
-			if v, err = r.load(f); err != nil {
-				r.fail(st, fmt.Errorf("%s: %w", in.ID, err))
-				return
+		if file, ok := v.(map[string]any); ok && in.LoadContents && classOf(v) == "File" {
+			if v, err = r.load(file); err != nil {
+				return inputs, fmt.Errorf("%s: %w", in.ID, err)
 			}
 		}
-		st.links[in.ID] = v
+		inputs[in.ID] = v
 	}
+	return inputs, nil
+}
+
+// scatter sets how many elements a step has, from its linked inputs. total is one before, and
+// stays so if the step is not scattered. A product has one for each combination, a dotproduct one for each index. On an
+// error total is what it was computed to so far.
+func (st *stepRun) scatter() error {
 	for _, name := range st.s.Scatter {
 		list, ok := st.links[name].([]any)
 		if !ok {
-			r.fail(st, fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.links[name])))
-			return
+			return fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.links[name]))
 		}
 		st.lengths = append(st.lengths, len(list))
 	}
-	if len(st.lengths) > 0 {
-		st.total = st.lengths[0]
-		for _, n := range st.lengths[1:] {
-			if st.s.Method == DotProduct && n != st.total {
-				r.fail(st, fmt.Errorf("scattered over lists of %v elements; a dotproduct takes lists of one length", st.lengths))
-				return
-			}
-			if st.s.Method != DotProduct {
-				st.total *= n
-			}
-		}
+	if len(st.lengths) == 0 {
+		return nil
 	}
-	st.left = st.total
-	if st.total == 0 {
-		st.state = StepDone
-		st.in.left--
-		return
+	st.total = st.lengths[0]
+	for _, n := range st.lengths[1:] {
+		if st.s.Method != DotProduct {
+			st.total *= n
+		} else if n != st.total {
+			return fmt.Errorf("scattered over lists of %v elements; a dotproduct takes lists of one length", st.lengths)
+		}
 	}
-	st.elements = make([]*element, st.total)
-	r.open = append(r.open, st)
+	return nil
 }
 
 func (r *Run) load(f map[string]any) (any, error) {
--- a/internal/workflow/cwl/inputs.go
+++ b/internal/workflow/cwl/inputs.go
@@ -37,6 +37,13 @@
 	}
 }
 
+// sourceFields are the fields, one of which a File or a Directory must have.
+var sourceFields = map[Kind][]string{
+	KindFile:      {"location", "path", "contents"},
+	KindDirectory: {"location", "path", "listing"},
+}
+
+// schema returns the JSON schema of the values of a type.
 func (t *Type) schema() map[string]any {
 	is := func(name string) map[string]any { return map[string]any{"type": name} }
 	switch t.Kind {
@@ -56,8 +63,8 @@
 		return map[string]any{"enum": symbols}
 	case KindFile, KindDirectory:
 		from := []any{}
-		for _, field := range map[Kind][]string{KindFile: {"location", "path", "contents"}, KindDirectory: {"location", "path", "listing"}}[t.Kind] {
-			from = append(from, map[string]any{"required": []any{field}})
+		for _, source := range sourceFields[t.Kind] {
+			from = append(from, map[string]any{"required": []any{source}})
 		}
 		return map[string]any{
 			"type":       "object",
