--- a/internal/workflow/cwl/check.go
+++ b/internal/workflow/cwl/check.go
@@ -8,12 +8,12 @@
 
 // check finds what is wrong between the parts of a process: sources that don't exist or
 // don't fit, features used without their requirement, cycles, expressions that don't parse.
-func (r *reading) check(p *Process) {
+func (r *loader) check(p *Process) {
 	r.checkExpressions(p)
 	if p.Class != "Workflow" {
 		if p.Class == "ExpressionTool" && p.Needs.JavaScript == nil &&
 			strings.HasPrefix(strings.TrimSpace(p.Expression), "${") {
-			r.fail(p.where.in("expression", p.where.n), "uses JavaScript without InlineJavascriptRequirement")
+			r.fail(p.where.in("expression", p.where.node), "uses JavaScript without InlineJavascriptRequirement")
 		}
 		return
 	}
@@ -41,7 +41,7 @@
 // sourceTypes returns the types of what may be a source in a workflow: its inputs by their
 // names, the outputs of its steps by "step/output". It reports steps given twice and outputs
 // that a step's process does not have.
-func (r *reading) sourceTypes(p *Process) map[string]*Type {
+func (r *loader) sourceTypes(p *Process) map[string]*Type {
 	types := map[string]*Type{}
 	for _, in := range p.Inputs {
 		types[in.ID] = in.Type
@@ -55,7 +55,7 @@
 		for _, outputID := range s.Out {
 			output := s.Run.output(outputID)
 			if output == nil {
-				r.fail(s.where.in("out", s.where.n), "%s has no output %q", name(s.Run), outputID)
+				r.fail(s.where.in("out", s.where.node), "%s has no output %q", describeProcess(s.Run), outputID)
 				continue
 			}
 			types[s.ID+"/"+outputID] = s.outputType(output)
@@ -93,8 +93,8 @@
 	return 1
 }
 
-// name names a process in messages: its class, and its id if it has one.
-func name(p *Process) string {
+// describeProcess names a process in messages: its class, and its id if it has one.
+func describeProcess(p *Process) string {
 	if p.ID != "" {
 		return p.Class + " " + p.ID
 	}
@@ -103,12 +103,12 @@
 
 // checkStep checks a step of a workflow: the features that it uses, its inputs against their
 // sources and against those of the process that it runs. types are those of sourceTypes.
-func (r *reading) checkStep(p *Process, s *Step, types map[string]*Type) {
+func (r *loader) checkStep(p *Process, s *Step, types map[string]*Type) {
 	if s.Run.Class == "Workflow" && !s.Needs.Subworkflow {
-		r.fail(s.where.in("run", s.where.n), "is a workflow; SubworkflowFeatureRequirement is missing")
+		r.fail(s.where.in("run", s.where.node), "is a workflow; SubworkflowFeatureRequirement is missing")
 	}
 	if len(s.Scatter) > 0 && !s.Needs.Scatter {
-		r.fail(s.where.in("scatter", s.where.n), "ScatterFeatureRequirement is missing")
+		r.fail(s.where.in("scatter", s.where.node), "ScatterFeatureRequirement is missing")
 	}
 	given := map[string]bool{}
 	for i := range s.In {
@@ -121,19 +121,19 @@
 	}
 	for _, input := range s.Scatter {
 		if !given[input] {
-			r.fail(s.where.in("scatter", s.where.n), "%q is not an input of the step", input)
+			r.fail(s.where.in("scatter", s.where.node), "%q is not an input of the step", input)
 		}
 	}
 	for _, param := range s.Run.Inputs {
 		if !given[param.ID] && param.Default == nil && !param.Type.Optional() {
-			r.fail(s.where.in("in", s.where.n), "input %q of %s is missing", param.ID, name(s.Run))
+			r.fail(s.where.in("in", s.where.node), "input %q of %s is missing", param.ID, describeProcess(s.Run))
 		}
 	}
 }
 
 // checkStepInput checks one input of a step: the features that it uses, and its sources
 // against the type that the step's process expects.
-func (r *reading) checkStepInput(p *Process, s *Step, in *StepInput, types map[string]*Type) {
+func (r *loader) checkStepInput(p *Process, s *Step, in *StepInput, types map[string]*Type) {
 	if in.ValueFrom != "" && !s.Needs.StepInputs {
 		r.fail(in.where, "valueFrom is used; StepInputExpressionRequirement is missing")
 	}
@@ -168,7 +168,7 @@
 
 // link is where a value in a workflow comes from.
 type link struct {
-	where   at
+	where   place
 	sources []string
 	several bool   // the value is a list with an item for each source
 	merge   string // linkMerge, "" if not stated
@@ -177,7 +177,7 @@
 
 // checkLink checks that the sources of a link exist, and that their value may be one of the
 // type want, nil for anything. types are those of sourceTypes.
-func (r *reading) checkLink(p *Process, types map[string]*Type, l link, want *Type) {
+func (r *loader) checkLink(p *Process, types map[string]*Type, l link, want *Type) {
 	var from []*Type
 	for _, source := range l.sources {
 		t := types[source]
@@ -227,7 +227,7 @@
 	return &Type{Kind: KindArray, Items: items}
 }
 
-func (r *reading) checkCycles(p *Process) {
+func (r *loader) checkCycles(p *Process) {
 	state := map[string]int{} // 1: being looked at, 2: fine
 	var visit func(s *Step) bool
 	visit = func(s *Step) bool {
@@ -259,7 +259,7 @@
 }
 
 // checkExpressions parses all expressions of a process.
-func (r *reading) checkExpressions(p *Process) {
+func (r *loader) checkExpressions(p *Process) {
 	for i := range p.Inputs {
 		r.checkParameterSyntax(p, &p.Inputs[i])
 	}
@@ -286,7 +286,7 @@
 }
 
 // checkSyntax parses the expressions of texts that stand at a place where needs apply.
-func (r *reading) checkSyntax(a at, needs *Needs, texts ...string) {
+func (r *loader) checkSyntax(a place, needs *Needs, texts ...string) {
 	for _, text := range texts {
 		if err := Syntax(text, needs.JavaScript != nil); err != nil {
 			r.fail(a, "%v", err)
@@ -295,7 +295,7 @@
 }
 
 // checkParameterSyntax parses the expressions of an input or an output of a process.
-func (r *reading) checkParameterSyntax(p *Process, param *Parameter) {
+func (r *loader) checkParameterSyntax(p *Process, param *Parameter) {
 	if b := param.Binding; b != nil {
 		r.checkSyntax(param.where, &p.Needs, b.Position, b.ValueFrom)
 	}
@@ -309,7 +309,7 @@
 }
 
 // checkNeedsSyntax parses the expressions of a process's requirements and hints.
-func (r *reading) checkNeedsSyntax(p *Process) {
+func (r *loader) checkNeedsSyntax(p *Process) {
 	needs, res := &p.Needs, &p.Needs.Resources
 	r.checkSyntax(
 		p.where, needs,
--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -17,14 +17,14 @@
 	// Contents reads a file's first bytes, for loadContents in steps; nil: that fails.
 	Contents func(file map[string]any) (string, error)
 
-	ctx     context.Context
-	top     *scope
-	open    []*stepRun          // with elements still to be handed out
-	out     map[string]*element // handed out, by id
-	outputs map[string]any
-	err     error // why the run as a whole failed
-	over    bool
-	failed  []Failure
+	ctx          context.Context
+	root         *workflowRun
+	startedSteps []*stepRun          // with elements still to be handed out
+	handedOut    map[string]*element // handed out, by id
+	outputs      map[string]any
+	err          error // why the run as a whole failed
+	ended        bool
+	failures     []Failure
 }
 
 // Failure is a step that failed.
@@ -53,29 +53,29 @@
 	StepDropped StepState = "dropped" // what it depends on failed
 )
 
-// scope is a workflow under way.
-type scope struct {
-	id     string
-	p      *Process
-	inputs map[string]any
-	steps  map[string]*stepRun
-	left   int
-	bad    bool
-	up     *element // the step that it is, nil for the whole
+// workflowRun is a workflow under way.
+type workflowRun struct {
+	id        string
+	process   *Process
+	inputs    map[string]any
+	steps     map[string]*stepRun
+	remaining int
+	failed    bool
+	parent    *element // the step that it is, nil for the whole
 }
 
 // stepRun is a step under way, with one element or, scattered, any number.
 type stepRun struct {
-	in       *scope
-	s        *Step
-	state    StepState
-	links    map[string]any // inputs before scattering
-	lengths  []int          // of what is scattered over
-	next     int            // the first element not yet handed out
-	total    int
-	left     int
-	elements []*element
-	skipped  int
+	workflow  *workflowRun
+	step      *Step
+	state     StepState
+	links     map[string]any // inputs before scattering
+	lengths   []int          // of what is scattered over
+	next      int            // the first element not yet handed out
+	total     int
+	remaining int
+	elements  []*element
+	skipped   int
 }
 
 type element struct {
@@ -84,7 +84,7 @@
 	id      string
 	outputs map[string]any
 	err     error
-	over    bool
+	ended   bool
 }
 
 // Start begins a run. inputs are as ReadInputs gives them.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{ctx: ctx, out: map[string]*element{}}
+	r := &Run{ctx: ctx, handedOut: map[string]*element{}}
 	if p.Class != "Workflow" {
 		// A tool by itself is a workflow of one step.
 		s := &Step{ID: "main", Run: p}
@@ -107,33 +107,33 @@
 		}
 		p = w
 	}
-	r.top = r.enter(p, "", full, nil)
+	r.root = r.enter(p, "", full, nil)
 	return r, nil
 }
 
-func (r *Run) enter(p *Process, id string, inputs map[string]any, up *element) *scope {
-	c := &scope{id: id, p: p, inputs: inputs, steps: map[string]*stepRun{}, left: len(p.Steps), up: up}
+func (r *Run) enter(p *Process, id string, inputs map[string]any, parent *element) *workflowRun {
+	w := &workflowRun{id: id, process: p, inputs: inputs, steps: map[string]*stepRun{}, remaining: len(p.Steps), parent: parent}
 	for _, s := range p.Steps {
-		c.steps[s.ID] = &stepRun{in: c, s: s, state: StepWaiting}
+		w.steps[s.ID] = &stepRun{workflow: w, step: s, state: StepWaiting}
 	}
-	r.advance(c)
-	return c
+	r.advance(w)
+	return w
 }
 
 // advance starts the steps of a workflow whose sources are there, and ends the workflow
 // once all are over.
-func (r *Run) advance(c *scope) {
+func (r *Run) advance(w *workflowRun) {
 	for again := true; again; {
 		again = false
-		for _, s := range c.p.Steps {
-			st := c.steps[s.ID]
+		for _, s := range w.process.Steps {
+			st := w.steps[s.ID]
 			if st.state != StepWaiting {
 				continue
 			}
-			switch ready, dropped := c.ready(s); {
+			switch ready, dropped := w.ready(s); {
 			case dropped:
 				st.state = StepDropped
-				c.left--
+				w.remaining--
 				again = true
 			case ready:
 				r.begin(st)
@@ -141,14 +141,14 @@
 			}
 		}
 	}
-	if c.left == 0 {
-		c.left = -1
-		r.leave(c)
+	if w.remaining == 0 {
+		w.remaining = -1
+		r.leave(w)
 	}
 }
 
 // ready reports whether all that a step depends on is over, or can't be had any more.
-func (c *scope) ready(s *Step) (ready, dropped bool) {
+func (w *workflowRun) ready(s *Step) (ready, dropped bool) {
 	ready = true
 	for _, in := range s.In {
 		for _, src := range in.Source {
@@ -156,7 +156,7 @@
 			if !ok {
 				continue
 			}
-			switch c.steps[id].state {
+			switch w.steps[id].state {
 			case StepFailed, StepDropped:
 				return false, true
 			case StepDone, StepSkipped:
@@ -168,26 +168,26 @@
 	return ready, false
 }
 
-func (c *scope) source(src string) any {
+func (w *workflowRun) source(src string) any {
 	id, out, ok := strings.Cut(src, "/")
 	if !ok {
-		return c.inputs[src]
+		return w.inputs[src]
 	}
-	return c.steps[id].output(out)
+	return w.steps[id].output(out)
 }
 
 // link is what comes over the links to an input ("WorkflowStepInput").
-func (c *scope) link(sources []string, merge, pick string) (any, error) {
+func (w *workflowRun) link(sources []string, merge, pick string) (any, error) {
 	if len(sources) == 0 {
 		return nil, nil
 	}
 	var v any
 	if len(sources) == 1 && merge != MergeNested {
-		v = c.source(sources[0])
+		v = w.source(sources[0])
 	} else {
 		list := []any{}
 		for _, src := range sources {
-			x := c.source(src)
+			x := w.source(src)
 			if inner, ok := x.([]any); ok && merge == MergeFlattened {
 				list = append(list, inner...)
 			} else {
@@ -226,23 +226,23 @@
 		r.fail(st, err)
 		return
 	}
-	st.left = st.total
+	st.remaining = st.total
 	if st.total == 0 {
 		st.state = StepDone
-		st.in.left--
+		st.workflow.remaining--
 		return
 	}
 	st.elements = make([]*element, st.total)
-	r.open = append(r.open, st)
+	r.startedSteps = append(r.startedSteps, st)
 }
 
 // linkedInputs returns a step's inputs before scattering, from its links and defaults. On an
 // error it returns those before the one that failed.
 func (r *Run) linkedInputs(st *stepRun) (map[string]any, error) {
 	inputs := map[string]any{}
-	for i := range st.s.In {
-		in := &st.s.In[i]
-		v, err := st.in.link(in.Source, in.LinkMerge, in.PickValue)
+	for i := range st.step.In {
+		in := &st.step.In[i]
+		v, err := st.workflow.link(in.Source, in.LinkMerge, in.PickValue)
 		if err != nil {
 			return inputs, fmt.Errorf("%s: %w", in.ID, err)
 		}
@@ -263,7 +263,7 @@
 // stays so if the step is not scattered. A product has one for each combination, a dotproduct one for each index. On an
 // error total is what it was computed to so far.
 func (st *stepRun) scatter() error {
-	for _, name := range st.s.Scatter {
+	for _, name := range st.step.Scatter {
 		list, ok := st.links[name].([]any)
 		if !ok {
 			return fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.links[name]))
@@ -275,7 +275,7 @@
 	}
 	st.total = st.lengths[0]
 	for _, n := range st.lengths[1:] {
-		if st.s.Method != DotProduct {
+		if st.step.Method != DotProduct {
 			st.total *= n
 		} else if n != st.total {
 			return fmt.Errorf("scattered over lists of %v elements; a dotproduct takes lists of one length", st.lengths)
@@ -303,23 +303,23 @@
 // fail ends a step that could not begin.
 func (r *Run) fail(st *stepRun, err error) {
 	st.state = StepFailed
-	st.in.left--
-	st.in.bad = true
-	r.failed = append(r.failed, Failure{st.id(), err})
+	st.workflow.remaining--
+	st.workflow.failed = true
+	r.failures = append(r.failures, Failure{st.id(), err})
 }
 
 func (st *stepRun) id() string {
-	if st.in.id == "" {
-		return st.s.ID
+	if st.workflow.id == "" {
+		return st.step.ID
 	}
-	return st.in.id + "/" + st.s.ID
+	return st.workflow.id + "/" + st.step.ID
 }
 
 // indices are an element's places in the lists that a step is scattered over.
 func (st *stepRun) indices(i int) []int {
 	out := make([]int, len(st.lengths))
 	for k := len(st.lengths) - 1; k >= 0; k-- {
-		if st.s.Method == NestedCrossProduct || st.s.Method == FlatCrossProduct {
+		if st.step.Method == NestedCrossProduct || st.step.Method == FlatCrossProduct {
 			out[k] = i % st.lengths[k]
 			i /= st.lengths[k]
 		} else {
@@ -331,12 +331,12 @@
 
 // Ready hands out up to most tasks whose inputs are there, the earlier steps' first.
 // Expression tools, conditions and workflows within are taken care of on the way.
-func (r *Run) Ready(most int) []Task {
+func (r *Run) Ready(limit int) []Task {
 	var out []Task
-	for len(out) < most && len(r.open) > 0 && (r.Enough == nil || !r.Enough()) {
-		st := r.open[0]
+	for len(out) < limit && len(r.startedSteps) > 0 && (r.Enough == nil || !r.Enough()) {
+		st := r.startedSteps[0]
 		if st.next == st.total {
-			r.open = r.open[1:]
+			r.startedSteps = r.startedSteps[1:]
 			continue
 		}
 		e := &element{step: st, index: st.next, id: st.id()}
@@ -352,14 +352,14 @@
 		case !run:
 			e.step.skipped++
 			r.finish(e, map[string]any{}, nil)
-		case st.s.Run.Class == "Workflow":
-			r.enter(st.s.Run, e.id, inputs, e)
-		case st.s.Run.Class == "ExpressionTool":
-			v, err := r.expression(st.s.Run, inputs)
+		case st.step.Run.Class == "Workflow":
+			r.enter(st.step.Run, e.id, inputs, e)
+		case st.step.Run.Class == "ExpressionTool":
+			v, err := r.expression(st.step.Run, inputs)
 			r.finish(e, v, err)
 		default:
-			r.out[e.id] = e
-			out = append(out, Task{e.id, st.s.Run, inputs})
+			r.handedOut[e.id] = e
+			out = append(out, Task{e.id, st.step.Run, inputs})
 		}
 	}
 	return out
@@ -374,26 +374,26 @@
 		values[k] = v
 	}
 	for k, i := range st.indices(e.index) {
-		values[st.s.Scatter[k]] = st.links[st.s.Scatter[k]].([]any)[i]
+		values[st.step.Scatter[k]] = st.links[st.step.Scatter[k]].([]any)[i]
 	}
 	before := Scope{Inputs: make(map[string]any, len(values))}
 	for k, v := range values {
 		before.Inputs[k] = v
 	}
-	for i := range st.s.In {
-		in := &st.s.In[i]
+	for i := range st.step.In {
+		in := &st.step.In[i]
 		if in.ValueFrom == "" {
 			continue
 		}
 		before.Self = before.Inputs[in.ID]
-		v, err := st.s.Needs.Eval(r.ctx, in.ValueFrom, before)
+		v, err := st.step.Needs.Eval(r.ctx, in.ValueFrom, before)
 		if err != nil {
 			return nil, false, fmt.Errorf("%s: %w", in.ID, err)
 		}
 		values[in.ID] = v
 	}
-	if st.s.When != "" {
-		v, err := st.s.Needs.Eval(r.ctx, st.s.When, Scope{Inputs: values})
+	if st.step.When != "" {
+		v, err := st.step.Needs.Eval(r.ctx, st.step.When, Scope{Inputs: values})
 		if err != nil {
 			return nil, false, fmt.Errorf("when: %w", err)
 		}
@@ -405,7 +405,7 @@
 			return nil, false, nil
 		}
 	}
-	full, err := st.s.Run.Complete(values)
+	full, err := st.step.Run.Complete(values)
 	return full, true, err
 }
 
@@ -428,43 +428,43 @@
 // Finish tells what came of a task: its outputs, or why it failed for good. Telling it of
 // a task that is not out, or again, changes nothing.
 func (r *Run) Finish(id string, outputs map[string]any, err error) {
-	if e := r.out[id]; e != nil {
-		delete(r.out, id)
+	if e := r.handedOut[id]; e != nil {
+		delete(r.handedOut, id)
 		r.finish(e, outputs, err)
 	}
 }
 
 func (r *Run) finish(e *element, outputs map[string]any, err error) {
 	st := e.step
-	e.outputs, e.err, e.over = outputs, err, true
-	st.left--
+	e.outputs, e.err, e.ended = outputs, err, true
+	st.remaining--
 	if err != nil {
-		r.failed = append(r.failed, Failure{e.id, err})
+		r.failures = append(r.failures, Failure{e.id, err})
 	}
-	if st.left > 0 {
+	if st.remaining > 0 {
 		return
 	}
 	st.state = StepDone
 	if slices.ContainsFunc(st.elements, func(e *element) bool { return e.err != nil }) {
-		st.state, st.in.bad = StepFailed, true
+		st.state, st.workflow.failed = StepFailed, true
 	} else if len(st.lengths) == 0 && st.skipped > 0 {
 		st.state = StepSkipped
 	}
-	st.in.left--
-	r.advance(st.in)
+	st.workflow.remaining--
+	r.advance(st.workflow)
 }
 
 // output is what a step that is over gives: of a scattered one lists, nested as its method
 // says; null where its condition was false.
 func (st *stepRun) output(name string) any {
-	if len(st.lengths) == 0 && len(st.s.Scatter) == 0 {
+	if len(st.lengths) == 0 && len(st.step.Scatter) == 0 {
 		return st.elements[0].outputs[name]
 	}
 	flat := make([]any, st.total)
 	for i, e := range st.elements {
 		flat[i] = e.outputs[name]
 	}
-	if st.s.Method != NestedCrossProduct {
+	if st.step.Method != NestedCrossProduct {
 		return flat
 	}
 	return nest(flat, st.lengths)
@@ -483,66 +483,66 @@
 }
 
 // leave ends a workflow: the whole, or a step's.
-func (r *Run) leave(c *scope) {
+func (r *Run) leave(w *workflowRun) {
 	out, errs := map[string]any{}, []error(nil)
-	for i := range c.p.Outputs {
-		o := &c.p.Outputs[i]
-		if slices.ContainsFunc(o.Source, func(src string) bool {
+	for i := range w.process.Outputs {
+		output := &w.process.Outputs[i]
+		if slices.ContainsFunc(output.Source, func(src string) bool {
 			id, _, ok := strings.Cut(src, "/")
-			return ok && (c.steps[id].state == StepFailed || c.steps[id].state == StepDropped)
+			return ok && (w.steps[id].state == StepFailed || w.steps[id].state == StepDropped)
 		}) {
 			continue // what there is is kept, this is not
 		}
-		v, err := c.link(o.Source, o.LinkMerge, o.PickValue)
+		v, err := w.link(output.Source, output.LinkMerge, output.PickValue)
 		if err == nil {
-			err = o.Type.Check(v)
+			err = output.Type.Check(v)
 		}
 		if err != nil {
-			errs = append(errs, fmt.Errorf("output %s: %w", o.ID, err))
+			errs = append(errs, fmt.Errorf("output %s: %w", output.ID, err))
 			continue
 		}
-		out[o.ID] = v
+		out[output.ID] = v
 	}
 	err := errors.Join(errs...)
-	if err == nil && c.bad {
+	if err == nil && w.failed {
 		err = errors.New("a step of it failed")
 	}
-	if c.up != nil {
-		r.finish(c.up, out, err)
+	if w.parent != nil {
+		r.finish(w.parent, out, err)
 		return
 	}
-	r.outputs, r.err, r.over = out, err, true
+	r.outputs, r.err, r.ended = out, err, true
 }
 
 // Over reports whether nothing is left to run, with the outputs that there are and, unless
 // all went well, an error.
-func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.over }
+func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.ended }
 
 // Failures lists what failed so far.
-func (r *Run) Failures() []Failure { return r.failed }
+func (r *Run) Failures() []Failure { return r.failures }
 
 // Steps calls f for each step of the whole, in the document's order, with its state, how
 // many of its elements are over, how many there are, and the step that it waits for, if any.
 func (r *Run) Steps(f func(id string, state StepState, over, total int, behind string)) {
-	for _, s := range r.top.p.Steps {
-		st := r.top.steps[s.ID]
+	for _, s := range r.root.process.Steps {
+		st := r.root.steps[s.ID]
 		behind := ""
 		if st.state == StepWaiting {
-			behind = r.top.behind(s)
+			behind = r.root.waitsFor(s)
 		}
-		f(s.ID, st.state, st.total-st.left, st.total, behind)
+		f(s.ID, st.state, st.total-st.remaining, st.total, behind)
 	}
 }
 
-// behind is the first step that a step waits for.
-func (c *scope) behind(s *Step) string {
+// waitsFor is the first step that a step waits for.
+func (w *workflowRun) waitsFor(s *Step) string {
 	for _, in := range s.In {
 		for _, src := range in.Source {
 			if id, _, ok := strings.Cut(
 				src,
 				"/",
 			); ok &&
-				(c.steps[id].state == StepWaiting || c.steps[id].state == StepRunning) {
+				(w.steps[id].state == StepWaiting || w.steps[id].state == StepRunning) {
 				return id
 			}
 		}
--- a/internal/workflow/cwl/expr.go
+++ b/internal/workflow/cwl/expr.go
@@ -25,10 +25,10 @@
 // Bounds of one evaluation. Memory is what the process's heap grows by meanwhile, looked at
 // every few milliseconds: it stops what runs away, and is no exact account.
 const (
-	exprTime   = 2 * time.Second
-	exprMemory = 64 << 20
-	exprStack  = 512
-	exprResult = 1 << 20 // bytes, as JSON
+	maxExprTime   = 2 * time.Second
+	maxExprMemory = 64 << 20
+	maxExprStack  = 512
+	maxExprResult = 1 << 20 // bytes, as JSON
 )
 
 // Errors of expressions.
@@ -412,7 +412,7 @@
 // bounds of time, memory and depth.
 func (j *JavaScript) run(ctx context.Context, p piece, sc Scope) (any, error) {
 	vm := goja.New()
-	vm.SetMaxCallStackSize(exprStack)
+	vm.SetMaxCallStackSize(maxExprStack)
 	for name, v := range map[string]any{"inputs": sc.Inputs, "self": sc.Self, "runtime": sc.Runtime} {
 		x, err := toJS(vm, v)
 		if err != nil {
@@ -441,7 +441,7 @@
 	if goja.IsUndefined(text) {
 		return nil, nil
 	}
-	if len(text.String()) > exprResult {
+	if len(text.String()) > maxExprResult {
 		return nil, fmt.Errorf("%q: %w", shorten(p.expr), ErrExprSize)
 	}
 	return fromJSON([]byte(text.String()))
@@ -480,11 +480,11 @@
 				vm.Interrupt(ctx.Err())
 				return
 			case <-tick.C:
-				if time.Since(began) > exprTime {
+				if time.Since(began) > maxExprTime {
 					vm.Interrupt(ErrExprTime)
 					return
 				}
-				if now := heap(); now > before+exprMemory {
+				if now := heap(); now > before+maxExprMemory {
 					vm.Interrupt(ErrExprMemory)
 					return
 				}
--- a/internal/workflow/cwl/inputs.go
+++ b/internal/workflow/cwl/inputs.go
@@ -100,13 +100,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reading{bundle: Bundle{}}
+	r := &loader{bundle: Bundle{}}
 	if n, err = r.directives(file, n, 0); err != nil {
 		return nil, Problems{{File: file, Reason: err.Error()}}
 	}
 	v, ok := value(n).(map[string]any)
 	if !ok {
-		return nil, Problems{at{file: file, n: n}.problem("expected inputs by name, found %s", kindOf(n))}
+		return nil, Problems{place{file: file, node: n}.problem("expected inputs by name, found %s", kindOf(n))}
 	}
 	c := jsonschema.NewCompiler()
 	if err := c.AddResource("inputs.json", jsonValue(p.InputSchema())); err != nil {
@@ -174,7 +174,7 @@
 	told := map[string]bool{}
 	for _, path := range slices.Sorted(maps.Keys(leaves)) {
 		e := leaves[path]
-		a := at{file: file, n: n}
+		a := place{file: file, node: n}
 		for _, part := range e.InstanceLocation {
 			a = a.child(part)
 		}
@@ -189,49 +189,49 @@
 		told[id] = true
 		if in := p.input(id); in != nil {
 			if err := in.Type.Check(v[id]); err != nil {
-				a := at{file: file, n: n}.child(id)
+				a := place{file: file, node: n}.child(id)
 				out = append(out, a.problem("%v", err))
 				continue
 			}
 			out = append(out, a.problem("expected %s with location, path, contents or listing", in.Type))
 			continue
 		}
-		out = append(out, a.problem("%s has no such input", name(p)))
+		out = append(out, a.problem("%s has no such input", describeProcess(p)))
 	}
 	return out
 }
 
 // missing tells which inputs are not given, and which are not known.
-func (p *Process) missing(a at, v map[string]any) Problems {
+func (p *Process) missing(a place, v map[string]any) Problems {
 	var out Problems
 	for _, in := range p.Inputs {
 		if _, ok := v[in.ID]; !ok && in.Default == nil && !in.Type.Optional() {
-			out = append(out, a.in(in.ID, a.n).problem("is missing; expected %s", in.Type))
+			out = append(out, a.in(in.ID, a.node).problem("is missing; expected %s", in.Type))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(v)) {
 		if p.input(id) == nil && !strings.Contains(id, ":") {
-			out = append(out, a.child(id).problem("%s has no such input", name(p)))
+			out = append(out, a.child(id).problem("%s has no such input", describeProcess(p)))
 		}
 	}
 	return out
 }
 
 // child is a field or an element of a place.
-func (a at) child(part string) at {
-	if a.n == nil {
+func (a place) child(part string) place {
+	if a.node == nil {
 		return a
 	}
-	switch a.n.Kind {
+	switch a.node.Kind {
 	case yaml.MappingNode:
-		for _, e := range entries(a.n) {
+		for _, e := range entries(a.node) {
 			if e.key.Value == part {
 				return a.in(part, e.node)
 			}
 		}
 	case yaml.SequenceNode:
-		if i, err := strconv.Atoi(part); err == nil && i >= 0 && i < len(a.n.Content) {
-			return a.in("["+part+"]", a.n.Content[i])
+		if i, err := strconv.Atoi(part); err == nil && i >= 0 && i < len(a.node.Content) {
+			return a.in("["+part+"]", a.node.Content[i])
 		}
 	}
 	return a
--- a/internal/workflow/cwl/load.go
+++ b/internal/workflow/cwl/load.go
@@ -19,14 +19,14 @@
 	for _, b := range bundle {
 		size += len(b)
 	}
-	if size > mostBundle {
+	if size > maxBundleBytes {
 		return nil, nil, Problems{
-			{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, mostBundle)},
+			{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, maxBundleBytes)},
 		}
 	}
-	r := &reading{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
+	r := &loader{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
 	file, fragment, _ := strings.Cut(entry, "#")
-	p := r.load(at{file: file}, file, fragment, Needs{}, nil)
+	p := r.load(place{file: file}, file, fragment, Needs{}, nil)
 	if p != nil && len(r.problems) == 0 {
 		r.check(p)
 	}
@@ -38,7 +38,7 @@
 
 // load reads one process of a file. from is who refers to it; outer are the processes that
 // it is in, by file and id: none may be in itself.
-func (r *reading) load(from at, file, fragment string, inherited Needs, outer []string) *Process {
+func (r *loader) load(from place, file, fragment string, inherited Needs, outer []string) *Process {
 	n, err := r.open(file)
 	if err != nil {
 		var problems Problems
@@ -49,7 +49,7 @@
 		}
 		return nil
 	}
-	document := at{file: file, n: n}
+	document := place{file: file, node: n}
 	version := r.textField(document, "cwlVersion")
 	if graph, ok := field(document, "$graph"); ok {
 		want := cmp.Or(fragment, "main")
@@ -68,32 +68,32 @@
 
 // field returns the first field of a name in a mapping. It reports false if there is none,
 // or a is no mapping.
-func field(a at, fieldName string) (at, bool) {
-	if a.n.Kind != yaml.MappingNode {
-		return at{}, false
+func field(a place, fieldName string) (place, bool) {
+	if a.node.Kind != yaml.MappingNode {
+		return place{}, false
 	}
-	for _, e := range entries(a.n) {
+	for _, e := range entries(a.node) {
 		if e.key.Value == fieldName {
 			return a.in(fieldName, e.node), true
 		}
 	}
-	return at{}, false
+	return place{}, false
 }
 
 // findInGraph returns the process with an id in a document's $graph. If there is none it
 // reports that, at the reference from, and returns false.
-func (r *reading) findInGraph(graph at, id string, from at) (at, bool) {
-	if graph.n.Kind != yaml.SequenceNode {
-		r.fail(graph, "expected a list of processes, found %s", kindOf(graph.n))
-		return at{}, false
+func (r *loader) findInGraph(graph place, id string, from place) (place, bool) {
+	if graph.node.Kind != yaml.SequenceNode {
+		r.fail(graph, "expected a list of processes, found %s", kindOf(graph.node))
+		return place{}, false
 	}
-	for i, node := range graph.n.Content {
+	for i, node := range graph.node.Content {
 		if node.Kind == yaml.MappingNode && idOf(node) == id {
 			return graph.in(fmt.Sprintf("[%d]", i), node), true
 		}
 	}
-	r.fail(at{graph.file, from.field, from.n}, "$graph has no process %q", id)
-	return at{}, false
+	r.fail(place{graph.file, from.field, from.node}, "$graph has no process %q", id)
+	return place{}, false
 }
 
 // idOf returns the id of a process or an output without what is before it, "" if it has none.
@@ -124,8 +124,8 @@
 
 // process reads a process where it stands. version is the cwlVersion of the document around
 // it; outer ends with the process itself.
-func (r *reading) process(a at, version string, inherited Needs, outer []string) *Process {
-	if len(outer) > mostNesting || slices.Contains(outer[:max(0, len(outer)-1)], outer[len(outer)-1]) {
+func (r *loader) process(a place, version string, inherited Needs, outer []string) *Process {
+	if len(outer) > maxNesting || slices.Contains(outer[:max(0, len(outer)-1)], outer[len(outer)-1]) {
 		r.fail(a, "is within itself")
 		return nil
 	}
@@ -143,7 +143,7 @@
 	}
 	f := r.fields(a, slices.Concat(classFields, commonFields)...)
 	r.checkVersion(a, f, version)
-	p := &Process{Class: class, ID: idOf(a.n), Needs: inherited, where: a}
+	p := &Process{Class: class, ID: idOf(a.node), Needs: inherited, where: a}
 	if label, ok := f["label"]; ok {
 		p.Label = r.text(label)
 	}
@@ -163,7 +163,7 @@
 		if _, ok := f["steps"]; !ok {
 			r.fail(a, "steps is missing")
 		}
-		r.named(f["steps"], "id", "", func(id string, x at) {
+		r.named(f["steps"], "id", "", func(id string, x place) {
 			if step := r.step(id, x, p, version, outer); step != nil {
 				p.Steps = append(p.Steps, step)
 			}
@@ -174,11 +174,11 @@
 
 // classAndVersion reads the class of a process, "" if it has none, and its cwlVersion, nil if
 // it has none of its own. It reports false if the class is not known; reading can't go on then.
-func (r *reading) classAndVersion(a at) (class string, version *string, ok bool) {
-	if a.n == nil || a.n.Kind != yaml.MappingNode {
+func (r *loader) classAndVersion(a place) (class string, version *string, ok bool) {
+	if a.node == nil || a.node.Kind != yaml.MappingNode {
 		return "", nil, true
 	}
-	for _, e := range entries(a.n) {
+	for _, e := range entries(a.node) {
 		switch e.key.Value {
 		case "class":
 			class = r.oneOf(a.in("class", e.node), "CommandLineTool", "ExpressionTool", "Workflow")
@@ -195,7 +195,7 @@
 
 // checkVersion reports a version that is missing or not supported. f are the fields of the
 // process at a.
-func (r *reading) checkVersion(a at, f map[string]at, version string) {
+func (r *loader) checkVersion(a place, f map[string]place, version string) {
 	switch version {
 	case "v1.2", "v1.1", "v1.0":
 	case "":
@@ -206,16 +206,16 @@
 }
 
 // readParameters reads the inputs and outputs of a process from its fields.
-func (r *reading) readParameters(p *Process, f map[string]at) {
+func (r *loader) readParameters(p *Process, f map[string]place) {
 	for _, fieldName := range []string{"inputs", "outputs"} {
 		if _, ok := f[fieldName]; !ok {
 			r.fail(p.where, "%s is missing", fieldName)
 		}
 	}
-	r.named(f["inputs"], "id", "type", func(id string, x at) {
+	r.named(f["inputs"], "id", "type", func(id string, x place) {
 		p.Inputs = append(p.Inputs, r.parameter(id, p.ID, x, p.Class, true))
 	})
-	r.named(f["outputs"], "id", "type", func(id string, x at) {
+	r.named(f["outputs"], "id", "type", func(id string, x place) {
 		p.Outputs = append(p.Outputs, r.parameter(id, p.ID, x, p.Class, false))
 	})
 	r.unique(p.Inputs, "inputs")
@@ -223,15 +223,15 @@
 }
 
 // orSelf returns the place, and self where the field is missing.
-func (a at) orSelf(self at) at {
-	if a.n == nil {
+func (a place) orSelf(self place) place {
+	if a.node == nil {
 		return self
 	}
 	return a
 }
 
 // unique reports parameters whose id is given twice. fieldName is "inputs" or "outputs".
-func (r *reading) unique(parameters []Parameter, fieldName string) {
+func (r *loader) unique(parameters []Parameter, fieldName string) {
 	seen := map[string]bool{}
 	for _, p := range parameters {
 		if seen[p.ID] {
@@ -241,7 +241,7 @@
 	}
 }
 
-func (r *reading) parameter(id, of string, a at, class string, input bool) Parameter {
+func (r *loader) parameter(id, of string, a place, class string, input bool) Parameter {
 	p := Parameter{ID: id, where: a}
 	f := r.fields(
 		a,
@@ -262,18 +262,18 @@
 		"pickValue",
 	)
 	ty := f["type"]
-	if ty.n != nil && ty.n.Kind == yaml.ScalarNode &&
-		slices.Contains([]string{"stdin", "stdout", "stderr"}, ty.n.Value) &&
+	if ty.node != nil && ty.node.Kind == yaml.ScalarNode &&
+		slices.Contains([]string{"stdin", "stdout", "stderr"}, ty.node.Value) &&
 		class == "CommandLineTool" {
-		if (ty.n.Value == "stdin") != input {
-			r.fail(ty, "%s can't be the type of this", ty.n.Value)
+		if (ty.node.Value == "stdin") != input {
+			r.fail(ty, "%s can't be the type of this", ty.node.Value)
 		}
-		p.Stream, p.Type = ty.n.Value, &Type{Kind: KindFile}
+		p.Stream, p.Type = ty.node.Value, &Type{Kind: KindFile}
 	} else {
 		p.Type = r.readType(ty.or(a), 0)
 	}
 	if d, ok := f["default"]; ok {
-		p.Default = value(d.n)
+		p.Default = value(d.node)
 		if err := p.Type.Check(p.Default); err != nil && p.Default != nil {
 			r.fail(d, "%v", err)
 		}
@@ -312,12 +312,12 @@
 	return s
 }
 
-func (r *reading) readSecondary(a at) []SecondaryFile {
-	if isNull(a.n) {
+func (r *loader) readSecondary(a place) []SecondaryFile {
+	if isNull(a.node) {
 		return nil
 	}
-	one := func(x at) SecondaryFile {
-		if x.n.Kind == yaml.ScalarNode {
+	one := func(x place) SecondaryFile {
+		if x.node.Kind == yaml.ScalarNode {
 			p, optional := strings.CutSuffix(r.text(x), "?")
 			if optional {
 				return SecondaryFile{Pattern: p, Required: "false"}
@@ -329,54 +329,54 @@
 		if s.Pattern == "" {
 			r.fail(x, "pattern is missing")
 		}
-		if q, ok := f["required"]; ok && !isNull(q.n) {
-			s.Required = q.n.Value
+		if q, ok := f["required"]; ok && !isNull(q.node) {
+			s.Required = q.node.Value
 		}
 		return s
 	}
-	if a.n.Kind != yaml.SequenceNode {
+	if a.node.Kind != yaml.SequenceNode {
 		return []SecondaryFile{one(a)}
 	}
 	var out []SecondaryFile
-	for i, c := range a.n.Content {
+	for i, c := range a.node.Content {
 		out = append(out, one(a.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
 // scalar reads a number or an expression as its text.
-func (r *reading) scalar(a at) string {
-	if isNull(a.n) {
+func (r *loader) scalar(a place) string {
+	if isNull(a.node) {
 		return ""
 	}
-	if a.n.Kind != yaml.ScalarNode {
-		r.fail(a, "expected a number or an expression, found %s", kindOf(a.n))
+	if a.node.Kind != yaml.ScalarNode {
+		r.fail(a, "expected a number or an expression, found %s", kindOf(a.node))
 		return ""
 	}
-	if tag := a.n.ShortTag(); tag == "!!str" && !strings.Contains(a.n.Value, "$") {
-		r.fail(a, "expected a number or an expression, found %s", kindOf(a.n))
+	if tag := a.node.ShortTag(); tag == "!!str" && !strings.Contains(a.node.Value, "$") {
+		r.fail(a, "expected a number or an expression, found %s", kindOf(a.node))
 	}
-	return a.n.Value
+	return a.node.Value
 }
 
-func (r *reading) readBinding(a at) *Binding {
+func (r *loader) readBinding(a place) *Binding {
 	f := r.fields(a, "position", "prefix", "separate", "itemSeparator", "valueFrom", "loadContents", "shellQuote")
 	b := &Binding{where: a, Position: r.scalar(f["position"]), NoSeparate: !r.boolean(f["separate"], true),
 		LoadContents: r.boolean(f["loadContents"], false), NoShellQuote: !r.boolean(f["shellQuote"], true)}
 	if x, ok := f["prefix"]; ok {
 		b.Prefix = r.text(x)
 	}
-	if x, ok := f["itemSeparator"]; ok && !isNull(x.n) {
+	if x, ok := f["itemSeparator"]; ok && !isNull(x.node) {
 		s := r.text(x)
 		b.ItemSeparator = &s
 	}
 	if x, ok := f["valueFrom"]; ok {
-		b.ValueFrom = x.n.Value
+		b.ValueFrom = x.node.Value
 	}
 	return b
 }
 
-func (r *reading) readOutputBinding(a at) *OutputBinding {
+func (r *loader) readOutputBinding(a place) *OutputBinding {
 	f := r.fields(a, "glob", "loadContents", "loadListing", "outputEval")
 	b := &OutputBinding{Glob: r.texts(f["glob"]), LoadContents: r.boolean(f["loadContents"], false)}
 	if x, ok := f["outputEval"]; ok {
@@ -386,7 +386,7 @@
 }
 
 // tool reads what is particular to a command line tool from the fields of the process at a.
-func (r *reading) tool(a at, f map[string]at) *Tool {
+func (r *loader) tool(a place, f map[string]place) *Tool {
 	t := &Tool{
 		Command: r.texts(f["baseCommand"]),
 		Success: r.ints(f["successCodes"]),
@@ -397,13 +397,13 @@
 		field string
 		to    *string
 	}{{"stdin", &t.Stdin}, {"stdout", &t.Stdout}, {"stderr", &t.Stderr}} {
-		if x, ok := f[stream.field]; ok && !isNull(x.n) {
+		if x, ok := f[stream.field]; ok && !isNull(x.node) {
 			*stream.to = r.text(x)
 		}
 	}
 	if arguments, ok := f["arguments"]; ok {
-		if arguments.n.Kind != yaml.SequenceNode {
-			r.fail(arguments, "expected a list, found %s", kindOf(arguments.n))
+		if arguments.node.Kind != yaml.SequenceNode {
+			r.fail(arguments, "expected a list, found %s", kindOf(arguments.node))
 			return t
 		}
 		t.Arguments = r.arguments(arguments)
@@ -415,9 +415,9 @@
 }
 
 // arguments reads a list of arguments, each a text or a binding with a valueFrom.
-func (r *reading) arguments(list at) []Argument {
+func (r *loader) arguments(list place) []Argument {
 	var arguments []Argument
-	for i, node := range list.n.Content {
+	for i, node := range list.node.Content {
 		if node.Kind == yaml.ScalarNode {
 			arguments = append(arguments, Argument{Text: node.Value})
 			continue
@@ -435,7 +435,7 @@
 // step reads a step of a workflow and the process that it runs. version is the workflow's
 // cwlVersion; outer are the processes that the step is in. It returns nil if the process
 // can't be read.
-func (r *reading) step(id string, a at, workflow *Process, version string, outer []string) *Step {
+func (r *loader) step(id string, a place, workflow *Process, version string, outer []string) *Step {
 	f := r.fields(
 		a,
 		"id", "label", "doc", "in", "out", "run", "when", "scatter", "scatterMethod", "requirements", "hints",
@@ -443,7 +443,7 @@
 	s := &Step{ID: id, Needs: workflow.Needs, where: a}
 	r.needs(&s.Needs, f["requirements"], true)
 	r.needs(&s.Needs, f["hints"], false)
-	r.named(f["in"], "id", "source", func(inputID string, x at) {
+	r.named(f["in"], "id", "source", func(inputID string, x place) {
 		s.In = append(s.In, r.stepInput(inputID, workflow.ID, x))
 	})
 	if out, ok := f["out"]; ok {
@@ -451,7 +451,7 @@
 	} else {
 		r.fail(a, "out is missing")
 	}
-	if when, ok := f["when"]; ok && !isNull(when.n) {
+	if when, ok := f["when"]; ok && !isNull(when.node) {
 		s.When = r.text(when)
 	}
 	for _, input := range r.texts(f["scatter"]) {
@@ -477,7 +477,7 @@
 }
 
 // stepInput reads an input of a step in the workflow with the id given.
-func (r *reading) stepInput(id, workflowID string, a at) StepInput {
+func (r *loader) stepInput(id, workflowID string, a place) StepInput {
 	f := r.fields(
 		a,
 		"id", "label", "source", "linkMerge", "pickValue", "default", "valueFrom", "loadContents", "loadListing",
@@ -490,29 +490,29 @@
 		LoadContents: r.boolean(f["loadContents"], false),
 	}
 	if source, ok := f["source"]; ok {
-		in.List = source.n.Kind == yaml.SequenceNode
+		in.List = source.node.Kind == yaml.SequenceNode
 		for _, text := range r.texts(source) {
 			in.Source = append(in.Source, sourceName(text, workflowID))
 		}
 	}
 	if x, ok := f["default"]; ok {
-		in.Default = value(x.n)
+		in.Default = value(x.node)
 	}
 	if x, ok := f["valueFrom"]; ok {
-		in.ValueFrom = x.n.Value
+		in.ValueFrom = x.node.Value
 	}
 	return in
 }
 
 // stepOutputs reads the names of the outputs that a step lists, each a text or a mapping
 // with an id.
-func (r *reading) stepOutputs(out at) []string {
-	if out.n.Kind != yaml.SequenceNode {
-		r.fail(out, "expected a list of outputs, found %s", kindOf(out.n))
+func (r *loader) stepOutputs(out place) []string {
+	if out.node.Kind != yaml.SequenceNode {
+		r.fail(out, "expected a list of outputs, found %s", kindOf(out.node))
 		return nil
 	}
 	var names []string
-	for i, node := range out.n.Content {
+	for i, node := range out.node.Content {
 		if node.Kind == yaml.MappingNode {
 			names = append(names, idOf(node))
 		} else {
@@ -524,9 +524,9 @@
 
 // stepProcess reads the process that a step runs, which stands in its field run or is
 // referred to there. It returns nil if it can't be read.
-func (r *reading) stepProcess(run at, inherited Needs, version string, outer []string) *Process {
-	if run.n.Kind == yaml.MappingNode {
-		place := fmt.Sprintf("%s#%d:%d", run.file, run.n.Line, run.n.Column)
+func (r *loader) stepProcess(run place, inherited Needs, version string, outer []string) *Process {
+	if run.node.Kind == yaml.MappingNode {
+		place := fmt.Sprintf("%s#%d:%d", run.file, run.node.Line, run.node.Column)
 		return r.process(run, version, inherited, append(slices.Clone(outer), place))
 	}
 	file, fragment, err := resolve(run.file, r.text(run))
--- a/internal/workflow/cwl/model.go
+++ b/internal/workflow/cwl/model.go
@@ -13,7 +13,7 @@
 	Expression string // of an expression tool
 	Steps      []*Step
 
-	where at
+	where place
 }
 
 // Parameter is an input or an output of a process.
@@ -32,7 +32,7 @@
 	LinkMerge string
 	PickValue string
 
-	where at
+	where place
 }
 
 // SecondaryFile is a file that goes with another ("SecondaryFileSchema").
@@ -51,7 +51,7 @@
 	LoadContents  bool
 	NoShellQuote  bool
 
-	where at
+	where place
 }
 
 // OutputBinding finds a tool's output ("CommandOutputBinding").
@@ -86,7 +86,7 @@
 	Method  string // of the scatter
 	Needs   Needs
 
-	where at
+	where place
 }
 
 // StepInput is where a step's input comes from.
@@ -100,7 +100,7 @@
 	ValueFrom    string
 	LoadContents bool
 
-	where at
+	where place
 }
 
 // The ways of merging and picking links ("WorkflowStepInput") and of scattering
--- a/internal/workflow/cwl/needs.go
+++ b/internal/workflow/cwl/needs.go
@@ -11,13 +11,13 @@
 // needs reads requirements, or hints, over those that already apply. A requirement that
 // is not supported is a mistake; a hint that is not is passed over with a warning. What
 // is hinted does not replace what is required.
-func (r *reading) needs(n *Needs, a at, required bool) {
-	if isNull(a.n) {
+func (r *loader) needs(n *Needs, a place, required bool) {
+	if isNull(a.node) {
 		return
 	}
-	switch a.n.Kind {
+	switch a.node.Kind {
 	case yaml.MappingNode:
-		for _, e := range entries(a.n) {
+		for _, e := range entries(a.node) {
 			node := e.node
 			if isNull(node) {
 				node = emptyMapping(e.key)
@@ -25,7 +25,7 @@
 			r.applyRequirement(n, e.key.Value, a.in(e.key.Value, node), required)
 		}
 	case yaml.SequenceNode:
-		for i, node := range a.n.Content {
+		for i, node := range a.node.Content {
 			item := a.in(fmt.Sprintf("[%d]", i), node)
 			class := r.textField(item, "class")
 			if class == "" {
@@ -35,12 +35,12 @@
 			r.applyRequirement(n, class, item, required)
 		}
 	default:
-		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.n))
+		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.node))
 	}
 }
 
 // applyRequirement reads one requirement, or hint, and applies it to n.
-func (r *reading) applyRequirement(n *Needs, class string, a at, required bool) {
+func (r *loader) applyRequirement(n *Needs, class string, a place, required bool) {
 	apply := r.need(class, a, n, required)
 	switch {
 	case apply == nil && required:
@@ -53,11 +53,11 @@
 }
 
 // need returns what a requirement changes, nil if it isn't supported.
-func (r *reading) need(class string, a at, n *Needs, required bool) func() {
+func (r *loader) need(class string, a place, n *Needs, required bool) func() {
 	if i := strings.LastIndexAny(class, "#:"); i >= 0 {
 		class = class[i+1:]
 	}
-	known := func(names ...string) map[string]at { return r.fields(a, append(names, "class")...) }
+	known := func(names ...string) map[string]place { return r.fields(a, append(names, "class")...) }
 	if feature := n.feature(class); feature != nil {
 		known()
 		return func() { *feature = true }
@@ -113,16 +113,16 @@
 }
 
 // valueOr returns the text of a field as it is written, fallback if the field is missing.
-func valueOr(f map[string]at, field, fallback string) string {
+func valueOr(f map[string]place, field, fallback string) string {
 	if x, ok := f[field]; ok {
-		return x.n.Value
+		return x.node.Value
 	}
 	return fallback
 }
 
 // setImage applies the fields of DockerRequirement. A hint does not replace an image that a
 // requirement names.
-func (r *reading) setImage(n *Needs, f map[string]at, required bool) {
+func (r *loader) setImage(n *Needs, f map[string]place, required bool) {
 	for _, field := range []string{"dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"} {
 		if x, ok := f[field]; ok && required {
 			r.fail(x, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
@@ -132,7 +132,7 @@
 	if id, ok := f["dockerImageId"]; ok {
 		image = id
 	}
-	if image.n == nil {
+	if image.node == nil {
 		return
 	}
 	if required || n.Image == "" || n.ImageHinted {
@@ -142,8 +142,8 @@
 
 // setEnv applies the definitions of EnvVarRequirement, over those of the same name. The
 // slice that n had is shared with the process around it and is not changed.
-func (r *reading) setEnv(n *Needs, definitions at) {
-	r.named(definitions, "envName", "envValue", func(envName string, x at) {
+func (r *loader) setEnv(n *Needs, definitions place) {
+	r.named(definitions, "envName", "envValue", func(envName string, x place) {
 		f := r.fields(x, "envName", "envValue")
 		variable := EnvVar{Name: envName, Value: valueOr(f, "envValue", "")}
 		n.Env = slices.Clone(n.Env)
@@ -156,7 +156,7 @@
 }
 
 // resources reads the fields of ResourceRequirement.
-func (r *reading) resources(f map[string]at) Resources {
+func (r *loader) resources(f map[string]place) Resources {
 	return Resources{
 		CoresMin: r.scalar(f["coresMin"]),
 		CoresMax: r.scalar(f["coresMax"]),
@@ -170,7 +170,7 @@
 }
 
 // accelerators reads the number of accelerators of CUDARequirement, one if it is not stated.
-func (r *reading) accelerators(f map[string]at) string {
+func (r *loader) accelerators(f map[string]place) string {
 	if count, ok := f["cudaDeviceCountMin"]; ok {
 		return r.scalar(count)
 	}
@@ -178,16 +178,16 @@
 }
 
 // workDir reads the listing of InitialWorkDirRequirement: an expression or a list of entries.
-func (r *reading) workDir(a at) *WorkDir {
-	if a.n.Kind == yaml.ScalarNode {
+func (r *loader) workDir(a place) *WorkDir {
+	if a.node.Kind == yaml.ScalarNode {
 		return &WorkDir{Listing: r.text(a)}
 	}
 	w := &WorkDir{}
-	if a.n.Kind != yaml.SequenceNode {
-		r.fail(a, "expected an expression or a list, found %s", kindOf(a.n))
+	if a.node.Kind != yaml.SequenceNode {
+		r.fail(a, "expected an expression or a list, found %s", kindOf(a.node))
 		return w
 	}
-	for i, node := range a.n.Content {
+	for i, node := range a.node.Content {
 		x := a.in(fmt.Sprintf("[%d]", i), node)
 		if node.Kind == yaml.ScalarNode {
 			w.Entries = append(w.Entries, Dirent{Entry: r.text(x)})
@@ -209,22 +209,22 @@
 }
 
 // defineTypes reads the named types of SchemaDefRequirement, for the file they stand in.
-func (r *reading) defineTypes(a at) {
-	if isNull(a.n) {
+func (r *loader) defineTypes(a place) {
+	if isNull(a.node) {
 		return
 	}
-	if a.n.Kind != yaml.SequenceNode {
-		r.fail(a, "expected a list, found %s", kindOf(a.n))
+	if a.node.Kind != yaml.SequenceNode {
+		r.fail(a, "expected a list, found %s", kindOf(a.node))
 		return
 	}
-	for i, c := range a.n.Content {
+	for i, c := range a.node.Content {
 		x := a.in(fmt.Sprintf("[%d]", i), c)
 		list := []*yaml.Node{c}
 		if c.Kind == yaml.SequenceNode { // what was imported may be a list
 			list = c.Content
 		}
 		for _, n := range list {
-			t := r.readType(at{x.file, x.field, n}, 0)
+			t := r.readType(place{x.file, x.field, n}, 0)
 			if t.Name == "" {
 				r.fail(x, "name is missing in a type's definition")
 				continue
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -53,13 +53,13 @@
 
 // Limits of documents.
 const (
-	mostBundle  = 16 << 20 // bytes
-	mostNodes   = 200_000  // YAML nodes read, aliases counted each time
-	mostNesting = 64       // processes within processes, and nodes within nodes
+	maxBundleBytes = 16 << 20 // bytes
+	maxNodes       = 200_000  // YAML nodes read, aliases counted each time
+	maxNesting     = 64       // processes within processes, and nodes within nodes
 )
 
-// reading is one loading under way.
-type reading struct {
+// loader is one loading under way.
+type loader struct {
 	bundle   Bundle
 	parsed   map[string]*yaml.Node
 	nodes    int
@@ -68,32 +68,32 @@
 	types    map[string]*Type // of SchemaDefRequirement, by file and name
 }
 
-// at is a place in a file, with the name of what stands there.
-type at struct {
+// place is a place in a file, with the name of what stands there.
+type place struct {
 	file  string
 	field string
-	n     *yaml.Node
+	node  *yaml.Node
 }
 
 // in returns the place of a field, or of an element such as "[0]", within this one.
-func (a at) in(field string, n *yaml.Node) at {
+func (a place) in(field string, n *yaml.Node) place {
 	if a.field != "" && !strings.HasPrefix(field, "[") {
 		field = "." + field
 	}
-	return at{a.file, a.field + field, n}
+	return place{a.file, a.field + field, n}
 }
 
 // problem returns a problem at the place.
-func (a at) problem(format string, args ...any) Problem {
+func (a place) problem(format string, args ...any) Problem {
 	p := Problem{File: a.file, Field: a.field, Reason: fmt.Sprintf(format, args...)}
-	if a.n != nil {
-		p.Line, p.Column = a.n.Line, a.n.Column
+	if a.node != nil {
+		p.Line, p.Column = a.node.Line, a.node.Column
 	}
 	return p
 }
 
 // fail reports a mistake at a place, once.
-func (r *reading) fail(a at, format string, args ...any) {
+func (r *loader) fail(a place, format string, args ...any) {
 	p := a.problem(format, args...)
 	if !slices.Contains(r.problems, p) {
 		r.problems = append(r.problems, p)
@@ -101,14 +101,14 @@
 }
 
 // warn reports a warning at a place.
-func (r *reading) warn(a at, format string, args ...any) {
+func (r *loader) warn(a place, format string, args ...any) {
 	r.warnings = append(r.warnings, a.problem(format, args...))
 }
 
 var errTooLarge = errors.New("the document is too large or too deeply nested")
 
 // open parses a file of the bundle, once.
-func (r *reading) open(name string) (*yaml.Node, error) {
+func (r *loader) open(name string) (*yaml.Node, error) {
 	if n, ok := r.parsed[name]; ok {
 		return n, nil
 	}
@@ -148,12 +148,12 @@
 
 // directives follows aliases and carries out $import and $include (Schema Salad, "Import"
 // and "Include"), within the bundle. What it returns shares nothing with its input.
-func (r *reading) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
-	if r.nodes++; r.nodes > mostNodes || depth > mostNesting {
+func (r *loader) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
+	if r.nodes++; r.nodes > maxNodes || depth > maxNesting {
 		return nil, errTooLarge
 	}
 	for n.Kind == yaml.AliasNode {
-		if r.nodes++; r.nodes > mostNodes {
+		if r.nodes++; r.nodes > maxNodes {
 			return nil, errTooLarge
 		}
 		n = n.Alias
@@ -161,7 +161,7 @@
 	if n.Kind == yaml.MappingNode && len(n.Content) == 2 {
 		directive, ref := n.Content[0].Value, n.Content[1]
 		if directive == "$import" || directive == "$include" {
-			return r.insert(at{file, directive, ref}, directive, depth)
+			return r.insert(place{file, directive, ref}, directive, depth)
 		}
 	}
 	out := *n
@@ -178,8 +178,8 @@
 
 // insert returns what the directive $import or $include at a place stands for: the parsed
 // document, or the text of the file, that it refers to.
-func (r *reading) insert(ref at, directive string, depth int) (*yaml.Node, error) {
-	target, _, err := resolve(ref.file, ref.n.Value)
+func (r *loader) insert(ref place, directive string, depth int) (*yaml.Node, error) {
+	target, _, err := resolve(ref.file, ref.node.Value)
 	if err != nil {
 		return nil, Problems{ref.problem("%v", err)}
 	}
@@ -188,7 +188,7 @@
 		return nil, Problems{ref.problem("there is no %q in the bundle", target)}
 	}
 	if directive == "$include" {
-		return stringNode(string(text), ref.n), nil
+		return stringNode(string(text), ref.node), nil
 	}
 	imported, err := parseYAML(target, text)
 	if err != nil {
@@ -232,13 +232,13 @@
 
 // fields reads a mapping. Fields outside known that have no namespace are mistakes; what
 // is in a namespace is an extension and passed over ("Extensions and metadata").
-func (r *reading) fields(a at, known ...string) map[string]at {
-	out := map[string]at{}
-	if a.n == nil || a.n.Kind != yaml.MappingNode {
-		r.fail(a, "expected fields and values, found %s", kindOf(a.n))
+func (r *loader) fields(a place, known ...string) map[string]place {
+	out := map[string]place{}
+	if a.node == nil || a.node.Kind != yaml.MappingNode {
+		r.fail(a, "expected fields and values, found %s", kindOf(a.node))
 		return out
 	}
-	for _, e := range entries(a.n) {
+	for _, e := range entries(a.node) {
 		k := e.key.Value
 		if _, twice := out[k]; twice {
 			r.fail(a.in(k, e.key), "is given twice")
@@ -300,57 +300,57 @@
 }
 
 // text reads a string.
-func (r *reading) text(a at) string {
-	if a.n == nil {
+func (r *loader) text(a place) string {
+	if a.node == nil {
 		return ""
 	}
-	if a.n.Kind != yaml.ScalarNode || a.n.ShortTag() != "!!str" {
-		r.fail(a, "expected a string, found %s", kindOf(a.n))
+	if a.node.Kind != yaml.ScalarNode || a.node.ShortTag() != "!!str" {
+		r.fail(a, "expected a string, found %s", kindOf(a.node))
 		return ""
 	}
-	return a.n.Value
+	return a.node.Value
 }
 
 // texts reads a string or a list of strings.
-func (r *reading) texts(a at) []string {
-	if isNull(a.n) {
+func (r *loader) texts(a place) []string {
+	if isNull(a.node) {
 		return nil
 	}
-	if a.n.Kind != yaml.SequenceNode {
+	if a.node.Kind != yaml.SequenceNode {
 		return []string{r.text(a)}
 	}
 	out := []string{}
-	for i, c := range a.n.Content {
+	for i, c := range a.node.Content {
 		out = append(out, r.text(a.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
 // boolean reads true or false, fallback if the field is missing or null.
-func (r *reading) boolean(a at, fallback bool) bool {
-	if isNull(a.n) {
+func (r *loader) boolean(a place, fallback bool) bool {
+	if isNull(a.node) {
 		return fallback
 	}
-	if a.n.ShortTag() != "!!bool" {
-		r.fail(a, "expected true or false, found %s", kindOf(a.n))
+	if a.node.ShortTag() != "!!bool" {
+		r.fail(a, "expected true or false, found %s", kindOf(a.node))
 		return fallback
 	}
 	var v bool
-	_ = a.n.Decode(&v)
+	_ = a.node.Decode(&v)
 	return v
 }
 
 // ints reads a list of whole numbers.
-func (r *reading) ints(a at) []int {
+func (r *loader) ints(a place) []int {
 	var out []int
-	if isNull(a.n) {
+	if isNull(a.node) {
 		return nil
 	}
-	if a.n.Kind != yaml.SequenceNode {
-		r.fail(a, "expected a list of whole numbers, found %s", kindOf(a.n))
+	if a.node.Kind != yaml.SequenceNode {
+		r.fail(a, "expected a list of whole numbers, found %s", kindOf(a.node))
 		return nil
 	}
-	for i, c := range a.n.Content {
+	for i, c := range a.node.Content {
 		var v int
 		if c.ShortTag() != "!!int" || c.Decode(&v) != nil {
 			r.fail(a.in(fmt.Sprintf("[%d]", i), c), "expected a whole number, found %s", kindOf(c))
@@ -362,38 +362,38 @@
 }
 
 // oneOf reads a string out of those allowed, "" if the field is missing or has another value.
-func (r *reading) oneOf(a at, allowed ...string) string {
-	if isNull(a.n) {
+func (r *loader) oneOf(a place, allowed ...string) string {
+	if isNull(a.node) {
 		return ""
 	}
-	if a.n.Kind != yaml.ScalarNode || !slices.Contains(allowed, a.n.Value) {
-		r.fail(a, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(a.n))
+	if a.node.Kind != yaml.ScalarNode || !slices.Contains(allowed, a.node.Value) {
+		r.fail(a, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(a.node))
 		return ""
 	}
-	return a.n.Value
+	return a.node.Value
 }
 
 // named reads a list of things with an id, or the same as a mapping from ids ("Identifier
 // maps"), and calls f for each. key is the field that has the id; a value in a mapping that
 // isn't a mapping itself stands for the field that predicate names, "" for none.
-func (r *reading) named(a at, key, predicate string, f func(id string, a at)) {
-	if isNull(a.n) {
+func (r *loader) named(a place, key, predicate string, f func(id string, a place)) {
+	if isNull(a.node) {
 		return
 	}
-	switch a.n.Kind {
+	switch a.node.Kind {
 	case yaml.MappingNode:
 		r.namedInMapping(a, predicate, f)
 	case yaml.SequenceNode:
 		r.namedInList(a, key, f)
 	default:
-		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.n))
+		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.node))
 	}
 }
 
 // namedInMapping is named for a mapping from ids.
-func (r *reading) namedInMapping(a at, predicate string, f func(id string, a at)) {
+func (r *loader) namedInMapping(a place, predicate string, f func(id string, a place)) {
 	seen := map[string]bool{}
-	for _, e := range entries(a.n) {
+	for _, e := range entries(a.node) {
 		id := e.key.Value
 		if seen[id] {
 			r.fail(a.in(id, e.key), "is given twice")
@@ -414,8 +414,8 @@
 }
 
 // namedInList is named for a list.
-func (r *reading) namedInList(a at, key string, f func(id string, a at)) {
-	for i, node := range a.n.Content {
+func (r *loader) namedInList(a place, key string, f func(id string, a place)) {
+	for i, node := range a.node.Content {
 		item := a.in(fmt.Sprintf("[%d]", i), node)
 		if node.Kind != yaml.MappingNode {
 			r.fail(item, "expected fields and values, found %s", kindOf(node))
@@ -432,12 +432,12 @@
 
 // textField reads one field of a mapping as a string, "" if the field is missing or a is no
 // mapping. Of a field given several times it is the last.
-func (r *reading) textField(a at, field string) string {
+func (r *loader) textField(a place, field string) string {
 	text := ""
-	if a.n.Kind != yaml.MappingNode {
+	if a.node.Kind != yaml.MappingNode {
 		return text
 	}
-	for _, e := range entries(a.n) {
+	for _, e := range entries(a.node) {
 		if e.key.Value == field {
 			text = r.text(a.in(field, e.node))
 		}
@@ -462,10 +462,10 @@
 		return nil
 	}
 	var out []string
-	left := mostNodes
+	left := maxNodes
 	var walk func(n *yaml.Node, depth int)
 	walk = func(n *yaml.Node, depth int) {
-		if left--; left < 0 || depth > mostNesting || n.Kind == yaml.AliasNode {
+		if left--; left < 0 || depth > maxNesting || n.Kind == yaml.AliasNode {
 			return
 		}
 		if n.Kind == yaml.MappingNode {
--- a/internal/workflow/cwl/types.go
+++ b/internal/workflow/cwl/types.go
@@ -104,18 +104,18 @@
 
 // readType reads a type in any of its forms ("Type DSL" of Schema Salad: "File?", "int[]").
 // depth is how many types it is in. What can't be read is reported, and Any stands for it.
-func (r *reading) readType(a at, depth int) *Type {
-	if depth > mostNesting {
+func (r *loader) readType(a place, depth int) *Type {
+	if depth > maxNesting {
 		r.fail(a, "is nested too deeply")
 		return &Type{Kind: KindAny}
 	}
-	if isNull(a.n) {
+	if isNull(a.node) {
 		r.fail(a, "the type is missing")
 		return &Type{Kind: KindAny}
 	}
-	switch a.n.Kind {
+	switch a.node.Kind {
 	case yaml.ScalarNode:
-		return r.typeName(a, a.n.Value)
+		return r.typeName(a, a.node.Value)
 	case yaml.SequenceNode:
 		return r.readUnion(a, depth)
 	}
@@ -123,9 +123,9 @@
 }
 
 // readUnion reads a list of types, a union within it as its alternatives.
-func (r *reading) readUnion(a at, depth int) *Type {
+func (r *loader) readUnion(a place, depth int) *Type {
 	union := &Type{Kind: KindUnion}
-	for i, node := range a.n.Content {
+	for i, node := range a.node.Content {
 		alternative := r.readType(a.in(fmt.Sprintf("[%d]", i), node), depth+1)
 		if alternative.Kind == KindUnion {
 			union.Union = append(union.Union, alternative.Union...)
@@ -145,15 +145,15 @@
 
 // readTypeDefinition reads a type written as a mapping: an array, an enum, a record, or a
 // type of another form in the field type.
-func (r *reading) readTypeDefinition(a at, depth int) *Type {
+func (r *loader) readTypeDefinition(a place, depth int) *Type {
 	f := r.fields(
 		a,
 		"type", "items", "fields", "symbols", "name", "label", "doc", "inputBinding",
 		"outputBinding", "streamable", "format", "id", "secondaryFiles",
 	)
 	kind := Kind("")
-	if inner, ok := f["type"]; ok && inner.n.Kind == yaml.ScalarNode {
-		kind = Kind(inner.n.Value)
+	if inner, ok := f["type"]; ok && inner.node.Kind == yaml.ScalarNode {
+		kind = Kind(inner.node.Value)
 	}
 	t := &Type{Kind: kind}
 	if typeName, ok := f["name"]; ok {
@@ -178,7 +178,7 @@
 			r.fail(a, "symbols is missing in an enum")
 		}
 	case KindRecord:
-		r.named(f["fields"], "name", "type", func(fieldName string, x at) {
+		r.named(f["fields"], "name", "type", func(fieldName string, x place) {
 			t.Fields = append(t.Fields, r.readRecordField(fieldName, x, depth))
 		})
 	default:
@@ -192,7 +192,7 @@
 }
 
 // readRecordField reads one field of a record at the given depth.
-func (r *reading) readRecordField(fieldName string, a at, depth int) Field {
+func (r *loader) readRecordField(fieldName string, a place, depth int) Field {
 	f := r.fields(
 		a,
 		"name", "type", "label", "doc", "inputBinding", "outputBinding", "secondaryFiles",
@@ -213,16 +213,16 @@
 }
 
 // or returns the place, and where the field is missing its name within parent.
-func (a at) or(parent at) at {
-	if a.n == nil {
-		return at{parent.file, parent.field + ".type", nil}
+func (a place) or(parent place) place {
+	if a.node == nil {
+		return place{parent.file, parent.field + ".type", nil}
 	}
 	return a
 }
 
 // typeName reads a type's name, with "?" for optional or "[]" for an array of it behind it:
 // one of the language's own, or one that SchemaDefRequirement defines.
-func (r *reading) typeName(a at, name string) *Type {
+func (r *loader) typeName(a place, name string) *Type {
 	if base, ok := strings.CutSuffix(name, "?"); ok {
 		t := r.typeName(a, base)
 		if t.Optional() {
