--- a/internal/workflow/cwl/check.go
+++ b/internal/workflow/cwl/check.go
@@ -8,26 +8,26 @@
 
 // check finds what is wrong between the parts of a process: sources that don't exist or
 // don't fit, features used without their requirement, cycles, expressions that don't parse.
-func (r *loader) check(p *Process) {
-	r.checkExpressions(p)
+func (l *loader) check(p *Process) {
+	l.checkExpressions(p)
 	if p.Class != "Workflow" {
 		if p.Class == "ExpressionTool" && p.Needs.JavaScript == nil &&
 			strings.HasPrefix(strings.TrimSpace(p.Expression), "${") {
-			r.fail(p.where.in("expression", p.where.node), "uses JavaScript without InlineJavascriptRequirement")
+			l.fail(p.where.in("expression", p.where.node), "uses JavaScript without InlineJavascriptRequirement")
 		}
 		return
 	}
-	types := r.sourceTypes(p)
+	types := l.sourceTypes(p)
 	for _, s := range p.Steps {
-		r.checkStep(p, s, types)
-		r.check(s.Run)
+		l.checkStep(p, s, types)
+		l.check(s.Run)
 	}
 	for i := range p.Outputs {
 		o := &p.Outputs[i]
 		if len(o.Source) == 0 {
-			r.fail(o.where, "outputSource is missing")
+			l.fail(o.where, "outputSource is missing")
 		}
-		r.checkLink(p, types, link{
+		l.checkLink(p, types, link{
 			where:   o.where,
 			sources: o.Source,
 			several: len(o.Source) > 1,
@@ -35,13 +35,13 @@
 			pick:    o.PickValue,
 		}, o.Type)
 	}
-	r.checkCycles(p)
+	l.checkCycles(p)
 }
 
 // sourceTypes returns the types of what may be a source in a workflow: its inputs by their
 // names, the outputs of its steps by "step/output". It reports steps given twice and outputs
 // that a step's process does not have.
-func (r *loader) sourceTypes(p *Process) map[string]*Type {
+func (l *loader) sourceTypes(p *Process) map[string]*Type {
 	types := map[string]*Type{}
 	for _, in := range p.Inputs {
 		types[in.ID] = in.Type
@@ -49,13 +49,13 @@
 	seen := map[string]bool{}
 	for _, s := range p.Steps {
 		if seen[s.ID] {
-			r.fail(s.where, "is given twice")
+			l.fail(s.where, "is given twice")
 		}
 		seen[s.ID] = true
 		for _, outputID := range s.Out {
 			output := s.Run.output(outputID)
 			if output == nil {
-				r.fail(s.where.in("out", s.where.node), "%s has no output %q", describeProcess(s.Run), outputID)
+				l.fail(s.where.in("out", s.where.node), "%s has no output %q", describeProcess(s.Run), outputID)
 				continue
 			}
 			types[s.ID+"/"+outputID] = s.outputType(output)
@@ -103,44 +103,44 @@
 
 // checkStep checks a step of a workflow: the features that it uses, its inputs against their
 // sources and against those of the process that it runs. types are those of sourceTypes.
-func (r *loader) checkStep(p *Process, s *Step, types map[string]*Type) {
+func (l *loader) checkStep(p *Process, s *Step, types map[string]*Type) {
 	if s.Run.Class == "Workflow" && !s.Needs.Subworkflow {
-		r.fail(s.where.in("run", s.where.node), "is a workflow; SubworkflowFeatureRequirement is missing")
+		l.fail(s.where.in("run", s.where.node), "is a workflow; SubworkflowFeatureRequirement is missing")
 	}
 	if len(s.Scatter) > 0 && !s.Needs.Scatter {
-		r.fail(s.where.in("scatter", s.where.node), "ScatterFeatureRequirement is missing")
+		l.fail(s.where.in("scatter", s.where.node), "ScatterFeatureRequirement is missing")
 	}
 	given := map[string]bool{}
 	for i := range s.In {
 		in := &s.In[i]
 		if given[in.ID] {
-			r.fail(in.where, "is given twice")
+			l.fail(in.where, "is given twice")
 		}
 		given[in.ID] = true
-		r.checkStepInput(p, s, in, types)
+		l.checkStepInput(p, s, in, types)
 	}
 	for _, input := range s.Scatter {
 		if !given[input] {
-			r.fail(s.where.in("scatter", s.where.node), "%q is not an input of the step", input)
+			l.fail(s.where.in("scatter", s.where.node), "%q is not an input of the step", input)
 		}
 	}
 	for _, param := range s.Run.Inputs {
 		if !given[param.ID] && param.Default == nil && !param.Type.Optional() {
-			r.fail(s.where.in("in", s.where.node), "input %q of %s is missing", param.ID, describeProcess(s.Run))
+			l.fail(s.where.in("in", s.where.node), "input %q of %s is missing", param.ID, describeProcess(s.Run))
 		}
 	}
 }
 
 // checkStepInput checks one input of a step: the features that it uses, and its sources
 // against the type that the step's process expects.
-func (r *loader) checkStepInput(p *Process, s *Step, in *StepInput, types map[string]*Type) {
+func (l *loader) checkStepInput(p *Process, s *Step, in *StepInput, types map[string]*Type) {
 	if in.ValueFrom != "" && !s.Needs.StepInputs {
-		r.fail(in.where, "valueFrom is used; StepInputExpressionRequirement is missing")
+		l.fail(in.where, "valueFrom is used; StepInputExpressionRequirement is missing")
 	}
 	if len(in.Source) > 1 && !s.Needs.MultiInput {
-		r.fail(in.where, "has several sources; MultipleInputFeatureRequirement is missing")
+		l.fail(in.where, "has several sources; MultipleInputFeatureRequirement is missing")
 	}
-	r.checkLink(p, types, link{
+	l.checkLink(p, types, link{
 		where:   in.where,
 		sources: in.Source,
 		several: in.List && len(in.Source) > 1,
@@ -177,37 +177,37 @@
 
 // checkLink checks that the sources of a link exist, and that their value may be one of the
 // type want, nil for anything. types are those of sourceTypes.
-func (r *loader) checkLink(p *Process, types map[string]*Type, l link, want *Type) {
+func (l *loader) checkLink(p *Process, types map[string]*Type, valueLink link, want *Type) {
 	var from []*Type
-	for _, source := range l.sources {
+	for _, source := range valueLink.sources {
 		t := types[source]
 		if t == nil {
 			reason := fmt.Sprintf("there is no input or step output %q", source)
 			if step, _, ok := strings.Cut(source, "/"); ok && p.Step(step) != nil {
 				reason = fmt.Sprintf("step %q does not list an output %q in out", step, localName(source))
 			}
-			r.fail(l.where, "%s", reason)
+			l.fail(valueLink.where, "%s", reason)
 			continue
 		}
 		from = append(from, t)
 	}
-	if len(from) != len(l.sources) || len(from) == 0 || want == nil {
+	if len(from) != len(valueLink.sources) || len(from) == 0 || want == nil {
 		return
 	}
-	got := l.mergedType(from)
-	if l.pick != "" {
+	got := valueLink.mergedType(from)
+	if valueLink.pick != "" {
 		if got.Kind != KindArray {
 			if got.Kind != KindAny {
-				r.fail(l.where, "pickValue needs a list, found %s", got)
+				l.fail(valueLink.where, "pickValue needs a list, found %s", got)
 			}
 			return
 		}
-		if l.pick != PickAll {
+		if valueLink.pick != PickAll {
 			got = got.Items
 		}
 	}
 	if !mayFlow(got, want) {
-		r.fail(l.where, "expected %s, but %s gives %s", want, strings.Join(l.sources, ", "), got)
+		l.fail(valueLink.where, "expected %s, but %s gives %s", want, strings.Join(valueLink.sources, ", "), got)
 	}
 }
 
@@ -227,30 +227,31 @@
 	return &Type{Kind: KindArray, Items: items}
 }
 
-func (r *loader) checkCycles(p *Process) {
-	state := map[string]int{} // 1: being looked at, 2: fine
+// checkCycles reports steps that wait for themselves by way of others, each cycle at the
+// input that closes it.
+func (l *loader) checkCycles(p *Process) {
+	const (
+		visiting = 1
+		visited  = 2
+	)
+	state := map[string]int{} // by step, 0 if not reached yet
+	// visit reports false if the step is being visited already.
 	var visit func(s *Step) bool
 	visit = func(s *Step) bool {
-		switch state[s.ID] {
-		case 1:
-			return false
-		case 2:
-			return true
+		if state[s.ID] != 0 {
+			return state[s.ID] == visited
 		}
-		state[s.ID] = 1
+		state[s.ID] = visiting
+		defer func() { state[s.ID] = visited }()
 		for _, in := range s.In {
-			for _, src := range in.Source {
-				id, _, ok := strings.Cut(src, "/")
+			for _, source := range in.Source {
+				id, _, ok := strings.Cut(source, "/")
 				if next := p.Step(id); ok && next != nil && !visit(next) {
-					if state[s.ID] != 2 {
-						r.fail(in.where, "waits for step %q, which waits for this one", id)
-					}
-					state[s.ID] = 2
+					l.fail(in.where, "waits for step %q, which waits for this one", id)
 					return true
 				}
 			}
 		}
-		state[s.ID] = 2
 		return true
 	}
 	for _, s := range p.Steps {
@@ -259,59 +260,59 @@
 }
 
 // checkExpressions parses all expressions of a process.
-func (r *loader) checkExpressions(p *Process) {
+func (l *loader) checkExpressions(p *Process) {
 	for i := range p.Inputs {
-		r.checkParameterSyntax(p, &p.Inputs[i])
+		l.checkParameterSyntax(p, &p.Inputs[i])
 	}
 	for i := range p.Outputs {
-		r.checkParameterSyntax(p, &p.Outputs[i])
+		l.checkParameterSyntax(p, &p.Outputs[i])
 	}
-	r.checkNeedsSyntax(p)
+	l.checkNeedsSyntax(p)
 	if t := p.Tool; t != nil {
-		r.checkSyntax(p.where, &p.Needs, t.Stdin, t.Stdout, t.Stderr)
+		l.checkSyntax(p.where, &p.Needs, t.Stdin, t.Stdout, t.Stderr)
 		for _, argument := range t.Arguments {
-			r.checkSyntax(p.where, &p.Needs, argument.Text)
+			l.checkSyntax(p.where, &p.Needs, argument.Text)
 			if b := argument.Binding; b != nil {
-				r.checkSyntax(b.where, &p.Needs, b.Position, b.ValueFrom)
+				l.checkSyntax(b.where, &p.Needs, b.Position, b.ValueFrom)
 			}
 		}
 	}
-	r.checkSyntax(p.where, &p.Needs, p.Expression)
+	l.checkSyntax(p.where, &p.Needs, p.Expression)
 	for _, s := range p.Steps {
-		r.checkSyntax(s.where, &s.Needs, s.When)
+		l.checkSyntax(s.where, &s.Needs, s.When)
 		for _, in := range s.In {
-			r.checkSyntax(in.where, &s.Needs, in.ValueFrom)
+			l.checkSyntax(in.where, &s.Needs, in.ValueFrom)
 		}
 	}
 }
 
 // checkSyntax parses the expressions of texts that stand at a place where needs apply.
-func (r *loader) checkSyntax(a place, needs *Needs, texts ...string) {
+func (l *loader) checkSyntax(at place, needs *Needs, texts ...string) {
 	for _, text := range texts {
 		if err := Syntax(text, needs.JavaScript != nil); err != nil {
-			r.fail(a, "%v", err)
+			l.fail(at, "%v", err)
 		}
 	}
 }
 
 // checkParameterSyntax parses the expressions of an input or an output of a process.
-func (r *loader) checkParameterSyntax(p *Process, param *Parameter) {
+func (l *loader) checkParameterSyntax(p *Process, param *Parameter) {
 	if b := param.Binding; b != nil {
-		r.checkSyntax(param.where, &p.Needs, b.Position, b.ValueFrom)
+		l.checkSyntax(param.where, &p.Needs, b.Position, b.ValueFrom)
 	}
 	if b := param.OutputBinding; b != nil {
-		r.checkSyntax(param.where, &p.Needs, b.OutputEval)
-		r.checkSyntax(param.where, &p.Needs, b.Glob...)
+		l.checkSyntax(param.where, &p.Needs, b.OutputEval)
+		l.checkSyntax(param.where, &p.Needs, b.Glob...)
 	}
 	for _, s := range param.SecondaryFiles {
-		r.checkSyntax(param.where, &p.Needs, s.Pattern, s.Required)
+		l.checkSyntax(param.where, &p.Needs, s.Pattern, s.Required)
 	}
 }
 
 // checkNeedsSyntax parses the expressions of a process's requirements and hints.
-func (r *loader) checkNeedsSyntax(p *Process) {
+func (l *loader) checkNeedsSyntax(p *Process) {
 	needs, res := &p.Needs, &p.Needs.Resources
-	r.checkSyntax(
+	l.checkSyntax(
 		p.where, needs,
 		res.CoresMin, res.CoresMax,
 		res.RAMMin, res.RAMMax,
@@ -320,12 +321,12 @@
 		needs.TimeLimit, needs.Reuse, needs.Accelerator,
 	)
 	for _, variable := range needs.Env {
-		r.checkSyntax(p.where, needs, variable.Value)
+		l.checkSyntax(p.where, needs, variable.Value)
 	}
 	if workDir := needs.WorkDir; workDir != nil {
-		r.checkSyntax(p.where, needs, workDir.Listing)
+		l.checkSyntax(p.where, needs, workDir.Listing)
 		for _, entry := range workDir.Entries {
-			r.checkSyntax(p.where, needs, entry.Name, entry.Entry)
+			l.checkSyntax(p.where, needs, entry.Name, entry.Entry)
 		}
 	}
 }
--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -9,18 +9,20 @@
 )
 
 // Run is the progress of one process: which tools are ready to run with which inputs, and
-// what has come of them. It runs nothing and keeps nothing durable; told the same results
-// in any order it comes to the same outputs. It is not safe for concurrent use.
+// their results. It runs nothing and stores nothing; the same results, reported in any order,
+// give the same outputs. It is not safe for concurrent use.
 type Run struct {
-	// Enough, if given, ends Ready early: what is evaluated on the way may take long.
+	// Enough, if not nil, makes Ready return early once it reports true: evaluating
+	// expressions may take long.
 	Enough func() bool
-	// Contents reads a file's first bytes, for loadContents in steps; nil: that fails.
+	// Contents reads a file's first bytes, for loadContents in steps. If it is nil, a step
+	// that uses loadContents fails.
 	Contents func(file map[string]any) (string, error)
 
 	ctx          context.Context
 	root         *workflowRun
-	startedSteps []*stepRun          // with elements still to be handed out
-	handedOut    map[string]*element // handed out, by id
+	startedSteps []*stepRun          // with elements not yet returned by Ready, oldest first
+	handedOut    map[string]*element // returned by Ready and not finished, by id
 	outputs      map[string]any
 	err          error // why the run as a whole failed
 	ended        bool
@@ -53,7 +55,7 @@
 	StepDropped StepState = "dropped" // what it depends on failed
 )
 
-// workflowRun is a workflow under way.
+// workflowRun is the progress of a workflow: of the run as a whole, or of one in a step.
 type workflowRun struct {
 	id        string
 	process   *Process
@@ -64,20 +66,21 @@
 	parent    *element // the step that it is, nil for the whole
 }
 
-// stepRun is a step under way, with one element or, scattered, any number.
+// stepRun is the progress of a step, with one element or, scattered, any number.
 type stepRun struct {
-	workflow  *workflowRun
-	step      *Step
-	state     StepState
-	links     map[string]any // inputs before scattering
-	lengths   []int          // of what is scattered over
-	next      int            // the first element not yet handed out
-	total     int
-	remaining int
-	elements  []*element
-	skipped   int
+	workflow     *workflowRun
+	step         *Step
+	state        StepState
+	linkedInputs map[string]any // inputs before scattering
+	lengths      []int          // of what is scattered over
+	next         int            // index of the first element not yet started
+	total        int
+	remaining    int
+	elements     []*element
+	skipped      int
 }
 
+// element is one run of a step's process: the only one, or one of a scatter.
 type element struct {
 	step    *stepRun
 	index   int
@@ -107,12 +110,21 @@
 		}
 		p = w
 	}
-	r.root = r.enter(p, "", full, nil)
+	r.root = r.startWorkflow(p, "", full, nil)
 	return r, nil
 }
 
-func (r *Run) enter(p *Process, id string, inputs map[string]any, parent *element) *workflowRun {
-	w := &workflowRun{id: id, process: p, inputs: inputs, steps: map[string]*stepRun{}, remaining: len(p.Steps), parent: parent}
+// startWorkflow starts a workflow with complete inputs and the steps of it that can start.
+// parent is the element of a step that it runs in, nil for the run as a whole.
+func (r *Run) startWorkflow(p *Process, id string, inputs map[string]any, parent *element) *workflowRun {
+	w := &workflowRun{
+		id:        id,
+		process:   p,
+		inputs:    inputs,
+		steps:     map[string]*stepRun{},
+		remaining: len(p.Steps),
+		parent:    parent,
+	}
 	for _, s := range p.Steps {
 		w.steps[s.ID] = &stepRun{workflow: w, step: s, state: StepWaiting}
 	}
@@ -136,18 +148,19 @@
 				w.remaining--
 				again = true
 			case ready:
-				r.begin(st)
+				r.startStep(st)
 				again = true
 			}
 		}
 	}
 	if w.remaining == 0 {
 		w.remaining = -1
-		r.leave(w)
+		r.finishWorkflow(w)
 	}
 }
 
-// ready reports whether all that a step depends on is over, or can't be had any more.
+// ready reports whether all that a step depends on has ended, and dropped whether some of it
+// failed, so that the step can't run.
 func (w *workflowRun) ready(s *Step) (ready, dropped bool) {
 	ready = true
 	for _, in := range s.In {
@@ -168,6 +181,7 @@
 	return ready, false
 }
 
+// source returns the value of a source: an input, or "step/output" of a step that has ended.
 func (w *workflowRun) source(src string) any {
 	id, out, ok := strings.Cut(src, "/")
 	if !ok {
@@ -176,7 +190,8 @@
 	return w.steps[id].output(out)
 }
 
-// link is what comes over the links to an input ("WorkflowStepInput").
+// link returns the value of an input from its sources, merged and picked
+// ("WorkflowStepInput"), nil if it has none.
 func (w *workflowRun) link(sources []string, merge, pick string) (any, error) {
 	if len(sources) == 0 {
 		return nil, nil
@@ -215,15 +230,15 @@
 	return full[0], nil
 }
 
-// begin starts a step whose sources are there: it works out its inputs and its elements.
-func (r *Run) begin(st *stepRun) {
+// startStep starts a step whose sources are there: it works out its inputs and its elements.
+func (r *Run) startStep(st *stepRun) {
 	st.state, st.total = StepRunning, 1
 	var err error
-	if st.links, err = r.linkedInputs(st); err == nil {
+	if st.linkedInputs, err = r.linkedInputs(st); err == nil {
 		err = st.scatter()
 	}
 	if err != nil {
-		r.fail(st, err)
+		r.failStep(st, err)
 		return
 	}
 	st.remaining = st.total
@@ -250,7 +265,7 @@
 			v = in.Default
 		}
 		if file, ok := v.(map[string]any); ok && in.LoadContents && classOf(v) == "File" {
-			if v, err = r.load(file); err != nil {
+			if v, err = r.loadContents(file); err != nil {
 				return inputs, fmt.Errorf("%s: %w", in.ID, err)
 			}
 		}
@@ -264,9 +279,9 @@
 // error total is what it was computed to so far.
 func (st *stepRun) scatter() error {
 	for _, name := range st.step.Scatter {
-		list, ok := st.links[name].([]any)
+		list, ok := st.linkedInputs[name].([]any)
 		if !ok {
-			return fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.links[name]))
+			return fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.linkedInputs[name]))
 		}
 		st.lengths = append(st.lengths, len(list))
 	}
@@ -284,7 +299,8 @@
 	return nil
 }
 
-func (r *Run) load(f map[string]any) (any, error) {
+// loadContents returns a copy of a file with its contents.
+func (r *Run) loadContents(f map[string]any) (any, error) {
 	if r.Contents == nil {
 		return nil, errors.New("loadContents: files can't be read here")
 	}
@@ -300,14 +316,15 @@
 	return out, nil
 }
 
-// fail ends a step that could not begin.
-func (r *Run) fail(st *stepRun, err error) {
+// failStep ends a step that could not be started.
+func (r *Run) failStep(st *stepRun, err error) {
 	st.state = StepFailed
 	st.workflow.remaining--
 	st.workflow.failed = true
 	r.failures = append(r.failures, Failure{st.id(), err})
 }
 
+// id returns the step's id with those of the steps around it: "sub/pay".
 func (st *stepRun) id() string {
 	if st.workflow.id == "" {
 		return st.step.ID
@@ -315,7 +332,7 @@
 	return st.workflow.id + "/" + st.step.ID
 }
 
-// indices are an element's places in the lists that a step is scattered over.
+// indices returns the indices of element i in the lists that the step is scattered over.
 func (st *stepRun) indices(i int) []int {
 	out := make([]int, len(st.lengths))
 	for k := len(st.lengths) - 1; k >= 0; k-- {
@@ -329,8 +346,9 @@
 	return out
 }
 
-// Ready hands out up to most tasks whose inputs are there, the earlier steps' first.
-// Expression tools, conditions and workflows within are taken care of on the way.
+// Ready returns up to limit tasks whose inputs are complete, those of earlier steps first.
+// It evaluates expression tools and conditions, and starts workflows in steps, on the way.
+// Each task is returned once.
 func (r *Run) Ready(limit int) []Task {
 	var out []Task
 	for len(out) < limit && len(r.startedSteps) > 0 && (r.Enough == nil || !r.Enough()) {
@@ -348,15 +366,15 @@
 		inputs, run, err := r.inputsOf(e)
 		switch {
 		case err != nil:
-			r.finish(e, nil, err)
+			r.finishElement(e, nil, err)
 		case !run:
 			e.step.skipped++
-			r.finish(e, map[string]any{}, nil)
+			r.finishElement(e, map[string]any{}, nil)
 		case st.step.Run.Class == "Workflow":
-			r.enter(st.step.Run, e.id, inputs, e)
+			r.startWorkflow(st.step.Run, e.id, inputs, e)
 		case st.step.Run.Class == "ExpressionTool":
 			v, err := r.expression(st.step.Run, inputs)
-			r.finish(e, v, err)
+			r.finishElement(e, v, err)
 		default:
 			r.handedOut[e.id] = e
 			out = append(out, Task{e.id, st.step.Run, inputs})
@@ -365,16 +383,16 @@
 	return out
 }
 
-// inputsOf are an element's inputs, after scattering and valueFrom, and whether its
+// inputsOf returns an element's inputs, after scattering and valueFrom, and whether its
 // condition lets it run ("when").
 func (r *Run) inputsOf(e *element) (map[string]any, bool, error) {
 	st := e.step
-	values := make(map[string]any, len(st.links))
-	for k, v := range st.links {
+	values := make(map[string]any, len(st.linkedInputs))
+	for k, v := range st.linkedInputs {
 		values[k] = v
 	}
 	for k, i := range st.indices(e.index) {
-		values[st.step.Scatter[k]] = st.links[st.step.Scatter[k]].([]any)[i]
+		values[st.step.Scatter[k]] = st.linkedInputs[st.step.Scatter[k]].([]any)[i]
 	}
 	before := Scope{Inputs: make(map[string]any, len(values))}
 	for k, v := range values {
@@ -409,6 +427,7 @@
 	return full, true, err
 }
 
+// expression evaluates an expression tool to its outputs.
 func (r *Run) expression(p *Process, inputs map[string]any) (map[string]any, error) {
 	v, err := p.Needs.Eval(r.ctx, p.Expression, Scope{Inputs: inputs})
 	if err != nil {
@@ -425,16 +444,18 @@
 	return out, p.checkOutputs(out)
 }
 
-// Finish tells what came of a task: its outputs, or why it failed for good. Telling it of
-// a task that is not out, or again, changes nothing.
+// Finish records the result of a task that Ready has returned: its outputs, or the error that
+// it failed with for good. For another task, or one that has a result, it does nothing.
 func (r *Run) Finish(id string, outputs map[string]any, err error) {
 	if e := r.handedOut[id]; e != nil {
 		delete(r.handedOut, id)
-		r.finish(e, outputs, err)
+		r.finishElement(e, outputs, err)
 	}
 }
 
-func (r *Run) finish(e *element, outputs map[string]any, err error) {
+// finishElement records the result of an element. The last of a step ends the step and starts
+// those that wait for it.
+func (r *Run) finishElement(e *element, outputs map[string]any, err error) {
 	st := e.step
 	e.outputs, e.err, e.ended = outputs, err, true
 	st.remaining--
@@ -454,8 +475,8 @@
 	r.advance(st.workflow)
 }
 
-// output is what a step that is over gives: of a scattered one lists, nested as its method
-// says; null where its condition was false.
+// output returns an output of a step that has ended. That of a scattered step is a list, nested
+// as its method says. It is null where the step's condition was false.
 func (st *stepRun) output(name string) any {
 	if len(st.lengths) == 0 && len(st.step.Scatter) == 0 {
 		return st.elements[0].outputs[name]
@@ -470,6 +491,7 @@
 	return nest(flat, st.lengths)
 }
 
+// nest splits a list into lists within lists of the lengths given, the outermost first.
 func nest(flat []any, lengths []int) []any {
 	if len(lengths) == 1 {
 		return flat
@@ -482,8 +504,9 @@
 	return out
 }
 
-// leave ends a workflow: the whole, or a step's.
-func (r *Run) leave(w *workflowRun) {
+// finishWorkflow ends a workflow whose steps have all ended: the run as a whole, or an
+// element of a step.
+func (r *Run) finishWorkflow(w *workflowRun) {
 	out, errs := map[string]any{}, []error(nil)
 	for i := range w.process.Outputs {
 		output := &w.process.Outputs[i]
@@ -491,7 +514,7 @@
 			id, _, ok := strings.Cut(src, "/")
 			return ok && (w.steps[id].state == StepFailed || w.steps[id].state == StepDropped)
 		}) {
-			continue // what there is is kept, this is not
+			continue // the other outputs are still returned
 		}
 		v, err := w.link(output.Source, output.LinkMerge, output.PickValue)
 		if err == nil {
@@ -508,17 +531,17 @@
 		err = errors.New("a step of it failed")
 	}
 	if w.parent != nil {
-		r.finish(w.parent, out, err)
+		r.finishElement(w.parent, out, err)
 		return
 	}
 	r.outputs, r.err, r.ended = out, err, true
 }
 
-// Over reports whether nothing is left to run, with the outputs that there are and, unless
-// all went well, an error.
+// Over reports whether the run has ended, with its outputs and, if a step or an output failed,
+// an error. The outputs of steps that succeeded are there in either case.
 func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.ended }
 
-// Failures lists what failed so far.
+// Failures returns the steps that have failed so far, in the order of their failures.
 func (r *Run) Failures() []Failure { return r.failures }
 
 // Steps calls f for each step of the whole, in the document's order, with its state, how
@@ -538,11 +561,8 @@
 func (w *workflowRun) waitsFor(s *Step) string {
 	for _, in := range s.In {
 		for _, src := range in.Source {
-			if id, _, ok := strings.Cut(
-				src,
-				"/",
-			); ok &&
-				(w.steps[id].state == StepWaiting || w.steps[id].state == StepRunning) {
+			id, _, ok := strings.Cut(src, "/")
+			if ok && (w.steps[id].state == StepWaiting || w.steps[id].state == StepRunning) {
 				return id
 			}
 		}
--- a/internal/workflow/cwl/expr.go
+++ b/internal/workflow/cwl/expr.go
@@ -15,15 +15,15 @@
 	"github.com/dop251/goja"
 )
 
-// Scope is what expressions see ("Runtime environment", "Expressions").
+// Scope holds the values that expressions can refer to ("Runtime environment", "Expressions").
 type Scope struct {
 	Inputs  map[string]any
 	Self    any
 	Runtime map[string]any
 }
 
-// Bounds of one evaluation. Memory is what the process's heap grows by meanwhile, looked at
-// every few milliseconds: it stops what runs away, and is no exact account.
+// Limits of one evaluation. Memory is the growth of the whole process's heap meanwhile, in
+// bytes, sampled every few milliseconds: it stops runaway expressions and is not exact.
 const (
 	maxExprTime   = 2 * time.Second
 	maxExprMemory = 64 << 20
@@ -31,7 +31,7 @@
 	maxExprResult = 1 << 20 // bytes, as JSON
 )
 
-// Errors of expressions.
+// Errors of expressions that exceed a limit. They are wrapped with the expression.
 var (
 	ErrExprTime   = errors.New("the expression takes too long")
 	ErrExprMemory = errors.New("the expression takes too much memory")
@@ -172,6 +172,7 @@
 	return nil
 }
 
+// program returns the JavaScript text of an expression: a value, or a function's body.
 func program(p piece) string {
 	if p.body {
 		return "(function()" + p.expr + ")()"
@@ -182,7 +183,7 @@
 // Eval evaluates the expressions in a text. A text that is one expression has its value;
 // one with others around it is a string, with values in it as JSON where they are no
 // strings. Without expressions it is the text.
-func (n *Needs) Eval(ctx context.Context, s string, sc Scope) (any, error) {
+func (n *Needs) Eval(ctx context.Context, s string, scope Scope) (any, error) {
 	if !HasExpression(s) {
 		return s, nil
 	}
@@ -196,7 +197,7 @@
 		}
 	}
 	if len(pieces) == 1 && pieces[0].expr != "" {
-		return n.evalOne(ctx, pieces[0], sc)
+		return n.evalOne(ctx, pieces[0], scope)
 	}
 	var b strings.Builder
 	for _, p := range pieces {
@@ -204,7 +205,7 @@
 			b.WriteString(p.text)
 			continue
 		}
-		v, err := n.evalOne(ctx, p, sc)
+		v, err := n.evalOne(ctx, p, scope)
 		if err != nil {
 			return nil, err
 		}
@@ -222,8 +223,8 @@
 }
 
 // EvalText evaluates a text that must become a string.
-func (n *Needs) EvalText(ctx context.Context, s string, sc Scope) (string, error) {
-	v, err := n.Eval(ctx, s, sc)
+func (n *Needs) EvalText(ctx context.Context, s string, scope Scope) (string, error) {
+	v, err := n.Eval(ctx, s, scope)
 	if err != nil {
 		return "", err
 	}
@@ -235,11 +236,11 @@
 }
 
 // EvalNumber evaluates a text that must become a number; otherwise is for an empty one.
-func (n *Needs) EvalNumber(ctx context.Context, s string, sc Scope, otherwise float64) (float64, error) {
+func (n *Needs) EvalNumber(ctx context.Context, s string, scope Scope, fallback float64) (float64, error) {
 	if s == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
-	v, err := n.Eval(ctx, s, sc)
+	v, err := n.Eval(ctx, s, scope)
 	if err != nil {
 		return 0, err
 	}
@@ -253,15 +254,16 @@
 			return f, nil
 		}
 	case nil:
-		return otherwise, nil
+		return fallback, nil
 	}
 	return 0, fmt.Errorf("%q: expected a number, found %s", shorten(s), describe(v))
 }
 
-func (n *Needs) evalOne(ctx context.Context, p piece, sc Scope) (any, error) {
+// evalOne evaluates one expression: as a parameter reference if it is one, else as JavaScript.
+func (n *Needs) evalOne(ctx context.Context, p piece, scope Scope) (any, error) {
 	if !p.body {
 		if path, err := parseReference(p.expr); err == nil {
-			v, err := path.follow(sc)
+			v, err := path.follow(scope)
 			if err == nil || n.JavaScript == nil {
 				return v, err
 			}
@@ -272,7 +274,7 @@
 	if n.JavaScript == nil {
 		return nil, fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", shorten(p.expr))
 	}
-	return n.JavaScript.run(ctx, p, sc)
+	return n.JavaScript.run(ctx, p, scope)
 }
 
 // reference is a parameter reference: a root and what is selected in it.
@@ -408,12 +410,12 @@
 	return int64(len(list)), nil
 }
 
-// run evaluates JavaScript in a runtime of its own, without input or output, within the
-// bounds of time, memory and depth.
-func (j *JavaScript) run(ctx context.Context, p piece, sc Scope) (any, error) {
+// run evaluates JavaScript in a new runtime, without input or output, within the limits of
+// time, memory, stack depth and result size.
+func (j *JavaScript) run(ctx context.Context, p piece, scope Scope) (any, error) {
 	vm := goja.New()
 	vm.SetMaxCallStackSize(maxExprStack)
-	for name, v := range map[string]any{"inputs": sc.Inputs, "self": sc.Self, "runtime": sc.Runtime} {
+	for name, v := range map[string]any{"inputs": scope.Inputs, "self": scope.Self, "runtime": scope.Runtime} {
 		x, err := toJS(vm, v)
 		if err != nil {
 			return nil, err
@@ -447,6 +449,8 @@
 	return fromJSON([]byte(text.String()))
 }
 
+// exprError adds the expression to an error of the JavaScript runtime. Of an interrupt it
+// returns the cause.
 func exprError(p piece, err error) error {
 	var stopped *goja.InterruptedError
 	if errors.As(err, &stopped) {
@@ -459,16 +463,18 @@
 
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
+// heap returns how many bytes the live and the unswept objects of the heap take.
 func heap() uint64 {
 	s := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(s)
 	return s[0].Value.Uint64()
 }
 
-// watch interrupts a runtime that goes beyond its bounds, until it is told to stop.
+// watch interrupts a runtime that exceeds its limits of time and memory, or whose context
+// ends, until stop is called. stop may be called more than once.
 func watch(ctx context.Context, vm *goja.Runtime) (stop func()) {
 	done := make(chan struct{})
-	began, before := time.Now(), heap()
+	started, before := time.Now(), heap()
 	go func() {
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
@@ -480,7 +486,7 @@
 				vm.Interrupt(ctx.Err())
 				return
 			case <-tick.C:
-				if time.Since(began) > maxExprTime {
+				if time.Since(started) > maxExprTime {
 					vm.Interrupt(ErrExprTime)
 					return
 				}
@@ -494,8 +500,7 @@
 	return sync.OnceFunc(func() { close(done) })
 }
 
-// toJS makes a value of a runtime's own out of one of ours, so that an expression can't
-// change ours.
+// toJS copies a value into a runtime, so that an expression can't change the original.
 func toJS(vm *goja.Runtime, v any) (goja.Value, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -505,7 +510,7 @@
 	return parse(goja.Undefined(), vm.ToValue(string(b)))
 }
 
-// fromJSON reads a value, whole numbers as such.
+// fromJSON reads a value from JSON, whole numbers as int64.
 func fromJSON(b []byte) (any, error) {
 	d := json.NewDecoder(strings.NewReader(string(b)))
 	d.UseNumber()
@@ -516,7 +521,8 @@
 	return Whole(v), nil
 }
 
-// Whole makes numbers of a value read from JSON whole where they are.
+// Whole turns the whole numbers in a value read from JSON into int64, the others into float64.
+// Lists and mappings are changed in place.
 func Whole(v any) any {
 	switch x := v.(type) {
 	case json.Number:
@@ -541,7 +547,7 @@
 	return v
 }
 
-// ToolAt finds the tool of a task by the task's id, as Run gives it.
+// ToolAt finds the tool of a task by the task's id, as Run gives it; nil if there is none.
 func (p *Process) ToolAt(id string) *Process {
 	if p.Class != "Workflow" {
 		return p
--- a/internal/workflow/cwl/fuzz_test.go
+++ b/internal/workflow/cwl/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FuzzLoad: no document does harm, and what is taken can be started or says why not.
+// FuzzLoad checks that no document makes Load, Start or Ready panic or hang.
 func FuzzLoad(f *testing.F) {
 	for _, s := range suitesOf(f) {
 		for _, c := range s.Documents {
@@ -29,7 +29,7 @@
 	})
 }
 
-// FuzzEval: no expression does harm, takes long, or changes its inputs.
+// FuzzEval checks that no expression panics, takes long, or changes its inputs.
 func FuzzEval(f *testing.F) {
 	for _, s := range suitesOf(f) {
 		for _, c := range s.Expressions {
@@ -44,9 +44,9 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
 		inputs := map[string]any{"a": []any{int64(1), "x"}}
-		began := time.Now()
+		started := time.Now()
 		_, _ = n.Eval(ctx, text, Scope{Inputs: inputs})
-		if took := time.Since(began); took > 10*time.Second {
+		if took := time.Since(started); took > 10*time.Second {
 			t.Errorf("took %v", took)
 		}
 		if jsonText(inputs) != `{"a":[1,"x"]}` {
--- a/internal/workflow/cwl/inputs.go
+++ b/internal/workflow/cwl/inputs.go
@@ -96,29 +96,29 @@
 // ReadInputs reads inputs in YAML or JSON and checks them. The error is Problems, with the
 // place in the text of each. Defaults are not filled in.
 func (p *Process) ReadInputs(file string, b []byte) (map[string]any, error) {
-	n, err := parseYAML(file, b)
+	document, err := parseYAML(file, b)
 	if err != nil {
 		return nil, err
 	}
-	r := &loader{bundle: Bundle{}}
-	if n, err = r.directives(file, n, 0); err != nil {
+	l := &loader{bundle: Bundle{}}
+	if document, err = l.directives(file, document, 0); err != nil {
 		return nil, Problems{{File: file, Reason: err.Error()}}
 	}
-	v, ok := value(n).(map[string]any)
+	v, ok := value(document).(map[string]any)
 	if !ok {
-		return nil, Problems{place{file: file, node: n}.problem("expected inputs by name, found %s", kindOf(n))}
+		return nil, Problems{place{file: file, node: document}.problem("expected inputs by name, found %s", kindOf(document))}
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("inputs.json", jsonValue(p.InputSchema())); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource("inputs.json", jsonValue(p.InputSchema())); err != nil {
 		return nil, err
 	}
-	schema, err := c.Compile("inputs.json")
+	schema, err := compiler.Compile("inputs.json")
 	if err != nil {
 		return nil, err
 	}
 	var invalid *jsonschema.ValidationError
 	if err := schema.Validate(jsonValue(v)); errors.As(err, &invalid) {
-		return nil, p.problems(file, n, v, invalid)
+		return nil, p.problems(file, document, v, invalid)
 	} else if err != nil {
 		return nil, err
 	}
@@ -151,11 +151,12 @@
 	return v
 }
 
-// problems tells what the schema found, in our words where the type has any: of a union
-// the library tells what is wrong with each alternative.
+// problems returns what the schema found as problems, at most one an input, worded by
+// Type.Check where it finds the same: for a union the library lists an error for each
+// alternative.
 func (p *Process) problems(
 	file string,
-	n *yaml.Node,
+	document *yaml.Node,
 	v map[string]any,
 	invalid *jsonschema.ValidationError,
 ) Problems {
@@ -171,73 +172,74 @@
 	}
 	walk(invalid)
 	var out Problems
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, path := range slices.Sorted(maps.Keys(leaves)) {
 		e := leaves[path]
-		a := place{file: file, node: n}
+		at := place{file: file, node: document}
 		for _, part := range e.InstanceLocation {
-			a = a.child(part)
+			at = at.child(part)
 		}
 		if len(e.InstanceLocation) == 0 {
-			out = append(out, p.missing(a, v)...)
+			out = append(out, p.missing(at, v)...)
 			continue
 		}
 		id := e.InstanceLocation[0]
-		if told[id] {
+		if reported[id] {
 			continue
 		}
-		told[id] = true
+		reported[id] = true
 		if in := p.input(id); in != nil {
 			if err := in.Type.Check(v[id]); err != nil {
-				a := place{file: file, node: n}.child(id)
-				out = append(out, a.problem("%v", err))
+				at := place{file: file, node: document}.child(id)
+				out = append(out, at.problem("%v", err))
 				continue
 			}
-			out = append(out, a.problem("expected %s with location, path, contents or listing", in.Type))
+			out = append(out, at.problem("expected %s with location, path, contents or listing", in.Type))
 			continue
 		}
-		out = append(out, a.problem("%s has no such input", describeProcess(p)))
+		out = append(out, at.problem("%s has no such input", describeProcess(p)))
 	}
 	return out
 }
 
-// missing tells which inputs are not given, and which are not known.
-func (p *Process) missing(a place, v map[string]any) Problems {
+// missing returns a problem for each input that is not given and for each that is not known.
+func (p *Process) missing(at place, v map[string]any) Problems {
 	var out Problems
 	for _, in := range p.Inputs {
 		if _, ok := v[in.ID]; !ok && in.Default == nil && !in.Type.Optional() {
-			out = append(out, a.in(in.ID, a.node).problem("is missing; expected %s", in.Type))
+			out = append(out, at.in(in.ID, at.node).problem("is missing; expected %s", in.Type))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(v)) {
 		if p.input(id) == nil && !strings.Contains(id, ":") {
-			out = append(out, a.child(id).problem("%s has no such input", describeProcess(p)))
+			out = append(out, at.child(id).problem("%s has no such input", describeProcess(p)))
 		}
 	}
 	return out
 }
 
-// child is a field or an element of a place.
-func (a place) child(part string) place {
-	if a.node == nil {
-		return a
+// child returns the place of a field or an element, the place itself if there is none.
+func (at place) child(part string) place {
+	if at.node == nil {
+		return at
 	}
-	switch a.node.Kind {
+	switch at.node.Kind {
 	case yaml.MappingNode:
-		for _, e := range entries(a.node) {
+		for _, e := range entries(at.node) {
 			if e.key.Value == part {
-				return a.in(part, e.node)
+				return at.in(part, e.node)
 			}
 		}
 	case yaml.SequenceNode:
-		if i, err := strconv.Atoi(part); err == nil && i >= 0 && i < len(a.node.Content) {
-			return a.in("["+part+"]", a.node.Content[i])
+		if i, err := strconv.Atoi(part); err == nil && i >= 0 && i < len(at.node.Content) {
+			return at.in("["+part+"]", at.node.Content[i])
 		}
 	}
-	return a
+	return at
 }
 
-// Complete fills defaults in and checks the whole: what a process runs with.
+// Complete returns the inputs that a process runs with: those given, with defaults for those
+// that are missing or null. The error names each that is not of its type.
 func (p *Process) Complete(v map[string]any) (map[string]any, error) {
 	out := make(map[string]any, len(p.Inputs))
 	var errs []error
--- a/internal/workflow/cwl/load.go
+++ b/internal/workflow/cwl/load.go
@@ -11,8 +11,8 @@
 )
 
 // Load reads a process of a bundle and all that it refers to, and checks it. entry is a
-// file, with "#id" behind it for one of several processes in it; "main" is taken if a file
-// with several names none. The error is Problems, all of them at once. Warnings are of
+// file, with "#id" behind it for one of several processes in it; the default is "main" for a
+// file with several. The error is Problems, all of them at once. Warnings are of
 // hints that are passed over.
 func Load(bundle Bundle, entry string) (*Process, Problems, error) {
 	size := 0
@@ -24,46 +24,46 @@
 			{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, maxBundleBytes)},
 		}
 	}
-	r := &loader{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
+	l := &loader{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
 	file, fragment, _ := strings.Cut(entry, "#")
-	p := r.load(place{file: file}, file, fragment, Needs{}, nil)
-	if p != nil && len(r.problems) == 0 {
-		r.check(p)
+	p := l.load(place{file: file}, file, fragment, Needs{}, nil)
+	if p != nil && len(l.problems) == 0 {
+		l.check(p)
 	}
-	if len(r.problems) > 0 {
-		return nil, r.warnings, r.problems
+	if len(l.problems) > 0 {
+		return nil, l.warnings, l.problems
 	}
-	return p, r.warnings, nil
+	return p, l.warnings, nil
 }
 
 // load reads one process of a file. from is who refers to it; outer are the processes that
 // it is in, by file and id: none may be in itself.
-func (r *loader) load(from place, file, fragment string, inherited Needs, outer []string) *Process {
-	n, err := r.open(file)
+func (l *loader) load(from place, file, fragment string, inherited Needs, outer []string) *Process {
+	n, err := l.open(file)
 	if err != nil {
 		var problems Problems
 		if errors.As(err, &problems) {
-			r.problems = append(r.problems, problems...)
+			l.problems = append(l.problems, problems...)
 		} else {
-			r.fail(from, "%v", err)
+			l.fail(from, "%v", err)
 		}
 		return nil
 	}
 	document := place{file: file, node: n}
-	version := r.textField(document, "cwlVersion")
+	version := l.textField(document, "cwlVersion")
 	if graph, ok := field(document, "$graph"); ok {
 		want := cmp.Or(fragment, "main")
-		process, ok := r.findInGraph(graph, want, from)
+		process, ok := l.findInGraph(graph, want, from)
 		if !ok {
 			return nil
 		}
-		return r.process(process, version, inherited, append(outer, file+"#"+want))
+		return l.process(process, version, inherited, append(outer, file+"#"+want))
 	}
 	if fragment != "" && idOf(n) != fragment {
-		r.fail(from, "%s has no process %q", file, fragment)
+		l.fail(from, "%s has no process %q", file, fragment)
 		return nil
 	}
-	return r.process(document, version, inherited, append(outer, file+"#"))
+	return l.process(document, version, inherited, append(outer, file+"#"))
 }
 
 // field returns the first field of a name in a mapping. It reports false if there is none,
@@ -82,9 +82,9 @@
 
 // findInGraph returns the process with an id in a document's $graph. If there is none it
 // reports that, at the reference from, and returns false.
-func (r *loader) findInGraph(graph place, id string, from place) (place, bool) {
+func (l *loader) findInGraph(graph place, id string, from place) (place, bool) {
 	if graph.node.Kind != yaml.SequenceNode {
-		r.fail(graph, "expected a list of processes, found %s", kindOf(graph.node))
+		l.fail(graph, "expected a list of processes, found %s", kindOf(graph.node))
 		return place{}, false
 	}
 	for i, node := range graph.node.Content {
@@ -92,7 +92,7 @@
 			return graph.in(fmt.Sprintf("[%d]", i), node), true
 		}
 	}
-	r.fail(place{graph.file, from.field, from.node}, "$graph has no process %q", id)
+	l.fail(place{graph.file, from.field, from.node}, "$graph has no process %q", id)
 	return place{}, false
 }
 
@@ -124,12 +124,12 @@
 
 // process reads a process where it stands. version is the cwlVersion of the document around
 // it; outer ends with the process itself.
-func (r *loader) process(a place, version string, inherited Needs, outer []string) *Process {
+func (l *loader) process(at place, version string, inherited Needs, outer []string) *Process {
 	if len(outer) > maxNesting || slices.Contains(outer[:max(0, len(outer)-1)], outer[len(outer)-1]) {
-		r.fail(a, "is within itself")
+		l.fail(at, "is within itself")
 		return nil
 	}
-	class, ownVersion, ok := r.classAndVersion(a)
+	class, ownVersion, ok := l.classAndVersion(at)
 	if !ok {
 		return nil
 	}
@@ -138,33 +138,33 @@
 	}
 	classFields, ok := fieldsOfClass[class]
 	if !ok {
-		r.fail(a, "class is missing; expected CommandLineTool, ExpressionTool or Workflow")
+		l.fail(at, "class is missing; expected CommandLineTool, ExpressionTool or Workflow")
 		return nil
 	}
-	f := r.fields(a, slices.Concat(classFields, commonFields)...)
-	r.checkVersion(a, f, version)
-	p := &Process{Class: class, ID: idOf(a.node), Needs: inherited, where: a}
+	f := l.fields(at, slices.Concat(classFields, commonFields)...)
+	l.checkVersion(at, f, version)
+	p := &Process{Class: class, ID: idOf(at.node), Needs: inherited, where: at}
 	if label, ok := f["label"]; ok {
-		p.Label = r.text(label)
+		p.Label = l.text(label)
 	}
-	r.needs(&p.Needs, f["requirements"], true)
-	r.needs(&p.Needs, f["hints"], false)
-	r.readParameters(p, f)
+	l.needs(&p.Needs, f["requirements"], true)
+	l.needs(&p.Needs, f["hints"], false)
+	l.readParameters(p, f)
 	switch class {
 	case "CommandLineTool":
-		p.Tool = r.tool(a, f)
+		p.Tool = l.tool(at, f)
 	case "ExpressionTool":
 		if expression, ok := f["expression"]; ok {
-			p.Expression = r.text(expression)
+			p.Expression = l.text(expression)
 		} else {
-			r.fail(a, "expression is missing")
+			l.fail(at, "expression is missing")
 		}
 	case "Workflow":
 		if _, ok := f["steps"]; !ok {
-			r.fail(a, "steps is missing")
+			l.fail(at, "steps is missing")
 		}
-		r.named(f["steps"], "id", "", func(id string, x place) {
-			if step := r.step(id, x, p, version, outer); step != nil {
+		l.named(f["steps"], "id", "", func(id string, x place) {
+			if step := l.step(id, x, p, version, outer); step != nil {
 				p.Steps = append(p.Steps, step)
 			}
 		})
@@ -174,19 +174,19 @@
 
 // classAndVersion reads the class of a process, "" if it has none, and its cwlVersion, nil if
 // it has none of its own. It reports false if the class is not known; reading can't go on then.
-func (r *loader) classAndVersion(a place) (class string, version *string, ok bool) {
-	if a.node == nil || a.node.Kind != yaml.MappingNode {
+func (l *loader) classAndVersion(at place) (class string, version *string, ok bool) {
+	if at.node == nil || at.node.Kind != yaml.MappingNode {
 		return "", nil, true
 	}
-	for _, e := range entries(a.node) {
+	for _, e := range entries(at.node) {
 		switch e.key.Value {
 		case "class":
-			class = r.oneOf(a.in("class", e.node), "CommandLineTool", "ExpressionTool", "Workflow")
+			class = l.oneOf(at.in("class", e.node), "CommandLineTool", "ExpressionTool", "Workflow")
 			if class == "" && !isNull(e.node) {
 				return "", nil, false
 			}
 		case "cwlVersion":
-			text := r.text(a.in("cwlVersion", e.node))
+			text := l.text(at.in("cwlVersion", e.node))
 			version = &text
 		}
 	}
@@ -195,56 +195,58 @@
 
 // checkVersion reports a version that is missing or not supported. f are the fields of the
 // process at a.
-func (r *loader) checkVersion(a place, f map[string]place, version string) {
+func (l *loader) checkVersion(at place, f map[string]place, version string) {
 	switch version {
 	case "v1.2", "v1.1", "v1.0":
 	case "":
-		r.fail(a, "cwlVersion is missing; expected v1.2")
+		l.fail(at, "cwlVersion is missing; expected v1.2")
 	default:
-		r.fail(f["cwlVersion"].orSelf(a), "version %q is not supported; expected v1.2", version)
+		l.fail(f["cwlVersion"].orSelf(at), "version %q is not supported; expected v1.2", version)
 	}
 }
 
 // readParameters reads the inputs and outputs of a process from its fields.
-func (r *loader) readParameters(p *Process, f map[string]place) {
+func (l *loader) readParameters(p *Process, f map[string]place) {
 	for _, fieldName := range []string{"inputs", "outputs"} {
 		if _, ok := f[fieldName]; !ok {
-			r.fail(p.where, "%s is missing", fieldName)
+			l.fail(p.where, "%s is missing", fieldName)
 		}
 	}
-	r.named(f["inputs"], "id", "type", func(id string, x place) {
-		p.Inputs = append(p.Inputs, r.parameter(id, p.ID, x, p.Class, true))
+	l.named(f["inputs"], "id", "type", func(id string, x place) {
+		p.Inputs = append(p.Inputs, l.parameter(id, p.ID, x, p.Class, true))
 	})
-	r.named(f["outputs"], "id", "type", func(id string, x place) {
-		p.Outputs = append(p.Outputs, r.parameter(id, p.ID, x, p.Class, false))
+	l.named(f["outputs"], "id", "type", func(id string, x place) {
+		p.Outputs = append(p.Outputs, l.parameter(id, p.ID, x, p.Class, false))
 	})
-	r.unique(p.Inputs, "inputs")
-	r.unique(p.Outputs, "outputs")
+	l.unique(p.Inputs, "inputs")
+	l.unique(p.Outputs, "outputs")
 }
 
 // orSelf returns the place, and self where the field is missing.
-func (a place) orSelf(self place) place {
-	if a.node == nil {
+func (at place) orSelf(self place) place {
+	if at.node == nil {
 		return self
 	}
-	return a
+	return at
 }
 
 // unique reports parameters whose id is given twice. fieldName is "inputs" or "outputs".
-func (r *loader) unique(parameters []Parameter, fieldName string) {
+func (l *loader) unique(parameters []Parameter, fieldName string) {
 	seen := map[string]bool{}
 	for _, p := range parameters {
 		if seen[p.ID] {
-			r.fail(p.where, "%s %q is given twice", fieldName, p.ID)
+			l.fail(p.where, "%s %q is given twice", fieldName, p.ID)
 		}
 		seen[p.ID] = true
 	}
 }
 
-func (r *loader) parameter(id, of string, a place, class string, input bool) Parameter {
-	p := Parameter{ID: id, where: a}
-	f := r.fields(
-		a,
+// parameter reads an input or an output of a process of the class given. workflowID is the id
+// of that process.
+func (l *loader) parameter(id, workflowID string, at place, class string, input bool) Parameter {
+	p := Parameter{ID: id, where: at}
+	f := l.fields(
+		at,
 		"id",
 		"type",
 		"label",
@@ -261,37 +263,37 @@
 		"linkMerge",
 		"pickValue",
 	)
-	ty := f["type"]
-	if ty.node != nil && ty.node.Kind == yaml.ScalarNode &&
-		slices.Contains([]string{"stdin", "stdout", "stderr"}, ty.node.Value) &&
+	typeField := f["type"]
+	if typeField.node != nil && typeField.node.Kind == yaml.ScalarNode &&
+		slices.Contains([]string{"stdin", "stdout", "stderr"}, typeField.node.Value) &&
 		class == "CommandLineTool" {
-		if (ty.node.Value == "stdin") != input {
-			r.fail(ty, "%s can't be the type of this", ty.node.Value)
+		if (typeField.node.Value == "stdin") != input {
+			l.fail(typeField, "%s can't be the type of this", typeField.node.Value)
 		}
-		p.Stream, p.Type = ty.node.Value, &Type{Kind: KindFile}
+		p.Stream, p.Type = typeField.node.Value, &Type{Kind: KindFile}
 	} else {
-		p.Type = r.readType(ty.or(a), 0)
+		p.Type = l.readType(typeField.or(at), 0)
 	}
 	if d, ok := f["default"]; ok {
 		p.Default = value(d.node)
 		if err := p.Type.Check(p.Default); err != nil && p.Default != nil {
-			r.fail(d, "%v", err)
+			l.fail(d, "%v", err)
 		}
 	}
-	p.SecondaryFiles = r.readSecondary(f["secondaryFiles"])
-	p.Format = r.texts(f["format"])
-	p.LoadContents = r.boolean(f["loadContents"], false)
+	p.SecondaryFiles = l.readSecondary(f["secondaryFiles"])
+	p.Format = l.texts(f["format"])
+	p.LoadContents = l.boolean(f["loadContents"], false)
 	if b, ok := f["inputBinding"]; ok {
-		p.Binding = r.readBinding(b)
+		p.Binding = l.readBinding(b)
 	}
 	if b, ok := f["outputBinding"]; ok {
-		p.OutputBinding = r.readOutputBinding(b)
+		p.OutputBinding = l.readOutputBinding(b)
 	}
-	for _, s := range r.texts(f["outputSource"]) {
-		p.Source = append(p.Source, sourceName(s, of))
+	for _, s := range l.texts(f["outputSource"]) {
+		p.Source = append(p.Source, sourceName(s, workflowID))
 	}
-	p.LinkMerge = r.oneOf(f["linkMerge"], MergeNested, MergeFlattened)
-	p.PickValue = r.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll)
+	p.LinkMerge = l.oneOf(f["linkMerge"], MergeNested, MergeFlattened)
+	p.PickValue = l.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll)
 	return p
 }
 
@@ -312,62 +314,64 @@
 	return s
 }
 
-func (r *loader) readSecondary(a place) []SecondaryFile {
-	if isNull(a.node) {
+// readSecondary reads secondaryFiles: one pattern or a list of them.
+func (l *loader) readSecondary(at place) []SecondaryFile {
+	if isNull(at.node) {
 		return nil
 	}
 	one := func(x place) SecondaryFile {
 		if x.node.Kind == yaml.ScalarNode {
-			p, optional := strings.CutSuffix(r.text(x), "?")
+			p, optional := strings.CutSuffix(l.text(x), "?")
 			if optional {
 				return SecondaryFile{Pattern: p, Required: "false"}
 			}
 			return SecondaryFile{Pattern: p}
 		}
-		f := r.fields(x, "pattern", "required")
-		s := SecondaryFile{Pattern: r.text(f["pattern"])}
+		f := l.fields(x, "pattern", "required")
+		s := SecondaryFile{Pattern: l.text(f["pattern"])}
 		if s.Pattern == "" {
-			r.fail(x, "pattern is missing")
+			l.fail(x, "pattern is missing")
 		}
 		if q, ok := f["required"]; ok && !isNull(q.node) {
 			s.Required = q.node.Value
 		}
 		return s
 	}
-	if a.node.Kind != yaml.SequenceNode {
-		return []SecondaryFile{one(a)}
+	if at.node.Kind != yaml.SequenceNode {
+		return []SecondaryFile{one(at)}
 	}
 	var out []SecondaryFile
-	for i, c := range a.node.Content {
-		out = append(out, one(a.in(fmt.Sprintf("[%d]", i), c)))
+	for i, c := range at.node.Content {
+		out = append(out, one(at.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
 // scalar reads a number or an expression as its text.
-func (r *loader) scalar(a place) string {
-	if isNull(a.node) {
+func (l *loader) scalar(at place) string {
+	if isNull(at.node) {
 		return ""
 	}
-	if a.node.Kind != yaml.ScalarNode {
-		r.fail(a, "expected a number or an expression, found %s", kindOf(a.node))
+	if at.node.Kind != yaml.ScalarNode {
+		l.fail(at, "expected a number or an expression, found %s", kindOf(at.node))
 		return ""
 	}
-	if tag := a.node.ShortTag(); tag == "!!str" && !strings.Contains(a.node.Value, "$") {
-		r.fail(a, "expected a number or an expression, found %s", kindOf(a.node))
+	if tag := at.node.ShortTag(); tag == "!!str" && !strings.Contains(at.node.Value, "$") {
+		l.fail(at, "expected a number or an expression, found %s", kindOf(at.node))
 	}
-	return a.node.Value
+	return at.node.Value
 }
 
-func (r *loader) readBinding(a place) *Binding {
-	f := r.fields(a, "position", "prefix", "separate", "itemSeparator", "valueFrom", "loadContents", "shellQuote")
-	b := &Binding{where: a, Position: r.scalar(f["position"]), NoSeparate: !r.boolean(f["separate"], true),
-		LoadContents: r.boolean(f["loadContents"], false), NoShellQuote: !r.boolean(f["shellQuote"], true)}
+// readBinding reads a command line binding.
+func (l *loader) readBinding(at place) *Binding {
+	f := l.fields(at, "position", "prefix", "separate", "itemSeparator", "valueFrom", "loadContents", "shellQuote")
+	b := &Binding{where: at, Position: l.scalar(f["position"]), NoSeparate: !l.boolean(f["separate"], true),
+		LoadContents: l.boolean(f["loadContents"], false), NoShellQuote: !l.boolean(f["shellQuote"], true)}
 	if x, ok := f["prefix"]; ok {
-		b.Prefix = r.text(x)
+		b.Prefix = l.text(x)
 	}
 	if x, ok := f["itemSeparator"]; ok && !isNull(x.node) {
-		s := r.text(x)
+		s := l.text(x)
 		b.ItemSeparator = &s
 	}
 	if x, ok := f["valueFrom"]; ok {
@@ -376,46 +380,47 @@
 	return b
 }
 
-func (r *loader) readOutputBinding(a place) *OutputBinding {
-	f := r.fields(a, "glob", "loadContents", "loadListing", "outputEval")
-	b := &OutputBinding{Glob: r.texts(f["glob"]), LoadContents: r.boolean(f["loadContents"], false)}
+// readOutputBinding reads an output binding.
+func (l *loader) readOutputBinding(at place) *OutputBinding {
+	f := l.fields(at, "glob", "loadContents", "loadListing", "outputEval")
+	b := &OutputBinding{Glob: l.texts(f["glob"]), LoadContents: l.boolean(f["loadContents"], false)}
 	if x, ok := f["outputEval"]; ok {
-		b.OutputEval = r.text(x)
+		b.OutputEval = l.text(x)
 	}
 	return b
 }
 
 // tool reads what is particular to a command line tool from the fields of the process at a.
-func (r *loader) tool(a place, f map[string]place) *Tool {
+func (l *loader) tool(at place, f map[string]place) *Tool {
 	t := &Tool{
-		Command: r.texts(f["baseCommand"]),
-		Success: r.ints(f["successCodes"]),
-		Retry:   r.ints(f["temporaryFailCodes"]),
-		Failed:  r.ints(f["permanentFailCodes"]),
+		Command: l.texts(f["baseCommand"]),
+		Success: l.ints(f["successCodes"]),
+		Retry:   l.ints(f["temporaryFailCodes"]),
+		Failed:  l.ints(f["permanentFailCodes"]),
 	}
 	for _, stream := range []struct {
 		field string
 		to    *string
 	}{{"stdin", &t.Stdin}, {"stdout", &t.Stdout}, {"stderr", &t.Stderr}} {
 		if x, ok := f[stream.field]; ok && !isNull(x.node) {
-			*stream.to = r.text(x)
+			*stream.to = l.text(x)
 		}
 	}
 	if arguments, ok := f["arguments"]; ok {
 		if arguments.node.Kind != yaml.SequenceNode {
-			r.fail(arguments, "expected a list, found %s", kindOf(arguments.node))
+			l.fail(arguments, "expected a list, found %s", kindOf(arguments.node))
 			return t
 		}
-		t.Arguments = r.arguments(arguments)
+		t.Arguments = l.arguments(arguments)
 	}
 	if len(t.Command) == 0 && len(t.Arguments) == 0 {
-		r.fail(a, "a tool needs a baseCommand or arguments")
+		l.fail(at, "a tool needs a baseCommand or arguments")
 	}
 	return t
 }
 
 // arguments reads a list of arguments, each a text or a binding with a valueFrom.
-func (r *loader) arguments(list place) []Argument {
+func (l *loader) arguments(list place) []Argument {
 	var arguments []Argument
 	for i, node := range list.node.Content {
 		if node.Kind == yaml.ScalarNode {
@@ -423,9 +428,9 @@
 			continue
 		}
 		x := list.in(fmt.Sprintf("[%d]", i), node)
-		binding := r.readBinding(x)
+		binding := l.readBinding(x)
 		if binding.ValueFrom == "" {
-			r.fail(x, "valueFrom is missing in an argument")
+			l.fail(x, "valueFrom is missing in an argument")
 		}
 		arguments = append(arguments, Argument{Binding: binding})
 	}
@@ -435,63 +440,63 @@
 // step reads a step of a workflow and the process that it runs. version is the workflow's
 // cwlVersion; outer are the processes that the step is in. It returns nil if the process
 // can't be read.
-func (r *loader) step(id string, a place, workflow *Process, version string, outer []string) *Step {
-	f := r.fields(
-		a,
+func (l *loader) step(id string, at place, workflow *Process, version string, outer []string) *Step {
+	f := l.fields(
+		at,
 		"id", "label", "doc", "in", "out", "run", "when", "scatter", "scatterMethod", "requirements", "hints",
 	)
-	s := &Step{ID: id, Needs: workflow.Needs, where: a}
-	r.needs(&s.Needs, f["requirements"], true)
-	r.needs(&s.Needs, f["hints"], false)
-	r.named(f["in"], "id", "source", func(inputID string, x place) {
-		s.In = append(s.In, r.stepInput(inputID, workflow.ID, x))
+	s := &Step{ID: id, Needs: workflow.Needs, where: at}
+	l.needs(&s.Needs, f["requirements"], true)
+	l.needs(&s.Needs, f["hints"], false)
+	l.named(f["in"], "id", "source", func(inputID string, x place) {
+		s.In = append(s.In, l.stepInput(inputID, workflow.ID, x))
 	})
 	if out, ok := f["out"]; ok {
-		s.Out = r.stepOutputs(out)
+		s.Out = l.stepOutputs(out)
 	} else {
-		r.fail(a, "out is missing")
+		l.fail(at, "out is missing")
 	}
 	if when, ok := f["when"]; ok && !isNull(when.node) {
-		s.When = r.text(when)
+		s.When = l.text(when)
 	}
-	for _, input := range r.texts(f["scatter"]) {
+	for _, input := range l.texts(f["scatter"]) {
 		s.Scatter = append(s.Scatter, localName(input))
 	}
-	s.Method = r.oneOf(f["scatterMethod"], DotProduct, NestedCrossProduct, FlatCrossProduct)
+	s.Method = l.oneOf(f["scatterMethod"], DotProduct, NestedCrossProduct, FlatCrossProduct)
 	if len(s.Scatter) > 1 && s.Method == "" {
-		r.fail(
-			a,
+		l.fail(
+			at,
 			"scatterMethod is missing; with several inputs expected one of %s, %s, %s",
 			DotProduct, NestedCrossProduct, FlatCrossProduct,
 		)
 	}
 	run, ok := f["run"]
 	if !ok {
-		r.fail(a, "run is missing")
+		l.fail(at, "run is missing")
 		return nil
 	}
-	if s.Run = r.stepProcess(run, s.Needs, version, outer); s.Run == nil {
+	if s.Run = l.stepProcess(run, s.Needs, version, outer); s.Run == nil {
 		return nil
 	}
 	return s
 }
 
 // stepInput reads an input of a step in the workflow with the id given.
-func (r *loader) stepInput(id, workflowID string, a place) StepInput {
-	f := r.fields(
-		a,
+func (l *loader) stepInput(id, workflowID string, at place) StepInput {
+	f := l.fields(
+		at,
 		"id", "label", "source", "linkMerge", "pickValue", "default", "valueFrom", "loadContents", "loadListing",
 	)
 	in := StepInput{
 		ID:           id,
-		where:        a,
-		LinkMerge:    r.oneOf(f["linkMerge"], MergeNested, MergeFlattened),
-		PickValue:    r.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll),
-		LoadContents: r.boolean(f["loadContents"], false),
+		where:        at,
+		LinkMerge:    l.oneOf(f["linkMerge"], MergeNested, MergeFlattened),
+		PickValue:    l.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll),
+		LoadContents: l.boolean(f["loadContents"], false),
 	}
 	if source, ok := f["source"]; ok {
 		in.List = source.node.Kind == yaml.SequenceNode
-		for _, text := range r.texts(source) {
+		for _, text := range l.texts(source) {
 			in.Source = append(in.Source, sourceName(text, workflowID))
 		}
 	}
@@ -506,9 +511,9 @@
 
 // stepOutputs reads the names of the outputs that a step lists, each a text or a mapping
 // with an id.
-func (r *loader) stepOutputs(out place) []string {
+func (l *loader) stepOutputs(out place) []string {
 	if out.node.Kind != yaml.SequenceNode {
-		r.fail(out, "expected a list of outputs, found %s", kindOf(out.node))
+		l.fail(out, "expected a list of outputs, found %s", kindOf(out.node))
 		return nil
 	}
 	var names []string
@@ -516,7 +521,7 @@
 		if node.Kind == yaml.MappingNode {
 			names = append(names, idOf(node))
 		} else {
-			names = append(names, localName(r.text(out.in(fmt.Sprintf("[%d]", i), node))))
+			names = append(names, localName(l.text(out.in(fmt.Sprintf("[%d]", i), node))))
 		}
 	}
 	return names
@@ -524,17 +529,17 @@
 
 // stepProcess reads the process that a step runs, which stands in its field run or is
 // referred to there. It returns nil if it can't be read.
-func (r *loader) stepProcess(run place, inherited Needs, version string, outer []string) *Process {
+func (l *loader) stepProcess(run place, inherited Needs, version string, outer []string) *Process {
 	if run.node.Kind == yaml.MappingNode {
 		place := fmt.Sprintf("%s#%d:%d", run.file, run.node.Line, run.node.Column)
-		return r.process(run, version, inherited, append(slices.Clone(outer), place))
+		return l.process(run, version, inherited, append(slices.Clone(outer), place))
 	}
-	file, fragment, err := resolve(run.file, r.text(run))
+	file, fragment, err := resolve(run.file, l.text(run))
 	if err != nil {
-		r.fail(run, "%v", err)
+		l.fail(run, "%v", err)
 		return nil
 	}
-	return r.load(run, file, fragment, inherited, slices.Clone(outer))
+	return l.load(run, file, fragment, inherited, slices.Clone(outer))
 }
 
 // value turns a node into a value: nil, bool, int64, float64, string, []any or
--- a/internal/workflow/cwl/model.go
+++ b/internal/workflow/cwl/model.go
@@ -162,7 +162,7 @@
 	Writable bool
 }
 
-// input finds an input by name.
+// input finds an input by name, nil if there is none.
 func (p *Process) input(id string) *Parameter {
 	for i := range p.Inputs {
 		if p.Inputs[i].ID == id {
@@ -172,6 +172,7 @@
 	return nil
 }
 
+// output finds an output by name, nil if there is none.
 func (p *Process) output(id string) *Parameter {
 	for i := range p.Outputs {
 		if p.Outputs[i].ID == id {
--- a/internal/workflow/cwl/outputs.go
+++ b/internal/workflow/cwl/outputs.go
@@ -14,8 +14,8 @@
 	// Glob lists what a pattern matches, in the order of names: values of class File or
 	// Directory with at least path and basename.
 	Glob(pattern string) ([]map[string]any, error)
-	// Read returns a file's first bytes, at most so many.
-	Read(path string, most int) ([]byte, error)
+	// Read returns a file's first bytes, at most limit.
+	Read(path string, limit int) ([]byte, error)
 	// Stat returns the value of a path, nil if nothing is there.
 	Stat(path string) (map[string]any, error)
 }
@@ -69,7 +69,7 @@
 	dir Dir,
 	runtime map[string]any,
 ) (map[string]any, error) {
-	sc := Scope{Inputs: inputs, Runtime: runtime}
+	scope := Scope{Inputs: inputs, Runtime: runtime}
 	if f, err := dir.Stat(outputObject); err != nil {
 		return nil, err
 	} else if f != nil {
@@ -82,7 +82,7 @@
 		if o.Stream != "" {
 			b = &OutputBinding{Glob: []string{map[string]string{"stdout": cmd.Stdout, "stderr": cmd.Stderr}[o.Stream]}}
 		}
-		v, err := p.collect(ctx, o.Type, b, o.SecondaryFiles, sc, dir)
+		v, err := p.collect(ctx, o.Type, b, o.SecondaryFiles, scope, dir)
 		if err != nil {
 			return nil, fmt.Errorf("output %s: %w", o.ID, err)
 		}
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -47,8 +47,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Bundle is what a client hands over: files by their slash-separated relative paths.
-// References lead nowhere else.
+// Bundle is a set of files by their slash-separated relative paths. References between
+// documents are resolved within it only.
 type Bundle map[string][]byte
 
 // Limits of documents.
@@ -58,7 +58,7 @@
 	maxNesting     = 64       // processes within processes, and nodes within nodes
 )
 
-// loader is one loading under way.
+// loader holds the state of one load: what has been parsed, and the problems found so far.
 type loader struct {
 	bundle   Bundle
 	parsed   map[string]*yaml.Node
@@ -68,7 +68,8 @@
 	types    map[string]*Type // of SchemaDefRequirement, by file and name
 }
 
-// place is a place in a file, with the name of what stands there.
+// place is a node of a file with the name of its field, for messages. A missing field is the
+// zero place.
 type place struct {
 	file  string
 	field string
@@ -76,43 +77,43 @@
 }
 
 // in returns the place of a field, or of an element such as "[0]", within this one.
-func (a place) in(field string, n *yaml.Node) place {
-	if a.field != "" && !strings.HasPrefix(field, "[") {
+func (at place) in(field string, n *yaml.Node) place {
+	if at.field != "" && !strings.HasPrefix(field, "[") {
 		field = "." + field
 	}
-	return place{a.file, a.field + field, n}
+	return place{at.file, at.field + field, n}
 }
 
 // problem returns a problem at the place.
-func (a place) problem(format string, args ...any) Problem {
-	p := Problem{File: a.file, Field: a.field, Reason: fmt.Sprintf(format, args...)}
-	if a.node != nil {
-		p.Line, p.Column = a.node.Line, a.node.Column
+func (at place) problem(format string, args ...any) Problem {
+	p := Problem{File: at.file, Field: at.field, Reason: fmt.Sprintf(format, args...)}
+	if at.node != nil {
+		p.Line, p.Column = at.node.Line, at.node.Column
 	}
 	return p
 }
 
 // fail reports a mistake at a place, once.
-func (r *loader) fail(a place, format string, args ...any) {
-	p := a.problem(format, args...)
-	if !slices.Contains(r.problems, p) {
-		r.problems = append(r.problems, p)
+func (l *loader) fail(at place, format string, args ...any) {
+	p := at.problem(format, args...)
+	if !slices.Contains(l.problems, p) {
+		l.problems = append(l.problems, p)
 	}
 }
 
 // warn reports a warning at a place.
-func (r *loader) warn(a place, format string, args ...any) {
-	r.warnings = append(r.warnings, a.problem(format, args...))
+func (l *loader) warn(at place, format string, args ...any) {
+	l.warnings = append(l.warnings, at.problem(format, args...))
 }
 
 var errTooLarge = errors.New("the document is too large or too deeply nested")
 
 // open parses a file of the bundle, once.
-func (r *loader) open(name string) (*yaml.Node, error) {
-	if n, ok := r.parsed[name]; ok {
+func (l *loader) open(name string) (*yaml.Node, error) {
+	if n, ok := l.parsed[name]; ok {
 		return n, nil
 	}
-	b, ok := r.bundle[name]
+	b, ok := l.bundle[name]
 	if !ok {
 		return nil, fmt.Errorf("there is no %q in the bundle", name)
 	}
@@ -120,10 +121,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if n, err = r.directives(name, n, 0); err != nil {
+	if n, err = l.directives(name, n, 0); err != nil {
 		return nil, err
 	}
-	r.parsed[name] = n
+	l.parsed[name] = n
 	return n, nil
 }
 
@@ -148,12 +149,12 @@
 
 // directives follows aliases and carries out $import and $include (Schema Salad, "Import"
 // and "Include"), within the bundle. What it returns shares nothing with its input.
-func (r *loader) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
-	if r.nodes++; r.nodes > maxNodes || depth > maxNesting {
+func (l *loader) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
+	if l.nodes++; l.nodes > maxNodes || depth > maxNesting {
 		return nil, errTooLarge
 	}
 	for n.Kind == yaml.AliasNode {
-		if r.nodes++; r.nodes > maxNodes {
+		if l.nodes++; l.nodes > maxNodes {
 			return nil, errTooLarge
 		}
 		n = n.Alias
@@ -161,13 +162,13 @@
 	if n.Kind == yaml.MappingNode && len(n.Content) == 2 {
 		directive, ref := n.Content[0].Value, n.Content[1]
 		if directive == "$import" || directive == "$include" {
-			return r.insert(place{file, directive, ref}, directive, depth)
+			return l.insert(place{file, directive, ref}, directive, depth)
 		}
 	}
 	out := *n
 	out.Alias, out.Anchor, out.Content = nil, "", nil
 	for _, child := range n.Content {
-		x, err := r.directives(file, child, depth+1)
+		x, err := l.directives(file, child, depth+1)
 		if err != nil {
 			return nil, err
 		}
@@ -178,12 +179,12 @@
 
 // insert returns what the directive $import or $include at a place stands for: the parsed
 // document, or the text of the file, that it refers to.
-func (r *loader) insert(ref place, directive string, depth int) (*yaml.Node, error) {
+func (l *loader) insert(ref place, directive string, depth int) (*yaml.Node, error) {
 	target, _, err := resolve(ref.file, ref.node.Value)
 	if err != nil {
 		return nil, Problems{ref.problem("%v", err)}
 	}
-	text, ok := r.bundle[target]
+	text, ok := l.bundle[target]
 	if !ok {
 		return nil, Problems{ref.problem("there is no %q in the bundle", target)}
 	}
@@ -194,17 +195,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.directives(target, imported, depth+1)
+	return l.directives(target, imported, depth+1)
 }
 
-// stringNode returns a string that stands where place does.
-func stringNode(text string, place *yaml.Node) *yaml.Node {
-	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text, Line: place.Line, Column: place.Column}
+// stringNode returns a string that stands where position does.
+func stringNode(text string, position *yaml.Node) *yaml.Node {
+	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text, Line: position.Line, Column: position.Column}
 }
 
-// emptyMapping returns a mapping without fields that stands where place does.
-func emptyMapping(place *yaml.Node) *yaml.Node {
-	return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: place.Line, Column: place.Column}
+// emptyMapping returns a mapping without fields that stands where position does.
+func emptyMapping(position *yaml.Node) *yaml.Node {
+	return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: position.Line, Column: position.Column}
 }
 
 // resolve is the file and fragment that a reference in a file leads to.
@@ -232,25 +233,25 @@
 
 // fields reads a mapping. Fields outside known that have no namespace are mistakes; what
 // is in a namespace is an extension and passed over ("Extensions and metadata").
-func (r *loader) fields(a place, known ...string) map[string]place {
+func (l *loader) fields(at place, known ...string) map[string]place {
 	out := map[string]place{}
-	if a.node == nil || a.node.Kind != yaml.MappingNode {
-		r.fail(a, "expected fields and values, found %s", kindOf(a.node))
+	if at.node == nil || at.node.Kind != yaml.MappingNode {
+		l.fail(at, "expected fields and values, found %s", kindOf(at.node))
 		return out
 	}
-	for _, e := range entries(a.node) {
+	for _, e := range entries(at.node) {
 		k := e.key.Value
 		if _, twice := out[k]; twice {
-			r.fail(a.in(k, e.key), "is given twice")
+			l.fail(at.in(k, e.key), "is given twice")
 			continue
 		}
 		if len(known) > 0 && !slices.Contains(known, k) {
 			if !strings.Contains(k, ":") && !strings.HasPrefix(k, "$") {
-				r.fail(a.in(k, e.key), "no such field; expected one of %s", strings.Join(known, ", "))
+				l.fail(at.in(k, e.key), "no such field; expected one of %s", strings.Join(known, ", "))
 			}
 			continue
 		}
-		out[k] = a.in(k, e.node)
+		out[k] = at.in(k, e.node)
 	}
 	return out
 }
@@ -300,60 +301,60 @@
 }
 
 // text reads a string.
-func (r *loader) text(a place) string {
-	if a.node == nil {
+func (l *loader) text(at place) string {
+	if at.node == nil {
 		return ""
 	}
-	if a.node.Kind != yaml.ScalarNode || a.node.ShortTag() != "!!str" {
-		r.fail(a, "expected a string, found %s", kindOf(a.node))
+	if at.node.Kind != yaml.ScalarNode || at.node.ShortTag() != "!!str" {
+		l.fail(at, "expected a string, found %s", kindOf(at.node))
 		return ""
 	}
-	return a.node.Value
+	return at.node.Value
 }
 
 // texts reads a string or a list of strings.
-func (r *loader) texts(a place) []string {
-	if isNull(a.node) {
+func (l *loader) texts(at place) []string {
+	if isNull(at.node) {
 		return nil
 	}
-	if a.node.Kind != yaml.SequenceNode {
-		return []string{r.text(a)}
+	if at.node.Kind != yaml.SequenceNode {
+		return []string{l.text(at)}
 	}
 	out := []string{}
-	for i, c := range a.node.Content {
-		out = append(out, r.text(a.in(fmt.Sprintf("[%d]", i), c)))
+	for i, c := range at.node.Content {
+		out = append(out, l.text(at.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
 // boolean reads true or false, fallback if the field is missing or null.
-func (r *loader) boolean(a place, fallback bool) bool {
-	if isNull(a.node) {
+func (l *loader) boolean(at place, fallback bool) bool {
+	if isNull(at.node) {
 		return fallback
 	}
-	if a.node.ShortTag() != "!!bool" {
-		r.fail(a, "expected true or false, found %s", kindOf(a.node))
+	if at.node.ShortTag() != "!!bool" {
+		l.fail(at, "expected true or false, found %s", kindOf(at.node))
 		return fallback
 	}
 	var v bool
-	_ = a.node.Decode(&v)
+	_ = at.node.Decode(&v)
 	return v
 }
 
 // ints reads a list of whole numbers.
-func (r *loader) ints(a place) []int {
+func (l *loader) ints(at place) []int {
 	var out []int
-	if isNull(a.node) {
+	if isNull(at.node) {
 		return nil
 	}
-	if a.node.Kind != yaml.SequenceNode {
-		r.fail(a, "expected a list of whole numbers, found %s", kindOf(a.node))
+	if at.node.Kind != yaml.SequenceNode {
+		l.fail(at, "expected a list of whole numbers, found %s", kindOf(at.node))
 		return nil
 	}
-	for i, c := range a.node.Content {
+	for i, c := range at.node.Content {
 		var v int
 		if c.ShortTag() != "!!int" || c.Decode(&v) != nil {
-			r.fail(a.in(fmt.Sprintf("[%d]", i), c), "expected a whole number, found %s", kindOf(c))
+			l.fail(at.in(fmt.Sprintf("[%d]", i), c), "expected a whole number, found %s", kindOf(c))
 			continue
 		}
 		out = append(out, v)
@@ -362,41 +363,41 @@
 }
 
 // oneOf reads a string out of those allowed, "" if the field is missing or has another value.
-func (r *loader) oneOf(a place, allowed ...string) string {
-	if isNull(a.node) {
+func (l *loader) oneOf(at place, allowed ...string) string {
+	if isNull(at.node) {
 		return ""
 	}
-	if a.node.Kind != yaml.ScalarNode || !slices.Contains(allowed, a.node.Value) {
-		r.fail(a, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(a.node))
+	if at.node.Kind != yaml.ScalarNode || !slices.Contains(allowed, at.node.Value) {
+		l.fail(at, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(at.node))
 		return ""
 	}
-	return a.node.Value
+	return at.node.Value
 }
 
 // named reads a list of things with an id, or the same as a mapping from ids ("Identifier
 // maps"), and calls f for each. key is the field that has the id; a value in a mapping that
 // isn't a mapping itself stands for the field that predicate names, "" for none.
-func (r *loader) named(a place, key, predicate string, f func(id string, a place)) {
-	if isNull(a.node) {
+func (l *loader) named(at place, key, predicate string, f func(id string, at place)) {
+	if isNull(at.node) {
 		return
 	}
-	switch a.node.Kind {
+	switch at.node.Kind {
 	case yaml.MappingNode:
-		r.namedInMapping(a, predicate, f)
+		l.namedInMapping(at, predicate, f)
 	case yaml.SequenceNode:
-		r.namedInList(a, key, f)
+		l.namedInList(at, key, f)
 	default:
-		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.node))
+		l.fail(at, "expected a list or a mapping, found %s", kindOf(at.node))
 	}
 }
 
 // namedInMapping is named for a mapping from ids.
-func (r *loader) namedInMapping(a place, predicate string, f func(id string, a place)) {
+func (l *loader) namedInMapping(at place, predicate string, f func(id string, at place)) {
 	seen := map[string]bool{}
-	for _, e := range entries(a.node) {
+	for _, e := range entries(at.node) {
 		id := e.key.Value
 		if seen[id] {
-			r.fail(a.in(id, e.key), "is given twice")
+			l.fail(at.in(id, e.key), "is given twice")
 			continue
 		}
 		seen[id] = true
@@ -409,37 +410,37 @@
 			node = emptyMapping(short)
 			node.Content = []*yaml.Node{stringNode(predicate, short), short}
 		}
-		f(id, a.in(id, node))
+		f(id, at.in(id, node))
 	}
 }
 
 // namedInList is named for a list.
-func (r *loader) namedInList(a place, key string, f func(id string, a place)) {
-	for i, node := range a.node.Content {
-		item := a.in(fmt.Sprintf("[%d]", i), node)
+func (l *loader) namedInList(at place, key string, f func(id string, at place)) {
+	for i, node := range at.node.Content {
+		item := at.in(fmt.Sprintf("[%d]", i), node)
 		if node.Kind != yaml.MappingNode {
-			r.fail(item, "expected fields and values, found %s", kindOf(node))
+			l.fail(item, "expected fields and values, found %s", kindOf(node))
 			continue
 		}
-		id := r.textField(item, key)
+		id := l.textField(item, key)
 		if id == "" {
-			r.fail(item, "%s is missing", key)
+			l.fail(item, "%s is missing", key)
 			continue
 		}
-		f(localName(id), a.in(localName(id), node))
+		f(localName(id), at.in(localName(id), node))
 	}
 }
 
 // textField reads one field of a mapping as a string, "" if the field is missing or a is no
 // mapping. Of a field given several times it is the last.
-func (r *loader) textField(a place, field string) string {
+func (l *loader) textField(at place, field string) string {
 	text := ""
-	if a.node.Kind != yaml.MappingNode {
+	if at.node.Kind != yaml.MappingNode {
 		return text
 	}
-	for _, e := range entries(a.node) {
+	for _, e := range entries(at.node) {
 		if e.key.Value == field {
-			text = r.text(a.in(field, e.node))
+			text = l.text(at.in(field, e.node))
 		}
 	}
 	return text
@@ -454,18 +455,18 @@
 }
 
 // References lists the files that a document refers to by run, $import or $include, as
-// paths in its bundle, for clients that put a bundle together. What leads out of it, or
-// can't be read, is left out: Load tells of it.
+// paths in its bundle, for clients that put a bundle together. References that lead out of it,
+// or can't be read, are left out: Load reports them.
 func References(file string, b []byte) []string {
 	n, err := parseYAML(file, b)
 	if err != nil {
 		return nil
 	}
 	var out []string
-	left := maxNodes
+	remaining := maxNodes
 	var walk func(n *yaml.Node, depth int)
 	walk = func(n *yaml.Node, depth int) {
-		if left--; left < 0 || depth > maxNesting || n.Kind == yaml.AliasNode {
+		if remaining--; remaining < 0 || depth > maxNesting || n.Kind == yaml.AliasNode {
 			return
 		}
 		if n.Kind == yaml.MappingNode {
--- a/internal/workflow/cwl/types.go
+++ b/internal/workflow/cwl/types.go
@@ -104,29 +104,29 @@
 
 // readType reads a type in any of its forms ("Type DSL" of Schema Salad: "File?", "int[]").
 // depth is how many types it is in. What can't be read is reported, and Any stands for it.
-func (r *loader) readType(a place, depth int) *Type {
+func (l *loader) readType(at place, depth int) *Type {
 	if depth > maxNesting {
-		r.fail(a, "is nested too deeply")
+		l.fail(at, "is nested too deeply")
 		return &Type{Kind: KindAny}
 	}
-	if isNull(a.node) {
-		r.fail(a, "the type is missing")
+	if isNull(at.node) {
+		l.fail(at, "the type is missing")
 		return &Type{Kind: KindAny}
 	}
-	switch a.node.Kind {
+	switch at.node.Kind {
 	case yaml.ScalarNode:
-		return r.typeName(a, a.node.Value)
+		return l.typeName(at, at.node.Value)
 	case yaml.SequenceNode:
-		return r.readUnion(a, depth)
+		return l.readUnion(at, depth)
 	}
-	return r.readTypeDefinition(a, depth)
+	return l.readTypeDefinition(at, depth)
 }
 
 // readUnion reads a list of types, a union within it as its alternatives.
-func (r *loader) readUnion(a place, depth int) *Type {
+func (l *loader) readUnion(at place, depth int) *Type {
 	union := &Type{Kind: KindUnion}
-	for i, node := range a.node.Content {
-		alternative := r.readType(a.in(fmt.Sprintf("[%d]", i), node), depth+1)
+	for i, node := range at.node.Content {
+		alternative := l.readType(at.in(fmt.Sprintf("[%d]", i), node), depth+1)
 		if alternative.Kind == KindUnion {
 			union.Union = append(union.Union, alternative.Union...)
 		} else {
@@ -135,7 +135,7 @@
 	}
 	switch len(union.Union) {
 	case 0:
-		r.fail(a, "a union of no types has no values")
+		l.fail(at, "a union of no types has no values")
 		return &Type{Kind: KindAny}
 	case 1:
 		return union.Union[0]
@@ -145,9 +145,9 @@
 
 // readTypeDefinition reads a type written as a mapping: an array, an enum, a record, or a
 // type of another form in the field type.
-func (r *loader) readTypeDefinition(a place, depth int) *Type {
-	f := r.fields(
-		a,
+func (l *loader) readTypeDefinition(at place, depth int) *Type {
+	f := l.fields(
+		at,
 		"type", "items", "fields", "symbols", "name", "label", "doc", "inputBinding",
 		"outputBinding", "streamable", "format", "id", "secondaryFiles",
 	)
@@ -157,74 +157,74 @@
 	}
 	t := &Type{Kind: kind}
 	if typeName, ok := f["name"]; ok {
-		t.Name = localName(r.text(typeName))
+		t.Name = localName(l.text(typeName))
 	}
 	if binding, ok := f["inputBinding"]; ok {
-		t.Binding = r.readBinding(binding)
+		t.Binding = l.readBinding(binding)
 	}
 	switch kind {
 	case KindArray:
 		items, ok := f["items"]
 		if !ok {
-			r.fail(a, "items is missing in an array")
+			l.fail(at, "items is missing in an array")
 			return &Type{Kind: KindAny}
 		}
-		t.Items = r.readType(items, depth+1)
+		t.Items = l.readType(items, depth+1)
 	case KindEnum:
-		for _, symbol := range r.texts(f["symbols"]) {
+		for _, symbol := range l.texts(f["symbols"]) {
 			t.Symbols = append(t.Symbols, localName(symbol))
 		}
 		if len(t.Symbols) == 0 {
-			r.fail(a, "symbols is missing in an enum")
+			l.fail(at, "symbols is missing in an enum")
 		}
 	case KindRecord:
-		r.named(f["fields"], "name", "type", func(fieldName string, x place) {
-			t.Fields = append(t.Fields, r.readRecordField(fieldName, x, depth))
+		l.named(f["fields"], "name", "type", func(fieldName string, x place) {
+			t.Fields = append(t.Fields, l.readRecordField(fieldName, x, depth))
 		})
 	default:
 		if inner, ok := f["type"]; ok {
-			return r.readType(inner, depth+1)
+			return l.readType(inner, depth+1)
 		}
-		r.fail(a, "the type is missing")
+		l.fail(at, "the type is missing")
 		return &Type{Kind: KindAny}
 	}
 	return t
 }
 
 // readRecordField reads one field of a record at the given depth.
-func (r *loader) readRecordField(fieldName string, a place, depth int) Field {
-	f := r.fields(
-		a,
+func (l *loader) readRecordField(fieldName string, at place, depth int) Field {
+	f := l.fields(
+		at,
 		"name", "type", "label", "doc", "inputBinding", "outputBinding", "secondaryFiles",
 		"streamable", "format", "loadContents", "loadListing",
 	)
 	field := Field{
 		Name:           fieldName,
-		Type:           r.readType(f["type"].or(a), depth+1),
-		SecondaryFiles: r.readSecondary(f["secondaryFiles"]),
+		Type:           l.readType(f["type"].or(at), depth+1),
+		SecondaryFiles: l.readSecondary(f["secondaryFiles"]),
 	}
 	if binding, ok := f["inputBinding"]; ok {
-		field.Binding = r.readBinding(binding)
+		field.Binding = l.readBinding(binding)
 	}
 	if binding, ok := f["outputBinding"]; ok {
-		field.OutputBinding = r.readOutputBinding(binding)
+		field.OutputBinding = l.readOutputBinding(binding)
 	}
 	return field
 }
 
 // or returns the place, and where the field is missing its name within parent.
-func (a place) or(parent place) place {
-	if a.node == nil {
+func (at place) or(parent place) place {
+	if at.node == nil {
 		return place{parent.file, parent.field + ".type", nil}
 	}
-	return a
+	return at
 }
 
 // typeName reads a type's name, with "?" for optional or "[]" for an array of it behind it:
 // one of the language's own, or one that SchemaDefRequirement defines.
-func (r *loader) typeName(a place, name string) *Type {
+func (l *loader) typeName(at place, name string) *Type {
 	if base, ok := strings.CutSuffix(name, "?"); ok {
-		t := r.typeName(a, base)
+		t := l.typeName(at, base)
 		if t.Optional() {
 			return t
 		}
@@ -234,22 +234,22 @@
 		return &Type{Kind: KindUnion, Union: []*Type{{Kind: KindNull}, t}}
 	}
 	if base, ok := strings.CutSuffix(name, "[]"); ok {
-		return &Type{Kind: KindArray, Items: r.typeName(a, base)}
+		return &Type{Kind: KindArray, Items: l.typeName(at, base)}
 	}
 	if slices.Contains(plainKinds, Kind(name)) {
 		return &Type{Kind: Kind(name)}
 	}
-	if file, fragment, err := resolve(a.file, name); err == nil && fragment != "" {
-		for _, at := range []string{file, a.file} { // where it was defined, or imported to
-			if t := r.types[at+"#"+localName(fragment)]; t != nil {
+	if file, fragment, err := resolve(at.file, name); err == nil && fragment != "" {
+		for _, at := range []string{file, at.file} { // where it was defined, or imported to
+			if t := l.types[at+"#"+localName(fragment)]; t != nil {
 				return t
 			}
 		}
 	}
-	if t := r.types[a.file+"#"+name]; t != nil {
+	if t := l.types[at.file+"#"+name]; t != nil {
 		return t
 	}
-	r.fail(a, "no such type %q; expected a type's name, with ? or [] behind it, or a definition", shorten(name))
+	l.fail(at, "no such type %q; expected a type's name, with ? or [] behind it, or a definition", shorten(name))
 	return &Type{Kind: KindAny}
 }
 
