--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -9,22 +9,24 @@
 )
 
 // Run is the progress of one process: which tools are ready to run with which inputs, and
-// what has come of them. It runs nothing and keeps nothing durable; told the same results
-// in any order it comes to the same outputs. It is not safe for concurrent use.
+// their results. It runs nothing and stores nothing; the same results, reported in any order,
+// give the same outputs. It is not safe for concurrent use.
 type Run struct {
-	// Enough, if given, ends Ready early: what is evaluated on the way may take long.
+	// Enough, if not nil, makes Ready return early once it reports true: evaluating
+	// expressions may take long.
 	Enough func() bool
-	// Contents reads a file's first bytes, for loadContents in steps; nil: that fails.
+	// Contents reads a file's first bytes, for loadContents in steps. If it is nil, a step
+	// that uses loadContents fails.
 	Contents func(file map[string]any) (string, error)
 
-	ctx     context.Context
-	top     *scope
-	open    []*stepRun          // with elements still to be handed out
-	out     map[string]*element // handed out, by id
-	outputs map[string]any
-	err     error // why the run as a whole failed
-	over    bool
-	failed  []Failure
+	ctx          context.Context
+	root         *workflowRun
+	startedSteps []*stepRun          // with elements not yet returned by Ready, oldest first
+	handedOut    map[string]*element // returned by Ready and not finished, by id
+	outputs      map[string]any
+	err          error // why the run as a whole failed
+	ended        bool
+	failures     []Failure
 }
 
 // Failure is a step that failed.
@@ -53,38 +55,39 @@
 	StepDropped StepState = "dropped" // what it depends on failed
 )
 
-// scope is a workflow under way.
-type scope struct {
-	id     string
-	p      *Process
-	inputs map[string]any
-	steps  map[string]*stepRun
-	left   int
-	bad    bool
-	up     *element // the step that it is, nil for the whole
+// workflowRun is the progress of a workflow: of the run as a whole, or of one in a step.
+type workflowRun struct {
+	id        string
+	process   *Process
+	inputs    map[string]any
+	steps     map[string]*stepRun
+	remaining int
+	failed    bool
+	parent    *element // the step that it is, nil for the whole
 }
 
-// stepRun is a step under way, with one element or, scattered, any number.
+// stepRun is the progress of a step, with one element or, scattered, any number.
 type stepRun struct {
-	in       *scope
-	s        *Step
-	state    StepState
-	links    map[string]any // inputs before scattering
-	lengths  []int          // of what is scattered over
-	next     int            // the first element not yet handed out
-	total    int
-	left     int
-	elements []*element
-	skipped  int
+	workflow     *workflowRun
+	step         *Step
+	state        StepState
+	linkedInputs map[string]any // inputs before scattering
+	lengths      []int          // of what is scattered over
+	next         int            // index of the first element not yet started
+	total        int
+	remaining    int
+	elements     []*element
+	skipped      int
 }
 
+// element is one run of a step's process: the only one, or one of a scatter.
 type element struct {
 	step    *stepRun
 	index   int
 	id      string
 	outputs map[string]any
 	err     error
-	over    bool
+	ended   bool
 }
 
 // Start begins a run. inputs are as ReadInputs gives them.
@@ -93,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{ctx: ctx, out: map[string]*element{}}
+	r := &Run{ctx: ctx, handedOut: map[string]*element{}}
 	if p.Class != "Workflow" {
 		// A tool by itself is a workflow of one step.
 		s := &Step{ID: "main", Run: p}
@@ -107,48 +110,58 @@
 		}
 		p = w
 	}
-	r.top = r.enter(p, "", full, nil)
+	r.root = r.startWorkflow(p, "", full, nil)
 	return r, nil
 }
 
-func (r *Run) enter(p *Process, id string, inputs map[string]any, up *element) *scope {
-	c := &scope{id: id, p: p, inputs: inputs, steps: map[string]*stepRun{}, left: len(p.Steps), up: up}
+// startWorkflow starts a workflow with complete inputs and the steps of it that can start.
+// parent is the element of a step that it runs in, nil for the run as a whole.
+func (r *Run) startWorkflow(p *Process, id string, inputs map[string]any, parent *element) *workflowRun {
+	w := &workflowRun{
+		id:        id,
+		process:   p,
+		inputs:    inputs,
+		steps:     map[string]*stepRun{},
+		remaining: len(p.Steps),
+		parent:    parent,
+	}
 	for _, s := range p.Steps {
-		c.steps[s.ID] = &stepRun{in: c, s: s, state: StepWaiting}
+		w.steps[s.ID] = &stepRun{workflow: w, step: s, state: StepWaiting}
 	}
-	r.advance(c)
-	return c
+	r.advance(w)
+	return w
 }
 
 // advance starts the steps of a workflow whose sources are there, and ends the workflow
 // once all are over.
-func (r *Run) advance(c *scope) {
+func (r *Run) advance(w *workflowRun) {
 	for again := true; again; {
 		again = false
-		for _, s := range c.p.Steps {
-			st := c.steps[s.ID]
+		for _, s := range w.process.Steps {
+			st := w.steps[s.ID]
 			if st.state != StepWaiting {
 				continue
 			}
-			switch ready, dropped := c.ready(s); {
+			switch ready, dropped := w.ready(s); {
 			case dropped:
 				st.state = StepDropped
-				c.left--
+				w.remaining--
 				again = true
 			case ready:
-				r.begin(st)
+				r.startStep(st)
 				again = true
 			}
 		}
 	}
-	if c.left == 0 {
-		c.left = -1
-		r.leave(c)
+	if w.remaining == 0 {
+		w.remaining = -1
+		r.finishWorkflow(w)
 	}
 }
 
-// ready reports whether all that a step depends on is over, or can't be had any more.
-func (c *scope) ready(s *Step) (ready, dropped bool) {
+// ready reports whether all that a step depends on has ended, and dropped whether some of it
+// failed, so that the step can't run.
+func (w *workflowRun) ready(s *Step) (ready, dropped bool) {
 	ready = true
 	for _, in := range s.In {
 		for _, src := range in.Source {
@@ -156,7 +169,7 @@
 			if !ok {
 				continue
 			}
-			switch c.steps[id].state {
+			switch w.steps[id].state {
 			case StepFailed, StepDropped:
 				return false, true
 			case StepDone, StepSkipped:
@@ -168,26 +181,28 @@
 	return ready, false
 }
 
-func (c *scope) source(src string) any {
+// source returns the value of a source: an input, or "step/output" of a step that has ended.
+func (w *workflowRun) source(src string) any {
 	id, out, ok := strings.Cut(src, "/")
 	if !ok {
-		return c.inputs[src]
+		return w.inputs[src]
 	}
-	return c.steps[id].output(out)
+	return w.steps[id].output(out)
 }
 
-// link is what comes over the links to an input ("WorkflowStepInput").
-func (c *scope) link(sources []string, merge, pick string) (any, error) {
+// link returns the value of an input from its sources, merged and picked
+// ("WorkflowStepInput"), nil if it has none.
+func (w *workflowRun) link(sources []string, merge, pick string) (any, error) {
 	if len(sources) == 0 {
 		return nil, nil
 	}
 	var v any
 	if len(sources) == 1 && merge != MergeNested {
-		v = c.source(sources[0])
+		v = w.source(sources[0])
 	} else {
 		list := []any{}
 		for _, src := range sources {
-			x := c.source(src)
+			x := w.source(src)
 			if inner, ok := x.([]any); ok && merge == MergeFlattened {
 				list = append(list, inner...)
 			} else {
@@ -215,58 +230,77 @@
 	return full[0], nil
 }
 
-// begin works out what a step's elements are.
-func (r *Run) begin(st *stepRun) {
-	st.state, st.links, st.total = StepRunning, map[string]any{}, 1
-	for i := range st.s.In {
-		in := &st.s.In[i]
-		v, err := st.in.link(in.Source, in.LinkMerge, in.PickValue)
+// startStep starts a step whose sources are there: it works out its inputs and its elements.
+func (r *Run) startStep(st *stepRun) {
+	st.state, st.total = StepRunning, 1
+	var err error
+	if st.linkedInputs, err = r.linkedInputs(st); err == nil {
+		err = st.scatter()
+	}
+	if err != nil {
+		r.failStep(st, err)
+		return
+	}
+	st.remaining = st.total
+	if st.total == 0 {
+		st.state = StepDone
+		st.workflow.remaining--
+		return
+	}
+	st.elements = make([]*element, st.total)
+	r.startedSteps = append(r.startedSteps, st)
+}
+
+// linkedInputs returns a step's inputs before scattering, from its links and defaults. On an
+// error it returns those before the one that failed.
+func (r *Run) linkedInputs(st *stepRun) (map[string]any, error) {
+	inputs := map[string]any{}
+	for i := range st.step.In {
+		in := &st.step.In[i]
+		v, err := st.workflow.link(in.Source, in.LinkMerge, in.PickValue)
 		if err != nil {
-			r.fail(st, fmt.Errorf("%s: %w", in.ID, err))
-			return
+			return inputs, fmt.Errorf("%s: %w", in.ID, err)
 		}
 		if v == nil {
 			v = in.Default
 		}
-		if f, ok := v.(map[string]any); ok && in.LoadContents && classOf(v) == "File" {
-			if v, err = r.load(f); err != nil {
-				r.fail(st, fmt.Errorf("%s: %w", in.ID, err))
-				return
+		if file, ok := v.(map[string]any); ok && in.LoadContents && classOf(v) == "File" {
+			if v, err = r.loadContents(file); err != nil {
+				return inputs, fmt.Errorf("%s: %w", in.ID, err)
 			}
 		}
-		st.links[in.ID] = v
+		inputs[in.ID] = v
 	}
-	for _, name := range st.s.Scatter {
-		list, ok := st.links[name].([]any)
+	return inputs, nil
+}
+
+// scatter sets how many elements a step has, from its linked inputs. total is one before, and
+// stays so if the step is not scattered. A product has one for each combination, a dotproduct one for each index. On an
+// error total is what it was computed to so far.
+func (st *stepRun) scatter() error {
+	for _, name := range st.step.Scatter {
+		list, ok := st.linkedInputs[name].([]any)
 		if !ok {
-			r.fail(st, fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.links[name])))
-			return
+			return fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.linkedInputs[name]))
 		}
 		st.lengths = append(st.lengths, len(list))
 	}
-	if len(st.lengths) > 0 {
-		st.total = st.lengths[0]
-		for _, n := range st.lengths[1:] {
-			if st.s.Method == DotProduct && n != st.total {
-				r.fail(st, fmt.Errorf("scattered over lists of %v elements; a dotproduct takes lists of one length", st.lengths))
-				return
-			}
-			if st.s.Method != DotProduct {
-				st.total *= n
-			}
-		}
+	if len(st.lengths) == 0 {
+		return nil
 	}
-	st.left = st.total
-	if st.total == 0 {
-		st.state = StepDone
-		st.in.left--
-		return
+	st.total = st.lengths[0]
+	for _, n := range st.lengths[1:] {
+		if st.step.Method != DotProduct {
+			st.total *= n
+		} else if n != st.total {
+			return fmt.Errorf("scattered over lists of %v elements; a dotproduct takes lists of one length", st.lengths)
+		}
 	}
-	st.elements = make([]*element, st.total)
-	r.open = append(r.open, st)
+	return nil
 }
 
-func (r *Run) load(f map[string]any) (any, error) {
+// loadContents returns a copy of a file with its contents.
+func (r *Run) loadContents(f map[string]any) (any, error) {
 	if r.Contents == nil {
 		return nil, errors.New("loadContents: files can't be read here")
 	}
@@ -282,26 +316,27 @@
 	return out, nil
 }
 
-// fail ends a step that could not begin.
-func (r *Run) fail(st *stepRun, err error) {
+// failStep ends a step that could not be started.
+func (r *Run) failStep(st *stepRun, err error) {
 	st.state = StepFailed
-	st.in.left--
-	st.in.bad = true
-	r.failed = append(r.failed, Failure{st.id(), err})
+	st.workflow.remaining--
+	st.workflow.failed = true
+	r.failures = append(r.failures, Failure{st.id(), err})
 }
 
+// id returns the step's id with those of the steps around it: "sub/pay".
 func (st *stepRun) id() string {
-	if st.in.id == "" {
-		return st.s.ID
+	if st.workflow.id == "" {
+		return st.step.ID
 	}
-	return st.in.id + "/" + st.s.ID
+	return st.workflow.id + "/" + st.step.ID
 }
 
-// indices are an element's places in the lists that a step is scattered over.
+// indices returns the indices of element i in the lists that the step is scattered over.
 func (st *stepRun) indices(i int) []int {
 	out := make([]int, len(st.lengths))
 	for k := len(st.lengths) - 1; k >= 0; k-- {
-		if st.s.Method == NestedCrossProduct || st.s.Method == FlatCrossProduct {
+		if st.step.Method == NestedCrossProduct || st.step.Method == FlatCrossProduct {
 			out[k] = i % st.lengths[k]
 			i /= st.lengths[k]
 		} else {
@@ -311,14 +346,15 @@
 	return out
 }
 
-// Ready hands out up to most tasks whose inputs are there, the earlier steps' first.
-// Expression tools, conditions and workflows within are taken care of on the way.
-func (r *Run) Ready(most int) []Task {
+// Ready returns up to limit tasks whose inputs are complete, those of earlier steps first.
+// It evaluates expression tools and conditions, and starts workflows in steps, on the way.
+// Each task is returned once.
+func (r *Run) Ready(limit int) []Task {
 	var out []Task
-	for len(out) < most && len(r.open) > 0 && (r.Enough == nil || !r.Enough()) {
-		st := r.open[0]
+	for len(out) < limit && len(r.startedSteps) > 0 && (r.Enough == nil || !r.Enough()) {
+		st := r.startedSteps[0]
 		if st.next == st.total {
-			r.open = r.open[1:]
+			r.startedSteps = r.startedSteps[1:]
 			continue
 		}
 		e := &element{step: st, index: st.next, id: st.id()}
@@ -330,52 +366,52 @@
 		inputs, run, err := r.inputsOf(e)
 		switch {
 		case err != nil:
-			r.finish(e, nil, err)
+			r.finishElement(e, nil, err)
 		case !run:
 			e.step.skipped++
-			r.finish(e, map[string]any{}, nil)
-		case st.s.Run.Class == "Workflow":
-			r.enter(st.s.Run, e.id, inputs, e)
-		case st.s.Run.Class == "ExpressionTool":
-			v, err := r.expression(st.s.Run, inputs)
-			r.finish(e, v, err)
+			r.finishElement(e, map[string]any{}, nil)
+		case st.step.Run.Class == "Workflow":
+			r.startWorkflow(st.step.Run, e.id, inputs, e)
+		case st.step.Run.Class == "ExpressionTool":
+			v, err := r.expression(st.step.Run, inputs)
+			r.finishElement(e, v, err)
 		default:
-			r.out[e.id] = e
-			out = append(out, Task{e.id, st.s.Run, inputs})
+			r.handedOut[e.id] = e
+			out = append(out, Task{e.id, st.step.Run, inputs})
 		}
 	}
 	return out
 }
 
-// inputsOf are an element's inputs, after scattering and valueFrom, and whether its
+// inputsOf returns an element's inputs, after scattering and valueFrom, and whether its
 // condition lets it run ("when").
 func (r *Run) inputsOf(e *element) (map[string]any, bool, error) {
 	st := e.step
-	values := make(map[string]any, len(st.links))
-	for k, v := range st.links {
+	values := make(map[string]any, len(st.linkedInputs))
+	for k, v := range st.linkedInputs {
 		values[k] = v
 	}
 	for k, i := range st.indices(e.index) {
-		values[st.s.Scatter[k]] = st.links[st.s.Scatter[k]].([]any)[i]
+		values[st.step.Scatter[k]] = st.linkedInputs[st.step.Scatter[k]].([]any)[i]
 	}
 	before := Scope{Inputs: make(map[string]any, len(values))}
 	for k, v := range values {
 		before.Inputs[k] = v
 	}
-	for i := range st.s.In {
-		in := &st.s.In[i]
+	for i := range st.step.In {
+		in := &st.step.In[i]
 		if in.ValueFrom == "" {
 			continue
 		}
 		before.Self = before.Inputs[in.ID]
-		v, err := st.s.Needs.Eval(r.ctx, in.ValueFrom, before)
+		v, err := st.step.Needs.Eval(r.ctx, in.ValueFrom, before)
 		if err != nil {
 			return nil, false, fmt.Errorf("%s: %w", in.ID, err)
 		}
 		values[in.ID] = v
 	}
-	if st.s.When != "" {
-		v, err := st.s.Needs.Eval(r.ctx, st.s.When, Scope{Inputs: values})
+	if st.step.When != "" {
+		v, err := st.step.Needs.Eval(r.ctx, st.step.When, Scope{Inputs: values})
 		if err != nil {
 			return nil, false, fmt.Errorf("when: %w", err)
 		}
@@ -387,10 +423,11 @@
 			return nil, false, nil
 		}
 	}
-	full, err := st.s.Run.Complete(values)
+	full, err := st.step.Run.Complete(values)
 	return full, true, err
 }
 
+// expression evaluates an expression tool to its outputs.
 func (r *Run) expression(p *Process, inputs map[string]any) (map[string]any, error) {
 	v, err := p.Needs.Eval(r.ctx, p.Expression, Scope{Inputs: inputs})
 	if err != nil {
@@ -407,51 +444,54 @@
 	return out, p.checkOutputs(out)
 }
 
-// Finish tells what came of a task: its outputs, or why it failed for good. Telling it of
-// a task that is not out, or again, changes nothing.
+// Finish records the result of a task that Ready has returned: its outputs, or the error that
+// it failed with for good. For another task, or one that has a result, it does nothing.
 func (r *Run) Finish(id string, outputs map[string]any, err error) {
-	if e := r.out[id]; e != nil {
-		delete(r.out, id)
-		r.finish(e, outputs, err)
+	if e := r.handedOut[id]; e != nil {
+		delete(r.handedOut, id)
+		r.finishElement(e, outputs, err)
 	}
 }
 
-func (r *Run) finish(e *element, outputs map[string]any, err error) {
+// finishElement records the result of an element. The last of a step ends the step and starts
+// those that wait for it.
+func (r *Run) finishElement(e *element, outputs map[string]any, err error) {
 	st := e.step
-	e.outputs, e.err, e.over = outputs, err, true
-	st.left--
+	e.outputs, e.err, e.ended = outputs, err, true
+	st.remaining--
 	if err != nil {
-		r.failed = append(r.failed, Failure{e.id, err})
+		r.failures = append(r.failures, Failure{e.id, err})
 	}
-	if st.left > 0 {
+	if st.remaining > 0 {
 		return
 	}
 	st.state = StepDone
 	if slices.ContainsFunc(st.elements, func(e *element) bool { return e.err != nil }) {
-		st.state, st.in.bad = StepFailed, true
+		st.state, st.workflow.failed = StepFailed, true
 	} else if len(st.lengths) == 0 && st.skipped > 0 {
 		st.state = StepSkipped
 	}
-	st.in.left--
-	r.advance(st.in)
+	st.workflow.remaining--
+	r.advance(st.workflow)
 }
 
-// output is what a step that is over gives: of a scattered one lists, nested as its method
-// says; null where its condition was false.
+// output returns an output of a step that has ended. That of a scattered step is a list, nested
+// as its method says. It is null where the step's condition was false.
 func (st *stepRun) output(name string) any {
-	if len(st.lengths) == 0 && len(st.s.Scatter) == 0 {
+	if len(st.lengths) == 0 && len(st.step.Scatter) == 0 {
 		return st.elements[0].outputs[name]
 	}
 	flat := make([]any, st.total)
 	for i, e := range st.elements {
 		flat[i] = e.outputs[name]
 	}
-	if st.s.Method != NestedCrossProduct {
+	if st.step.Method != NestedCrossProduct {
 		return flat
 	}
 	return nest(flat, st.lengths)
 }
 
+// nest splits a list into lists within lists of the lengths given, the outermost first.
 func nest(flat []any, lengths []int) []any {
 	if len(lengths) == 1 {
 		return flat
@@ -464,67 +504,65 @@
 	return out
 }
 
-// leave ends a workflow: the whole, or a step's.
-func (r *Run) leave(c *scope) {
+// finishWorkflow ends a workflow whose steps have all ended: the run as a whole, or an
+// element of a step.
+func (r *Run) finishWorkflow(w *workflowRun) {
 	out, errs := map[string]any{}, []error(nil)
-	for i := range c.p.Outputs {
-		o := &c.p.Outputs[i]
-		if slices.ContainsFunc(o.Source, func(src string) bool {
+	for i := range w.process.Outputs {
+		output := &w.process.Outputs[i]
+		if slices.ContainsFunc(output.Source, func(src string) bool {
 			id, _, ok := strings.Cut(src, "/")
-			return ok && (c.steps[id].state == StepFailed || c.steps[id].state == StepDropped)
+			return ok && (w.steps[id].state == StepFailed || w.steps[id].state == StepDropped)
 		}) {
-			continue // what there is is kept, this is not
+			continue // the other outputs are still returned
 		}
-		v, err := c.link(o.Source, o.LinkMerge, o.PickValue)
+		v, err := w.link(output.Source, output.LinkMerge, output.PickValue)
 		if err == nil {
-			err = o.Type.Check(v)
+			err = output.Type.Check(v)
 		}
 		if err != nil {
-			errs = append(errs, fmt.Errorf("output %s: %w", o.ID, err))
+			errs = append(errs, fmt.Errorf("output %s: %w", output.ID, err))
 			continue
 		}
-		out[o.ID] = v
+		out[output.ID] = v
 	}
 	err := errors.Join(errs...)
-	if err == nil && c.bad {
+	if err == nil && w.failed {
 		err = errors.New("a step of it failed")
 	}
-	if c.up != nil {
-		r.finish(c.up, out, err)
+	if w.parent != nil {
+		r.finishElement(w.parent, out, err)
 		return
 	}
-	r.outputs, r.err, r.over = out, err, true
+	r.outputs, r.err, r.ended = out, err, true
 }
 
-// Over reports whether nothing is left to run, with the outputs that there are and, unless
-// all went well, an error.
-func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.over }
+// Over reports whether the run has ended, with its outputs and, if a step or an output failed,
+// an error. The outputs of steps that succeeded are there in either case.
+func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.ended }
 
-// Failures lists what failed so far.
-func (r *Run) Failures() []Failure { return r.failed }
+// Failures returns the steps that have failed so far, in the order of their failures.
+func (r *Run) Failures() []Failure { return r.failures }
 
 // Steps calls f for each step of the whole, in the document's order, with its state, how
 // many of its elements are over, how many there are, and the step that it waits for, if any.
 func (r *Run) Steps(f func(id string, state StepState, over, total int, behind string)) {
-	for _, s := range r.top.p.Steps {
-		st := r.top.steps[s.ID]
+	for _, s := range r.root.process.Steps {
+		st := r.root.steps[s.ID]
 		behind := ""
 		if st.state == StepWaiting {
-			behind = r.top.behind(s)
+			behind = r.root.waitsFor(s)
 		}
-		f(s.ID, st.state, st.total-st.left, st.total, behind)
+		f(s.ID, st.state, st.total-st.remaining, st.total, behind)
 	}
 }
 
-// behind is the first step that a step waits for.
-func (c *scope) behind(s *Step) string {
+// waitsFor is the first step that a step waits for.
+func (w *workflowRun) waitsFor(s *Step) string {
 	for _, in := range s.In {
 		for _, src := range in.Source {
-			if id, _, ok := strings.Cut(
-				src,
-				"/",
-			); ok &&
-				(c.steps[id].state == StepWaiting || c.steps[id].state == StepRunning) {
+			id, _, ok := strings.Cut(src, "/")
+			if ok && (w.steps[id].state == StepWaiting || w.steps[id].state == StepRunning) {
 				return id
 			}
 		}
--- a/internal/workflow/cwl/expr.go
+++ b/internal/workflow/cwl/expr.go
@@ -15,23 +15,23 @@
 	"github.com/dop251/goja"
 )
 
-// Scope is what expressions see ("Runtime environment", "Expressions").
+// Scope holds the values that expressions can refer to ("Runtime environment", "Expressions").
 type Scope struct {
 	Inputs  map[string]any
 	Self    any
 	Runtime map[string]any
 }
 
-// Bounds of one evaluation. Memory is what the process's heap grows by meanwhile, looked at
-// every few milliseconds: it stops what runs away, and is no exact account.
+// Limits of one evaluation. Memory is the growth of the whole process's heap meanwhile, in
+// bytes, sampled every few milliseconds: it stops runaway expressions and is not exact.
 const (
-	exprTime   = 2 * time.Second
-	exprMemory = 64 << 20
-	exprStack  = 512
-	exprResult = 1 << 20 // bytes, as JSON
+	maxExprTime   = 2 * time.Second
+	maxExprMemory = 64 << 20
+	maxExprStack  = 512
+	maxExprResult = 1 << 20 // bytes, as JSON
 )
 
-// Errors of expressions.
+// Errors of expressions that exceed a limit. They are wrapped with the expression.
 var (
 	ErrExprTime   = errors.New("the expression takes too long")
 	ErrExprMemory = errors.New("the expression takes too much memory")
@@ -81,8 +81,8 @@
 	return out, nil
 }
 
-// closing is the length of a bracketed part: strings, comments and inner brackets are
-// passed over.
+// closing returns the length of the bracketed part that a text begins with. Strings,
+// comments and inner brackets are passed over.
 func closing(s string) (int, error) {
 	var open []byte
 	for i := 0; i < len(s); i++ {
@@ -90,36 +90,58 @@
 		case '(', '[', '{':
 			open = append(open, c)
 		case ')', ']', '}':
-			want := map[byte]byte{')': '(', ']': '[', '}': '{'}[c]
-			if len(open) == 0 || open[len(open)-1] != want {
+			if len(open) == 0 || open[len(open)-1] != openingOf[c] {
 				return 0, fmt.Errorf("the brackets of the expression %q don't match", shorten(s))
 			}
 			if open = open[:len(open)-1]; len(open) == 0 {
 				return i + 1, nil
 			}
 		case '\'', '"', '`':
-			for i++; i < len(s) && s[i] != c; i++ {
-				if s[i] == '\\' {
-					i++
-				}
-			}
+			i = endOfString(s, i)
 		case '/':
-			if strings.HasPrefix(s[i:], "//") {
-				for i < len(s) && s[i] != '\n' {
-					i++
-				}
-			} else if strings.HasPrefix(s[i:], "/*") {
-				end := strings.Index(s[i+2:], "*/")
-				if end < 0 {
-					return 0, fmt.Errorf("a comment in the expression %q does not end", shorten(s))
-				}
-				i += end + 3
+			end, ok := endOfComment(s, i)
+			if !ok {
+				return 0, fmt.Errorf("a comment in the expression %q does not end", shorten(s))
 			}
+			i = end
 		}
 	}
 	return 0, fmt.Errorf("the expression %q does not end", shorten(s))
 }
 
+// openingOf is the opening bracket of each closing one.
+var openingOf = map[byte]byte{')': '(', ']': '[', '}': '{'}
+
+// endOfString returns the index of the quote that ends the JavaScript string whose opening
+// quote is at start, an index behind the text if there is none.
+func endOfString(s string, start int) int {
+	quote, i := s[start], start+1
+	for ; i < len(s) && s[i] != quote; i++ {
+		if s[i] == '\\' {
+			i++
+		}
+	}
+	return i
+}
+
+// endOfComment returns the index of the last byte of the comment that begins with the slash
+// at start: the line's end, or the slash behind the star. A slash that begins no comment is
+// its own end. It reports false if the comment does not end.
+func endOfComment(s string, start int) (int, bool) {
+	rest := s[start:]
+	switch {
+	case strings.HasPrefix(rest, "//"):
+		if length := strings.IndexByte(rest, '\n'); length >= 0 {
+			return start + length, true
+		}
+		return len(s), true
+	case strings.HasPrefix(rest, "/*"):
+		length := strings.Index(rest[2:], "*/")
+		return start + length + 3, length >= 0
+	}
+	return start, true
+}
+
 // HasExpression reports whether a text has expressions in it.
 func HasExpression(s string) bool { return strings.Contains(s, "$(") || strings.Contains(s, "${") }
 
@@ -137,7 +159,7 @@
 		case p.expr == "":
 		case javascript:
 			if _, err := goja.Compile("", program(p), true); err != nil {
-				return fmt.Errorf("%q is not JavaScript: %v", shorten(p.expr), err)
+				return fmt.Errorf("%q is not JavaScript: %w", shorten(p.expr), err)
 			}
 		case p.body:
 			return fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", shorten(p.expr))
@@ -150,6 +172,7 @@
 	return nil
 }
 
+// program returns the JavaScript text of an expression: a value, or a function's body.
 func program(p piece) string {
 	if p.body {
 		return "(function()" + p.expr + ")()"
@@ -160,7 +183,7 @@
 // Eval evaluates the expressions in a text. A text that is one expression has its value;
 // one with others around it is a string, with values in it as JSON where they are no
 // strings. Without expressions it is the text.
-func (n *Needs) Eval(ctx context.Context, s string, sc Scope) (any, error) {
+func (n *Needs) Eval(ctx context.Context, s string, scope Scope) (any, error) {
 	if !HasExpression(s) {
 		return s, nil
 	}
@@ -174,7 +197,7 @@
 		}
 	}
 	if len(pieces) == 1 && pieces[0].expr != "" {
-		return n.evalOne(ctx, pieces[0], sc)
+		return n.evalOne(ctx, pieces[0], scope)
 	}
 	var b strings.Builder
 	for _, p := range pieces {
@@ -182,7 +205,7 @@
 			b.WriteString(p.text)
 			continue
 		}
-		v, err := n.evalOne(ctx, p, sc)
+		v, err := n.evalOne(ctx, p, scope)
 		if err != nil {
 			return nil, err
 		}
@@ -200,8 +223,8 @@
 }
 
 // EvalText evaluates a text that must become a string.
-func (n *Needs) EvalText(ctx context.Context, s string, sc Scope) (string, error) {
-	v, err := n.Eval(ctx, s, sc)
+func (n *Needs) EvalText(ctx context.Context, s string, scope Scope) (string, error) {
+	v, err := n.Eval(ctx, s, scope)
 	if err != nil {
 		return "", err
 	}
@@ -213,11 +236,11 @@
 }
 
 // EvalNumber evaluates a text that must become a number; otherwise is for an empty one.
-func (n *Needs) EvalNumber(ctx context.Context, s string, sc Scope, otherwise float64) (float64, error) {
+func (n *Needs) EvalNumber(ctx context.Context, s string, scope Scope, fallback float64) (float64, error) {
 	if s == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
-	v, err := n.Eval(ctx, s, sc)
+	v, err := n.Eval(ctx, s, scope)
 	if err != nil {
 		return 0, err
 	}
@@ -231,15 +254,16 @@
 			return f, nil
 		}
 	case nil:
-		return otherwise, nil
+		return fallback, nil
 	}
 	return 0, fmt.Errorf("%q: expected a number, found %s", shorten(s), describe(v))
 }
 
-func (n *Needs) evalOne(ctx context.Context, p piece, sc Scope) (any, error) {
+// evalOne evaluates one expression: as a parameter reference if it is one, else as JavaScript.
+func (n *Needs) evalOne(ctx context.Context, p piece, scope Scope) (any, error) {
 	if !p.body {
 		if path, err := parseReference(p.expr); err == nil {
-			v, err := path.follow(sc)
+			v, err := path.follow(scope)
 			if err == nil || n.JavaScript == nil {
 				return v, err
 			}
@@ -250,7 +274,7 @@
 	if n.JavaScript == nil {
 		return nil, fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", shorten(p.expr))
 	}
-	return n.JavaScript.run(ctx, p, sc)
+	return n.JavaScript.run(ctx, p, scope)
 }
 
 // reference is a parameter reference: a root and what is selected in it.
@@ -262,110 +286,136 @@
 
 // parseReference reads "(inputs.reads[0]['left file'].size)" ("Parameter references").
 func parseReference(expr string) (*reference, error) {
-	s := strings.TrimSpace(strings.TrimSuffix(strings.TrimPrefix(expr, "("), ")"))
-	bad := fmt.Errorf("%q is not a parameter reference, and there is no InlineJavascriptRequirement", shorten("$"+expr))
-	ident := func() string {
-		i := 0
-		for i < len(s) && (s[i] == '_' || s[i] >= 'a' && s[i] <= 'z' || s[i] >= 'A' && s[i] <= 'Z' || s[i] >= '0' && s[i] <= '9' || s[i] >= 0x80) {
-			i++
-		}
-		id := s[:i]
-		s = s[i:]
-		return id
-	}
-	r := &reference{text: expr, root: ident()}
-	switch r.root {
+	invalid := fmt.Errorf(
+		"%q is not a parameter reference, and there is no InlineJavascriptRequirement",
+		shorten("$"+expr),
+	)
+	rest := strings.TrimSpace(strings.TrimSuffix(strings.TrimPrefix(expr, "("), ")"))
+	root, rest := cutIdentifier(rest)
+	switch root {
 	case "inputs", "self", "runtime", "null":
 	default:
-		return nil, bad
+		return nil, invalid
 	}
-	for s != "" {
-		switch {
-		case s[0] == '.':
-			s = s[1:]
-			id := ident()
-			if id == "" {
-				return nil, bad
-			}
-			r.path = append(r.path, id)
-		case len(s) > 1 && s[0] == '[' && (s[1] == '\'' || s[1] == '"'):
-			quote := s[1]
-			var b strings.Builder
-			i := 2
-			for ; i < len(s) && s[i] != quote; i++ {
-				if s[i] == '\\' && i+1 < len(s) {
-					i++
-				}
-				b.WriteByte(s[i])
-			}
-			if !strings.HasPrefix(s[min(i, len(s)):], string(quote)+"]") {
-				return nil, bad
-			}
-			r.path = append(r.path, b.String())
-			s = s[i+2:]
-		case s[0] == '[':
-			digits, rest, ok := strings.Cut(s[1:], "]")
-			i, err := strconv.Atoi(digits)
-			if !ok || err != nil || i < 0 {
-				return nil, bad
-			}
-			r.path = append(r.path, i)
-			s = rest
-		default:
-			return nil, bad
+	parsed := &reference{text: expr, root: root}
+	for rest != "" {
+		selector, behind, ok := cutSelector(rest)
+		if !ok {
+			return nil, invalid
 		}
+		parsed.path = append(parsed.path, selector)
+		rest = behind
 	}
-	if r.root == "null" && len(r.path) > 0 {
-		return nil, bad
+	if parsed.root == "null" && len(parsed.path) > 0 {
+		return nil, invalid
 	}
-	return r, nil
+	return parsed, nil
 }
 
-func (r *reference) follow(sc Scope) (any, error) {
-	var v any
+// cutIdentifier returns the identifier that a text begins with, "" if there is none, and
+// what is behind it.
+func cutIdentifier(s string) (identifier, rest string) {
+	i := 0
+	for i < len(s) && isIdentifierByte(s[i]) {
+		i++
+	}
+	return s[:i], s[i:]
+}
+
+// isIdentifierByte reports whether a byte may be in an identifier. Any part of a character
+// outside ASCII may.
+func isIdentifierByte(c byte) bool {
+	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c >= 0x80
+}
+
+// cutSelector returns the selector that a text begins with, and what is behind it. ".name"
+// and "['name']" are a string, "[0]" is an int. It reports false if there is no selector.
+// The text must not be empty.
+func cutSelector(s string) (selector any, rest string, ok bool) {
+	switch {
+	case s[0] == '.':
+		identifier, rest := cutIdentifier(s[1:])
+		return identifier, rest, identifier != ""
+	case len(s) > 1 && s[0] == '[' && (s[1] == '\'' || s[1] == '"'):
+		return cutQuotedSelector(s)
+	case s[0] == '[':
+		digits, rest, closed := strings.Cut(s[1:], "]")
+		index, err := strconv.Atoi(digits)
+		return index, rest, closed && err == nil && index >= 0
+	}
+	return nil, "", false
+}
+
+// cutQuotedSelector returns the name in a selector such as "['left file']", with a backslash
+// before a byte that stands for itself, and what is behind the selector.
+func cutQuotedSelector(s string) (selector, rest string, ok bool) {
+	quote := s[1]
+	var b strings.Builder
+	i := 2
+	for ; i < len(s) && s[i] != quote; i++ {
+		if s[i] == '\\' && i+1 < len(s) {
+			i++
+		}
+		b.WriteByte(s[i])
+	}
+	rest, ok = strings.CutPrefix(s[min(i, len(s)):], string(quote)+"]")
+	return b.String(), rest, ok
+}
+
+// follow returns the value that the reference selects in a scope.
+func (r *reference) follow(scope Scope) (any, error) {
+	var value any
 	switch r.root {
 	case "inputs":
-		v = sc.Inputs
+		value = scope.Inputs
 	case "self":
-		v = sc.Self
+		value = scope.Self
 	case "runtime":
-		v = sc.Runtime
+		value = scope.Runtime
 	}
-	for i, p := range r.path {
-		switch x := v.(type) {
+	for i, selector := range r.path {
+		var err error
+		switch x := value.(type) {
 		case map[string]any:
-			key, ok := p.(string)
-			next, there := x[key]
-			if !ok || !there {
-				return nil, fmt.Errorf("%q: there is no %v", "$"+r.text, p)
+			key, isName := selector.(string)
+			next, exists := x[key]
+			if !isName || !exists {
+				return nil, fmt.Errorf("%q: there is no %v", "$"+r.text, selector)
 			}
-			v = next
+			value = next
 		case []any:
-			switch k := p.(type) {
-			case int:
-				if k >= len(x) {
-					return nil, fmt.Errorf("%q: the list has %d elements", "$"+r.text, len(x))
-				}
-				v = x[k]
-			default:
-				if k != "length" || i != len(r.path)-1 {
-					return nil, fmt.Errorf("%q: a list has no %v", "$"+r.text, p)
-				}
-				v = int64(len(x))
+			isLast := i == len(r.path)-1
+			if value, err = r.selectInList(x, selector, isLast); err != nil {
+				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("%q: %s has no %v", "$"+r.text, describe(v), p)
+			return nil, fmt.Errorf("%q: %s has no %v", "$"+r.text, describe(value), selector)
 		}
 	}
-	return v, nil
+	return value, nil
+}
+
+// selectInList returns an element of a list, or its length where the selector "length" is
+// the last.
+func (r *reference) selectInList(list []any, selector any, isLast bool) (any, error) {
+	if index, ok := selector.(int); ok {
+		if index >= len(list) {
+			return nil, fmt.Errorf("%q: the list has %d elements", "$"+r.text, len(list))
+		}
+		return list[index], nil
+	}
+	if selector != "length" || !isLast {
+		return nil, fmt.Errorf("%q: a list has no %v", "$"+r.text, selector)
+	}
+	return int64(len(list)), nil
 }
 
-// run evaluates JavaScript in a runtime of its own, without input or output, within the
-// bounds of time, memory and depth.
-func (j *JavaScript) run(ctx context.Context, p piece, sc Scope) (any, error) {
+// run evaluates JavaScript in a new runtime, without input or output, within the limits of
+// time, memory, stack depth and result size.
+func (j *JavaScript) run(ctx context.Context, p piece, scope Scope) (any, error) {
 	vm := goja.New()
-	vm.SetMaxCallStackSize(exprStack)
-	for name, v := range map[string]any{"inputs": sc.Inputs, "self": sc.Self, "runtime": sc.Runtime} {
+	vm.SetMaxCallStackSize(maxExprStack)
+	for name, v := range map[string]any{"inputs": scope.Inputs, "self": scope.Self, "runtime": scope.Runtime} {
 		x, err := toJS(vm, v)
 		if err != nil {
 			return nil, err
@@ -393,12 +443,14 @@
 	if goja.IsUndefined(text) {
 		return nil, nil
 	}
-	if len(text.String()) > exprResult {
+	if len(text.String()) > maxExprResult {
 		return nil, fmt.Errorf("%q: %w", shorten(p.expr), ErrExprSize)
 	}
 	return fromJSON([]byte(text.String()))
 }
 
+// exprError adds the expression to an error of the JavaScript runtime. Of an interrupt it
+// returns the cause.
 func exprError(p piece, err error) error {
 	var stopped *goja.InterruptedError
 	if errors.As(err, &stopped) {
@@ -411,16 +463,18 @@
 
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
+// heap returns how many bytes the live and the unswept objects of the heap take.
 func heap() uint64 {
 	s := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(s)
 	return s[0].Value.Uint64()
 }
 
-// watch interrupts a runtime that goes beyond its bounds, until it is told to stop.
+// watch interrupts a runtime that exceeds its limits of time and memory, or whose context
+// ends, until stop is called. stop may be called more than once.
 func watch(ctx context.Context, vm *goja.Runtime) (stop func()) {
 	done := make(chan struct{})
-	began, before := time.Now(), heap()
+	started, before := time.Now(), heap()
 	go func() {
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
@@ -432,11 +486,11 @@
 				vm.Interrupt(ctx.Err())
 				return
 			case <-tick.C:
-				if time.Since(began) > exprTime {
+				if time.Since(started) > maxExprTime {
 					vm.Interrupt(ErrExprTime)
 					return
 				}
-				if now := heap(); now > before+exprMemory {
+				if now := heap(); now > before+maxExprMemory {
 					vm.Interrupt(ErrExprMemory)
 					return
 				}
@@ -446,8 +500,7 @@
 	return sync.OnceFunc(func() { close(done) })
 }
 
-// toJS makes a value of a runtime's own out of one of ours, so that an expression can't
-// change ours.
+// toJS copies a value into a runtime, so that an expression can't change the original.
 func toJS(vm *goja.Runtime, v any) (goja.Value, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -457,7 +510,7 @@
 	return parse(goja.Undefined(), vm.ToValue(string(b)))
 }
 
-// fromJSON reads a value, whole numbers as such.
+// fromJSON reads a value from JSON, whole numbers as int64.
 func fromJSON(b []byte) (any, error) {
 	d := json.NewDecoder(strings.NewReader(string(b)))
 	d.UseNumber()
@@ -468,7 +521,8 @@
 	return Whole(v), nil
 }
 
-// Whole makes numbers of a value read from JSON whole where they are.
+// Whole turns the whole numbers in a value read from JSON into int64, the others into float64.
+// Lists and mappings are changed in place.
 func Whole(v any) any {
 	switch x := v.(type) {
 	case json.Number:
@@ -493,7 +547,7 @@
 	return v
 }
 
-// ToolAt finds the tool of a task by the task's id, as Run gives it.
+// ToolAt finds the tool of a task by the task's id, as Run gives it; nil if there is none.
 func (p *Process) ToolAt(id string) *Process {
 	if p.Class != "Workflow" {
 		return p
--- a/internal/workflow/cwl/needs.go
+++ b/internal/workflow/cwl/needs.go
@@ -11,210 +11,225 @@
 // needs reads requirements, or hints, over those that already apply. A requirement that
 // is not supported is a mistake; a hint that is not is passed over with a warning. What
 // is hinted does not replace what is required.
-func (r *reading) needs(n *Needs, a at, required bool) {
-	if isNull(a.n) {
+func (l *loader) needs(n *Needs, at place, required bool) {
+	if isNull(at.node) {
 		return
 	}
-	one := func(class string, x at) {
-		apply := r.need(class, x, n, required)
-		switch {
-		case apply == nil && required:
-			r.fail(x, "requirement %s is not supported", class)
-		case apply == nil:
-			r.warn(x, "hint %s is not supported and passed over", class)
-		default:
-			apply()
-		}
-	}
-	switch a.n.Kind {
+	switch at.node.Kind {
 	case yaml.MappingNode:
-		for _, e := range entries(a.n) {
-			v := e.node
-			if isNull(v) {
-				v = &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: e.key.Line, Column: e.key.Column}
+		for _, e := range entries(at.node) {
+			node := e.node
+			if isNull(node) {
+				node = emptyMapping(e.key)
 			}
-			one(e.key.Value, a.in(e.key.Value, v))
+			l.applyRequirement(n, e.key.Value, at.in(e.key.Value, node), required)
 		}
 	case yaml.SequenceNode:
-		for i, c := range a.n.Content {
-			x := a.in(fmt.Sprintf("[%d]", i), c)
-			class := ""
-			if c.Kind == yaml.MappingNode {
-				for _, e := range entries(c) {
-					if e.key.Value == "class" {
-						class = r.text(x.in("class", e.node))
-					}
-				}
-			}
+		for i, node := range at.node.Content {
+			item := at.in(fmt.Sprintf("[%d]", i), node)
+			class := l.textField(item, "class")
 			if class == "" {
-				r.fail(x, "class is missing")
+				l.fail(item, "class is missing")
 				continue
 			}
-			one(class, x)
+			l.applyRequirement(n, class, item, required)
 		}
 	default:
-		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.n))
+		l.fail(at, "expected a list or a mapping, found %s", kindOf(at.node))
+	}
+}
+
+// applyRequirement reads one requirement, or hint, and applies it to n.
+func (l *loader) applyRequirement(n *Needs, class string, at place, required bool) {
+	apply := l.need(class, at, n, required)
+	switch {
+	case apply == nil && required:
+		l.fail(at, "requirement %s is not supported", class)
+	case apply == nil:
+		l.warn(at, "hint %s is not supported and passed over", class)
+	default:
+		apply()
 	}
 }
 
 // need returns what a requirement changes, nil if it isn't supported.
-func (r *reading) need(class string, a at, n *Needs, required bool) func() {
+func (l *loader) need(class string, at place, n *Needs, required bool) func() {
 	if i := strings.LastIndexAny(class, "#:"); i >= 0 {
 		class = class[i+1:]
 	}
-	known := func(names ...string) map[string]at { return r.fields(a, append(names, "class")...) }
+	known := func(names ...string) map[string]place { return l.fields(at, append(names, "class")...) }
+	if feature := n.feature(class); feature != nil {
+		known()
+		return func() { *feature = true }
+	}
 	switch class {
 	case "InlineJavascriptRequirement":
 		f := known("expressionLib")
-		return func() { n.JavaScript = &JavaScript{Lib: r.texts(f["expressionLib"])} }
-	case "StepInputExpressionRequirement":
-		known()
-		return func() { n.StepInputs = true }
-	case "ScatterFeatureRequirement":
-		known()
-		return func() { n.Scatter = true }
-	case "SubworkflowFeatureRequirement":
-		known()
-		return func() { n.Subworkflow = true }
-	case "MultipleInputFeatureRequirement":
-		known()
-		return func() { n.MultiInput = true }
+		return func() { n.JavaScript = &JavaScript{Lib: l.texts(f["expressionLib"])} }
 	case "SchemaDefRequirement":
 		f := known("types")
-		return func() { r.defineTypes(f["types"]) }
+		return func() { l.defineTypes(f["types"]) }
 	case "DockerRequirement":
 		f := known("dockerPull", "dockerLoad", "dockerFile", "dockerImport", "dockerImageId", "dockerOutputDirectory")
-		for _, x := range []string{"dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"} {
-			if v, ok := f[x]; ok && required {
-				r.fail(v, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
-			}
-		}
-		name := f["dockerPull"]
-		if id, ok := f["dockerImageId"]; ok {
-			name = id
-		}
-		if name.n == nil {
-			return func() {}
-		}
-		return func() {
-			if required || n.Image == "" || n.ImageHinted {
-				n.Image, n.ImageHinted = r.text(name), !required
-			}
-		}
+		return func() { l.setImage(n, f, required) }
 	case "EnvVarRequirement":
 		f := known("envDef")
-		return func() {
-			r.named(f["envDef"], "envName", "envValue", func(name string, x at) {
-				ff := r.fields(x, "envName", "envValue")
-				v := EnvVar{Name: name}
-				if val, ok := ff["envValue"]; ok {
-					v.Value = val.n.Value
-				}
-				if i := slices.IndexFunc(n.Env, func(e EnvVar) bool { return e.Name == name }); i >= 0 {
-					n.Env = slices.Clone(n.Env)
-					n.Env[i] = v
-				} else {
-					n.Env = append(slices.Clone(n.Env), v)
-				}
-			})
-		}
+		return func() { l.setEnv(n, f["envDef"]) }
 	case "ResourceRequirement":
 		f := known("coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax")
-		return func() {
-			res := Resources{}
-			for field, to := range map[string]*string{"coresMin": &res.CoresMin, "coresMax": &res.CoresMax, "ramMin": &res.RAMMin, "ramMax": &res.RAMMax,
-				"tmpdirMin": &res.TmpMin, "tmpdirMax": &res.TmpMax, "outdirMin": &res.OutMin, "outdirMax": &res.OutMax} {
-				*to = r.scalar(f[field])
-			}
-			n.Resources = res
-		}
+		return func() { n.Resources = l.resources(f) }
 	case "CUDARequirement":
 		f := known("cudaVersionMin", "cudaComputeCapability", "cudaDeviceCountMin", "cudaDeviceCountMax")
-		return func() {
-			n.Accelerator = "1"
-			if c, ok := f["cudaDeviceCountMin"]; ok {
-				n.Accelerator = r.scalar(c)
-			}
-		}
+		return func() { n.Accelerator = l.accelerators(f) }
 	case "ToolTimeLimit":
 		f := known("timelimit")
-		return func() { n.TimeLimit = r.scalar(f["timelimit"]) }
+		return func() { n.TimeLimit = l.scalar(f["timelimit"]) }
 	case "WorkReuse":
 		f := known("enableReuse")
-		return func() {
-			n.Reuse = "true"
-			if e, ok := f["enableReuse"]; ok {
-				n.Reuse = e.n.Value
-			}
-		}
+		return func() { n.Reuse = valueOr(f, "enableReuse", "true") }
 	case "NetworkAccess":
 		f := known("networkAccess")
-		return func() {
-			if e, ok := f["networkAccess"]; ok {
-				n.Network = e.n.Value
-			}
-		}
+		return func() { n.Network = valueOr(f, "networkAccess", n.Network) }
 	case "InitialWorkDirRequirement":
 		f := known("listing")
-		return func() { n.WorkDir = r.workDir(f["listing"].orSelf(a)) }
-	case "LoadListingRequirement", "InplaceUpdateRequirement":
-		return nil
+		return func() { n.WorkDir = l.workDir(f["listing"].orSelf(at)) }
+	}
+	return nil
+}
+
+// feature returns the flag that a requirement without fields sets, nil for other requirements.
+func (n *Needs) feature(class string) *bool {
+	switch class {
+	case "StepInputExpressionRequirement":
+		return &n.StepInputs
+	case "ScatterFeatureRequirement":
+		return &n.Scatter
+	case "SubworkflowFeatureRequirement":
+		return &n.Subworkflow
+	case "MultipleInputFeatureRequirement":
+		return &n.MultiInput
 	}
 	return nil
 }
 
-func (r *reading) workDir(a at) *WorkDir {
-	if a.n.Kind == yaml.ScalarNode {
-		return &WorkDir{Listing: r.text(a)}
+// valueOr returns the text of a field as it is written, fallback if the field is missing.
+func valueOr(f map[string]place, field, fallback string) string {
+	if x, ok := f[field]; ok {
+		return x.node.Value
+	}
+	return fallback
+}
+
+// setImage applies the fields of DockerRequirement. A hint does not replace an image that a
+// requirement names.
+func (l *loader) setImage(n *Needs, f map[string]place, required bool) {
+	for _, field := range []string{"dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"} {
+		if x, ok := f[field]; ok && required {
+			l.fail(x, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
+		}
+	}
+	image := f["dockerPull"]
+	if id, ok := f["dockerImageId"]; ok {
+		image = id
+	}
+	if image.node == nil {
+		return
+	}
+	if required || n.Image == "" || n.ImageHinted {
+		n.Image, n.ImageHinted = l.text(image), !required
+	}
+}
+
+// setEnv applies the definitions of EnvVarRequirement, over those of the same name. The
+// slice that n had is shared with the process around it and is not changed.
+func (l *loader) setEnv(n *Needs, definitions place) {
+	l.named(definitions, "envName", "envValue", func(envName string, x place) {
+		f := l.fields(x, "envName", "envValue")
+		variable := EnvVar{Name: envName, Value: valueOr(f, "envValue", "")}
+		n.Env = slices.Clone(n.Env)
+		if i := slices.IndexFunc(n.Env, func(e EnvVar) bool { return e.Name == envName }); i >= 0 {
+			n.Env[i] = variable
+		} else {
+			n.Env = append(n.Env, variable)
+		}
+	})
+}
+
+// resources reads the fields of ResourceRequirement.
+func (l *loader) resources(f map[string]place) Resources {
+	return Resources{
+		CoresMin: l.scalar(f["coresMin"]),
+		CoresMax: l.scalar(f["coresMax"]),
+		RAMMin:   l.scalar(f["ramMin"]),
+		RAMMax:   l.scalar(f["ramMax"]),
+		TmpMin:   l.scalar(f["tmpdirMin"]),
+		TmpMax:   l.scalar(f["tmpdirMax"]),
+		OutMin:   l.scalar(f["outdirMin"]),
+		OutMax:   l.scalar(f["outdirMax"]),
+	}
+}
+
+// accelerators reads the number of accelerators of CUDARequirement, one if it is not stated.
+func (l *loader) accelerators(f map[string]place) string {
+	if count, ok := f["cudaDeviceCountMin"]; ok {
+		return l.scalar(count)
+	}
+	return "1"
+}
+
+// workDir reads the listing of InitialWorkDirRequirement: an expression or a list of entries.
+func (l *loader) workDir(at place) *WorkDir {
+	if at.node.Kind == yaml.ScalarNode {
+		return &WorkDir{Listing: l.text(at)}
 	}
 	w := &WorkDir{}
-	if a.n.Kind != yaml.SequenceNode {
-		r.fail(a, "expected an expression or a list, found %s", kindOf(a.n))
+	if at.node.Kind != yaml.SequenceNode {
+		l.fail(at, "expected an expression or a list, found %s", kindOf(at.node))
 		return w
 	}
-	for i, c := range a.n.Content {
-		x := a.in(fmt.Sprintf("[%d]", i), c)
-		if c.Kind == yaml.ScalarNode {
-			w.Entries = append(w.Entries, Dirent{Entry: r.text(x)})
+	for i, node := range at.node.Content {
+		x := at.in(fmt.Sprintf("[%d]", i), node)
+		if node.Kind == yaml.ScalarNode {
+			w.Entries = append(w.Entries, Dirent{Entry: l.text(x)})
 			continue
 		}
-		f := r.fields(x, "class", "entryname", "entry", "writable")
-		d := Dirent{Writable: r.boolean(f["writable"], false)}
+		f := l.fields(x, "class", "entryname", "entry", "writable")
+		entry := Dirent{Writable: l.boolean(f["writable"], false)}
 		if e, ok := f["entry"]; ok {
-			d.Entry = r.text(e)
+			entry.Entry = l.text(e)
 		} else {
-			r.fail(x, "entry is missing")
+			l.fail(x, "entry is missing")
 		}
 		if e, ok := f["entryname"]; ok {
-			d.Name = r.text(e)
+			entry.Name = l.text(e)
 		}
-		w.Entries = append(w.Entries, d)
+		w.Entries = append(w.Entries, entry)
 	}
 	return w
 }
 
 // defineTypes reads the named types of SchemaDefRequirement, for the file they stand in.
-func (r *reading) defineTypes(a at) {
-	if isNull(a.n) {
+func (l *loader) defineTypes(at place) {
+	if isNull(at.node) {
 		return
 	}
-	if a.n.Kind != yaml.SequenceNode {
-		r.fail(a, "expected a list, found %s", kindOf(a.n))
+	if at.node.Kind != yaml.SequenceNode {
+		l.fail(at, "expected a list, found %s", kindOf(at.node))
 		return
 	}
-	for i, c := range a.n.Content {
-		x := a.in(fmt.Sprintf("[%d]", i), c)
+	for i, c := range at.node.Content {
+		x := at.in(fmt.Sprintf("[%d]", i), c)
 		list := []*yaml.Node{c}
 		if c.Kind == yaml.SequenceNode { // what was imported may be a list
 			list = c.Content
 		}
 		for _, n := range list {
-			t := r.readType(at{x.file, x.field, n}, 0)
+			t := l.readType(place{x.file, x.field, n}, 0)
 			if t.Name == "" {
-				r.fail(x, "name is missing in a type's definition")
+				l.fail(x, "name is missing in a type's definition")
 				continue
 			}
-			r.types[a.file+"#"+t.Name] = t
+			l.types[at.file+"#"+t.Name] = t
 		}
 	}
 }
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -36,7 +36,7 @@
 }
 
 // Problems are all that is wrong, in the order of the text.
-type Problems []Problem
+type Problems []Problem //nolint:errname // a list that is also an error; other packages use the name
 
 // Error lists the problems, one a line.
 func (p Problems) Error() string {
@@ -47,19 +47,19 @@
 	return strings.Join(lines, "\n")
 }
 
-// Bundle is what a client hands over: files by their slash-separated relative paths.
-// References lead nowhere else.
+// Bundle is a set of files by their slash-separated relative paths. References between
+// documents are resolved within it only.
 type Bundle map[string][]byte
 
 // Limits of documents.
 const (
-	mostBundle  = 16 << 20 // bytes
-	mostNodes   = 200_000  // YAML nodes read, aliases counted each time
-	mostNesting = 64       // processes within processes, and nodes within nodes
+	maxBundleBytes = 16 << 20 // bytes
+	maxNodes       = 200_000  // YAML nodes read, aliases counted each time
+	maxNesting     = 64       // processes within processes, and nodes within nodes
 )
 
-// reading is one loading under way.
-type reading struct {
+// loader holds the state of one load: what has been parsed, and the problems found so far.
+type loader struct {
 	bundle   Bundle
 	parsed   map[string]*yaml.Node
 	nodes    int
@@ -68,47 +68,52 @@
 	types    map[string]*Type // of SchemaDefRequirement, by file and name
 }
 
-// at is a place in a file, with the name of what stands there.
-type at struct {
+// place is a node of a file with the name of its field, for messages. A missing field is the
+// zero place.
+type place struct {
 	file  string
 	field string
-	n     *yaml.Node
+	node  *yaml.Node
 }
 
-func (a at) in(field string, n *yaml.Node) at {
-	if a.field != "" && !strings.HasPrefix(field, "[") {
+// in returns the place of a field, or of an element such as "[0]", within this one.
+func (at place) in(field string, n *yaml.Node) place {
+	if at.field != "" && !strings.HasPrefix(field, "[") {
 		field = "." + field
 	}
-	return at{a.file, a.field + field, n}
+	return place{at.file, at.field + field, n}
 }
 
-func (a at) problem(format string, args ...any) Problem {
-	p := Problem{File: a.file, Field: a.field, Reason: fmt.Sprintf(format, args...)}
-	if a.n != nil {
-		p.Line, p.Column = a.n.Line, a.n.Column
+// problem returns a problem at the place.
+func (at place) problem(format string, args ...any) Problem {
+	p := Problem{File: at.file, Field: at.field, Reason: fmt.Sprintf(format, args...)}
+	if at.node != nil {
+		p.Line, p.Column = at.node.Line, at.node.Column
 	}
 	return p
 }
 
-func (r *reading) fail(a at, format string, args ...any) {
-	p := a.problem(format, args...)
-	if !slices.Contains(r.problems, p) {
-		r.problems = append(r.problems, p)
+// fail reports a mistake at a place, once.
+func (l *loader) fail(at place, format string, args ...any) {
+	p := at.problem(format, args...)
+	if !slices.Contains(l.problems, p) {
+		l.problems = append(l.problems, p)
 	}
 }
 
-func (r *reading) warn(a at, format string, args ...any) {
-	r.warnings = append(r.warnings, a.problem(format, args...))
+// warn reports a warning at a place.
+func (l *loader) warn(at place, format string, args ...any) {
+	l.warnings = append(l.warnings, at.problem(format, args...))
 }
 
 var errTooLarge = errors.New("the document is too large or too deeply nested")
 
 // open parses a file of the bundle, once.
-func (r *reading) open(name string) (*yaml.Node, error) {
-	if n, ok := r.parsed[name]; ok {
+func (l *loader) open(name string) (*yaml.Node, error) {
+	if n, ok := l.parsed[name]; ok {
 		return n, nil
 	}
-	b, ok := r.bundle[name]
+	b, ok := l.bundle[name]
 	if !ok {
 		return nil, fmt.Errorf("there is no %q in the bundle", name)
 	}
@@ -116,10 +121,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if n, err = r.directives(name, n, 0); err != nil {
+	if n, err = l.directives(name, n, 0); err != nil {
 		return nil, err
 	}
-	r.parsed[name] = n
+	l.parsed[name] = n
 	return n, nil
 }
 
@@ -144,45 +149,26 @@
 
 // directives follows aliases and carries out $import and $include (Schema Salad, "Import"
 // and "Include"), within the bundle. What it returns shares nothing with its input.
-func (r *reading) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
-	if r.nodes++; r.nodes > mostNodes || depth > mostNesting {
+func (l *loader) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
+	if l.nodes++; l.nodes > maxNodes || depth > maxNesting {
 		return nil, errTooLarge
 	}
 	for n.Kind == yaml.AliasNode {
-		if r.nodes++; r.nodes > mostNodes {
+		if l.nodes++; l.nodes > maxNodes {
 			return nil, errTooLarge
 		}
 		n = n.Alias
 	}
 	if n.Kind == yaml.MappingNode && len(n.Content) == 2 {
-		what, ref := n.Content[0].Value, n.Content[1]
-		if what == "$import" || what == "$include" {
-			name, _, err := resolve(file, ref.Value)
-			if err != nil {
-				return nil, Problems{at{file, what, ref}.problem("%v", err)}
-			}
-			if what == "$include" {
-				b, ok := r.bundle[name]
-				if !ok {
-					return nil, Problems{at{file, what, ref}.problem("there is no %q in the bundle", name)}
-				}
-				return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: string(b), Line: ref.Line, Column: ref.Column}, nil
-			}
-			b, ok := r.bundle[name]
-			if !ok {
-				return nil, Problems{at{file, what, ref}.problem("there is no %q in the bundle", name)}
-			}
-			imported, err := parseYAML(name, b)
-			if err != nil {
-				return nil, err
-			}
-			return r.directives(name, imported, depth+1)
+		directive, ref := n.Content[0].Value, n.Content[1]
+		if directive == "$import" || directive == "$include" {
+			return l.insert(place{file, directive, ref}, directive, depth)
 		}
 	}
 	out := *n
 	out.Alias, out.Anchor, out.Content = nil, "", nil
-	for _, c := range n.Content {
-		x, err := r.directives(file, c, depth+1)
+	for _, child := range n.Content {
+		x, err := l.directives(file, child, depth+1)
 		if err != nil {
 			return nil, err
 		}
@@ -191,6 +177,37 @@
 	return &out, nil
 }
 
+// insert returns what the directive $import or $include at a place stands for: the parsed
+// document, or the text of the file, that it refers to.
+func (l *loader) insert(ref place, directive string, depth int) (*yaml.Node, error) {
+	target, _, err := resolve(ref.file, ref.node.Value)
+	if err != nil {
+		return nil, Problems{ref.problem("%v", err)}
+	}
+	text, ok := l.bundle[target]
+	if !ok {
+		return nil, Problems{ref.problem("there is no %q in the bundle", target)}
+	}
+	if directive == "$include" {
+		return stringNode(string(text), ref.node), nil
+	}
+	imported, err := parseYAML(target, text)
+	if err != nil {
+		return nil, err
+	}
+	return l.directives(target, imported, depth+1)
+}
+
+// stringNode returns a string that stands where position does.
+func stringNode(text string, position *yaml.Node) *yaml.Node {
+	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text, Line: position.Line, Column: position.Column}
+}
+
+// emptyMapping returns a mapping without fields that stands where position does.
+func emptyMapping(position *yaml.Node) *yaml.Node {
+	return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: position.Line, Column: position.Column}
+}
+
 // resolve is the file and fragment that a reference in a file leads to.
 func resolve(file, ref string) (name, fragment string, err error) {
 	name, fragment, _ = strings.Cut(ref, "#")
@@ -216,29 +233,30 @@
 
 // fields reads a mapping. Fields outside known that have no namespace are mistakes; what
 // is in a namespace is an extension and passed over ("Extensions and metadata").
-func (r *reading) fields(a at, known ...string) map[string]at {
-	out := map[string]at{}
-	if a.n == nil || a.n.Kind != yaml.MappingNode {
-		r.fail(a, "expected fields and values, found %s", kindOf(a.n))
+func (l *loader) fields(at place, known ...string) map[string]place {
+	out := map[string]place{}
+	if at.node == nil || at.node.Kind != yaml.MappingNode {
+		l.fail(at, "expected fields and values, found %s", kindOf(at.node))
 		return out
 	}
-	for _, e := range entries(a.n) {
+	for _, e := range entries(at.node) {
 		k := e.key.Value
 		if _, twice := out[k]; twice {
-			r.fail(a.in(k, e.key), "is given twice")
+			l.fail(at.in(k, e.key), "is given twice")
 			continue
 		}
 		if len(known) > 0 && !slices.Contains(known, k) {
 			if !strings.Contains(k, ":") && !strings.HasPrefix(k, "$") {
-				r.fail(a.in(k, e.key), "no such field; expected one of %s", strings.Join(known, ", "))
+				l.fail(at.in(k, e.key), "no such field; expected one of %s", strings.Join(known, ", "))
 			}
 			continue
 		}
-		out[k] = a.in(k, e.node)
+		out[k] = at.in(k, e.node)
 	}
 	return out
 }
 
+// entries returns the fields of a mapping in the order of the text.
 func entries(n *yaml.Node) []entry {
 	var out []entry
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -247,6 +265,7 @@
 	return out
 }
 
+// kindOf names what a node is, for messages.
 func kindOf(n *yaml.Node) string {
 	if n == nil {
 		return "nothing"
@@ -268,6 +287,7 @@
 	return fmt.Sprintf("%q", shorten(n.Value))
 }
 
+// shorten cuts a text for messages to 60 bytes.
 func shorten(s string) string {
 	if len(s) > 60 {
 		return s[:57] + "..."
@@ -275,63 +295,66 @@
 	return s
 }
 
+// isNull reports whether a node is missing or null.
 func isNull(n *yaml.Node) bool {
 	return n == nil || n.Kind == yaml.ScalarNode && n.ShortTag() == "!!null"
 }
 
 // text reads a string.
-func (r *reading) text(a at) string {
-	if a.n == nil {
+func (l *loader) text(at place) string {
+	if at.node == nil {
 		return ""
 	}
-	if a.n.Kind != yaml.ScalarNode || a.n.ShortTag() != "!!str" {
-		r.fail(a, "expected a string, found %s", kindOf(a.n))
+	if at.node.Kind != yaml.ScalarNode || at.node.ShortTag() != "!!str" {
+		l.fail(at, "expected a string, found %s", kindOf(at.node))
 		return ""
 	}
-	return a.n.Value
+	return at.node.Value
 }
 
 // texts reads a string or a list of strings.
-func (r *reading) texts(a at) []string {
-	if isNull(a.n) {
+func (l *loader) texts(at place) []string {
+	if isNull(at.node) {
 		return nil
 	}
-	if a.n.Kind != yaml.SequenceNode {
-		return []string{r.text(a)}
+	if at.node.Kind != yaml.SequenceNode {
+		return []string{l.text(at)}
 	}
 	out := []string{}
-	for i, c := range a.n.Content {
-		out = append(out, r.text(a.in(fmt.Sprintf("[%d]", i), c)))
+	for i, c := range at.node.Content {
+		out = append(out, l.text(at.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
-func (r *reading) boolean(a at, otherwise bool) bool {
-	if isNull(a.n) {
-		return otherwise
+// boolean reads true or false, fallback if the field is missing or null.
+func (l *loader) boolean(at place, fallback bool) bool {
+	if isNull(at.node) {
+		return fallback
 	}
-	if a.n.ShortTag() != "!!bool" {
-		r.fail(a, "expected true or false, found %s", kindOf(a.n))
-		return otherwise
+	if at.node.ShortTag() != "!!bool" {
+		l.fail(at, "expected true or false, found %s", kindOf(at.node))
+		return fallback
 	}
 	var v bool
-	_ = a.n.Decode(&v)
+	_ = at.node.Decode(&v)
 	return v
 }
 
-func (r *reading) ints(a at) []int {
+// ints reads a list of whole numbers.
+func (l *loader) ints(at place) []int {
 	var out []int
-	if isNull(a.n) {
+	if isNull(at.node) {
 		return nil
 	}
-	if a.n.Kind != yaml.SequenceNode {
-		r.fail(a, "expected a list of whole numbers, found %s", kindOf(a.n))
+	if at.node.Kind != yaml.SequenceNode {
+		l.fail(at, "expected a list of whole numbers, found %s", kindOf(at.node))
 		return nil
 	}
-	for i, c := range a.n.Content {
+	for i, c := range at.node.Content {
 		var v int
 		if c.ShortTag() != "!!int" || c.Decode(&v) != nil {
-			r.fail(a.in(fmt.Sprintf("[%d]", i), c), "expected a whole number, found %s", kindOf(c))
+			l.fail(at.in(fmt.Sprintf("[%d]", i), c), "expected a whole number, found %s", kindOf(c))
 			continue
 		}
 		out = append(out, v)
@@ -339,72 +362,88 @@
 	return out
 }
 
-func (r *reading) oneOf(a at, otherwise string, allowed ...string) string {
-	if isNull(a.n) {
-		return otherwise
+// oneOf reads a string out of those allowed, "" if the field is missing or has another value.
+func (l *loader) oneOf(at place, allowed ...string) string {
+	if isNull(at.node) {
+		return ""
 	}
-	if a.n.Kind != yaml.ScalarNode || !slices.Contains(allowed, a.n.Value) {
-		r.fail(a, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(a.n))
-		return otherwise
+	if at.node.Kind != yaml.ScalarNode || !slices.Contains(allowed, at.node.Value) {
+		l.fail(at, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(at.node))
+		return ""
 	}
-	return a.n.Value
+	return at.node.Value
 }
 
 // named reads a list of things with an id, or the same as a mapping from ids ("Identifier
-// maps"); a value that isn't a mapping stands for the field that predicate names.
-func (r *reading) named(a at, key, predicate string, f func(id string, a at)) {
-	if isNull(a.n) {
+// maps"), and calls f for each. key is the field that has the id; a value in a mapping that
+// isn't a mapping itself stands for the field that predicate names, "" for none.
+func (l *loader) named(at place, key, predicate string, f func(id string, at place)) {
+	if isNull(at.node) {
 		return
 	}
-	switch a.n.Kind {
+	switch at.node.Kind {
 	case yaml.MappingNode:
-		seen := map[string]bool{}
-		for _, e := range entries(a.n) {
-			if seen[e.key.Value] {
-				r.fail(a.in(e.key.Value, e.key), "is given twice")
-				continue
-			}
-			seen[e.key.Value] = true
-			v := e.node
-			if v.Kind != yaml.MappingNode && predicate != "" && !isNull(v) {
-				v = &yaml.Node{
-					Kind:   yaml.MappingNode,
-					Tag:    "!!map",
-					Line:   v.Line,
-					Column: v.Column,
-					Content: []*yaml.Node{
-						{Kind: yaml.ScalarNode, Tag: "!!str", Value: predicate, Line: v.Line, Column: v.Column},
-						v,
-					},
-				}
-			}
-			if isNull(v) {
-				v = &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: e.key.Line, Column: e.key.Column}
-			}
-			f(e.key.Value, a.in(e.key.Value, v))
-		}
+		l.namedInMapping(at, predicate, f)
 	case yaml.SequenceNode:
-		for i, c := range a.n.Content {
-			x := a.in(fmt.Sprintf("[%d]", i), c)
-			if c.Kind != yaml.MappingNode {
-				r.fail(x, "expected fields and values, found %s", kindOf(c))
-				continue
-			}
-			id := ""
-			for _, e := range entries(c) {
-				if e.key.Value == key {
-					id = r.text(x.in(key, e.node))
-				}
-			}
-			if id == "" {
-				r.fail(x, "%s is missing", key)
-				continue
-			}
-			f(localName(id), a.in(localName(id), c))
-		}
+		l.namedInList(at, key, f)
 	default:
-		r.fail(a, "expected a list or a mapping, found %s", kindOf(a.n))
+		l.fail(at, "expected a list or a mapping, found %s", kindOf(at.node))
+	}
+}
+
+// namedInMapping is named for a mapping from ids.
+func (l *loader) namedInMapping(at place, predicate string, f func(id string, at place)) {
+	seen := map[string]bool{}
+	for _, e := range entries(at.node) {
+		id := e.key.Value
+		if seen[id] {
+			l.fail(at.in(id, e.key), "is given twice")
+			continue
+		}
+		seen[id] = true
+		node := e.node
+		switch {
+		case isNull(node):
+			node = emptyMapping(e.key)
+		case node.Kind != yaml.MappingNode && predicate != "":
+			short := node
+			node = emptyMapping(short)
+			node.Content = []*yaml.Node{stringNode(predicate, short), short}
+		}
+		f(id, at.in(id, node))
+	}
+}
+
+// namedInList is named for a list.
+func (l *loader) namedInList(at place, key string, f func(id string, at place)) {
+	for i, node := range at.node.Content {
+		item := at.in(fmt.Sprintf("[%d]", i), node)
+		if node.Kind != yaml.MappingNode {
+			l.fail(item, "expected fields and values, found %s", kindOf(node))
+			continue
+		}
+		id := l.textField(item, key)
+		if id == "" {
+			l.fail(item, "%s is missing", key)
+			continue
+		}
+		f(localName(id), at.in(localName(id), node))
+	}
+}
+
+// textField reads one field of a mapping as a string, "" if the field is missing or a is no
+// mapping. Of a field given several times it is the last.
+func (l *loader) textField(at place, field string) string {
+	text := ""
+	if at.node.Kind != yaml.MappingNode {
+		return text
+	}
+	for _, e := range entries(at.node) {
+		if e.key.Value == field {
+			text = l.text(at.in(field, e.node))
+		}
 	}
+	return text
 }
 
 // localName is the last part of an identifier: "#main/read" is "read".
@@ -416,18 +455,18 @@
 }
 
 // References lists the files that a document refers to by run, $import or $include, as
-// paths in its bundle, for clients that put a bundle together. What leads out of it, or
-// can't be read, is left out: Load tells of it.
+// paths in its bundle, for clients that put a bundle together. References that lead out of it,
+// or can't be read, are left out: Load reports them.
 func References(file string, b []byte) []string {
 	n, err := parseYAML(file, b)
 	if err != nil {
 		return nil
 	}
 	var out []string
-	left := mostNodes
+	remaining := maxNodes
 	var walk func(n *yaml.Node, depth int)
 	walk = func(n *yaml.Node, depth int) {
-		if left--; left < 0 || depth > mostNesting || n.Kind == yaml.AliasNode {
+		if remaining--; remaining < 0 || depth > maxNesting || n.Kind == yaml.AliasNode {
 			return
 		}
 		if n.Kind == yaml.MappingNode {
