--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"os"
 	"runtime"
 	"strconv"
@@ -14,6 +13,8 @@
 	"testing/synctest"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/server"
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/state/ledger"
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"log/slog"
-	"maddermill/internal/membership"
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"maddermill/internal/membership"
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/state/kvstore"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/internal/testing/emulator"
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"maddermill/internal/membership"
 	"time"
 
+	"maddermill/internal/membership"
+
 	"maddermill/internal/testing/emulator"
 	"maddermill/internal/wait"
 	"maddermill/wire"
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -4,12 +4,13 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"maddermill/internal/state/watchcache"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/fxamacker/cbor/v2"
 
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/state/ledger"
 	"maddermill/wire"
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,6 +11,8 @@
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/scheduler/topology"
 	"maddermill/internal/scheduler/topologytracker"
--- a/internal/leader/phases_test.go
+++ b/internal/leader/phases_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"maddermill/internal/membership"
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"time"
 
+	"maddermill/internal/membership"
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/settings"
 	"maddermill/wire"
 )
--- a/internal/leader/scale_out_test.go
+++ b/internal/leader/scale_out_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/leader/autoscale"
 	"maddermill/internal/leader/cloud"
 	"maddermill/internal/state/ledger"
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -1,10 +1,11 @@
 package leader
 
 import (
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/wire"
 )
 
--- a/internal/scheduler/crashloop/quarantine.go
+++ b/internal/scheduler/crashloop/quarantine.go
@@ -92,7 +92,11 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b wire.Judgement) int {
-		return cmp.Or(cmp.Compare(b.ProbabilityFaulty, a.ProbabilityFaulty), cmp.Compare(b.Slowdown, a.Slowdown), cmp.Compare(a.Machine, b.Machine))
+		return cmp.Or(
+			cmp.Compare(b.ProbabilityFaulty, a.ProbabilityFaulty),
+			cmp.Compare(b.Slowdown, a.Slowdown),
+			cmp.Compare(a.Machine, b.Machine),
+		)
 	})
 	return out
 }
--- a/internal/scheduler/crashloop_test.go
+++ b/internal/scheduler/crashloop_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"slices"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/leader/autoscale"
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/scheduler/placement"
--- a/internal/scheduler/deadlines_test.go
+++ b/internal/scheduler/deadlines_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"slices"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/scheduler/deadline"
 	"maddermill/internal/scheduler/placement"
 	"maddermill/internal/state/ledger"
--- a/internal/scheduler/deadlinetracker/tracker_test.go
+++ b/internal/scheduler/deadlinetracker/tracker_test.go
@@ -3,10 +3,11 @@
 import (
 	"bytes"
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/state/ledger"
 	"maddermill/internal/testing/controllertest"
 	"maddermill/wire"
--- a/internal/server/rebalance_test.go
+++ b/internal/server/rebalance_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"maddermill/internal/state/watchcache"
 	"testing"
 	"time"
 
+	"maddermill/internal/state/watchcache"
+
 	"maddermill/internal/membership/peer"
 	"maddermill/internal/state/ledger"
 	"maddermill/internal/testing/controllertest"
--- a/internal/state/archiver/archiver_test.go
+++ b/internal/state/archiver/archiver_test.go
@@ -142,7 +142,14 @@
 }
 
 // testOptions are options that keep two finished jobs on record.
-var testOptions = Options{Archive: true, KeptJobs: 2, SweepAfter: 10, TxnOps: limits.TxnOps, Requests: 100, Changes: 100}
+var testOptions = Options{
+	Archive:    true,
+	KeptJobs:   2,
+	SweepAfter: 10,
+	TxnOps:     limits.TxnOps,
+	Requests:   100,
+	Changes:    100,
+}
 
 // archivedKeys returns how many jobs are in the archive.
 func (h *testHost) archivedKeys() int {
