--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -22,7 +22,7 @@
 type Component struct {
 	Name string
 	Run  func(ctx context.Context) error
-	// Amiss returns the component's health problem in a few words; "": none. It may be called at
+	// HealthProblem returns the component's health problem in a few words; "": none. It may be called at
 	// any time and must not block. nil: the component has no health check.
 	HealthProblem func(now time.Time) string
 }
--- a/internal/workflow/runner/status.go
+++ b/internal/workflow/runner/status.go
@@ -105,7 +105,7 @@
 	for {
 		inspected.archiveMissed.Store(false)
 		if _, _, err := inspected.run.Step(ctx, now, 0); err != nil {
-			r.log.Debug("workflow not looked at", "workflow", record.ID, "err", err)
+			r.log.Debug("workflow not inspected", "workflow", record.ID, "err", err)
 		}
 		// Everything is known of a workflow that has ended, if not in one pass. Others may change any time.
 		if !record.Ended() || !inspected.run.Cut() && !inspected.archiveMissed.Load() || ctx.Err() != nil {
