--- a/internal/server/reconcile/reconciliation.go
+++ b/internal/server/reconcile/reconciliation.go
@@ -16,7 +16,7 @@
 	Cause wire.Cause    // "" if the task is just not on the machine
 	Saved bool          // a checkpoint was saved
 	Ran   time.Duration // since it was first reported running, 0 if unknown
-	// Recalled: the worker has forgotten the task and can't report its exit again.
+	// LostClaim: the worker has forgotten the task and can't report its exit again.
 	LostClaim bool
 }
 
--- a/internal/state/ledger/golden_test.go
+++ b/internal/state/ledger/golden_test.go
@@ -1,7 +1,6 @@
 package ledger
 
 import (
-	"encoding/json"
 	"testing"
 
 	"maddermill/internal/testing/golden"
@@ -10,26 +9,14 @@
 // TestSerializedFormsStay: each durable record is byte for byte what the sources before the renaming
 // of 2026 wrote. Old and new versions read each other's records.
 func TestSerializedFormsStay(t *testing.T) {
-	forms := []struct {
-		name  string
-		value any
-	}{
-		{"job", golden.Fill[jobRecord]()}, {"task_range", golden.Fill[taskRangeRecord]()},
-		{"machine", golden.Fill[machineRecord]()}, {"team", golden.Fill[teamRecord]()},
-		{"token", golden.Fill[TokenRecord]()}, {"leader", golden.Fill[LeaderRecord]()},
-		{"scale_out_intent", golden.Fill[ScaleOutIntent]()}, {"scale_out", golden.Fill[ScaleOutRecord]()},
-		{"workflow", golden.Fill[WorkflowRecord]()}, {"module", golden.Fill[ModuleRecord]()},
-		{"policy", golden.Fill[PolicyRecord]()}, {"gallery", golden.Fill[GalleryRecord]()},
-		{"gallery_promise", golden.Fill[Promise]()}, {"gallery_register", golden.Fill[registerRecord]()},
-		{"format", golden.Fill[FormatRecord]()}, {"final", golden.Fill[FinalRecord]()},
-	}
-	for _, form := range forms {
-		t.Run(form.name, func(t *testing.T) {
-			got, err := json.Marshal(form.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Check(t, form.name+".json", got)
-		})
-	}
+	golden.CheckForms(t, []golden.Form{
+		{Name: "job", Value: golden.Fill[jobRecord]()}, {Name: "task_range", Value: golden.Fill[taskRangeRecord]()},
+		{Name: "machine", Value: golden.Fill[machineRecord]()}, {Name: "team", Value: golden.Fill[teamRecord]()},
+		{Name: "token", Value: golden.Fill[TokenRecord]()}, {Name: "leader", Value: golden.Fill[LeaderRecord]()},
+		{Name: "scale_out_intent", Value: golden.Fill[ScaleOutIntent]()}, {Name: "scale_out", Value: golden.Fill[ScaleOutRecord]()},
+		{Name: "workflow", Value: golden.Fill[WorkflowRecord]()}, {Name: "module", Value: golden.Fill[ModuleRecord]()},
+		{Name: "policy", Value: golden.Fill[PolicyRecord]()}, {Name: "gallery", Value: golden.Fill[GalleryRecord]()},
+		{Name: "gallery_promise", Value: golden.Fill[Promise]()}, {Name: "gallery_register", Value: golden.Fill[registerRecord]()},
+		{Name: "format", Value: golden.Fill[FormatRecord]()}, {Name: "final", Value: golden.Fill[FinalRecord]()},
+	})
 }
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -24,6 +25,26 @@
 	return value
 }
 
+// Form is a value whose JSON is compared with the file NAME.json.
+type Form struct {
+	Name  string
+	Value any
+}
+
+// CheckForms compares the JSON of each form with its file, in a subtest of its name.
+func CheckForms(t *testing.T, forms []Form) {
+	t.Helper()
+	for _, form := range forms {
+		t.Run(form.Name, func(t *testing.T) {
+			got, err := json.Marshal(form.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			Check(t, form.Name+".json", got)
+		})
+	}
+}
+
 // Check compares got with the file testdata/golden/NAME. With GOLDEN_UPDATE=1 in the environment
 // the file is written instead: only where a serialized form is new.
 func Check(t *testing.T, name string, got []byte) {
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -7,37 +7,25 @@
 	"maddermill/internal/testing/golden"
 )
 
-// TestSerializedFormsStay: each message is byte for byte what the sources before the renaming of
-// 2026 wrote. A lost or misspelt tag would change a key unseen, as both
-// ends of our own tests would follow.
+// TestSerializedFormsStay compares each message byte for byte with what the sources before the renaming of
+// 2026 wrote. A lost or misspelt tag would otherwise change a key unseen, as both ends of our own tests
+// would follow.
 func TestSerializedFormsStay(t *testing.T) {
-	forms := []struct {
-		name  string
-		value any
-	}{
-		{"item", golden.Fill[Item]()}, {"item_page", golden.Fill[ItemPage]()},
-		{"condition", golden.Fill[Condition]()}, {"change", golden.Fill[Change]()},
-		{"transaction", golden.Fill[Txn]()}, {"transaction_result", golden.Fill[TxnResult]()},
-		{"lease_request", golden.Fill[LeaseRequest]()}, {"lease_grant", golden.Fill[LeaseGrant]()},
-		{"event", golden.Fill[Event]()}, {"events", golden.Fill[Events]()},
-		{"topology_block", golden.Fill[BlockView]()}, {"topology_machine", golden.Fill[MachineView]()},
-		{"topology_gang", golden.Fill[GangView]()}, {"judgement", golden.Fill[Judgement]()},
-		{"workflow", golden.Fill[WorkflowSpec]()}, {"workflow_status", golden.Fill[WorkflowStatus]()},
-		{"job", golden.Fill[JobSpec]()}, {"job_status", golden.Fill[JobStatus]()},
-		{"error", golden.Fill[ErrorBody]()}, {"machine_types", golden.Fill[MachineTypeList]()},
-		{"scale_out", golden.Fill[ScaleOutRequest]()}, {"machine_names", golden.Fill[MachineIDList]()},
-		{"machine_list", golden.Fill[MachineList]()}, {"heartbeat", golden.Fill[Heartbeat]()},
-		{"heartbeat_response", golden.Fill[HeartbeatResponse]()}, {"redirect", golden.Fill[Redirect]()},
-	}
-	for _, form := range forms {
-		t.Run(form.name, func(t *testing.T) {
-			got, err := json.Marshal(form.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Check(t, form.name+".json", got)
-		})
-	}
+	golden.CheckForms(t, []golden.Form{
+		{Name: "item", Value: golden.Fill[Item]()}, {Name: "item_page", Value: golden.Fill[ItemPage]()},
+		{Name: "condition", Value: golden.Fill[Condition]()}, {Name: "change", Value: golden.Fill[Change]()},
+		{Name: "transaction", Value: golden.Fill[Txn]()}, {Name: "transaction_result", Value: golden.Fill[TxnResult]()},
+		{Name: "lease_request", Value: golden.Fill[LeaseRequest]()}, {Name: "lease_grant", Value: golden.Fill[LeaseGrant]()},
+		{Name: "event", Value: golden.Fill[Event]()}, {Name: "events", Value: golden.Fill[Events]()},
+		{Name: "topology_block", Value: golden.Fill[BlockView]()}, {Name: "topology_machine", Value: golden.Fill[MachineView]()},
+		{Name: "topology_gang", Value: golden.Fill[GangView]()}, {Name: "judgement", Value: golden.Fill[Judgement]()},
+		{Name: "workflow", Value: golden.Fill[WorkflowSpec]()}, {Name: "workflow_status", Value: golden.Fill[WorkflowStatus]()},
+		{Name: "job", Value: golden.Fill[JobSpec]()}, {Name: "job_status", Value: golden.Fill[JobStatus]()},
+		{Name: "error", Value: golden.Fill[ErrorBody]()}, {Name: "machine_types", Value: golden.Fill[MachineTypeList]()},
+		{Name: "scale_out", Value: golden.Fill[ScaleOutRequest]()}, {Name: "machine_names", Value: golden.Fill[MachineIDList]()},
+		{Name: "machine_list", Value: golden.Fill[MachineList]()}, {Name: "heartbeat", Value: golden.Fill[Heartbeat]()},
+		{Name: "heartbeat_response", Value: golden.Fill[HeartbeatResponse]()}, {Name: "redirect", Value: golden.Fill[Redirect]()},
+	})
 	t.Run("topology", func(t *testing.T) {
 		got, err := golden.Fill[TopologyView]().AppendLines(nil)
 		if err != nil {
