--- a/internal/testing/emulator/store.go
+++ b/internal/testing/emulator/store.go
@@ -12,8 +12,9 @@
 // faults are drawn from a seed: the number and order of the draws of a Link or Balancer
 // must stay, as tests with fixed seeds depend on them.
 //
-// Locking: Cloud.mu is taken before Machine.mu, and Machine.mu before World.mu. Under
-// a fake clock nobody may sleep while holding one of them.
+// Locking: Cloud.mu is taken before Machine.mu, and Machine.mu before World.mu. Store.Seen
+// is called under the store's lock, and World.Finished, Fails and Fetch and Machine.Run
+// under World.mu. Under a fake clock nobody may sleep while holding a lock.
 //
 // Nothing here is part of the product, and nothing is durable.
 package emulator
