--- a/cmd/standin/worker.go
+++ b/cmd/standin/worker.go
@@ -33,7 +33,7 @@
 			return
 		}
 		if response := report(ctx, client, controller, body); response != nil {
-			m.Answer(begun, heartbeat.Session, response)
+			m.Answer(begun, heartbeat.Epoch, response)
 		}
 	}
 }
--- /dev/null
+++ b/internal/server/reconcile/worker_test.go
@@ -0,0 +1,133 @@
+package reconcile
+
+import (
+	"testing"
+	"time"
+
+	"maddermill/internal/state/ledger"
+	"maddermill/wire"
+)
+
+// ours is the fencing token that the controller under test commands the worker under.
+const ours = wire.FencingToken(7)
+
+// The attempt that claimOf claims, and its key.
+const testAttempt = wire.Attempt(3)
+
+var testKey = taskKey{wire.TaskID{Job: "wk-000001", Index: 0}, testAttempt}
+
+// claimOf is a claim of the only task of a job in a state ("" is active).
+func claimOf(epoch wire.AgentEpoch, token wire.FencingToken, state ledger.JobState) []ledger.HeldClaim {
+	job := &ledger.Job{
+		ID:      testKey.task.Job,
+		Spec:    &wire.JobSpec{Tasks: 1, Shape: wire.Array, Save: 2, Checkpoint: 5},
+		State:   state,
+		Claimed: 1,
+	}
+	claim := ledger.Claim{First: 0, Count: 1, Attempt: testAttempt, Machine: "host-1", Epoch: epoch, Token: token}
+	return []ledger.HeldClaim{{Job: job, Claim: claim}}
+}
+
+// heartbeat is a heartbeat of a worker that has accepted a token.
+func heartbeat(
+	epoch wire.AgentEpoch,
+	sequence wire.HeartbeatSequence,
+	token wire.FencingToken,
+	tasks ...wire.TaskStatus,
+) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "host-1", Epoch: epoch, Sequence: sequence, FencingToken: token, Tasks: tasks}
+}
+
+// status is an attempt of the task of claimOf in a state.
+func status(state wire.TaskState, attempt wire.Attempt) wire.TaskStatus {
+	return wire.TaskStatus{Task: testKey.task, Attempt: attempt, State: state}
+}
+
+// gaveUp is the task of claimOf after it gave up waiting for its gang.
+func gaveUp() wire.TaskStatus {
+	t := status(wire.TaskExited, testAttempt)
+	t.Cause = wire.CauseGangIncomplete
+	return t
+}
+
+// TestStale: a heartbeat of an earlier epoch, or not newer than the latest of this epoch, is stale.
+func TestStale(t *testing.T) {
+	w := NewWorker(heartbeat(2, 5, 0), nil, time.Time{})
+	w.Reconcile(heartbeat(2, 5, 0), nil, ours, time.Time{})
+	for _, tc := range []struct {
+		r    *wire.Heartbeat
+		want bool
+	}{
+		{heartbeat(1, 90, ours), true},
+		{heartbeat(2, 5, ours), true},
+		{heartbeat(2, 4, ours), true},
+		{heartbeat(2, 6, 0), false},
+		{heartbeat(3, 1, 0), false},
+	} {
+		if got := w.Stale(tc.r); got != tc.want {
+			t.Errorf("epoch %d, sequence %d: stale %v, want %v", tc.r.Epoch, tc.r.Sequence, got, tc.want)
+		}
+	}
+}
+
+// TestObservedTasks: what is known of a task goes when it is neither reported nor claimed, or with the agent
+// epoch; of a claimed task that is not reported only the start that was sent stays known.
+func TestObservedTasks(t *testing.T) {
+	at := func(s int) time.Time { return time.Date(2026, 1, 1, 0, 0, s, 0, time.UTC) }
+	running := status(wire.TaskRunning, testAttempt)
+	// started is a worker to which the start of the claim went out, and which runs and is to stop the task.
+	started := func(t *testing.T) (*Worker, []ledger.HeldClaim) {
+		t.Helper()
+		claims := claimOf(1, ours, ledger.Active)
+		w := NewWorker(heartbeat(1, 1, ours), nil, at(0))
+		w.Reconcile(heartbeat(1, 1, ours), claims, ours, at(0))
+		if commands := w.Commands(heartbeat(1, 1, ours), claims, ledger.Resources{}, true); len(commands) != 1 {
+			t.Fatalf("commands %+v, want a start", commands)
+		}
+		w.Reconcile(heartbeat(1, 2, ours, running), claims, ours, at(1))
+		w.Stop(claims[0])
+		return w, claims
+	}
+	t.Run("reported", func(t *testing.T) {
+		w, claims := started(t)
+		w.Reconcile(heartbeat(1, 3, ours, running), claims, ours, at(2))
+		want := observedTask{claimed: true, runningSince: at(1), stop: true, sent: true, sentSequence: 1}
+		if got := *w.task(testKey); got != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	})
+	t.Run("reported, not claimed", func(t *testing.T) {
+		w, _ := started(t)
+		w.Reconcile(heartbeat(1, 3, ours, running), nil, ours, at(2))
+		want := observedTask{runningSince: at(1), stop: true, sent: true, sentSequence: 1}
+		if got := *w.task(testKey); got != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	})
+	t.Run("claimed, not reported", func(t *testing.T) {
+		w, claims := started(t)
+		w.Reconcile(heartbeat(1, 3, ours), claims, ours, at(2))
+		want := observedTask{claimed: true, sent: true, sentSequence: 1}
+		if got := *w.task(testKey); got != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	})
+	t.Run("neither", func(t *testing.T) {
+		w, _ := started(t)
+		w.Reconcile(heartbeat(1, 3, ours), nil, ours, at(2))
+		if len(w.tasks) != 0 {
+			t.Errorf("%d tasks known, want none", len(w.tasks))
+		}
+	})
+	t.Run("new epoch", func(t *testing.T) {
+		w, claims := started(t)
+		w.Reconcile(heartbeat(2, 1, ours, running), claims, ours, at(2))
+		want := observedTask{claimed: true, runningSince: at(2)}
+		if got := *w.task(testKey); got != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	})
+	if *notObserved != (observedTask{}) {
+		t.Errorf("notObserved was written to: %+v", *notObserved)
+	}
+}
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -2,258 +2,89 @@
 
 import (
 	"encoding/json"
-	"log/slog"
-	"math/bits"
-	"slices"
-	"strings"
 
 	"maddermill/wire"
 )
 
-// Limits are what the state service takes, and the rules of teams.
-type Limits struct {
-	ValueBytes                       int
-	TxnOps                           int
-	TxnBytes                         int
-	TeamMax                          map[wire.Team]Resources // capped teams only; 0 in an amount: none
-	ControllerIndex, ControllerCount int                     // this controller's among all; 0 of 0: it is alone
-}
-
-// binds reports whether a team's limit is on something that a task needs.
-func (l *Limits) binds(t wire.Team, need Resources) bool {
-	limit := l.TeamMax[t]
-	return limit.CPU > 0 && need.CPU > 0 || limit.GPU > 0 && need.GPU > 0
-}
-
-// claimBytes is what a claim takes of a value at the most, names included.
-const claimBytes = 96
-
-// specBytes is what a job's description takes of its record at the most.
-const specBytes = 1200
-
-// TasksPerRange is how many tasks share a record: in the worst case each has a
-// claim of its own, and all must fit beside the job's description.
-func (l *Limits) TasksPerRange() int {
-	return min(400, max(4, (l.ValueBytes-specBytes)/claimBytes))
-}
-
-// longRange is how many tasks of a large array share a record, at the most.
-const longRange = 256
-
-// startsPerRange is how many starts a record of a large array must at least have room
-// for, counted in machines that are filled with its tasks.
-const startsPerRange = 12
-
-// rangeFor is how many tasks of a job share a record; 0: so few that each may have a
-// claim of its own. Tasks of a huge array end many at a time and its machines take many
-// at a time, so longer ranges save changes; but then only so many starts have room in a
-// record, which a claim that finds none respects. A gang's tasks must all find room.
-func (l *Ledger) rangeFor(s *wire.JobSpec) int {
-	if s.Shape != wire.Array {
-		return 0
-	}
-	// Where a type of machine takes but a few of them, a record would be full of starts with most
-	// of its tasks yet to begin, and the machines of that type idle.
-	need, each := NewResources(s.CPUs, s.GPUs, s.MemoryGB), 0
-	for _, f := range l.flavors {
-		k := NewResources(f.CPUs, f.GPUs, f.MemoryGB).Times(need, s.Tasks)
-		if k > 0 && (each == 0 || k < each) && (s.Types == nil || slices.Contains(s.Types, f.Name)) {
-			each = k
-		}
-	}
-	n := min(longRange, startsPerRange*each)
-	if usual := l.limits.TasksPerRange(); s.Tasks <= 2*usual || n < 2*usual ||
-		l.limits.ValueBytes < specBytes+n/6+startsPerRange*claimBytes+n*pairBytes/2 {
-		return 0
-	}
-	return n
-}
-
-// TaskRange is a range of a job's tasks as last seen.
-type TaskRange struct {
-	Version wire.Revision
-	chunkRecord
-	done, held int // tasks
-}
-
-func (c *chunkRecord) isDone(i int) bool {
-	return i/8 < len(c.Done) && c.Done[i/8]&(1<<(i%8)) != 0
-}
-
-func (c *chunkRecord) doneCount() int {
-	n := 0
-	for _, b := range c.Done {
-		n += bits.OnesCount8(b)
-	}
-	return n
-}
-
-func (c *chunkRecord) claimed() int {
-	n := 0
-	for i := range c.Claims {
-		n += c.Claims[i].Count
-	}
-	return n
-}
-
-// Job is a job as last seen.
-type Job struct {
-	ID         wire.JobID
-	Spec       *wire.JobSpec
-	Need       Resources // of one task
-	Accepted   wire.UnixMillis
-	State      JobState
-	Stop       wire.Attempt
-	Done       int              // tasks done
-	Claimed    int              // tasks claimed
-	Gallery    wire.GalleryName // that it is tied to, "" if none
-	Ended      wire.UnixMillis  // when it was done, if it is tied
-	Workflow   wire.WorkflowID  // the workflow that it is a step of, "" if none
-	Cancelling bool             // that workflow is cancelled, so the job will be; or the job is, by another's ledger
-	chunks     map[int]*TaskRange
-
-	chunkTasks int
-	kept       int // tasks done, as noted when the job is over and its ranges go
-}
-
-// Pending is the number of tasks that are neither done nor claimed.
-func (j *Job) Pending() int {
-	if j.State != Active || j.Cancelling {
-		return 0
-	}
-	return j.Spec.Tasks - j.Done - j.Claimed
-}
-
-// GangSize is how many of the job's tasks must start together.
-func (j *Job) GangSize() int {
-	if j.Spec.Shape != wire.Gang {
-		return 1
-	}
-	return j.Spec.Tasks - j.Done
-}
-
-// RunsWholeMachines reports whether every task is claimed or done: of a gang, that its attempt has all its tasks.
-func (j *Job) RunsWholeMachines() bool { return j.Done+j.Claimed == j.Spec.Tasks }
-
-// TaskDone reports whether a task is on record as done.
-func (j *Job) TaskDone(t wire.TaskIndex) bool {
-	c := j.chunks[int(t)/j.chunkTasks]
-	return c != nil && c.isDone(int(t)%j.chunkTasks)
-}
-
-// Attempt is the last attempt given out to the job's first tasks; for a gang,
-// to all of them.
-func (j *Job) Attempt() wire.Attempt { return j.chunks[0].Attempt }
-
-// Claims calls f for every claim until it returns false.
-func (j *Job) Claims(f func(Claim) bool) {
-	for _, c := range j.chunks {
-		for _, cl := range c.Claims {
-			if !f(cl) {
-				return
-			}
-		}
-	}
-}
-
-// Status is what users are told.
-func (j *Job) Status() wire.Status {
-	switch {
-	case j.State == Cancelled:
-		return wire.Cancelled
-	case j.State == Done:
-		return wire.Done
-	case j.Claimed > 0:
-		return wire.Running
-	}
-	return wire.Queued
-}
+// Ledger is the in-memory copy of the replicated records, with the indices that are read from it. It is
+// not safe for concurrent use.
+type Ledger struct {
+	limits   Limits
+	revision wire.Revision // that all changes are applied up to
 
-// HeldClaim is a claim seen from its machine.
-type HeldClaim struct {
-	Job *Job
-	Claim
-	chunk int
-}
+	jobs            map[wire.JobID]*Job // on record, but for those in archived.finished
+	active          map[wire.JobID]*Job // of jobs, neither done nor cancelled
+	orphanRanges    map[string]Event    // task ranges that arrived before their job, by key
+	claimsByMachine map[wire.MachineID][]HeldClaim
+	archived        archiveIndex
 
-// Range tells which range of the job's tasks the claim is in.
-func (h *HeldClaim) Range() int { return h.chunk }
+	teamUsage    map[wire.Team]Resources     // the sum of the claims
+	teamVersions map[wire.Team]wire.Revision // of the record that starts of a limited team rewrite
 
-// Ledger is the mirror. It isn't safe for concurrent use.
-type Ledger struct {
-	limits   Limits
-	revision wire.Revision
-	jobs     map[wire.JobID]*Job
-	active   map[wire.JobID]*Job
+	phases          map[wire.MachineID]MachinePhase // of machines with a record of their own
+	phaseVersions   map[wire.MachineID]wire.Revision
+	terminating     map[wire.MachineID]string   // terminating and not yet terminated, with the reason
+	changedMachines map[wire.MachineID]struct{} // whose claims or phase changed; see DrainChangedMachines
+	machineTypes    map[wire.MachineTypeName]wire.MachineType
 
-	galleries   map[wire.GalleryName]*Gallery
-	register    registerRecord
-	registerVer wire.Revision
-	orphans     map[string]Event // ranges that arrived before their job
-	held        map[wire.MachineID][]HeldClaim
-	usage       map[wire.Team]Resources
-	teamVer     map[wire.Team]wire.Revision
-	marks       map[wire.MachineID]MachinePhase
-	leaving     map[wire.MachineID]string   // marked, and not yet known to be gone
-	touched     map[wire.MachineID]struct{} // whose claims or marks changed since last asked
-	markVer     map[wire.MachineID]wire.Revision
-	members     map[wire.MemberID]json.RawMessage
-	flavors     map[wire.MachineTypeName]wire.MachineType
+	galleries       map[wire.GalleryName]*Gallery // also those of which only jobs are on record, at version 0
+	register        registerRecord
+	registerVersion wire.Revision
 
-	workflows map[wire.WorkflowID]*Workflow
-	past      past
-	policy    PolicyRecord
-	policyVer wire.Revision
-	modules   map[wire.ModuleHash]ModuleRecord
+	workflows     map[wire.WorkflowID]*Workflow
+	policy        PolicyRecord
+	policyVersion wire.Revision
+	modules       map[wire.ModuleHash]ModuleRecord
 
-	cancelled wire.Revision // of the newest cancellation, or later
-	cancels   cancels
+	lastCancel    wire.Revision // at or above that of the newest cancellation
+	recentCancels cancellationLog
 
-	hires     ScaleOutRecord
-	hiresVer  wire.Revision
-	token     TokenRecord
-	tokenVer  wire.Revision
-	leader    LeaderRecord
-	leaderVer wire.Revision
+	members         map[wire.MemberID]json.RawMessage
+	scaleOut        ScaleOutRecord
+	scaleOutVersion wire.Revision
+	token           TokenRecord
+	tokenVersion    wire.Revision
+	leader          LeaderRecord
+	leaderVersion   wire.Revision
 }
 
-// Event is one key as it now is.
+// Event is the state of one key after a change.
 type Event struct {
 	Key     string
-	Value   json.RawMessage // nil: deleted
+	Value   json.RawMessage // nil: it was deleted
 	Version wire.Revision
 }
 
 // New returns an empty ledger.
 func New(limits Limits) *Ledger {
 	return &Ledger{
-		limits:    limits,
-		jobs:      map[wire.JobID]*Job{},
-		active:    map[wire.JobID]*Job{},
-		galleries: map[wire.GalleryName]*Gallery{},
-		orphans:   map[string]Event{},
-		held:      map[wire.MachineID][]HeldClaim{},
-		usage:     map[wire.Team]Resources{},
-		teamVer:   map[wire.Team]wire.Revision{},
-		marks:     map[wire.MachineID]MachinePhase{},
-		leaving:   map[wire.MachineID]string{},
-		touched:   map[wire.MachineID]struct{}{},
-		markVer:   map[wire.MachineID]wire.Revision{},
-		members:   map[wire.MemberID]json.RawMessage{},
-		flavors:   map[wire.MachineTypeName]wire.MachineType{},
-		workflows: map[wire.WorkflowID]*Workflow{},
-		past:      newPast(),
-		modules:   map[wire.ModuleHash]ModuleRecord{},
-	}
-}
-
-// Revision is how far the ledger has caught up.
+		limits:          limits,
+		jobs:            map[wire.JobID]*Job{},
+		active:          map[wire.JobID]*Job{},
+		galleries:       map[wire.GalleryName]*Gallery{},
+		orphanRanges:    map[string]Event{},
+		claimsByMachine: map[wire.MachineID][]HeldClaim{},
+		teamUsage:       map[wire.Team]Resources{},
+		teamVersions:    map[wire.Team]wire.Revision{},
+		phases:          map[wire.MachineID]MachinePhase{},
+		terminating:     map[wire.MachineID]string{},
+		changedMachines: map[wire.MachineID]struct{}{},
+		phaseVersions:   map[wire.MachineID]wire.Revision{},
+		members:         map[wire.MemberID]json.RawMessage{},
+		machineTypes:    map[wire.MachineTypeName]wire.MachineType{},
+		workflows:       map[wire.WorkflowID]*Workflow{},
+		archived:        newArchiveIndex(),
+		modules:         map[wire.ModuleHash]ModuleRecord{},
+	}
+}
+
+// Revision returns the revision up to which all changes are applied.
 func (l *Ledger) Revision() wire.Revision { return l.revision }
 
 // AdvanceRevision notes that all changes up to r have been applied.
 func (l *Ledger) AdvanceRevision(r wire.Revision) { l.revision = max(l.revision, r) }
 
-// Job returns a job, or nil. Of a job that is over, Over may be all that there is.
+// Job returns a job, nil if it is not on record. Of a finished job ArchivedState may be all that there is.
 func (l *Ledger) Job(id wire.JobID) *Job { return l.jobs[id] }
 
 // EachActive calls f for every job that is neither done nor cancelled.
@@ -263,119 +94,38 @@
 	}
 }
 
-// Counts returns the number of jobs known and of those active.
-func (l *Ledger) Counts() (known, active int) { return len(l.jobs) + len(l.past.over), len(l.active) }
+// Counts returns the number of jobs on record and of those active.
+func (l *Ledger) Counts() (known, active int) {
+	return len(l.jobs) + len(l.archived.finished), len(l.active)
+}
 
-// ClaimsOn returns the claims on a machine. The slice must not be kept.
-func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.held[m] }
+// ClaimsOn returns the claims on a machine. The slice is valid until the next change of the ledger.
+func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.claimsByMachine[m] }
 
 // EachHolder calls f for every machine with claims.
 func (l *Ledger) EachHolder(f func(wire.MachineID, []HeldClaim)) {
-	for m, h := range l.held {
+	for m, h := range l.claimsByMachine {
 		f(m, h)
 	}
 }
 
-// Used returns what a team's claims take.
-func (l *Ledger) Used(t wire.Team) Resources { return l.usage[t] }
-
-// MachinePhase returns a machine's mark, "" if it has none.
-func (l *Ledger) MachinePhase(m wire.MachineID) MachinePhase {
-	if k := l.marks[m]; k != "" || !l.past.gone.Has(string(m)) {
-		return k
-	}
-	return Terminated
-}
-
-// MachinePhases calls f for every machine that has a mark of its own.
-func (l *Ledger) MachinePhases(f func(wire.MachineID, MachinePhase)) {
-	for m, k := range l.marks {
-		f(m, k)
-	}
-}
-
-// DecodeMachinePhase reads a machine's mark from its record as the state service has it, with the reason
-// that was given; false for records of something else.
-func DecodeMachinePhase(it wire.Item) (m wire.MachineID, mark MachinePhase, why string, ok bool) {
-	rest, ok := strings.CutPrefix(it.Key, machinePrefix)
-	var r machineRecord
-	if !ok || json.Unmarshal(it.Value, &r) != nil {
-		return "", "", "", false
-	}
-	return wire.MachineID(rest), r.Mark, r.Why, true
-}
-
-// MarksPrefix is what the keys of machines' marks begin with.
-const MarksPrefix = machinePrefix
-
-// TerminatingMachines calls f for every machine on its way out that isn't known to be gone.
-// Marks of machines long gone are only walked to be swept.
-func (l *Ledger) TerminatingMachines(f func(wire.MachineID)) {
-	for m := range l.leaving {
-		f(m)
-	}
-}
-
-// DrainChangedMachines calls f for every machine whose claims or mark have changed since the
-// last call.
-func (l *Ledger) DrainChangedMachines(f func(wire.MachineID)) {
-	for m := range l.touched {
-		f(m)
-	}
-	clear(l.touched)
-}
+// Used returns the sum of a team's claims.
+func (l *Ledger) Used(t wire.Team) Resources { return l.teamUsage[t] }
 
-// Member returns what a controller last published.
+// Member returns the status that a controller last published, nil if none.
 func (l *Ledger) Member(m wire.MemberID) json.RawMessage { return l.members[m] }
 
-// BestEffort reports whether a job only takes what others leave, also of the budget of changes.
-func (j *Job) BestEffort() bool { return j.Spec.Priority == wire.BestEffort }
-
-// Total is what a machine of a type has; nothing if the type is not known.
-func (l *Ledger) Total(t wire.MachineTypeName) Resources {
-	f := l.flavors[t]
-	return NewResources(f.CPUs, f.GPUs, f.MemoryGB)
-}
-
-// Free is what claims leave of a machine in its session.
-func (l *Ledger) Free(s ClaimTarget) Resources {
-	free := l.Total(s.Type)
-	for _, h := range l.ClaimsOn(s.Machine) {
-		if h.Session >= s.Session {
-			free = free.Add(h.Job.Need, -h.Count)
-		}
-	}
-	return free
-}
-
-// MachineType returns a machine type as the leader has published it.
-func (l *Ledger) MachineType(t wire.MachineTypeName) (wire.MachineType, bool) {
-	f, ok := l.flavors[t]
-	return f, ok
-}
-
-// MachineTypes returns all machine types. The map must not be changed.
-func (l *Ledger) MachineTypes() map[wire.MachineTypeName]wire.MachineType { return l.flavors }
-
-// LastCancel is at or above the revision of every cancellation that the ledger
-// holds. A controller tells a user of one only when its ledger holds it.
-func (l *Ledger) LastCancel() wire.Revision { return l.cancelled }
+// LastCancel returns a revision at or above that of every cancellation in the ledger. A controller
+// confirms a cancellation to a user only once it is in its ledger (DESIGN, "Safety", 1).
+func (l *Ledger) LastCancel() wire.Revision { return l.lastCancel }
 
-// ScaleOutIntents returns the rentals that were asked for lately, and the version of their record.
+// ScaleOutIntents returns the recent scale-out requests, and the version of their record.
 func (l *Ledger) ScaleOutIntents() ([]ScaleOutIntent, wire.Revision) {
-	return l.hires.Recent, l.hiresVer
+	return l.scaleOut.Recent, l.scaleOutVersion
 }
 
 // Token returns the token counter and its version.
-func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVer }
-
-// Leader returns the fleet's leader and the record's version; 0: there is none.
-func (l *Ledger) Leader() (LeaderRecord, wire.Revision) { return l.leader, l.leaderVer }
+func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVersion }
 
-// Apply takes over one change. Changes may arrive twice, never out of order for
-// one key except through a second reading; older ones are passed over.
-func (l *Ledger) Apply(e Event) {
-	if err := l.apply(e); err != nil {
-		slog.Error("record not understood", "key", e.Key, "err", err)
-	}
-}
+// Leader returns the leader's record and its version, 0 if there is no leader.
+func (l *Ledger) Leader() (LeaderRecord, wire.Revision) { return l.leader, l.leaderVersion }
--- /dev/null
+++ b/internal/state/ledger/transaction_claims.go
@@ -0,0 +1,318 @@
+package ledger
+
+import (
+	"fmt"
+	"slices"
+
+	"maddermill/wire"
+)
+
+// ClaimTarget is the machine on which tasks are claimed, as the controller that holds it knows it.
+type ClaimTarget struct {
+	Machine wire.MachineID
+	Type    wire.MachineTypeName
+	Zone    wire.Zone
+	Spot    bool
+	Epoch   wire.AgentEpoch   // the incarnation of its worker
+	Token   wire.FencingToken // under which the controller holds the machine
+}
+
+// Allowed reports whether a job may run on a machine of a type, in a zone, spot or not.
+func Allowed(s *wire.JobSpec, typ wire.MachineTypeName, zone wire.Zone, spot bool) bool {
+	return (s.Types == nil || slices.Contains(s.Types, typ)) &&
+		(s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
+}
+
+// zoneCapacity returns how many more tasks of a job may be claimed in a zone. each calls its argument for
+// every claim of the job. A job that must spread has at most half of its tasks, rounded up, in a zone.
+func zoneCapacity(s *wire.JobSpec, zone wire.Zone, each func(func(*Claim))) int {
+	capacity := s.Tasks
+	if !s.Spread && !s.OneZone {
+		return capacity // without a rule for zones the claims, of which there may be many, are not read
+	}
+	if s.Spread {
+		capacity = (s.Tasks + 1) / 2
+	}
+	here, elsewhere := 0, 0
+	each(func(c *Claim) {
+		if c.Zone == zone {
+			here += c.Count
+		} else {
+			elsewhere += c.Count
+		}
+	})
+	if s.OneZone && elsewhere > 0 {
+		return 0
+	}
+	return max(0, capacity-here)
+}
+
+// Claim claims up to count pending tasks of an array or service for a target and returns how many it
+// claimed. Tasks for which backedOff is true are left out; it may be nil. It returns
+// ErrPreconditionFailed if it claimed none.
+func (txn *Transaction) Claim(
+	j *Job, target ClaimTarget, count int, backedOff func(wire.TaskIndex) bool,
+) (int, error) {
+	claimed := 0
+	err := txn.atomically(func() error {
+		update := txn.update(j)
+		if j.Spec.Shape == wire.Gang {
+			return fmt.Errorf("ledger: %s is a gang", j.ID)
+		}
+		if err := txn.requireTarget(update, target); err != nil {
+			return err
+		}
+		count = min(count, zoneCapacity(j.Spec, target.Zone, update.eachClaim), txn.teamCapacity(j, count))
+		ranges := (j.Spec.Tasks + j.tasksPerRange - 1) / j.tasksPerRange
+		// Controllers begin at different ranges of a large job. Those that start tasks of it at the
+		// same time seldom write the same record, and starts and ends that one records together are
+		// in few.
+		first := txn.ledger.limits.firstRange(j.ID, ranges)
+		for k := 0; k < ranges && claimed < count; k++ {
+			n := (first + k) % ranges
+			if update.rangeTaken(n) {
+				continue
+			}
+			_, changed := update.ranges[n]
+			tasks := pendingTasks(update.taskRange(n), j.rangeBounds(n), count-claimed, backedOff)
+			tasks = tasks[:txn.recordCapacity(update, n, tasks)]
+			full := claimed > 0 && len(txn.values) >= txn.maxChanges-1 // the rest goes into a later transaction
+			if len(tasks) > 0 && !full {
+				txn.claimInRange(update, n, tasks, target)
+				claimed += len(tasks)
+				continue
+			}
+			if !changed {
+				delete(update.ranges, n)
+			}
+			if len(tasks) > 0 {
+				break
+			}
+		}
+		if claimed == 0 {
+			return ErrPreconditionFailed
+		}
+		txn.addTeamUse(j, claimed, target.Token)
+		return nil
+	})
+	if err != nil {
+		return 0, err
+	}
+	return claimed, nil
+}
+
+// claimInRange claims pending tasks of the n-th range, in ascending order, under a new attempt.
+func (txn *Transaction) claimInRange(update *jobUpdate, n int, tasks []wire.TaskIndex, target ClaimTarget) {
+	r, j := update.taskRange(n), update.job
+	r.Attempt++
+	appendClaims(r, tasks, r.Attempt, target)
+	txn.putRange(update, n)
+	if n == 0 {
+		return
+	}
+	// Cancellation and zones are read from the job's own record; with a zone rule every start must
+	// also rewrite it.
+	txn.requireRange(j, 0)
+	if j.Spec.OneZone || j.Spec.Spread {
+		txn.putRange(update, 0)
+	}
+}
+
+// recordCapacity returns how many of the tasks, as one start, the record of the n-th range has room for
+// however its tasks end. A record that the end of a task would make too large could never be written.
+func (txn *Transaction) recordCapacity(update *jobUpdate, n int, tasks []wire.TaskIndex) int {
+	if update.longRange == 0 || len(tasks) == 0 {
+		return len(tasks) // each task has room for a claim of its own
+	}
+	size := 64 + update.longRange/6 + 8 // the rest of the record, done tasks among it
+	if n == 0 {
+		size += maxSpecBytes
+	}
+	size += update.taskRange(n).Claims.worstBytes() + maxClaimBytes
+	capacity := 0
+	for i := 0; i < len(tasks); {
+		end := i + 1
+		for end < len(tasks) && tasks[end] == tasks[end-1]+1 {
+			end++
+		}
+		// As much of this run of tasks as fits becomes one piece of the claim.
+		for piece := end - i; piece > 0; piece-- {
+			if size+(piece+1)/2*maxPairBytes <= txn.ledger.limits.ValueBytes {
+				size += (piece + 1) / 2 * maxPairBytes
+				capacity = i + piece
+				break
+			}
+		}
+		if capacity < end {
+			break
+		}
+		i = end
+	}
+	return capacity
+}
+
+// GangPart is the number of a gang's tasks on one machine.
+type GangPart struct {
+	Target ClaimTarget
+	Count  int
+}
+
+// ClaimGang claims every task of a gang that is not done at once, as a new attempt. It refuses while any
+// claim of an earlier attempt is left, and unless the parts have room for exactly all tasks.
+func (txn *Transaction) ClaimGang(j *Job, parts []GangPart) error {
+	return txn.atomically(func() error {
+		update := txn.update(j)
+		if j.Spec.Shape != wire.Gang {
+			return fmt.Errorf("ledger: %s is not a gang", j.ID)
+		}
+		claimed := false
+		update.eachClaim(func(*Claim) { claimed = true })
+		if claimed {
+			return ErrPreconditionFailed
+		}
+		attempt := update.taskRange(0).Attempt + 1
+		var remaining []wire.TaskIndex
+		for n := 0; n*j.tasksPerRange < j.Spec.Tasks; n++ {
+			remaining = append(remaining, pendingTasks(update.taskRange(n), j.rangeBounds(n), j.tasksPerRange, nil)...)
+		}
+		total := len(remaining)
+		if total == 0 || txn.teamCapacity(j, total) < total {
+			return ErrPreconditionFailed
+		}
+		update.taskRange(0).Attempt = attempt
+		txn.putRange(update, 0)
+		for _, part := range parts {
+			if err := txn.requireTarget(update, part.Target); err != nil {
+				return err
+			}
+			if part.Count > len(remaining) || part.Count > zoneCapacity(j.Spec, part.Target.Zone, update.eachClaim) {
+				return ErrPreconditionFailed
+			}
+			txn.claimGangPart(update, remaining[:part.Count], attempt, part.Target)
+			remaining = remaining[part.Count:]
+		}
+		if len(remaining) > 0 {
+			return ErrPreconditionFailed // all or none
+		}
+		txn.addTeamUse(j, total, parts[0].Target.Token)
+		return nil
+	})
+}
+
+// claimGangPart claims a gang's tasks, which are in ascending order, on one machine.
+func (txn *Transaction) claimGangPart(
+	update *jobUpdate, tasks []wire.TaskIndex, attempt wire.Attempt, target ClaimTarget,
+) {
+	size := update.job.tasksPerRange
+	for len(tasks) > 0 {
+		n := int(tasks[0]) / size
+		k := 1
+		for k < len(tasks) && int(tasks[k])/size == n {
+			k++
+		}
+		appendClaims(update.taskRange(n), tasks[:k], attempt, target)
+		txn.putRange(update, n)
+		tasks = tasks[k:]
+	}
+}
+
+// TakeOver puts the claims of a gang's attempt on a machine under the token of the controller that holds
+// the machine now. The worker must accept no lower token any more. Only under its own token may a
+// controller let tasks rejoin that gave up waiting for the others. No task is claimed or released.
+func (txn *Transaction) TakeOver(j *Job, attempt wire.Attempt, target ClaimTarget) error {
+	return txn.atomically(func() error {
+		update := txn.update(j)
+		if j.Spec.Shape != wire.Gang || update.stop >= attempt {
+			return ErrPreconditionFailed
+		}
+		if err := txn.requireTarget(update, target); err != nil {
+			return err
+		}
+		// A gang that has lost a member must start again, and any range may show that it has.
+		for n := range j.ranges {
+			txn.requireRange(j, n)
+		}
+		accounted := update.doneTasks()
+		update.eachClaim(func(c *Claim) { accounted += c.Count })
+		if accounted != j.Spec.Tasks {
+			return ErrPreconditionFailed
+		}
+		taken := false
+		for n := range j.ranges {
+			if takeOverClaims(update.taskRange(n), attempt, target) {
+				txn.putRange(update, n)
+				taken = true
+			}
+		}
+		if !taken {
+			return ErrPreconditionFailed
+		}
+		return nil
+	})
+}
+
+// takeOverClaims puts the claims of an attempt on a machine in its session under the token of target where
+// they are under a lower one, and reports whether there were any.
+func takeOverClaims(r *taskRangeRecord, attempt wire.Attempt, target ClaimTarget) (changed bool) {
+	for i := range r.Claims {
+		claim := &r.Claims[i]
+		here := claim.Machine == target.Machine && claim.Epoch == target.Epoch
+		if here && claim.Attempt == attempt && claim.Token < target.Token {
+			claim.Token, changed = target.Token, true
+		}
+	}
+	return changed
+}
+
+// requireTarget returns ErrPreconditionFailed unless a job may start on a machine, and adds the condition
+// that the machine is in no phase.
+func (txn *Transaction) requireTarget(update *jobUpdate, target ClaimTarget) error {
+	if update.state != Active || !Allowed(update.spec, target.Type, target.Zone, target.Spot) {
+		return ErrPreconditionFailed
+	}
+	if txn.ledger.MachinePhase(target.Machine) != "" || txn.phases[target.Machine] != "" {
+		return ErrPreconditionFailed
+	}
+	txn.requireMachine(target.Machine)
+	return nil
+}
+
+// pendingTasks returns up to limit tasks of a range that are neither done nor claimed nor backed off, in
+// ascending order. backedOff may be nil.
+func pendingTasks(
+	r *taskRangeRecord, bounds rangeBounds, limit int, backedOff func(wire.TaskIndex) bool,
+) []wire.TaskIndex {
+	taken := make([]bool, bounds.length)
+	for _, c := range r.Claims {
+		for i := range c.Count {
+			taken[int(c.First)+i-bounds.first] = true
+		}
+	}
+	var pending []wire.TaskIndex
+	for i := 0; i < bounds.length && len(pending) < limit; i++ {
+		task := wire.TaskIndex(bounds.first + i)
+		if !taken[i] && !r.isDone(i) && (backedOff == nil || !backedOff(task)) {
+			pending = append(pending, task)
+		}
+	}
+	return pending
+}
+
+// appendClaims adds claims for tasks, which are in ascending order: one for each run of them.
+func appendClaims(r *taskRangeRecord, tasks []wire.TaskIndex, attempt wire.Attempt, target ClaimTarget) {
+	for i, t := range tasks {
+		if i > 0 && tasks[i-1] == t-1 {
+			r.Claims[len(r.Claims)-1].Count++
+			continue
+		}
+		r.Claims = append(r.Claims, Claim{
+			First:   t,
+			Count:   1,
+			Attempt: attempt,
+			Machine: target.Machine,
+			Zone:    target.Zone,
+			Epoch:   target.Epoch,
+			Token:   target.Token,
+		})
+	}
+}
--- a/internal/testing/emulator/machine.go
+++ b/internal/testing/emulator/machine.go
@@ -107,14 +107,14 @@
 	}
 	m.sequence++
 	heartbeat = &wire.Heartbeat{
-		Machine:  m.Type.ID,
-		Addr:     m.Type.Addr,
-		Type:     m.Type.Type,
-		Zone:     m.Type.Zone,
-		Spot:     m.Type.Spot,
-		Session:  m.epoch,
-		Sequence: m.sequence,
-		Token:    m.token,
+		Machine:      m.Type.ID,
+		Addr:         m.Type.Addr,
+		Type:         m.Type.Type,
+		Zone:         m.Type.Zone,
+		Spot:         m.Type.Spot,
+		Epoch:        m.epoch,
+		Sequence:     m.sequence,
+		FencingToken: m.token,
 	}
 	for id, t := range m.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks,
@@ -247,12 +247,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.gone || m.hung || session != m.epoch || p.Token < m.token || now.Sub(begun) > responseTimeout {
+	if m.gone || m.hung || session != m.epoch || p.FencingToken < m.token || now.Sub(begun) > responseTimeout {
 		return
 	}
 	m.World.mu.Lock()
 	defer m.World.mu.Unlock()
-	m.token = p.Token
+	m.token = p.FencingToken
 	m.renewed = begun
 	for _, c := range p.Commands {
 		m.execute(c, now)
--- a/internal/workflow/cwl/load.go
+++ b/internal/workflow/cwl/load.go
@@ -1,6 +1,7 @@
 package cwl
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -10,81 +11,92 @@
 )
 
 // Load reads a process of a bundle and all that it refers to, and checks it. entry is a
-// file, with "#id" behind it for one of several processes in it; "main" is taken if a file
-// with several names none. The error is Problems, all of them at once. Warnings are of
+// file, with "#id" behind it for one of several processes in it; the default is "main" for a
+// file with several. The error is Problems, all of them at once. Warnings are of
 // hints that are passed over.
 func Load(bundle Bundle, entry string) (*Process, Problems, error) {
 	size := 0
 	for _, b := range bundle {
 		size += len(b)
 	}
-	if size > mostBundle {
+	if size > maxBundleBytes {
 		return nil, nil, Problems{
-			{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, mostBundle)},
+			{File: entry, Reason: fmt.Sprintf("the bundle has %d bytes, more than %d", size, maxBundleBytes)},
 		}
 	}
-	r := &reading{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
+	l := &loader{bundle: bundle, parsed: map[string]*yaml.Node{}, types: map[string]*Type{}}
 	file, fragment, _ := strings.Cut(entry, "#")
-	p := r.load(at{file: file}, file, fragment, Needs{}, nil)
-	if p != nil && len(r.problems) == 0 {
-		r.check(p)
+	p := l.load(place{file: file}, file, fragment, Needs{}, nil)
+	if p != nil && len(l.problems) == 0 {
+		l.check(p)
 	}
-	if len(r.problems) > 0 {
-		return nil, r.warnings, r.problems
+	if len(l.problems) > 0 {
+		return nil, l.warnings, l.problems
 	}
-	return p, r.warnings, nil
+	return p, l.warnings, nil
 }
 
 // load reads one process of a file. from is who refers to it; outer are the processes that
 // it is in, by file and id: none may be in itself.
-func (r *reading) load(from at, file, fragment string, inherited Needs, outer []string) *Process {
-	n, err := r.open(file)
+func (l *loader) load(from place, file, fragment string, inherited Needs, outer []string) *Process {
+	n, err := l.open(file)
 	if err != nil {
-		var p Problems
-		if errors.As(err, &p) {
-			r.problems = append(r.problems, p...)
+		var problems Problems
+		if errors.As(err, &problems) {
+			l.problems = append(l.problems, problems...)
 		} else {
-			r.fail(from, "%v", err)
+			l.fail(from, "%v", err)
 		}
 		return nil
 	}
-	a := at{file: file, n: n}
-	version := ""
-	if n.Kind == yaml.MappingNode {
-		for _, e := range entries(n) {
-			if e.key.Value == "cwlVersion" {
-				version = r.text(a.in("cwlVersion", e.node))
-			}
-		}
-		for _, e := range entries(n) {
-			if e.key.Value != "$graph" {
-				continue
-			}
-			if e.node.Kind != yaml.SequenceNode {
-				r.fail(a.in("$graph", e.node), "expected a list of processes, found %s", kindOf(e.node))
-				return nil
-			}
-			want := fragment
-			if want == "" {
-				want = "main"
-			}
-			for i, c := range e.node.Content {
-				x := a.in(fmt.Sprintf("$graph[%d]", i), c)
-				if c.Kind == yaml.MappingNode && idOf(c) == want {
-					return r.process(x, version, inherited, append(outer, file+"#"+want))
-				}
-			}
-			r.fail(at{file, from.field, from.n}, "$graph has no process %q", want)
+	document := place{file: file, node: n}
+	version := l.textField(document, "cwlVersion")
+	if graph, ok := field(document, "$graph"); ok {
+		want := cmp.Or(fragment, "main")
+		process, ok := l.findInGraph(graph, want, from)
+		if !ok {
 			return nil
 		}
+		return l.process(process, version, inherited, append(outer, file+"#"+want))
 	}
 	if fragment != "" && idOf(n) != fragment {
-		r.fail(from, "%s has no process %q", file, fragment)
+		l.fail(from, "%s has no process %q", file, fragment)
 		return nil
 	}
-	return r.process(a, version, inherited, append(outer, file+"#"))
+	return l.process(document, version, inherited, append(outer, file+"#"))
+}
+
+// field returns the first field of a name in a mapping. It reports false if there is none,
+// or a is no mapping.
+func field(a place, fieldName string) (place, bool) {
+	if a.node.Kind != yaml.MappingNode {
+		return place{}, false
+	}
+	for _, e := range entries(a.node) {
+		if e.key.Value == fieldName {
+			return a.in(fieldName, e.node), true
+		}
+	}
+	return place{}, false
 }
 
+// findInGraph returns the process with an id in a document's $graph. If there is none it
+// reports that, at the reference from, and returns false.
+func (l *loader) findInGraph(graph place, id string, from place) (place, bool) {
+	if graph.node.Kind != yaml.SequenceNode {
+		l.fail(graph, "expected a list of processes, found %s", kindOf(graph.node))
+		return place{}, false
+	}
+	for i, node := range graph.node.Content {
+		if node.Kind == yaml.MappingNode && idOf(node) == id {
+			return graph.in(fmt.Sprintf("[%d]", i), node), true
+		}
+	}
+	l.fail(place{graph.file, from.field, from.node}, "$graph has no process %q", id)
+	return place{}, false
+}
+
+// idOf returns the id of a process or an output without what is before it, "" if it has none.
 func idOf(n *yaml.Node) string {
 	for _, e := range entries(n) {
 		if e.key.Value == "id" {
@@ -94,132 +106,147 @@
 	return ""
 }
 
+// commonFields are the fields that processes of all classes have.
 var commonFields = []string{
-	"cwlVersion",
-	"class",
-	"id",
-	"label",
-	"doc",
-	"inputs",
-	"outputs",
-	"requirements",
-	"hints",
-	"intent",
-	"$namespaces",
-	"$schemas",
+	"cwlVersion", "class", "id", "label", "doc", "inputs", "outputs", "requirements", "hints", "intent",
+	"$namespaces", "$schemas",
 }
 
-// process reads a process where it stands.
-func (r *reading) process(a at, version string, inherited Needs, outer []string) *Process {
-	if len(outer) > mostNesting || slices.Contains(outer[:max(0, len(outer)-1)], outer[len(outer)-1]) {
-		r.fail(a, "is within itself")
+// fieldsOfClass are the fields that only processes of a class have.
+var fieldsOfClass = map[string][]string{
+	"CommandLineTool": {
+		"baseCommand", "arguments", "stdin", "stdout", "stderr",
+		"successCodes", "temporaryFailCodes", "permanentFailCodes",
+	},
+	"ExpressionTool": {"expression"},
+	"Workflow":       {"steps"},
+}
+
+// process reads a process where it stands. version is the cwlVersion of the document around
+// it; outer ends with the process itself.
+func (l *loader) process(at place, version string, inherited Needs, outer []string) *Process {
+	if len(outer) > maxNesting || slices.Contains(outer[:max(0, len(outer)-1)], outer[len(outer)-1]) {
+		l.fail(at, "is within itself")
 		return nil
 	}
-	class := ""
-	if a.n != nil && a.n.Kind == yaml.MappingNode {
-		for _, e := range entries(a.n) {
-			switch e.key.Value {
-			case "class":
-				class = r.oneOf(a.in("class", e.node), "", "CommandLineTool", "ExpressionTool", "Workflow")
-				if class == "" && !isNull(e.node) {
-					return nil
-				}
-			case "cwlVersion":
-				version = r.text(a.in("cwlVersion", e.node))
-			}
-		}
-	}
-	var own []string
-	switch class {
-	case "CommandLineTool":
-		own = []string{
-			"baseCommand",
-			"arguments",
-			"stdin",
-			"stdout",
-			"stderr",
-			"successCodes",
-			"temporaryFailCodes",
-			"permanentFailCodes",
-		}
-	case "ExpressionTool":
-		own = []string{"expression"}
-	case "Workflow":
-		own = []string{"steps"}
-	default:
-		r.fail(a, "class is missing; expected CommandLineTool, ExpressionTool or Workflow")
+	class, ownVersion, ok := l.classAndVersion(at)
+	if !ok {
 		return nil
 	}
-	f := r.fields(a, append(own, commonFields...)...)
-	switch version {
-	case "v1.2", "v1.1", "v1.0":
-	case "":
-		r.fail(a, "cwlVersion is missing; expected v1.2")
-	default:
-		r.fail(f["cwlVersion"].orSelf(a), "version %q is not supported; expected v1.2", version)
+	if ownVersion != nil {
+		version = *ownVersion
 	}
-	p := &Process{Class: class, ID: idOf(a.n), Needs: inherited, where: a}
-	if l, ok := f["label"]; ok {
-		p.Label = r.text(l)
+	classFields, ok := fieldsOfClass[class]
+	if !ok {
+		l.fail(at, "class is missing; expected CommandLineTool, ExpressionTool or Workflow")
+		return nil
 	}
-	r.needs(&p.Needs, f["requirements"], true)
-	r.needs(&p.Needs, f["hints"], false)
-	for _, field := range []string{"inputs", "outputs"} {
-		if _, ok := f[field]; !ok {
-			r.fail(a, "%s is missing", field)
-		}
+	f := l.fields(at, slices.Concat(classFields, commonFields)...)
+	l.checkVersion(at, f, version)
+	p := &Process{Class: class, ID: idOf(at.node), Needs: inherited, where: at}
+	if label, ok := f["label"]; ok {
+		p.Label = l.text(label)
 	}
-	r.named(f["inputs"], "id", "type", func(id string, x at) {
-		p.Inputs = append(p.Inputs, r.parameter(id, p.ID, x, class, true))
-	})
-	r.named(f["outputs"], "id", "type", func(id string, x at) {
-		p.Outputs = append(p.Outputs, r.parameter(id, p.ID, x, class, false))
-	})
-	r.unique(a, p.Inputs, "inputs")
-	r.unique(a, p.Outputs, "outputs")
+	l.needs(&p.Needs, f["requirements"], true)
+	l.needs(&p.Needs, f["hints"], false)
+	l.readParameters(p, f)
 	switch class {
 	case "CommandLineTool":
-		p.Tool = r.tool(a, f)
+		p.Tool = l.tool(at, f)
 	case "ExpressionTool":
-		if e, ok := f["expression"]; ok {
-			p.Expression = r.text(e)
+		if expression, ok := f["expression"]; ok {
+			p.Expression = l.text(expression)
 		} else {
-			r.fail(a, "expression is missing")
+			l.fail(at, "expression is missing")
 		}
 	case "Workflow":
 		if _, ok := f["steps"]; !ok {
-			r.fail(a, "steps is missing")
+			l.fail(at, "steps is missing")
 		}
-		r.named(f["steps"], "id", "", func(id string, x at) {
-			if s := r.step(id, p.ID, x, p.Needs, version, outer); s != nil {
-				p.Steps = append(p.Steps, s)
+		l.named(f["steps"], "id", "", func(id string, x place) {
+			if step := l.step(id, x, p, version, outer); step != nil {
+				p.Steps = append(p.Steps, step)
 			}
 		})
 	}
 	return p
 }
 
-func (a at) orSelf(self at) at {
-	if a.n == nil {
+// classAndVersion reads the class of a process, "" if it has none, and its cwlVersion, nil if
+// it has none of its own. It reports false if the class is not known; reading can't go on then.
+func (l *loader) classAndVersion(at place) (class string, version *string, ok bool) {
+	if at.node == nil || at.node.Kind != yaml.MappingNode {
+		return "", nil, true
+	}
+	for _, e := range entries(at.node) {
+		switch e.key.Value {
+		case "class":
+			class = l.oneOf(at.in("class", e.node), "CommandLineTool", "ExpressionTool", "Workflow")
+			if class == "" && !isNull(e.node) {
+				return "", nil, false
+			}
+		case "cwlVersion":
+			text := l.text(at.in("cwlVersion", e.node))
+			version = &text
+		}
+	}
+	return class, version, true
+}
+
+// checkVersion reports a version that is missing or not supported. f are the fields of the
+// process at a.
+func (l *loader) checkVersion(at place, f map[string]place, version string) {
+	switch version {
+	case "v1.2", "v1.1", "v1.0":
+	case "":
+		l.fail(at, "cwlVersion is missing; expected v1.2")
+	default:
+		l.fail(f["cwlVersion"].orSelf(at), "version %q is not supported; expected v1.2", version)
+	}
+}
+
+// readParameters reads the inputs and outputs of a process from its fields.
+func (l *loader) readParameters(p *Process, f map[string]place) {
+	for _, fieldName := range []string{"inputs", "outputs"} {
+		if _, ok := f[fieldName]; !ok {
+			l.fail(p.where, "%s is missing", fieldName)
+		}
+	}
+	l.named(f["inputs"], "id", "type", func(id string, x place) {
+		p.Inputs = append(p.Inputs, l.parameter(id, p.ID, x, p.Class, true))
+	})
+	l.named(f["outputs"], "id", "type", func(id string, x place) {
+		p.Outputs = append(p.Outputs, l.parameter(id, p.ID, x, p.Class, false))
+	})
+	l.unique(p.Inputs, "inputs")
+	l.unique(p.Outputs, "outputs")
+}
+
+// orSelf returns the place, and self where the field is missing.
+func (at place) orSelf(self place) place {
+	if at.node == nil {
 		return self
 	}
-	return a
+	return at
 }
 
-func (r *reading) unique(a at, list []Parameter, field string) {
+// unique reports parameters whose id is given twice. fieldName is "inputs" or "outputs".
+func (l *loader) unique(parameters []Parameter, fieldName string) {
 	seen := map[string]bool{}
-	for _, p := range list {
+	for _, p := range parameters {
 		if seen[p.ID] {
-			r.fail(p.where, "%s %q is given twice", field, p.ID)
+			l.fail(p.where, "%s %q is given twice", fieldName, p.ID)
 		}
 		seen[p.ID] = true
 	}
 }
 
-func (r *reading) parameter(id, of string, a at, class string, input bool) Parameter {
-	p := Parameter{ID: id, where: a}
-	f := r.fields(
-		a,
+// parameter reads an input or an output of a process of the class given. workflowID is the id
+// of that process.
+func (l *loader) parameter(id, workflowID string, at place, class string, input bool) Parameter {
+	p := Parameter{ID: id, where: at}
+	f := l.fields(
+		at,
 		"id",
 		"type",
 		"label",
@@ -236,37 +263,37 @@
 		"linkMerge",
 		"pickValue",
 	)
-	ty := f["type"]
-	if ty.n != nil && ty.n.Kind == yaml.ScalarNode &&
-		slices.Contains([]string{"stdin", "stdout", "stderr"}, ty.n.Value) &&
+	typeField := f["type"]
+	if typeField.node != nil && typeField.node.Kind == yaml.ScalarNode &&
+		slices.Contains([]string{"stdin", "stdout", "stderr"}, typeField.node.Value) &&
 		class == "CommandLineTool" {
-		if (ty.n.Value == "stdin") != input {
-			r.fail(ty, "%s can't be the type of this", ty.n.Value)
+		if (typeField.node.Value == "stdin") != input {
+			l.fail(typeField, "%s can't be the type of this", typeField.node.Value)
 		}
-		p.Stream, p.Type = ty.n.Value, &Type{Kind: KindFile}
+		p.Stream, p.Type = typeField.node.Value, &Type{Kind: KindFile}
 	} else {
-		p.Type = r.readType(ty.or(a), 0)
+		p.Type = l.readType(typeField.or(at), 0)
 	}
 	if d, ok := f["default"]; ok {
-		p.Default = value(d.n)
+		p.Default = value(d.node)
 		if err := p.Type.Check(p.Default); err != nil && p.Default != nil {
-			r.fail(d, "%v", err)
+			l.fail(d, "%v", err)
 		}
 	}
-	p.SecondaryFiles = r.readSecondary(f["secondaryFiles"])
-	p.Format = r.texts(f["format"])
-	p.LoadContents = r.boolean(f["loadContents"], false)
+	p.SecondaryFiles = l.readSecondary(f["secondaryFiles"])
+	p.Format = l.texts(f["format"])
+	p.LoadContents = l.boolean(f["loadContents"], false)
 	if b, ok := f["inputBinding"]; ok {
-		p.Binding = r.readBinding(b)
+		p.Binding = l.readBinding(b)
 	}
 	if b, ok := f["outputBinding"]; ok {
-		p.OutputBinding = r.readOutputBinding(b)
+		p.OutputBinding = l.readOutputBinding(b)
 	}
-	for _, s := range r.texts(f["outputSource"]) {
-		p.Source = append(p.Source, sourceName(s, of))
+	for _, s := range l.texts(f["outputSource"]) {
+		p.Source = append(p.Source, sourceName(s, workflowID))
 	}
-	p.LinkMerge = r.oneOf(f["linkMerge"], "", MergeNested, MergeFlattened)
-	p.PickValue = r.oneOf(f["pickValue"], "", PickFirst, PickOnly, PickAll)
+	p.LinkMerge = l.oneOf(f["linkMerge"], MergeNested, MergeFlattened)
+	p.PickValue = l.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll)
 	return p
 }
 
@@ -287,230 +314,234 @@
 	return s
 }
 
-func (r *reading) readSecondary(a at) []SecondaryFile {
-	if isNull(a.n) {
+// readSecondary reads secondaryFiles: one pattern or a list of them.
+func (l *loader) readSecondary(at place) []SecondaryFile {
+	if isNull(at.node) {
 		return nil
 	}
-	one := func(x at) SecondaryFile {
-		if x.n.Kind == yaml.ScalarNode {
-			p, optional := strings.CutSuffix(r.text(x), "?")
+	one := func(x place) SecondaryFile {
+		if x.node.Kind == yaml.ScalarNode {
+			p, optional := strings.CutSuffix(l.text(x), "?")
 			if optional {
 				return SecondaryFile{Pattern: p, Required: "false"}
 			}
 			return SecondaryFile{Pattern: p}
 		}
-		f := r.fields(x, "pattern", "required")
-		s := SecondaryFile{Pattern: r.text(f["pattern"])}
+		f := l.fields(x, "pattern", "required")
+		s := SecondaryFile{Pattern: l.text(f["pattern"])}
 		if s.Pattern == "" {
-			r.fail(x, "pattern is missing")
+			l.fail(x, "pattern is missing")
 		}
-		if q, ok := f["required"]; ok && !isNull(q.n) {
-			s.Required = q.n.Value
+		if q, ok := f["required"]; ok && !isNull(q.node) {
+			s.Required = q.node.Value
 		}
 		return s
 	}
-	if a.n.Kind != yaml.SequenceNode {
-		return []SecondaryFile{one(a)}
+	if at.node.Kind != yaml.SequenceNode {
+		return []SecondaryFile{one(at)}
 	}
 	var out []SecondaryFile
-	for i, c := range a.n.Content {
-		out = append(out, one(a.in(fmt.Sprintf("[%d]", i), c)))
+	for i, c := range at.node.Content {
+		out = append(out, one(at.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
 // scalar reads a number or an expression as its text.
-func (r *reading) scalar(a at) string {
-	if isNull(a.n) {
+func (l *loader) scalar(at place) string {
+	if isNull(at.node) {
 		return ""
 	}
-	if a.n.Kind != yaml.ScalarNode {
-		r.fail(a, "expected a number or an expression, found %s", kindOf(a.n))
+	if at.node.Kind != yaml.ScalarNode {
+		l.fail(at, "expected a number or an expression, found %s", kindOf(at.node))
 		return ""
 	}
-	if tag := a.n.ShortTag(); tag == "!!str" && !strings.Contains(a.n.Value, "$") {
-		r.fail(a, "expected a number or an expression, found %s", kindOf(a.n))
+	if tag := at.node.ShortTag(); tag == "!!str" && !strings.Contains(at.node.Value, "$") {
+		l.fail(at, "expected a number or an expression, found %s", kindOf(at.node))
 	}
-	return a.n.Value
+	return at.node.Value
 }
 
-func (r *reading) readBinding(a at) *Binding {
-	f := r.fields(a, "position", "prefix", "separate", "itemSeparator", "valueFrom", "loadContents", "shellQuote")
-	b := &Binding{where: a, Position: r.scalar(f["position"]), NoSeparate: !r.boolean(f["separate"], true),
-		LoadContents: r.boolean(f["loadContents"], false), NoShellQuote: !r.boolean(f["shellQuote"], true)}
+// readBinding reads a command line binding.
+func (l *loader) readBinding(at place) *Binding {
+	f := l.fields(at, "position", "prefix", "separate", "itemSeparator", "valueFrom", "loadContents", "shellQuote")
+	b := &Binding{where: at, Position: l.scalar(f["position"]), NoSeparate: !l.boolean(f["separate"], true),
+		LoadContents: l.boolean(f["loadContents"], false), NoShellQuote: !l.boolean(f["shellQuote"], true)}
 	if x, ok := f["prefix"]; ok {
-		b.Prefix = r.text(x)
+		b.Prefix = l.text(x)
 	}
-	if x, ok := f["itemSeparator"]; ok && !isNull(x.n) {
-		s := r.text(x)
+	if x, ok := f["itemSeparator"]; ok && !isNull(x.node) {
+		s := l.text(x)
 		b.ItemSeparator = &s
 	}
 	if x, ok := f["valueFrom"]; ok {
-		b.ValueFrom = x.n.Value
+		b.ValueFrom = x.node.Value
 	}
 	return b
 }
 
-func (r *reading) readOutputBinding(a at) *OutputBinding {
-	f := r.fields(a, "glob", "loadContents", "loadListing", "outputEval")
-	b := &OutputBinding{Glob: r.texts(f["glob"]), LoadContents: r.boolean(f["loadContents"], false)}
+// readOutputBinding reads an output binding.
+func (l *loader) readOutputBinding(at place) *OutputBinding {
+	f := l.fields(at, "glob", "loadContents", "loadListing", "outputEval")
+	b := &OutputBinding{Glob: l.texts(f["glob"]), LoadContents: l.boolean(f["loadContents"], false)}
 	if x, ok := f["outputEval"]; ok {
-		b.OutputEval = r.text(x)
+		b.OutputEval = l.text(x)
 	}
 	return b
 }
 
-func (r *reading) tool(a at, f map[string]at) *Tool {
+// tool reads what is particular to a command line tool from the fields of the process at a.
+func (l *loader) tool(at place, f map[string]place) *Tool {
 	t := &Tool{
-		Command: r.texts(f["baseCommand"]),
-		Success: r.ints(f["successCodes"]),
-		Retry:   r.ints(f["temporaryFailCodes"]),
-		Failed:  r.ints(f["permanentFailCodes"]),
-	}
-	for field, to := range map[string]*string{"stdin": &t.Stdin, "stdout": &t.Stdout, "stderr": &t.Stderr} {
-		if x, ok := f[field]; ok && !isNull(x.n) {
-			*to = r.text(x)
+		Command: l.texts(f["baseCommand"]),
+		Success: l.ints(f["successCodes"]),
+		Retry:   l.ints(f["temporaryFailCodes"]),
+		Failed:  l.ints(f["permanentFailCodes"]),
+	}
+	for _, stream := range []struct {
+		field string
+		to    *string
+	}{{"stdin", &t.Stdin}, {"stdout", &t.Stdout}, {"stderr", &t.Stderr}} {
+		if x, ok := f[stream.field]; ok && !isNull(x.node) {
+			*stream.to = l.text(x)
 		}
 	}
-	if args, ok := f["arguments"]; ok {
-		if args.n.Kind != yaml.SequenceNode {
-			r.fail(args, "expected a list, found %s", kindOf(args.n))
+	if arguments, ok := f["arguments"]; ok {
+		if arguments.node.Kind != yaml.SequenceNode {
+			l.fail(arguments, "expected a list, found %s", kindOf(arguments.node))
 			return t
 		}
-		for i, c := range args.n.Content {
-			x := args.in(fmt.Sprintf("[%d]", i), c)
-			if c.Kind == yaml.ScalarNode {
-				t.Arguments = append(t.Arguments, Argument{Text: c.Value})
-				continue
-			}
-			b := r.readBinding(x)
-			if b.ValueFrom == "" {
-				r.fail(x, "valueFrom is missing in an argument")
-			}
-			t.Arguments = append(t.Arguments, Argument{Binding: b})
-		}
+		t.Arguments = l.arguments(arguments)
 	}
 	if len(t.Command) == 0 && len(t.Arguments) == 0 {
-		r.fail(a, "a tool needs a baseCommand or arguments")
+		l.fail(at, "a tool needs a baseCommand or arguments")
 	}
 	return t
 }
 
-func (r *reading) step(id, of string, a at, inherited Needs, version string, outer []string) *Step {
-	f := r.fields(
-		a,
-		"id",
-		"label",
-		"doc",
-		"in",
-		"out",
-		"run",
-		"when",
-		"scatter",
-		"scatterMethod",
-		"requirements",
-		"hints",
-	)
-	s := &Step{ID: id, Needs: inherited, where: a}
-	r.needs(&s.Needs, f["requirements"], true)
-	r.needs(&s.Needs, f["hints"], false)
-	r.named(f["in"], "id", "source", func(name string, x at) {
-		ff := r.fields(
-			x,
-			"id",
-			"label",
-			"source",
-			"linkMerge",
-			"pickValue",
-			"default",
-			"valueFrom",
-			"loadContents",
-			"loadListing",
-		)
-		in := StepInput{
-			ID:        name,
-			where:     x,
-			LinkMerge: r.oneOf(ff["linkMerge"], "", MergeNested, MergeFlattened),
-			PickValue: r.oneOf(
-				ff["pickValue"],
-				"",
-				PickFirst,
-				PickOnly,
-				PickAll,
-			),
-			LoadContents: r.boolean(ff["loadContents"], false),
+// arguments reads a list of arguments, each a text or a binding with a valueFrom.
+func (l *loader) arguments(list place) []Argument {
+	var arguments []Argument
+	for i, node := range list.node.Content {
+		if node.Kind == yaml.ScalarNode {
+			arguments = append(arguments, Argument{Text: node.Value})
+			continue
 		}
-		if src, ok := ff["source"]; ok {
-			in.List = src.n.Kind == yaml.SequenceNode
-			for _, t := range r.texts(src) {
-				in.Source = append(in.Source, sourceName(t, of))
-			}
-		}
-		if d, ok := ff["default"]; ok {
-			in.Default = value(d.n)
-		}
-		if v, ok := ff["valueFrom"]; ok {
-			in.ValueFrom = v.n.Value
+		x := list.in(fmt.Sprintf("[%d]", i), node)
+		binding := l.readBinding(x)
+		if binding.ValueFrom == "" {
+			l.fail(x, "valueFrom is missing in an argument")
 		}
-		s.In = append(s.In, in)
+		arguments = append(arguments, Argument{Binding: binding})
+	}
+	return arguments
+}
+
+// step reads a step of a workflow and the process that it runs. version is the workflow's
+// cwlVersion; outer are the processes that the step is in. It returns nil if the process
+// can't be read.
+func (l *loader) step(id string, at place, workflow *Process, version string, outer []string) *Step {
+	f := l.fields(
+		at,
+		"id", "label", "doc", "in", "out", "run", "when", "scatter", "scatterMethod", "requirements", "hints",
+	)
+	s := &Step{ID: id, Needs: workflow.Needs, where: at}
+	l.needs(&s.Needs, f["requirements"], true)
+	l.needs(&s.Needs, f["hints"], false)
+	l.named(f["in"], "id", "source", func(inputID string, x place) {
+		s.In = append(s.In, l.stepInput(inputID, workflow.ID, x))
 	})
-	out, ok := f["out"]
-	if !ok {
-		r.fail(a, "out is missing")
-	} else if out.n.Kind != yaml.SequenceNode {
-		r.fail(out, "expected a list of outputs, found %s", kindOf(out.n))
+	if out, ok := f["out"]; ok {
+		s.Out = l.stepOutputs(out)
 	} else {
-		for i, c := range out.n.Content {
-			x := out.in(fmt.Sprintf("[%d]", i), c)
-			if c.Kind == yaml.MappingNode {
-				s.Out = append(s.Out, idOf(c))
-			} else {
-				s.Out = append(s.Out, localName(r.text(x)))
-			}
-		}
+		l.fail(at, "out is missing")
 	}
-	if w, ok := f["when"]; ok && !isNull(w.n) {
-		s.When = r.text(w)
+	if when, ok := f["when"]; ok && !isNull(when.node) {
+		s.When = l.text(when)
 	}
-	for _, x := range r.texts(f["scatter"]) {
-		s.Scatter = append(s.Scatter, localName(x))
+	for _, input := range l.texts(f["scatter"]) {
+		s.Scatter = append(s.Scatter, localName(input))
 	}
-	s.Method = r.oneOf(f["scatterMethod"], "", DotProduct, NestedCrossProduct, FlatCrossProduct)
+	s.Method = l.oneOf(f["scatterMethod"], DotProduct, NestedCrossProduct, FlatCrossProduct)
 	if len(s.Scatter) > 1 && s.Method == "" {
-		r.fail(
-			a,
+		l.fail(
+			at,
 			"scatterMethod is missing; with several inputs expected one of %s, %s, %s",
-			DotProduct,
-			NestedCrossProduct,
-			FlatCrossProduct,
+			DotProduct, NestedCrossProduct, FlatCrossProduct,
 		)
 	}
 	run, ok := f["run"]
-	switch {
-	case !ok:
-		r.fail(a, "run is missing")
+	if !ok {
+		l.fail(at, "run is missing")
 		return nil
-	case run.n.Kind == yaml.MappingNode:
-		s.Run = r.process(
-			run,
-			version,
-			s.Needs,
-			append(slices.Clone(outer), fmt.Sprintf("%s#%d:%d", a.file, run.n.Line, run.n.Column)),
-		)
-	default:
-		file, fragment, err := resolve(a.file, r.text(run))
-		if err != nil {
-			r.fail(run, "%v", err)
-			return nil
-		}
-		s.Run = r.load(run, file, fragment, s.Needs, slices.Clone(outer))
 	}
-	if s.Run == nil {
+	if s.Run = l.stepProcess(run, s.Needs, version, outer); s.Run == nil {
 		return nil
 	}
 	return s
 }
 
+// stepInput reads an input of a step in the workflow with the id given.
+func (l *loader) stepInput(id, workflowID string, at place) StepInput {
+	f := l.fields(
+		at,
+		"id", "label", "source", "linkMerge", "pickValue", "default", "valueFrom", "loadContents", "loadListing",
+	)
+	in := StepInput{
+		ID:           id,
+		where:        at,
+		LinkMerge:    l.oneOf(f["linkMerge"], MergeNested, MergeFlattened),
+		PickValue:    l.oneOf(f["pickValue"], PickFirst, PickOnly, PickAll),
+		LoadContents: l.boolean(f["loadContents"], false),
+	}
+	if source, ok := f["source"]; ok {
+		in.List = source.node.Kind == yaml.SequenceNode
+		for _, text := range l.texts(source) {
+			in.Source = append(in.Source, sourceName(text, workflowID))
+		}
+	}
+	if x, ok := f["default"]; ok {
+		in.Default = value(x.node)
+	}
+	if x, ok := f["valueFrom"]; ok {
+		in.ValueFrom = x.node.Value
+	}
+	return in
+}
+
+// stepOutputs reads the names of the outputs that a step lists, each a text or a mapping
+// with an id.
+func (l *loader) stepOutputs(out place) []string {
+	if out.node.Kind != yaml.SequenceNode {
+		l.fail(out, "expected a list of outputs, found %s", kindOf(out.node))
+		return nil
+	}
+	var names []string
+	for i, node := range out.node.Content {
+		if node.Kind == yaml.MappingNode {
+			names = append(names, idOf(node))
+		} else {
+			names = append(names, localName(l.text(out.in(fmt.Sprintf("[%d]", i), node))))
+		}
+	}
+	return names
+}
+
+// stepProcess reads the process that a step runs, which stands in its field run or is
+// referred to there. It returns nil if it can't be read.
+func (l *loader) stepProcess(run place, inherited Needs, version string, outer []string) *Process {
+	if run.node.Kind == yaml.MappingNode {
+		place := fmt.Sprintf("%s#%d:%d", run.file, run.node.Line, run.node.Column)
+		return l.process(run, version, inherited, append(slices.Clone(outer), place))
+	}
+	file, fragment, err := resolve(run.file, l.text(run))
+	if err != nil {
+		l.fail(run, "%v", err)
+		return nil
+	}
+	return l.load(run, file, fragment, inherited, slices.Clone(outer))
+}
+
 // value turns a node into a value: nil, bool, int64, float64, string, []any or
 // map[string]any.
 func value(n *yaml.Node) any {
--- a/internal/workflow/runner/status.go
+++ b/internal/workflow/runner/status.go
@@ -39,10 +39,10 @@
 	if !driven {
 		steps = r.inspect(ctx, w)
 	}
-	st.Steps, st.Why, st.Status = steps, w.Why, statusOf(w.State)
+	st.Steps, st.Reason, st.Status = steps, w.Why, statusOf(w.State)
 	if st.Status == wire.Done || st.Status == wire.Failed {
 		if b, _, err := r.store.Get(ctx, workflow.OutputsName(id)); err == nil && len(b) < maxOutputBytes {
-			st.Out = b
+			st.Outputs = b
 		}
 	}
 	return st, nil
