--- a/internal/testing/emulator/machine.go
+++ b/internal/testing/emulator/machine.go
@@ -123,7 +123,7 @@
 	return heartbeat, now
 }
 
-// expireLease kills the tasks and begins a new session if the lease is over. m.mu and World.mu
+// expireLease kills the tasks and begins a new epoch if the lease is over. m.mu and World.mu
 // are held.
 func (m *Machine) expireLease(now time.Time) {
 	if now.Sub(m.renewed) > m.Lease {
@@ -240,14 +240,14 @@
 	}
 }
 
-// Answer handles the response to the heartbeat of a session that was begun at a time: it renews
+// Answer handles the response to the heartbeat of an agent epoch that was begun at a time: it renews
 // the lease from then on and carries out the commands. A response is dropped if it is older than
-// responseTimeout, of an earlier session, or under a lower fencing token than seen before.
-func (m *Machine) Answer(begun time.Time, session wire.AgentEpoch, p *wire.HeartbeatResponse) {
+// responseTimeout, of an earlier epoch, or under a lower fencing token than seen before.
+func (m *Machine) Answer(begun time.Time, epoch wire.AgentEpoch, p *wire.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.gone || m.hung || session != m.epoch || p.FencingToken < m.token || now.Sub(begun) > responseTimeout {
+	if m.gone || m.hung || epoch != m.epoch || p.FencingToken < m.token || now.Sub(begun) > responseTimeout {
 		return
 	}
 	m.World.mu.Lock()
--- a/internal/testing/emulator/world.go
+++ b/internal/testing/emulator/world.go
@@ -102,8 +102,8 @@
 // violate records a violation. w.mu is held.
 func (w *World) violate(rule string) { w.Broken = append(w.Broken, rule) }
 
-// ObserveAnswer records the status of a job that was reported to a user, and checks that a final status
-// stays and that a job reported as done has all its tasks done.
+// ObserveAnswer records the status of a job that was reported to a user, and checks that a final
+// status stays and that a job reported as done has all its tasks done.
 func (w *World) ObserveAnswer(id wire.JobID, status wire.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
