--- a/internal/workflow/cwl/check.go
+++ b/internal/workflow/cwl/check.go
@@ -10,8 +10,8 @@
 // don't fit, features used without their requirement, cycles, expressions that don't parse.
 func (l *loader) check(p *Process) {
 	l.checkExpressions(p)
-	if p.Class != "Workflow" {
-		if p.Class == "ExpressionTool" && p.Needs.JavaScript == nil &&
+	if p.Class != classWorkflow {
+		if p.Class == classExpressionTool && p.Needs.JavaScript == nil &&
 			strings.HasPrefix(strings.TrimSpace(p.Expression), "${") {
 			l.fail(p.where.in("expression", p.where.node), "uses JavaScript without InlineJavascriptRequirement")
 		}
@@ -104,7 +104,7 @@
 // checkStep checks a step of a workflow: the features that it uses, its inputs against their
 // sources and against those of the process that it runs. types are those of sourceTypes.
 func (l *loader) checkStep(p *Process, s *Step, types map[string]*Type) {
-	if s.Run.Class == "Workflow" && !s.Needs.Subworkflow {
+	if s.Run.Class == classWorkflow && !s.Needs.Subworkflow {
 		l.fail(s.where.in("run", s.where.node), "is a workflow; SubworkflowFeatureRequirement is missing")
 	}
 	if len(s.Scatter) > 0 && !s.Needs.Scatter {
--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -97,10 +97,10 @@
 		return nil, err
 	}
 	r := &Run{ctx: ctx, handedOut: map[string]*element{}}
-	if p.Class != "Workflow" {
+	if p.Class != classWorkflow {
 		// A tool by itself is a workflow of one step.
 		s := &Step{ID: "main", Run: p}
-		w := &Process{Class: "Workflow", Inputs: p.Inputs, Steps: []*Step{s}}
+		w := &Process{Class: classWorkflow, Inputs: p.Inputs, Steps: []*Step{s}}
 		for _, in := range p.Inputs {
 			s.In = append(s.In, StepInput{ID: in.ID, Source: []string{in.ID}})
 		}
@@ -370,9 +370,9 @@
 		case !run:
 			e.step.skipped++
 			r.finishElement(e, map[string]any{}, nil)
-		case st.step.Run.Class == "Workflow":
+		case st.step.Run.Class == classWorkflow:
 			r.startWorkflow(st.step.Run, e.id, inputs, e)
-		case st.step.Run.Class == "ExpressionTool":
+		case st.step.Run.Class == classExpressionTool:
 			v, err := r.expression(st.step.Run, inputs)
 			r.finishElement(e, v, err)
 		default:
--- a/internal/workflow/cwl/expr.go
+++ b/internal/workflow/cwl/expr.go
@@ -546,19 +546,3 @@
 	}
 	return v
 }
-
-// ToolAt finds the tool of a task by the task's id, as Run gives it; nil if there is none.
-func (p *Process) ToolAt(id string) *Process {
-	if p.Class != "Workflow" {
-		return p
-	}
-	for _, part := range strings.Split(id, "/") {
-		name, _, _ := strings.Cut(part, "[")
-		s := p.Step(name)
-		if s == nil {
-			return nil
-		}
-		p = s.Run
-	}
-	return p
-}
--- a/internal/workflow/cwl/load.go
+++ b/internal/workflow/cwl/load.go
@@ -114,12 +114,12 @@
 
 // fieldsOfClass are the fields that only processes of a class have.
 var fieldsOfClass = map[string][]string{
-	"CommandLineTool": {
+	classTool: {
 		"baseCommand", "arguments", "stdin", "stdout", "stderr",
 		"successCodes", "temporaryFailCodes", "permanentFailCodes",
 	},
-	"ExpressionTool": {"expression"},
-	"Workflow":       {"steps"},
+	classExpressionTool: {"expression"},
+	classWorkflow:       {"steps"},
 }
 
 // process reads a process where it stands. version is the cwlVersion of the document around
@@ -151,15 +151,15 @@
 	l.needs(&p.Needs, f["hints"], false)
 	l.readParameters(p, f)
 	switch class {
-	case "CommandLineTool":
+	case classTool:
 		p.Tool = l.tool(at, f)
-	case "ExpressionTool":
+	case classExpressionTool:
 		if expression, ok := f["expression"]; ok {
 			p.Expression = l.text(expression)
 		} else {
 			l.fail(at, "expression is missing")
 		}
-	case "Workflow":
+	case classWorkflow:
 		if _, ok := f["steps"]; !ok {
 			l.fail(at, "steps is missing")
 		}
@@ -181,7 +181,7 @@
 	for _, e := range entries(at.node) {
 		switch e.key.Value {
 		case "class":
-			class = l.oneOf(at.in("class", e.node), "CommandLineTool", "ExpressionTool", "Workflow")
+			class = l.oneOf(at.in("class", e.node), classTool, classExpressionTool, classWorkflow)
 			if class == "" && !isNull(e.node) {
 				return "", nil, false
 			}
@@ -247,26 +247,13 @@
 	p := Parameter{ID: id, where: at}
 	f := l.fields(
 		at,
-		"id",
-		"type",
-		"label",
-		"doc",
-		"default",
-		"secondaryFiles",
-		"streamable",
-		"format",
-		"loadContents",
-		"loadListing",
-		"inputBinding",
-		"outputBinding",
-		"outputSource",
-		"linkMerge",
-		"pickValue",
+		"id", "type", "label", "doc", "default", "secondaryFiles", "streamable", "format",
+		"loadContents", "loadListing", "inputBinding", "outputBinding", "outputSource", "linkMerge", "pickValue",
 	)
 	typeField := f["type"]
 	if typeField.node != nil && typeField.node.Kind == yaml.ScalarNode &&
 		slices.Contains([]string{"stdin", "stdout", "stderr"}, typeField.node.Value) &&
-		class == "CommandLineTool" {
+		class == classTool {
 		if (typeField.node.Value == "stdin") != input {
 			l.fail(typeField, "%s can't be the type of this", typeField.node.Value)
 		}
@@ -365,8 +352,13 @@
 // readBinding reads a command line binding.
 func (l *loader) readBinding(at place) *Binding {
 	f := l.fields(at, "position", "prefix", "separate", "itemSeparator", "valueFrom", "loadContents", "shellQuote")
-	b := &Binding{where: at, Position: l.scalar(f["position"]), NoSeparate: !l.boolean(f["separate"], true),
-		LoadContents: l.boolean(f["loadContents"], false), NoShellQuote: !l.boolean(f["shellQuote"], true)}
+	b := &Binding{
+		where:        at,
+		Position:     l.scalar(f["position"]),
+		NoSeparate:   !l.boolean(f["separate"], true),
+		LoadContents: l.boolean(f["loadContents"], false),
+		NoShellQuote: !l.boolean(f["shellQuote"], true),
+	}
 	if x, ok := f["prefix"]; ok {
 		b.Prefix = l.text(x)
 	}
--- a/internal/workflow/cwl/model.go
+++ b/internal/workflow/cwl/model.go
@@ -1,5 +1,14 @@
 package cwl
 
+import "strings"
+
+// The classes of processes.
+const (
+	classTool           = "CommandLineTool"
+	classExpressionTool = "ExpressionTool"
+	classWorkflow       = "Workflow"
+)
+
 // Process is a tool, an expression tool or a workflow.
 type Process struct {
 	Class   string // "CommandLineTool", "ExpressionTool" or "Workflow"
@@ -191,3 +200,19 @@
 	}
 	return nil
 }
+
+// ToolAt finds the tool of a task by the task's id, as Run gives it; nil if there is none.
+func (p *Process) ToolAt(id string) *Process {
+	if p.Class != classWorkflow {
+		return p
+	}
+	for _, part := range strings.Split(id, "/") {
+		name, _, _ := strings.Cut(part, "[")
+		s := p.Step(name)
+		if s == nil {
+			return nil
+		}
+		p = s.Run
+	}
+	return p
+}
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -1,7 +1,3 @@
-// Package cwl reads, checks and evaluates workflows in the Common Workflow Language,
-// version 1.2: documents, types, expressions, command lines, outputs, and what of a
-// workflow is ready to run. It runs nothing itself and knows nothing of controllers.
-// Headings named in comments are those of the published standard.
 package cwl
 
 import (
