--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -57,13 +57,13 @@
 
 // workflowRun is the progress of a workflow: of the run as a whole, or of one in a step.
 type workflowRun struct {
-	id        string
+	id        string // of the element that it runs in, "" for the run as a whole
 	process   *Process
-	inputs    map[string]any
-	steps     map[string]*stepRun
-	remaining int
-	failed    bool
-	parent    *element // the step that it is, nil for the whole
+	inputs    map[string]any      // complete
+	steps     map[string]*stepRun // by the step's id
+	remaining int                 // steps that have not ended; -1 once the workflow has ended
+	failed    bool                // a step has failed
+	parent    *element            // the element that it runs in, nil for the run as a whole
 }
 
 // stepRun is the progress of a step, with one element or, scattered, any number.
@@ -72,12 +72,12 @@
 	step         *Step
 	state        StepState
 	linkedInputs map[string]any // inputs before scattering
-	lengths      []int          // of what is scattered over
+	lengths      []int          // of the lists that it is scattered over
 	next         int            // index of the first element not yet started
-	total        int
-	remaining    int
-	elements     []*element
-	skipped      int
+	total        int            // number of elements
+	remaining    int            // elements that have not ended
+	elements     []*element     // by index, nil if not yet started
+	skipped      int            // elements whose condition was false
 }
 
 // element is one run of a step's process: the only one, or one of a scatter.
@@ -87,7 +87,6 @@
 	id      string
 	outputs map[string]any
 	err     error
-	ended   bool
 }
 
 // Start begins a run. inputs are as ReadInputs gives them.
@@ -98,22 +97,29 @@
 	}
 	r := &Run{ctx: ctx, handedOut: map[string]*element{}}
 	if p.Class != classWorkflow {
-		// A tool by itself is a workflow of one step.
-		s := &Step{ID: "main", Run: p}
-		w := &Process{Class: classWorkflow, Inputs: p.Inputs, Steps: []*Step{s}}
-		for _, in := range p.Inputs {
-			s.In = append(s.In, StepInput{ID: in.ID, Source: []string{in.ID}})
-		}
-		for _, o := range p.Outputs {
-			s.Out = append(s.Out, o.ID)
-			w.Outputs = append(w.Outputs, Parameter{ID: o.ID, Type: o.Type, Source: []string{"main/" + o.ID}})
-		}
-		p = w
+		p = asWorkflow(p)
 	}
 	r.root = r.startWorkflow(p, "", full, nil)
 	return r, nil
 }
 
+// asWorkflow returns a workflow whose only step, "main", runs a tool.
+func asWorkflow(tool *Process) *Process {
+	step := &Step{ID: "main", Run: tool}
+	workflow := &Process{Class: classWorkflow, Inputs: tool.Inputs, Steps: []*Step{step}}
+	for _, input := range tool.Inputs {
+		step.In = append(step.In, StepInput{ID: input.ID, Source: []string{input.ID}})
+	}
+	for _, output := range tool.Outputs {
+		step.Out = append(step.Out, output.ID)
+		workflow.Outputs = append(
+			workflow.Outputs,
+			Parameter{ID: output.ID, Type: output.Type, Source: []string{"main/" + output.ID}},
+		)
+	}
+	return workflow
+}
+
 // startWorkflow starts a workflow with complete inputs and the steps of it that can start.
 // parent is the element of a step that it runs in, nil for the run as a whole.
 func (r *Run) startWorkflow(p *Process, id string, inputs map[string]any, parent *element) *workflowRun {
@@ -457,7 +463,7 @@
 // those that wait for it.
 func (r *Run) finishElement(e *element, outputs map[string]any, err error) {
 	st := e.step
-	e.outputs, e.err, e.ended = outputs, err, true
+	e.outputs, e.err = outputs, err
 	st.remaining--
 	if err != nil {
 		r.failures = append(r.failures, Failure{e.id, err})
