--- a/internal/settings/configfile/configfile_test.go
+++ b/internal/settings/configfile/configfile_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -68,15 +69,16 @@
 	file := filepath.Join(t.TempDir(), "f")
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		reload, reports := make(chan os.Signal), 0
+		reload := make(chan os.Signal)
+		var reports atomic.Int32 // written by Follow's goroutine
 		ended := make(chan error, 1)
-		go func() { ended <- Follow(ctx, file, reload, func() { reports++ }) }()
+		go func() { ended <- Follow(ctx, file, reload, func() { reports.Add(1) }) }()
 		expect := func(what string, want int) {
 			t.Helper()
 			time.Sleep(3 * pollInterval)
 			synctest.Wait()
-			if reports != want {
-				t.Errorf("%s: got %d reports, want %d", what, reports, want)
+			if got := int(reports.Load()); got != want {
+				t.Errorf("%s: got %d reports, want %d", what, got, want)
 			}
 		}
 		expect("unchanged", 0)
