--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -10,27 +10,27 @@
 	"maddermill/wire"
 )
 
-// tokenPoll is how often a heartbeat that waits for a newer fencing token checks for it.
-const tokenPoll = 20 * time.Millisecond
+// tokenPollInterval is how often a heartbeat that waits for a newer fencing token checks for it.
+const tokenPollInterval = 20 * time.Millisecond
 
-// entitled reports whether this controller may act on a heartbeat; if not, the answer is what the worker
+// authorize reports whether this controller may act on a heartbeat; if not, the answer is what the worker
 // gets. It needs the cache's lock.
-func (s *HeartbeatServer) entitled(r *wire.Heartbeat, now time.Time) (refusal HeartbeatAnswer, ok bool) {
+func (s *HeartbeatServer) authorize(hb *wire.Heartbeat, now time.Time) (refusal HeartbeatAnswer, ok bool) {
 	if !s.Cache.Loaded() || s.Cache.Token() == 0 {
-		return notEntitled, false
+		return unavailable, false
 	}
 	if s.Membership.RecentlyPaused(now) {
 		// The worker has long given up on this heartbeat and reports to another controller. A start here
 		// would only take the task from others.
-		return notEntitled, false
+		return unavailable, false
 	}
 	if now.Sub(s.cancellationsConfirmedUntil(time.Now())) > s.set.HeartbeatGrace() {
 		// A user may have been answered that a job is cancelled, and every answer to a heartbeat renews
 		// the lease of tasks that must then end.
-		return s.redirect(r.Machine, now), false
+		return s.redirect(hb.Machine, now), false
 	}
-	if s.records().MachinePhase(r.Machine) == ledger.Terminated {
-		return notEntitled, false // a heartbeat from before the machine was terminated
+	if s.records().MachinePhase(hb.Machine) == ledger.Terminated {
+		return unavailable, false // a heartbeat from before the machine was terminated
 	}
 	return HeartbeatAnswer{}, true
 }
@@ -57,9 +57,9 @@
 func (s *HeartbeatServer) chooseToken(
 	ctx context.Context,
 	w *reconcile.Worker,
-	r *wire.Heartbeat,
+	hb *wire.Heartbeat,
 ) (token wire.FencingToken, ok bool) {
-	if w.CommandToken != 0 && r.FencingToken <= w.CommandToken {
+	if w.CommandToken != 0 && hb.FencingToken <= w.CommandToken {
 		switch newest := s.Cache.Token(); {
 		case w.ProvesReachable(w.CommandToken):
 		case w.ProvesReachable(newest):
@@ -69,10 +69,10 @@
 		}
 		return w.CommandToken, true
 	}
-	for r.FencingToken > s.Cache.Token() {
-		s.Cache.RequestToken(r.FencingToken)
+	for hb.FencingToken > s.Cache.Token() {
+		s.Cache.RequestToken(hb.FencingToken)
 		s.Cache.Unlock()
-		wait.For(ctx, tokenPoll)
+		wait.For(ctx, tokenPollInterval)
 		s.Cache.Lock()
 		if ctx.Err() != nil {
 			return 0, false
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -160,9 +160,9 @@
 	t.Helper()
 	for healthy := false; !healthy; {
 		ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
-		p, err := s.client.Do(ctx, &http1.Request{Method: "GET", Path: "/healthz"})
+		resp, err := s.client.Do(ctx, &http1.Request{Method: "GET", Path: "/healthz"})
 		cancel()
-		healthy = err == nil && p.Status == 200
+		healthy = err == nil && resp.Status == 200
 		if err != nil && !errors.Is(err, http1.ErrNotSent) {
 			t.Fatal(err)
 		}
@@ -233,12 +233,12 @@
 		{"POST", "/api/workflows/wf-000001/resume", "", 409},
 		{"POST", "/api/workflows/wf-000001/stop", "", 404},
 	} {
-		p, err := s.client.Do(t.Context(), &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
-		if err != nil || p.Status != tc.status {
-			t.Errorf("%s %s: %v, %v, want %d", tc.method, tc.path, p, err, tc.status)
+		resp, err := s.client.Do(t.Context(), &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
+		if err != nil || resp.Status != tc.status {
+			t.Errorf("%s %s: %v, %v, want %d", tc.method, tc.path, resp, err, tc.status)
 		}
-		if err == nil && p.Status == 503 && p.Header.Get("retry-after") != "1" {
-			t.Errorf("%s %s: retry-after %q, want 1", tc.method, tc.path, p.Header.Get("retry-after"))
+		if err == nil && resp.Status == 503 && resp.Header.Get("retry-after") != "1" {
+			t.Errorf("%s %s: retry-after %q, want 1", tc.method, tc.path, resp.Header.Get("retry-after"))
 		}
 	}
 }
@@ -257,9 +257,9 @@
 		{"POST", "/api/workflows", `{"id":"wf-000001","owner":"t"}`, `{"error":"bundle: is missing"}`},
 		{"GET", "/api/workflows/wf-000002", "", `{"error":"no such workflow"}`},
 	} {
-		p, err := s.client.Do(t.Context(), &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
-		if err != nil || string(p.Body) != tc.want {
-			t.Errorf("%s %s: %v, %v, want %s", tc.method, tc.path, p, err, tc.want)
+		resp, err := s.client.Do(t.Context(), &http1.Request{Method: tc.method, Path: tc.path, Body: []byte(tc.body)})
+		if err != nil || string(resp.Body) != tc.want {
+			t.Errorf("%s %s: %v, %v, want %s", tc.method, tc.path, resp, err, tc.want)
 		}
 	}
 }
@@ -281,11 +281,11 @@
 	polls := make(chan int, 8)
 	for range cap(polls) {
 		go func() {
-			p, err := s.client.Do(t.Context(), &http1.Request{Method: "GET", Path: "/api/jobs/wk-000004"})
+			resp, err := s.client.Do(t.Context(), &http1.Request{Method: "GET", Path: "/api/jobs/wk-000004"})
 			if err != nil {
-				p = &http1.Response{}
+				resp = &http1.Response{}
 			}
-			polls <- p.Status
+			polls <- resp.Status
 		}()
 	}
 	for range 3 {
@@ -296,10 +296,10 @@
 			t.Errorf("a poll beyond the bound: status %d, want 503", status)
 		}
 	}
-	p, err := s.client.Do(t.Context(),
+	resp, err := s.client.Do(t.Context(),
 		&http1.Request{Method: "POST", Path: "/api/jobs", Body: []byte(submission("t"))})
-	if err != nil || p.Status != 201 {
-		t.Errorf("a submission beside them: %v, %v, want 201", p, err)
+	if err != nil || resp.Status != 201 {
+		t.Errorf("a submission beside them: %v, %v, want 201", resp, err)
 	}
 	close(s.blockPolls)
 	for range 5 {
--- a/internal/server/api/events.go
+++ b/internal/server/api/events.go
@@ -48,8 +48,8 @@
 			if !stream.send(&st) {
 				return
 			}
-		case !stream.begun:
-			s.writeLast(conn, s.workflowFailure(err))
+		case !stream.started:
+			s.writeLast(conn, s.workflowErrorResponse(err))
 			return
 		}
 		select {
@@ -69,9 +69,9 @@
 
 // eventStream is a stream of events on a connection.
 type eventStream struct {
-	conn  *transport.Conn
-	begun bool   // the header is written
-	last  string // line written last
+	conn    *transport.Conn
+	started bool   // the header is written
+	last    string // line written last
 }
 
 // send writes a status unless it is the one written last, and reports whether more may follow: the status is
@@ -81,8 +81,8 @@
 	if err != nil {
 		return false
 	}
-	if !e.begun {
-		e.begun = true
+	if !e.started {
+		e.started = true
 		if _, err := e.conn.Write([]byte(eventsHeader)); err != nil {
 			return false
 		}
--- a/internal/server/api/responses.go
+++ b/internal/server/api/responses.go
@@ -29,15 +29,15 @@
 	errRequestTimeout   = errors.New("request not completed in time")
 	errNoTopology       = errors.New("no topology is declared, or the controller is starting")
 	errNoJudgements     = errors.New("machines are not judged by evidence here")
-	errNoHeartbeat      = errors.New("not a report")
-	errNotEntitled      = errors.New("not entitled to answer")
+	errInvalidHeartbeat = errors.New("not a report")
+	errHeartbeatRefused = errors.New("not entitled to answer")
 )
 
 // maxDocumentError bounds the message about a workflow's documents, in bytes.
 const maxDocumentError = 32 << 10
 
-// reply is a response with a value as its JSON body.
-func reply(status int, v any) *http1.Response {
+// jsonResponse is a response with a value as its JSON body.
+func jsonResponse(status int, v any) *http1.Response {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return &http1.Response{Status: 500}
@@ -45,48 +45,48 @@
 	return &http1.Response{Status: status, Body: b}
 }
 
-// problem is a response with an error's message as its body.
-func problem(status int, err error) *http1.Response {
-	return reply(status, wire.ErrorBody{Error: err.Error()})
+// errorResponse is a response with an error's message as its body.
+func errorResponse(status int, err error) *http1.Response {
+	return jsonResponse(status, wire.ErrorBody{Error: err.Error()})
 }
 
-// notAllowed is the response to a request with another method than the only one allowed.
-func notAllowed(method string) *http1.Response {
-	p := problem(405, errMethodNotAllowed)
-	p.Header = append(p.Header, http1.Field{Name: "allow", Value: method})
-	return p
+// methodNotAllowed is the response to a request with another method than the only one allowed.
+func methodNotAllowed(method string) *http1.Response {
+	resp := errorResponse(405, errMethodNotAllowed)
+	resp.Header = append(resp.Header, http1.Field{Name: "allow", Value: method})
+	return resp
 }
 
 // retryLater is the response to a request that can't be served now, with the time to wait.
 func (s *Server) retryLater() *http1.Response {
-	p := problem(503, errRetryLater)
+	resp := errorResponse(503, errRetryLater)
 	after := strconv.Itoa(int(math.Ceil(s.RetryAfter.Seconds())))
-	p.Header = append(p.Header, http1.Field{Name: "retry-after", Value: after})
-	return p
+	resp.Header = append(resp.Header, http1.Field{Name: "retry-after", Value: after})
+	return resp
 }
 
-// framingFailure is the last response of a connection on which no further request can be read; nil: none is
+// framingErrorResponse is the last response of a connection on which no further request can be read; nil: none is
 // to be sent.
-func framingFailure(err error) *http1.Response {
+func framingErrorResponse(err error) *http1.Response {
 	var framing *http1.Error
 	switch {
 	case errors.As(err, &framing):
-		return problem(framing.Status, errors.New(framing.Reason))
+		return errorResponse(framing.Status, errors.New(framing.Reason))
 	case errors.Is(err, transport.ErrTimeout):
-		return problem(408, errRequestTimeout)
+		return errorResponse(408, errRequestTimeout)
 	}
 	return nil
 }
 
-// jobFailure is the response to a failed request about a job. An error of no known kind is logged.
-func (s *Server) jobFailure(id wire.JobID, err error) *http1.Response {
+// jobErrorResponse is the response to a failed request about a job. An error of no known kind is logged.
+func (s *Server) jobErrorResponse(id wire.JobID, err error) *http1.Response {
 	switch {
 	case errors.Is(err, server.ErrNoSuchJob):
-		return problem(404, errNoSuchJob)
+		return errorResponse(404, errNoSuchJob)
 	case errors.Is(err, server.ErrUnschedulable):
-		return problem(422, oneLine(err))
+		return errorResponse(422, oneLine(err))
 	case errors.Is(err, ledger.ErrTooManyDependencies):
-		return problem(400, fmt.Errorf("field %q %w", "awaits", ledger.ErrTooManyDependencies))
+		return errorResponse(400, fmt.Errorf("field %q %w", "awaits", ledger.ErrTooManyDependencies))
 	case errors.Is(err, kvstore.ErrUnreachable):
 	default:
 		s.Log.Error("request failed", "job", id, "err", err)
@@ -94,20 +94,20 @@
 	return s.retryLater()
 }
 
-// workflowFailure is the response to a failed request about a workflow.
-func (s *Server) workflowFailure(err error) *http1.Response {
+// workflowErrorResponse is the response to a failed request about a workflow.
+func (s *Server) workflowErrorResponse(err error) *http1.Response {
 	var problems cwl.Problems
 	switch {
 	case errors.Is(err, runner.ErrNoWorkflows):
-		return problem(404, err)
+		return errorResponse(404, err)
 	case errors.Is(err, runner.ErrNotFailed):
-		return problem(409, err)
+		return errorResponse(409, err)
 	case errors.Is(err, server.ErrNoSuchJob):
-		return problem(404, errNoSuchWorkflow)
+		return errorResponse(404, errNoSuchWorkflow)
 	case errors.As(err, &problems):
-		return problem(400, truncated(err))
+		return errorResponse(400, truncatedError(err))
 	}
-	return s.jobFailure("", err)
+	return s.jobErrorResponse("", err)
 }
 
 // oneLine is an error with the messages of joined errors in one line.
@@ -115,9 +115,9 @@
 	return errors.New(strings.ReplaceAll(err.Error(), "\n", ": "))
 }
 
-// truncated is an error about documents, whose message has a line for each problem, with a message of little
+// truncatedError is an error about documents, whose message has a line for each problem, with a message of little
 // more than maxDocumentError: no line of a response may be very long.
-func truncated(err error) error {
+func truncatedError(err error) error {
 	text := err.Error()
 	if len(text) <= maxDocumentError {
 		return err
--- a/internal/server/api/routes.go
+++ b/internal/server/api/routes.go
@@ -21,44 +21,44 @@
 var fixedRoutes = map[string]route{
 	"/healthz":        {"GET", "", (*Server).health},
 	"/metrics":        {"GET", "", (*Server).metrics},
-	"/api/duties":     {"GET", "", (*Server).duties},
+	"/api/duties":     {"GET", "", (*Server).componentStatus},
 	"/api/judgements": {"GET", "poll", (*Server).judgements},
 	"/api/topology":   {"GET", "poll", (*Server).topology},
 	"/api/jobs":       {"POST", "submission", (*Server).submitJob},
 	"/v1/report":      {"POST", "", (*Server).heartbeat},
 }
 
-// answer routes a request and returns its response.
-func (s *Server) answer(ctx context.Context, request *http1.Request) *http1.Response {
+// dispatch routes a request and returns its response.
+func (s *Server) dispatch(ctx context.Context, request *http1.Request) *http1.Response {
 	if route, ok := fixedRoutes[request.Path]; ok {
-		return s.follow(ctx, route, request)
+		return s.serveRoute(ctx, route, request)
 	}
 	if request.Path == workflowsPath || strings.HasPrefix(request.Path, workflowsPath+"/") {
-		return s.workflows(ctx, request)
+		return s.serveWorkflows(ctx, request)
 	}
 	if rest, ok := strings.CutPrefix(request.Path, "/api/jobs/"); ok {
-		return s.job(ctx, rest, request.Method)
+		return s.serveJob(ctx, rest, request.Method)
 	}
-	return problem(404, errNoSuchPath)
+	return errorResponse(404, errNoSuchPath)
 }
 
-// follow answers a request by a route.
-func (s *Server) follow(ctx context.Context, r route, request *http1.Request) *http1.Response {
+// serveRoute answers a request by a route.
+func (s *Server) serveRoute(ctx context.Context, r route, request *http1.Request) *http1.Response {
 	switch {
 	case request.Method != r.method:
-		return notAllowed(r.method)
+		return methodNotAllowed(r.method)
 	case r.kind == "":
 		return r.handle(s, ctx, request)
 	}
-	return s.limited(r.kind, func() *http1.Response { return r.handle(s, ctx, request) })
+	return s.runLimited(r.kind, func() *http1.Response { return r.handle(s, ctx, request) })
 }
 
 // health reports whether the controller is ready.
 func (s *Server) health(context.Context, *http1.Request) *http1.Response {
 	if !s.Inspector.Healthy() {
-		return problem(503, errNotReady)
+		return errorResponse(503, errNotReady)
 	}
-	return reply(200, struct{}{})
+	return jsonResponse(200, struct{}{})
 }
 
 // metrics returns the controller's metrics.
@@ -70,20 +70,20 @@
 	}
 }
 
-// duties returns the state of the controller's components.
-func (s *Server) duties(context.Context, *http1.Request) *http1.Response {
-	return reply(200, s.Duties(time.Now()))
+// componentStatus returns the state of the controller's components.
+func (s *Server) componentStatus(context.Context, *http1.Request) *http1.Response {
+	return jsonResponse(200, s.Duties(time.Now()))
 }
 
 // topology returns the declared topology as JSON lines.
 func (s *Server) topology(context.Context, *http1.Request) *http1.Response {
 	view, ok := s.Inspector.Topology(time.Now())
 	if !ok {
-		return problem(404, errNoTopology)
+		return errorResponse(404, errNoTopology)
 	}
 	body, err := view.AppendLines(nil)
 	if err != nil {
-		return problem(500, err)
+		return errorResponse(500, err)
 	}
 	return &http1.Response{
 		Status: 200,
@@ -96,23 +96,23 @@
 func (s *Server) judgements(context.Context, *http1.Request) *http1.Response {
 	list, ok := s.Inspector.Judgements()
 	if !ok {
-		return problem(404, errNoJudgements)
+		return errorResponse(404, errNoJudgements)
 	}
-	return reply(200, list)
+	return jsonResponse(200, list)
 }
 
 // heartbeat answers a worker's heartbeat.
 func (s *Server) heartbeat(ctx context.Context, request *http1.Request) *http1.Response {
 	var heartbeat wire.Heartbeat
 	if err := json.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Epoch == 0 {
-		return problem(400, errNoHeartbeat)
+		return errorResponse(400, errInvalidHeartbeat)
 	}
 	answer := s.Heartbeats.Heartbeat(ctx, &heartbeat)
 	switch answer.Status {
 	case 200:
-		return reply(200, answer.Response)
+		return jsonResponse(200, answer.Response)
 	case 421:
-		return reply(421, answer.Redirect)
+		return jsonResponse(421, answer.Redirect)
 	}
-	return problem(answer.Status, errNotEntitled)
+	return errorResponse(answer.Status, errHeartbeatRefused)
 }
--- a/internal/server/api/server.go
+++ b/internal/server/api/server.go
@@ -32,7 +32,7 @@
 
 // Heartbeats is the service that answers workers' heartbeats.
 type Heartbeats interface {
-	Heartbeat(ctx context.Context, r *wire.Heartbeat) server.HeartbeatAnswer
+	Heartbeat(ctx context.Context, hb *wire.Heartbeat) server.HeartbeatAnswer
 }
 
 // Inspector is what a controller reports of itself. The booleans are false where there is nothing to report.
@@ -57,10 +57,10 @@
 	Log        *slog.Logger
 
 	// The numbers of what is in progress.
-	users   atomic.Int64 // connections of users
-	busy    atomic.Int64 // users' requests
-	polls   atomic.Int64 // polls of jobs among them
-	streams atomic.Int64 // streams of workflows' events
+	userConns    atomic.Int64 // connections of users
+	userRequests atomic.Int64 // users' requests
+	polls        atomic.Int64 // polls of jobs among them
+	streams      atomic.Int64 // streams of workflows' events
 }
 
 // Limits of connections and requests.
@@ -69,29 +69,29 @@
 	requestTimeout = 10 * time.Second        // from a request's first byte to its last
 	pollTimeout    = 1900 * time.Millisecond // of the answer to a poll
 	submitTimeout  = 4500 * time.Millisecond // of the answer to a submission or cancellation
-	readBuffer     = 2048                    // bytes
+	readBufferSize = 2048                    // bytes
 )
 
 // Serve answers the requests of one connection until the connection or ctx ends.
 func (s *Server) Serve(ctx context.Context, conn *transport.Conn) {
-	reader := bufio.NewReaderSize(conn, readBuffer)
+	reader := bufio.NewReaderSize(conn, readBufferSize)
 	isUser := false
 	defer func() {
 		if isUser {
-			s.users.Add(-1)
+			s.userConns.Add(-1)
 		}
 	}()
 	for ctx.Err() == nil {
 		request, err := readRequest(conn, reader)
 		if err != nil {
-			if p := framingFailure(err); p != nil {
-				s.writeLast(conn, p)
+			if resp := framingErrorResponse(err); resp != nil {
+				s.writeLast(conn, resp)
 			}
 			return
 		}
 		if !isUser && strings.HasPrefix(request.Path, "/api/") {
 			isUser = true
-			if s.users.Add(1) > int64(s.MaxUsers) {
+			if s.userConns.Add(1) > int64(s.MaxUsers) {
 				s.writeLast(conn, s.shed("connection"))
 				return
 			}
@@ -100,9 +100,9 @@
 			s.streamEvents(ctx, conn, id)
 			return
 		}
-		p := s.answer(ctx, request)
-		p.Close = p.Close || request.Close
-		if s.write(conn, p) != nil || p.Close {
+		resp := s.dispatch(ctx, request)
+		resp.Close = resp.Close || request.Close
+		if s.write(conn, resp) != nil || resp.Close {
 			return
 		}
 	}
@@ -125,21 +125,21 @@
 }
 
 // write writes a response.
-func (s *Server) write(conn *transport.Conn, p *http1.Response) error {
-	_, err := conn.Write(http1.AppendResponse(nil, p))
+func (s *Server) write(conn *transport.Conn, resp *http1.Response) error {
+	_, err := conn.Write(http1.AppendResponse(nil, resp))
 	return err
 }
 
 // writeLast writes the last response of a connection.
-func (s *Server) writeLast(conn *transport.Conn, p *http1.Response) {
-	p.Close = true
-	_ = s.write(conn, p) // the connection ends either way
+func (s *Server) writeLast(conn *transport.Conn, resp *http1.Response) {
+	resp.Close = true
+	_ = s.write(conn, resp) // the connection ends either way
 }
 
-// limited runs a user's request, or sheds it if too many are in progress.
-func (s *Server) limited(kind string, run func() *http1.Response) *http1.Response {
-	defer s.busy.Add(-1)
-	if s.busy.Add(1) > int64(s.MaxBusy) {
+// runLimited runs a user's request, or sheds it if too many are in progress.
+func (s *Server) runLimited(kind string, run func() *http1.Response) *http1.Response {
+	defer s.userRequests.Add(-1)
+	if s.userRequests.Add(1) > int64(s.MaxBusy) {
 		return s.shed(kind)
 	}
 	return run()
--- a/internal/server/api/workflows.go
+++ b/internal/server/api/workflows.go
@@ -27,8 +27,8 @@
 	handle func(context.Context, wire.WorkflowID) (wire.WorkflowStatus, error)
 }
 
-// workflowRoute returns the route of a verb, the path's part after the id.
-func (s *Server) workflowRoute(verb string) (r workflowRoute, ok bool) {
+// findWorkflowRoute returns the route of a verb, the path's part after the id.
+func (s *Server) findWorkflowRoute(verb string) (r workflowRoute, ok bool) {
 	switch verb {
 	case "":
 		return workflowRoute{"GET", "poll", s.Workflows.Status}, true
@@ -40,34 +40,34 @@
 	return workflowRoute{}, false
 }
 
-// workflows answers a request at or below workflowsPath: POST is a submission, GET ID a poll, POST ID/cancel
+// serveWorkflows answers a request at or below workflowsPath: POST is a submission, GET ID a poll, POST ID/cancel
 // a cancellation, POST ID/resume has a failed workflow resumed.
-func (s *Server) workflows(ctx context.Context, request *http1.Request) *http1.Response {
+func (s *Server) serveWorkflows(ctx context.Context, request *http1.Request) *http1.Response {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	rest := strings.TrimPrefix(strings.TrimPrefix(request.Path, workflowsPath), "/")
 	if rest == "" {
 		if request.Method != "POST" {
-			return notAllowed("POST")
+			return methodNotAllowed("POST")
 		}
-		return s.limited("submission", func() *http1.Response { return s.submitWorkflow(ctx, request.Body) })
+		return s.runLimited("submission", func() *http1.Response { return s.submitWorkflow(ctx, request.Body) })
 	}
 	id, verb, _ := strings.Cut(rest, "/")
-	r, ok := s.workflowRoute(verb)
+	r, ok := s.findWorkflowRoute(verb)
 	switch {
 	case !ok:
-		return problem(404, errNoSuchPath)
+		return errorResponse(404, errNoSuchPath)
 	case request.Method != r.method:
-		return notAllowed(r.method)
+		return methodNotAllowed(r.method)
 	case !wire.WorkflowID(id).Valid():
-		return problem(404, errNoSuchWorkflow)
+		return errorResponse(404, errNoSuchWorkflow)
 	}
-	return s.limited(r.kind, func() *http1.Response {
+	return s.runLimited(r.kind, func() *http1.Response {
 		st, err := r.handle(ctx, wire.WorkflowID(id))
 		if err != nil {
-			return s.workflowFailure(err)
+			return s.workflowErrorResponse(err)
 		}
-		return reply(200, st)
+		return jsonResponse(200, st)
 	})
 }
 
@@ -75,17 +75,17 @@
 func (s *Server) submitWorkflow(ctx context.Context, body []byte) *http1.Response {
 	spec, err := wire.DecodeWorkflowSpec(body)
 	if err != nil {
-		return problem(400, err)
+		return errorResponse(400, err)
 	}
 	if _, err := workflow.Check(ctx, spec); err != nil {
-		return problem(400, truncated(err))
+		return errorResponse(400, truncatedError(err))
 	}
 	st, created, err := s.Workflows.Submit(ctx, spec)
 	if err != nil {
-		return s.workflowFailure(err)
+		return s.workflowErrorResponse(err)
 	}
 	if created {
-		return reply(201, st)
+		return jsonResponse(201, st)
 	}
-	return reply(200, st)
+	return jsonResponse(200, st)
 }
--- a/internal/server/cascade.go
+++ b/internal/server/cascade.go
@@ -14,10 +14,10 @@
 // Pace of FollowDependencies.
 const (
 	dependenciesInterval = time.Second
-	// cascadeBatch is how many cancellations that follow from others may be on their way at once.
-	cascadeBatch = 64
-	// maxResolved is how many archived dependencies are read in a round.
-	maxResolved = 16
+	// maxPendingCascades is how many cancellations that follow from others may be on their way at once.
+	maxPendingCascades = 64
+	// maxResolvedPerRound is how many archived dependencies are read in a round.
+	maxResolvedPerRound = 16
 )
 
 // FollowDependencies does, until ctx ends, what follows from dependencies in the background. Whether a job is
@@ -30,7 +30,7 @@
 	for ctx.Err() == nil {
 		wait.For(ctx, dependenciesInterval)
 		s.logReleased(leading())
-		s.resolveMissing(ctx)
+		s.resolveArchivedDependencies(ctx)
 		if leading() {
 			s.cancelWithAncestors(cascades)
 		}
@@ -62,7 +62,7 @@
 	var found []wire.JobID
 	s.Cache.Read(func(l *ledger.Ledger) {
 		for id := range l.AncestorCancelledJobs() {
-			if len(found)+len(cascades) >= cascadeBatch {
+			if len(found)+len(cascades) >= maxPendingCascades {
 				return
 			}
 			if cascades[id] == nil {
@@ -95,15 +95,15 @@
 	}
 }
 
-// resolveMissing reads how jobs ended that are archived and that active jobs name.
-func (s *JobServer) resolveMissing(ctx context.Context) {
+// resolveArchivedDependencies reads how jobs ended that are archived and that active jobs name.
+func (s *JobServer) resolveArchivedDependencies(ctx context.Context) {
 	var missing []wire.JobID
 	if !s.Loaded() {
 		return
 	}
 	s.Cache.Read(func(l *ledger.Ledger) {
 		for id := range l.MissingDependencies() {
-			if missing = append(missing, id); len(missing) == maxResolved {
+			if missing = append(missing, id); len(missing) == maxResolvedPerRound {
 				return
 			}
 		}
--- a/internal/server/completions.go
+++ b/internal/server/completions.go
@@ -20,11 +20,11 @@
 	gangIncompleteBackoff = 2 * time.Second
 )
 
-// noteCompletions logs the completions that a heartbeat shows, whatever its age and whether or not it may
+// addCompletions logs the completions that a heartbeat shows, whatever its age and whether or not it may
 // be answered: a completion stays proof for its claim. It needs the cache's lock.
-func (s *HeartbeatServer) noteCompletions(r *wire.Heartbeat, now time.Time) {
-	for i := range r.Tasks {
-		task := &r.Tasks[i]
+func (s *HeartbeatServer) addCompletions(hb *wire.Heartbeat, now time.Time) {
+	for i := range hb.Tasks {
+		task := &hb.Tasks[i]
 		if task.State != wire.TaskExited || task.Cause != wire.CauseDone {
 			continue
 		}
@@ -32,8 +32,8 @@
 			Job:     task.Task.Job,
 			Task:    task.Task.Index,
 			Attempt: task.Attempt,
-			Machine: r.Machine,
-			Epoch:   r.Epoch,
+			Machine: hb.Machine,
+			Epoch:   hb.Epoch,
 		}
 		if s.CompletionUnrecorded(done) {
 			s.Completions.Add(done, !s.Cache.SyncedWithin(now, settings.StartContact), now)
@@ -58,7 +58,7 @@
 		s.stats.Add("exits_total", 1)
 		switch exit.Cause {
 		case wire.CauseDone:
-			s.Failures.Completed(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.Ran, now)
+			s.Failures.Completed(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.RunTime, now)
 			if exit.Held.Epoch == w.Epoch {
 				images.Use(job.Spec.Image, job.Spec.ImageGB)
 			} else {
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -62,8 +62,8 @@
 	Redirect wire.Redirect           // with status 421
 }
 
-// notEntitled is the answer of a controller that may not command the worker now.
-var notEntitled = HeartbeatAnswer{Status: statusUnavailable}
+// unavailable is the answer of a controller that may not command the worker now.
+var unavailable = HeartbeatAnswer{Status: statusUnavailable}
 
 // HeartbeatServerParts are the components that a HeartbeatServer works with.
 type HeartbeatServerParts struct {
@@ -110,71 +110,71 @@
 
 // Heartbeat processes one heartbeat and answers it. It blocks for at most commitWait while changes are
 // committed, less if ctx ends.
-func (s *HeartbeatServer) Heartbeat(ctx context.Context, r *wire.Heartbeat) HeartbeatAnswer {
+func (s *HeartbeatServer) Heartbeat(ctx context.Context, hb *wire.Heartbeat) HeartbeatAnswer {
 	receivedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, s.commitWait())
 	defer cancel()
 	s.stats.Add("reports_total", 1)
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
-	s.noteCompletions(r, receivedAt)
-	if refusal, ok := s.entitled(r, receivedAt); !ok {
+	s.addCompletions(hb, receivedAt)
+	if refusal, ok := s.authorize(hb, receivedAt); !ok {
 		return refusal
 	}
-	w := s.Registry.Worker(r.Machine)
+	w := s.Registry.Worker(hb.Machine)
 	if w == nil {
-		w = s.Registry.Register(r, receivedAt)
+		w = s.Registry.Register(hb, receivedAt)
 		s.log.Info("worker registered",
-			"machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "epoch", r.Epoch)
+			"machine", hb.Machine, "type", hb.Type, "zone", hb.Zone, "spot", hb.Spot, "epoch", hb.Epoch)
 	}
 	if redirect, ok := s.redirectToSyncedPeer(w, receivedAt); ok {
 		return redirect
 	}
-	token, ok := s.chooseToken(ctx, w, r)
-	if !ok || w.Stale(r) {
-		return notEntitled
+	token, ok := s.chooseToken(ctx, w, hb)
+	if !ok || w.Stale(hb) {
+		return unavailable
 	}
 	//nolint:contextcheck // a snapshot is taken under the lock and outlives the heartbeat that asks for it
-	findings := s.reconcile(w, r, token, receivedAt)
+	findings := s.reconcile(w, hb, token, receivedAt)
 	if redirect, ok := s.rebalance(w, &findings, receivedAt); ok {
 		return redirect
 	}
-	if !s.commit(ctx, w, r, &findings, receivedAt) {
-		return notEntitled // a newer heartbeat has been processed meanwhile
+	if !s.commit(ctx, w, hb, &findings, receivedAt) {
+		return unavailable // a newer heartbeat has been processed meanwhile
 	}
-	return s.answer(w, r, receivedAt)
+	return s.buildResponse(w, hb, receivedAt)
 }
 
 // reconcile compares a heartbeat with the records and notes what it shows of reachability, images and
 // failures. It needs the cache's lock.
 func (s *HeartbeatServer) reconcile(
 	w *reconcile.Worker,
-	r *wire.Heartbeat,
+	hb *wire.Heartbeat,
 	token wire.FencingToken,
 	now time.Time,
 ) reconcile.Reconciliation {
-	if w.Epoch != 0 && r.Epoch > w.Epoch {
-		s.log.Info("worker started a new epoch", "machine", r.Machine, "epoch", r.Epoch)
+	if w.Epoch != 0 && hb.Epoch > w.Epoch {
+		s.log.Info("worker started a new epoch", "machine", hb.Machine, "epoch", hb.Epoch)
 	}
 	wasUnreachable := w.Unreachable()
-	w.ObserveEpoch(r, now, s.set.Cluster.Workers.Lease.Duration()-maxHeartbeatAge)
-	findings := w.Reconcile(r, s.records().ClaimsOn(r.Machine), token, now)
+	w.ObserveEpoch(hb, now, s.set.Cluster.Workers.Lease.Duration()-maxHeartbeatAge)
+	findings := w.Reconcile(hb, s.records().ClaimsOn(hb.Machine), token, now)
 	findings.ResolveUnsent(func(job *ledger.Job) bool { return s.allMachinesReport(job, now) })
 	if w.Unreachable() != wasUnreachable {
 		if wasUnreachable {
-			s.log.Info("worker reachable", "machine", r.Machine)
+			s.log.Info("worker reachable", "machine", hb.Machine)
 		} else {
-			s.log.Warn("worker unreachable", "machine", r.Machine)
+			s.log.Warn("worker unreachable", "machine", hb.Machine)
 			s.stats.Add("machines_deaf_total", 1)
 		}
 	}
 	if !s.Exchange.Complete(now) {
 		// A peer may have the completions of tasks whose epoch is over; the next heartbeat shows them again.
 		findings.Exits = slices.DeleteFunc(findings.Exits, func(exit reconcile.TaskExit) bool {
-			return exit.Held.Epoch < r.Epoch && exit.Cause == ""
+			return exit.Held.Epoch < hb.Epoch && exit.Cause == ""
 		})
 	}
-	s.observeImages(w, findings.Seen, now)
+	s.observeImages(w, findings.Reported, now)
 	s.observeExits(w, findings.Exits, now)
 	return findings
 }
@@ -193,8 +193,8 @@
 	return all
 }
 
-// maxPlacementTries is how many times per heartbeat the starts of a machine are decided.
-const maxPlacementTries = 3
+// maxPlacementAttempts is how many times per heartbeat the starts of a machine are decided.
+const maxPlacementAttempts = 3
 
 // commit has the findings of a heartbeat and the starts of its machine made durable, and waits for that
 // until ctx ends. It reports false if a newer heartbeat of the worker has been processed meanwhile. It
@@ -202,21 +202,21 @@
 func (s *HeartbeatServer) commit(
 	ctx context.Context,
 	w *reconcile.Worker,
-	r *wire.Heartbeat,
+	hb *wire.Heartbeat,
 	findings *reconcile.Reconciliation,
 	receivedAt time.Time,
 ) bool {
 	waits := s.enqueueFindings(w, findings, receivedAt)
-	current := func() bool { return w.Epoch == r.Epoch && w.Sequence == r.Sequence }
+	current := func() bool { return w.Epoch == hb.Epoch && w.Sequence == hb.Sequence }
 	now := receivedAt
-	for try := 0; try < maxPlacementTries && current(); try++ {
+	for try := 0; try < maxPlacementAttempts && current(); try++ {
 		offer := s.offerStarts(w, now) //nolint:contextcheck // as above: the snapshot outlives the heartbeat
 		for _, change := range s.startChanges(w, offer.starts, receivedAt.Add(s.commitWait())) {
 			s.Committer.Enqueue(change)
 			waits = append(waits, change)
 		}
-		roomFreed := offer.mayOfferFreed && try == 0 && len(findings.Exits) > 0
-		dropped := s.await(ctx, waits)
+		roomFreed := offer.canReuseFreed && try == 0 && len(findings.Exits) > 0
+		dropped := s.waitForChanges(ctx, waits)
 		s.uncountStarts(offer.starts)
 		waits = nil
 		now = time.Now()
@@ -251,9 +251,9 @@
 	return changes
 }
 
-// await waits, with the cache's lock released, until all changes are durable or dropped, and reports
+// waitForChanges waits, with the cache's lock released, until all changes are durable or dropped, and reports
 // whether any was dropped. When ctx ends first it returns false.
-func (s *HeartbeatServer) await(ctx context.Context, changes []*committer.Change) (dropped bool) {
+func (s *HeartbeatServer) waitForChanges(ctx context.Context, changes []*committer.Change) (dropped bool) {
 	if len(changes) == 0 {
 		return false
 	}
@@ -270,21 +270,21 @@
 	return dropped
 }
 
-// answer returns the commands for a worker that follow from the records as they are now. It needs the
+// buildResponse returns the commands for a worker that follow from the records as they are now. It needs the
 // cache's lock.
-func (s *HeartbeatServer) answer(w *reconcile.Worker, r *wire.Heartbeat, receivedAt time.Time) HeartbeatAnswer {
+func (s *HeartbeatServer) buildResponse(w *reconcile.Worker, hb *wire.Heartbeat, receivedAt time.Time) HeartbeatAnswer {
 	now := time.Now()
 	mayStart := now.Sub(s.Cache.SyncedAt()) < settings.StartContact &&
-		s.records().MachinePhase(r.Machine) != ledger.Terminating
-	commands := w.Commands(r, s.records().ClaimsOn(r.Machine), s.records().Total(w.Type), mayStart)
+		s.records().MachinePhase(hb.Machine) != ledger.Terminating
+	commands := w.Commands(hb, s.records().ClaimsOn(hb.Machine), s.records().Total(w.Type), mayStart)
 	for _, command := range commands {
 		if command.Op != wire.OpForget {
 			s.log.Info("command",
 				"op", command.Op, "job", command.Task.Job, "task", command.Task.Index, "attempt", command.Attempt,
-				"machine", r.Machine, "token", w.CommandToken)
+				"machine", hb.Machine, "token", w.CommandToken)
 		}
 		if command.Op == wire.OpStart {
-			s.noteFetch(w, command.Task.Job, now)
+			s.markFetching(w, command.Task.Job, now)
 		}
 	}
 	w.ObserveAnswered(receivedAt)
--- a/internal/server/images.go
+++ b/internal/server/images.go
@@ -8,7 +8,7 @@
 )
 
 // observeImages notes the images that the tasks on a machine fetch or use. It needs the cache's lock.
-func (s *HeartbeatServer) observeImages(w *reconcile.Worker, seen []reconcile.ObservedTask, now time.Time) {
+func (s *HeartbeatServer) observeImages(w *reconcile.Worker, seen []reconcile.ReportedTask, now time.Time) {
 	images := s.Registry.Images(s.records(), w)
 	for _, task := range seen {
 		spec := task.Held.Job.Spec
@@ -20,9 +20,9 @@
 	}
 }
 
-// noteFetch notes that a machine is about to fetch a job's image, unless it has it already. It needs the
+// markFetching notes that a machine is about to fetch a job's image, unless it has it already. It needs the
 // cache's lock.
-func (s *HeartbeatServer) noteFetch(w *reconcile.Worker, id wire.JobID, now time.Time) {
+func (s *HeartbeatServer) markFetching(w *reconcile.Worker, id wire.JobID, now time.Time) {
 	images := s.Registry.Images(s.records(), w)
 	if job := s.records().Job(id); job != nil && !images.Has(job.Spec.Image) {
 		images.StartFetch(job.Spec.Image, now)
--- a/internal/server/jobadmission.go
+++ b/internal/server/jobadmission.go
@@ -30,7 +30,7 @@
 // joined with the reason if it never can, kvstore.ErrUnreachable if that can't be decided yet. It needs the
 // cache's lock.
 func (s *JobServer) Admit(spec *wire.JobSpec, now time.Time) error {
-	if err := s.feasible(spec); err != nil {
+	if err := s.checkFeasible(spec); err != nil {
 		return err
 	}
 	return s.admitByPolicy(spec, now)
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// feasible returns nil if a job can run on some machine type within its team's limit; the errors are those
+// checkFeasible returns nil if a job can run on some machine type within its team's limit; the errors are those
 // of Admit. It needs the cache's lock.
-func (s *JobServer) feasible(spec *wire.JobSpec) error {
+func (s *JobServer) checkFeasible(spec *wire.JobSpec) error {
 	team := s.set.FindTeam(spec.Team)
 	if team == nil {
 		return errors.Join(ErrUnschedulable, errUnknownTeam)
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -24,8 +24,8 @@
 	ErrUnschedulable = errors.New("can never run")
 )
 
-// maxWaitingShown is how many of the jobs that a job waits for its status names.
-const maxWaitingShown = 20
+// maxWaitingForShown is how many of the jobs that a job waits for its status names.
+const maxWaitingForShown = 20
 
 // loadWait is how long a submission waits for the records of a controller that has just started.
 const loadWait = time.Second
@@ -78,7 +78,7 @@
 		return st, false, err
 	}
 	//nolint:contextcheck // the policy is asked under the lock, within its own time limit
-	known, refusal := s.check(spec)
+	known, refusal := s.checkSubmission(spec)
 	if !known && refusal == nil {
 		refusal = s.accept(ctx, spec)
 	}
@@ -113,8 +113,8 @@
 	return s.commitSubmission(ctx, spec, named)
 }
 
-// check reports whether the records know a job and, if not, why it can't be accepted; nil if it can.
-func (s *JobServer) check(spec *wire.JobSpec) (known bool, refusal error) {
+// checkSubmission reports whether the records know a job and, if not, why it can't be accepted; nil if it can.
+func (s *JobServer) checkSubmission(spec *wire.JobSpec) (known bool, refusal error) {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
 	_, archived := s.records().ArchivedState(spec.ID)
@@ -206,7 +206,7 @@
 	status := wire.JobStatus{ID: job.ID, Status: job.Status(), Done: &done, Running: &running}
 	if status.Status == wire.Queued {
 		status.WaitingFor = job.WaitingFor()
-		status.WaitingFor = status.WaitingFor[:min(len(status.WaitingFor), maxWaitingShown)]
+		status.WaitingFor = status.WaitingFor[:min(len(status.WaitingFor), maxWaitingForShown)]
 	}
 	return status, true
 }
--- a/internal/server/rebalance.go
+++ b/internal/server/rebalance.go
@@ -66,7 +66,7 @@
 	for _, claim := range s.records().ClaimsOn(w.ID) {
 		claimed += claim.Count
 	}
-	changing := len(findings.Exits)+len(findings.TakeOver) > 0 || len(findings.Seen) != claimed
+	changing := len(findings.Exits)+len(findings.TakeOver) > 0 || len(findings.Reported) != claimed
 	if s.surplus.count <= 0 || now.Sub(w.RedirectedAt) < redirectInterval || changing || !w.ReclaimAt.IsZero() {
 		return HeartbeatAnswer{}, false
 	}
--- a/internal/server/reconcile/commands.go
+++ b/internal/server/reconcile/commands.go
@@ -11,28 +11,28 @@
 // stopMargin is added to the time that a job needs to save a checkpoint, in the grace of its stop.
 const stopMargin wire.Seconds = 1
 
-// Commands returns the answer to the heartbeat reconciled last, r, by the claims as they are in the records
+// Commands returns the answer to the heartbeat reconciled last, hb, by the claims as they are in the records
 // now. Starts go only to claims under the token that the answer carries; mayStart is false while the records
 // may lack a cancellation. total are the resources of the machine, zero if they aren't known.
 func (w *Worker) Commands(
-	r *wire.Heartbeat,
+	hb *wire.Heartbeat,
 	held []ledger.HeldClaim,
 	total ledger.Resources,
 	mayStart bool,
 ) []wire.Command {
 	commands := []wire.Command{} // not nil: it is written as [] if empty
 	absent := w.claimedTasks(held)
-	for i := range r.Tasks {
-		status := &r.Tasks[i]
+	for i := range hb.Tasks {
+		status := &hb.Tasks[i]
 		key := taskKey{status.Task, status.Attempt}
 		claim := absent[key]
 		delete(absent, key)
-		commands = w.commandReported(commands, claim, status, mayStart)
+		commands = w.appendForReported(commands, claim, status, mayStart)
 	}
 	if !mayStart || !w.ReclaimAt.IsZero() {
 		return commands
 	}
-	return w.startAbsent(commands, held, absent, total)
+	return w.appendStarts(commands, held, absent, total)
 }
 
 // claimedTasks returns the claims of this epoch by task.
@@ -50,9 +50,9 @@
 	return claims
 }
 
-// commandReported appends the commands for a task that the machine reports; claim is nil if the records
+// appendForReported appends the commands for a task that the machine reports; claim is nil if the records
 // hold none of it.
-func (w *Worker) commandReported(
+func (w *Worker) appendForReported(
 	commands []wire.Command,
 	claim *ledger.HeldClaim,
 	status *wire.TaskStatus,
@@ -60,33 +60,33 @@
 ) []wire.Command {
 	key := taskKey{status.Task, status.Attempt}
 	switch {
-	case claim != nil && mayStart && w.ReclaimAt.IsZero() && w.rejoins(claim, status):
-		w.noteSent(key)
-		return append(commands, command(wire.OpForget, key), command(wire.OpStart, key))
+	case claim != nil && mayStart && w.ReclaimAt.IsZero() && w.shouldRejoin(claim, status):
+		w.markStartSent(key)
+		return append(commands, newCommand(wire.OpForget, key), newCommand(wire.OpStart, key))
 	case status.State == wire.TaskExited:
 		// Without a claim the exit is on record, if the records are at least as new as our token; only a
 		// worker that has accepted the token can have no newer claim by another controller.
 		if claim == nil && w.Fresh {
-			return append(commands, command(wire.OpForget, key))
+			return append(commands, newCommand(wire.OpForget, key))
 		}
 	case claim == nil:
 		if w.Fresh {
-			return append(commands, stopCommand(key, 0))
+			return append(commands, newStopCommand(key, 0))
 		}
 	case claim.Job.State == ledger.Cancelled || claim.Job.Cancelling:
-		return append(commands, stopCommand(key, 0)) // a checkpoint would be of no use
-	case !wanted(claim) || w.task(key).stop || !w.ReclaimAt.IsZero():
-		return append(commands, stopCommand(key, claim.Job.Spec.Save+stopMargin))
+		return append(commands, newStopCommand(key, 0)) // a checkpoint would be of no use
+	case !shouldRun(claim) || w.task(key).stopRequested || !w.ReclaimAt.IsZero():
+		return append(commands, newStopCommand(key, claim.Job.Spec.Save+stopMargin))
 	}
 	return commands
 }
 
-// startAbsent appends the starts of claimed tasks that the machine doesn't report.
+// appendStarts appends the starts of claimed tasks that the machine doesn't report.
 //
 // Two controllers may have claimed the same room at the same time. The worker would refuse the second start,
 // so that only what fits is sent: the largest gangs first, as a gang would lose all its other tasks. What
 // does not fit is withheld, unless its start was sent before.
-func (w *Worker) startAbsent(
+func (w *Worker) appendStarts(
 	commands []wire.Command,
 	held []ledger.HeldClaim,
 	absent map[taskKey]*ledger.HeldClaim,
@@ -96,16 +96,16 @@
 	for _, claim := range starts {
 		for i := range claim.Count {
 			key := keyOf(claim, i)
-			if absent[key] == nil || w.task(key).withheld {
+			if absent[key] == nil || w.task(key).startWithheld {
 				continue
 			}
-			if !w.task(key).sent && total != (ledger.Resources{}) && !free.Fits(claim.Job.Need) {
-				w.observe(key).withheld = true
+			if !w.task(key).startSent && total != (ledger.Resources{}) && !free.Fits(claim.Job.Need) {
+				w.track(key).startWithheld = true
 				continue
 			}
 			free = free.Add(claim.Job.Need, -1)
-			w.noteSent(key)
-			commands = append(commands, command(wire.OpStart, key))
+			w.markStartSent(key)
+			commands = append(commands, newCommand(wire.OpStart, key))
 		}
 	}
 	return commands
@@ -131,7 +131,7 @@
 			}
 		}
 		free = free.Add(claim.Job.Need, missing-claim.Count)
-		if missing > 0 && claim.Token == w.CommandToken && wanted(claim) {
+		if missing > 0 && claim.Token == w.CommandToken && shouldRun(claim) {
 			starts = append(starts, claim)
 		}
 	}
@@ -141,20 +141,20 @@
 	return starts, free
 }
 
-// noteSent notes that the answer to the latest heartbeat carries a start.
-func (w *Worker) noteSent(key taskKey) {
-	task := w.observe(key)
-	task.sent, task.sentSequence = true, w.Sequence
+// markStartSent notes that the answer to the latest heartbeat carries a start.
+func (w *Worker) markStartSent(key taskKey) {
+	task := w.track(key)
+	task.startSent, task.startSequence = true, w.Sequence
 }
 
-// command is a command without a grace.
-func command(op wire.Op, key taskKey) wire.Command {
+// newCommand is a newCommand without a grace.
+func newCommand(op wire.Op, key taskKey) wire.Command {
 	return wire.Command{Op: op, Task: key.task, Attempt: key.attempt}
 }
 
-// stopCommand stops a task that may go on for a grace to save a checkpoint.
-func stopCommand(key taskKey, grace wire.Seconds) wire.Command {
-	stop := command(wire.OpStop, key)
+// newStopCommand stops a task that may go on for a grace to save a checkpoint.
+func newStopCommand(key taskKey, grace wire.Seconds) wire.Command {
+	stop := newCommand(wire.OpStop, key)
 	stop.Grace = &grace
 	return stop
 }
--- a/internal/server/reconcile/commands_test.go
+++ b/internal/server/reconcile/commands_test.go
@@ -10,34 +10,34 @@
 
 // TestCommands: the command for one task, claimed or not, as its machine reports it.
 func TestCommands(t *testing.T) {
-	absent := heartbeat(1, 9, ours)
-	running := heartbeat(1, 9, ours, status(wire.TaskRunning, testAttempt))
-	exited := heartbeat(1, 9, ours, status(wire.TaskExited, testAttempt))
+	absent := heartbeat(1, 9, ownToken)
+	running := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
+	exited := heartbeat(1, 9, ownToken, status(wire.TaskExited, testAttempt))
 	for _, tc := range []struct {
 		name     string
 		claim    []ledger.HeldClaim
-		r        *wire.Heartbeat
+		hb       *wire.Heartbeat
 		mayStart bool
 		want     wire.Op // "" for none
 	}{
-		{"start", claimOf(1, ours, ""), absent, true, wire.OpStart},
-		{"no start while a cancellation may be missed", claimOf(1, ours, ""), absent, false, ""},
+		{"start", claimOf(1, ownToken, ""), absent, true, wire.OpStart},
+		{"no start while a cancellation may be missed", claimOf(1, ownToken, ""), absent, false, ""},
 		{"no start for a claim under another token", claimOf(1, 6, ""), absent, true, ""},
-		{"no start for a claim of another epoch", claimOf(2, ours, ""), absent, true, ""},
-		{"no start for a cancelled job", claimOf(1, ours, ledger.Cancelled), absent, true, ""},
-		{"no second start", claimOf(1, ours, ""),
-			heartbeat(1, 9, ours, status(wire.TaskFetching, testAttempt)), true, ""},
-		{"stop of a cancelled job at once", claimOf(1, ours, ledger.Cancelled), running, true, wire.OpStop},
+		{"no start for a claim of another epoch", claimOf(2, ownToken, ""), absent, true, ""},
+		{"no start for a cancelled job", claimOf(1, ownToken, ledger.Cancelled), absent, true, ""},
+		{"no second start", claimOf(1, ownToken, ""),
+			heartbeat(1, 9, ownToken, status(wire.TaskFetching, testAttempt)), true, ""},
+		{"stop of a cancelled job at once", claimOf(1, ownToken, ledger.Cancelled), running, true, wire.OpStop},
 		{"an exit on record is forgotten", nil, exited, true, wire.OpForget},
-		{"an exit not yet on record is kept", claimOf(1, ours, ""), exited, true, ""},
+		{"an exit not yet on record is kept", claimOf(1, ownToken, ""), exited, true, ""},
 		{"an exit is kept while another controller may have claimed it", nil,
 			heartbeat(1, 9, 6, status(wire.TaskExited, testAttempt)), true, ""},
 		{"a task without a claim is stopped", nil, running, true, wire.OpStop},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := NewWorker(tc.r, nil, time.Time{})
-			w.Reconcile(tc.r, tc.claim, ours, time.Time{})
-			commands := w.Commands(tc.r, tc.claim, ledger.Resources{}, tc.mayStart)
+			w := NewWorker(tc.hb, nil, time.Time{})
+			w.Reconcile(tc.hb, tc.claim, ownToken, time.Time{})
+			commands := w.Commands(tc.hb, tc.claim, ledger.Resources{}, tc.mayStart)
 			var got wire.Op
 			if len(commands) > 0 {
 				got = commands[0].Op
@@ -52,11 +52,11 @@
 // TestStopBeforeReclaim: before the cloud reclaims its machine a task gets time to save a checkpoint.
 func TestStopBeforeReclaim(t *testing.T) {
 	notice := wire.Seconds(5)
-	r := heartbeat(1, 9, ours, status(wire.TaskRunning, testAttempt))
-	r.ReclaimNotice = &notice
-	w := NewWorker(r, nil, time.Time{})
-	w.Reconcile(r, claimOf(1, ours, ""), ours, time.Time{})
-	commands := w.Commands(r, claimOf(1, ours, ""), ledger.Resources{}, true)
+	hb := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
+	hb.ReclaimNotice = &notice
+	w := NewWorker(hb, nil, time.Time{})
+	w.Reconcile(hb, claimOf(1, ownToken, ""), ownToken, time.Time{})
+	commands := w.Commands(hb, claimOf(1, ownToken, ""), ledger.Resources{}, true)
 	if len(commands) != 1 || commands[0].Op != wire.OpStop || *commands[0].Grace < 2 {
 		t.Errorf("commands %+v, want a stop with a grace of 2 s or more", commands)
 	}
@@ -64,41 +64,41 @@
 
 // TestStopPreempted: a task that Stop marks is stopped by the next answer, with time to save a checkpoint.
 func TestStopPreempted(t *testing.T) {
-	r := heartbeat(1, 9, ours, status(wire.TaskRunning, testAttempt))
-	claims := claimOf(1, ours, "")
-	w := NewWorker(r, nil, time.Time{})
+	hb := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
+	claims := claimOf(1, ownToken, "")
+	w := NewWorker(hb, nil, time.Time{})
 	w.Stop(claims[0])
-	w.Epoch = r.Epoch // as a new epoch would clear the mark
-	w.Reconcile(r, claims, ours, time.Time{})
-	commands := w.Commands(r, claims, ledger.Resources{}, true)
+	w.Epoch = hb.Epoch // as a new epoch would clear the mark
+	w.Reconcile(hb, claims, ownToken, time.Time{})
+	commands := w.Commands(hb, claims, ledger.Resources{}, true)
 	if len(commands) != 1 || commands[0].Op != wire.OpStop || *commands[0].Grace != 3 {
 		t.Errorf("commands %+v, want a stop with a grace of 3 s", commands)
 	}
 }
 
-// TestNoRoomForBoth: of two claims of the same room only one is sent, the gang's, and the other is proven
+// TestConflictingClaims: of two claims of the same room only one is sent, the gang's, and the other is proven
 // over with the next heartbeat: it was never sent.
-func TestNoRoomForBoth(t *testing.T) {
-	claims := append(claimOf(1, ours, ""), claimOf(1, ours, "")...)
+func TestConflictingClaims(t *testing.T) {
+	claims := append(claimOf(1, ownToken, ""), claimOf(1, ownToken, "")...)
 	for i := range claims {
 		claims[i].Job.Need = ledger.NewResources(1, 2, 0)
 	}
 	gang := claims[1].Job
 	gang.ID, gang.Spec.Shape, gang.Spec.Tasks = "wk-000002", wire.Gang, 4
 	total := ledger.NewResources(8, 3, 64)
-	r := heartbeat(1, 9, ours)
-	w := NewWorker(r, nil, time.Time{})
-	w.Reconcile(r, claims, ours, time.Time{})
-	if commands := w.Commands(r, claims, total, true); len(commands) != 1 || commands[0].Task.Job != gang.ID {
+	hb := heartbeat(1, 9, ownToken)
+	w := NewWorker(hb, nil, time.Time{})
+	w.Reconcile(hb, claims, ownToken, time.Time{})
+	if commands := w.Commands(hb, claims, total, true); len(commands) != 1 || commands[0].Task.Job != gang.ID {
 		t.Fatalf("commands %+v, want the gang's start alone", commands)
 	}
 	fetching := wire.TaskStatus{Task: wire.TaskID{Job: gang.ID}, Attempt: testAttempt, State: wire.TaskFetching}
-	r = heartbeat(1, 10, ours, fetching)
-	f := w.Reconcile(r, claims, ours, time.Time{})
+	hb = heartbeat(1, 10, ownToken, fetching)
+	f := w.Reconcile(hb, claims, ownToken, time.Time{})
 	if len(f.Exits) != 1 || f.Exits[0].Held.Job.ID != testKey.task.Job {
 		t.Errorf("exits %+v, want the one never sent", f.Exits)
 	}
-	if commands := w.Commands(r, claims, total, true); len(commands) != 0 {
+	if commands := w.Commands(hb, claims, total, true); len(commands) != 0 {
 		t.Errorf("commands %+v while the claim of the one never sent still stands, want none", commands)
 	}
 }
--- a/internal/server/reconcile/reachability.go
+++ b/internal/server/reconcile/reachability.go
@@ -24,19 +24,19 @@
 	answeredAt       time.Time              // when the heartbeat came; kept beyond the epoch
 	answeredToken    wire.FencingToken      // that the answer carried
 
-	ineffective int // answers in a row that had no effect
+	ineffectiveAnswers int // answers in a row that had no effect
 
-	unreachable bool
-	since       time.Time         // when the machine was found to be unreachable
-	shownToken  wire.FencingToken // the token that the worker showed when it was last found unreachable
+	unreachable      bool
+	unreachableSince time.Time         // when the machine was found to be unreachable
+	shownToken       wire.FencingToken // the token that the worker showed when it was last found unreachable
 }
 
 // setUnreachable notes that the machine is unreachable, found by a heartbeat with a token.
-func (h *reachability) setUnreachable(shown wire.FencingToken, now time.Time) {
-	if !h.unreachable {
-		h.since = now
+func (reach *reachability) setUnreachable(shown wire.FencingToken, now time.Time) {
+	if !reach.unreachable {
+		reach.unreachableSince = now
 	}
-	h.unreachable, h.shownToken = true, shown
+	reach.unreachable, reach.shownToken = true, shown
 }
 
 // ObserveAnswered notes that the latest heartbeat was answered, and when it came.
@@ -54,7 +54,7 @@
 	if !w.reachability.unreachable {
 		return 0
 	}
-	return max(time.Millisecond, now.Sub(w.reachability.since))
+	return max(time.Millisecond, now.Sub(w.reachability.unreachableSince))
 }
 
 // ProvesReachable reports whether a heartbeat that shows a token proves that answers arrive.
@@ -65,47 +65,47 @@
 // ObserveEpoch finds a machine unreachable whose heartbeat begins a new epoch too early: within a lease of a
 // heartbeat whose answer arrived no epoch begins. minLease is the length of a lease less the greatest age of
 // a heartbeat when it comes. It is to be called before Reconcile.
-func (w *Worker) ObserveEpoch(r *wire.Heartbeat, now time.Time, minLease time.Duration) {
-	h := &w.reachability
-	if w.Epoch != 0 && r.Epoch > w.Epoch && !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < minLease {
-		h.setUnreachable(r.FencingToken, now)
+func (w *Worker) ObserveEpoch(hb *wire.Heartbeat, now time.Time, minLease time.Duration) {
+	reach := &w.reachability
+	if w.Epoch != 0 && hb.Epoch > w.Epoch && !reach.answeredAt.IsZero() && now.Sub(reach.answeredAt) < minLease {
+		reach.setUnreachable(hb.FencingToken, now)
 	}
 }
 
 // checkReachable decides by a heartbeat, which is observed, whether the answers to earlier ones arrived.
-func (w *Worker) checkReachable(r *wire.Heartbeat, held []ledger.HeldClaim, now time.Time) {
-	h := &w.reachability
+func (w *Worker) checkReachable(hb *wire.Heartbeat, held []ledger.HeldClaim, now time.Time) {
+	reach := &w.reachability
 	switch {
-	case h.unreachable:
-		if r.FencingToken > h.shownToken {
-			h.unreachable, h.ineffective = false, 0
+	case reach.unreachable:
+		if hb.FencingToken > reach.shownToken {
+			reach.unreachable, reach.ineffectiveAnswers = false, 0
 		}
 		return
-	case h.answeredSequence == 0:
+	case reach.answeredSequence == 0:
 		return
-	case r.FencingToken > h.answeredToken:
-		h.ineffective = 0 // another controller has answered it
+	case hb.FencingToken > reach.answeredToken:
+		reach.ineffectiveAnswers = 0 // another controller has answered it
 		return
-	case r.FencingToken == h.answeredToken && !w.lacksStart(held):
-		h.ineffective = 0
+	case hb.FencingToken == reach.answeredToken && !w.hasLostStart(held):
+		reach.ineffectiveAnswers = 0
 		return
 	}
-	if h.ineffective++; h.ineffective >= maxIneffective {
-		h.setUnreachable(r.FencingToken, now)
+	if reach.ineffectiveAnswers++; reach.ineffectiveAnswers >= maxIneffective {
+		reach.setUnreachable(hb.FencingToken, now)
 	}
 }
 
-// lacksStart reports whether a start that went out with an answer has not become a task.
-func (w *Worker) lacksStart(held []ledger.HeldClaim) bool {
-	h := &w.reachability
+// hasLostStart reports whether a start that went out with an answer has not become a task.
+func (w *Worker) hasLostStart(held []ledger.HeldClaim) bool {
+	reach := &w.reachability
 	for c := range held {
 		claim := &held[c]
-		if claim.Token != h.answeredToken || !wanted(claim) {
+		if claim.Token != reach.answeredToken || !shouldRun(claim) {
 			continue
 		}
 		for i := range claim.Count {
 			task := w.task(keyOf(claim, i))
-			if task.sent && task.sentSequence <= h.answeredSequence && task.status == nil {
+			if task.startSent && task.startSequence <= reach.answeredSequence && task.status == nil {
 				return true
 			}
 		}
--- a/internal/server/reconcile/reachability_test.go
+++ b/internal/server/reconcile/reachability_test.go
@@ -19,46 +19,46 @@
 	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(i) * testInterval)
 }
 
-// answered is what came of a heartbeat that was answered.
-type answered struct {
+// answerResult is what came of a heartbeat that was answerResult.
+type answerResult struct {
 	exits, commands int
 	unreachable     bool
 }
 
 // answer processes the i-th heartbeat under a token and answers it.
-func answer(w *Worker, claims []ledger.HeldClaim, i int, r *wire.Heartbeat, token wire.FencingToken) answered {
-	f := w.Reconcile(r, claims, token, heartbeatTime(i))
-	commands := w.Commands(r, claims, ledger.Resources{}, true)
+func answer(w *Worker, claims []ledger.HeldClaim, i int, hb *wire.Heartbeat, token wire.FencingToken) answerResult {
+	f := w.Reconcile(hb, claims, token, heartbeatTime(i))
+	commands := w.Commands(hb, claims, ledger.Resources{}, true)
 	w.ObserveAnswered(heartbeatTime(i))
-	return answered{exits: len(f.Exits), commands: len(commands), unreachable: w.Unreachable()}
+	return answerResult{exits: len(f.Exits), commands: len(commands), unreachable: w.Unreachable()}
 }
 
 // unreachableWorker is a worker that was found unreachable at its 6th heartbeat: the start of a second
 // attempt was lost twice.
 func unreachableWorker(t *testing.T) (*Worker, []ledger.HeldClaim) {
 	t.Helper()
-	claims := claimOf(1, ours, "")
-	w := NewWorker(heartbeat(1, 1, ours), nil, heartbeatTime(0))
-	first := heartbeat(1, 1, ours)
-	w.Reconcile(first, claims, ours, heartbeatTime(1))
+	claims := claimOf(1, ownToken, "")
+	w := NewWorker(heartbeat(1, 1, ownToken), nil, heartbeatTime(0))
+	first := heartbeat(1, 1, ownToken)
+	w.Reconcile(first, claims, ownToken, heartbeatTime(1))
 	commands := w.Commands(first, claims, ledger.Resources{}, true)
 	w.ObserveAnswered(heartbeatTime(1))
 	if len(commands) != 1 || commands[0].Op != wire.OpStart {
 		t.Fatalf("commands %v, want a start", commands)
 	}
-	answer(w, claims, 2, heartbeat(1, 2, ours), ours) // the start was lost once
+	answer(w, claims, 2, heartbeat(1, 2, ownToken), ownToken) // the start was lost once
 	if w.Unreachable() {
 		t.Fatal("unreachable after one lost answer")
 	}
-	answer(w, claims, 3, heartbeat(1, 3, ours, status(wire.TaskRunning, testAttempt)), ours)
-	if w.Unreachable() || w.reachability.ineffective != 0 {
+	answer(w, claims, 3, heartbeat(1, 3, ownToken, status(wire.TaskRunning, testAttempt)), ownToken)
+	if w.Unreachable() || w.reachability.ineffectiveAnswers != 0 {
 		t.Fatal("an answer that arrived does not count")
 	}
 	claims[0].Attempt, claims[0].First = testAttempt+1, 0
-	answer(w, claims, 4, heartbeat(1, 4, ours), ours)
-	answer(w, claims, 5, heartbeat(1, 5, ours), ours)
-	got := answer(w, claims, 6, heartbeat(1, 6, ours), ours)
-	if want := (answered{exits: 1, unreachable: true}); got != want {
+	answer(w, claims, 4, heartbeat(1, 4, ownToken), ownToken)
+	answer(w, claims, 5, heartbeat(1, 5, ownToken), ownToken)
+	got := answer(w, claims, 6, heartbeat(1, 6, ownToken), ownToken)
+	if want := (answerResult{exits: 1, unreachable: true}); got != want {
 		t.Fatalf("after two lost starts: %+v, want %+v", got, want)
 	}
 	return w, claims
@@ -72,14 +72,14 @@
 	if got := w.UnreachableFor(heartbeatTime(7)); got != testInterval {
 		t.Errorf("unreachable for %v, want %v", got, testInterval)
 	}
-	if w.ProvesReachable(ours) || !w.ProvesReachable(ours+1) {
+	if w.ProvesReachable(ownToken) || !w.ProvesReachable(ownToken+1) {
 		t.Fatal("a token that it has shown proves that answers arrive, or one that it has not does not")
 	}
-	got := answer(w, claims, 7, heartbeat(1, 7, ours), ours+1)
-	if want := (answered{exits: 1, unreachable: true}); got != want {
+	got := answer(w, claims, 7, heartbeat(1, 7, ownToken), ownToken+1)
+	if want := (answerResult{exits: 1, unreachable: true}); got != want {
 		t.Fatalf("under a new token: %+v, want %+v", got, want)
 	}
-	got = answer(w, claims, 8, heartbeat(1, 8, ours+1), ours+1)
+	got = answer(w, claims, 8, heartbeat(1, 8, ownToken+1), ownToken+1)
 	if got.unreachable || got.commands != 0 {
 		t.Fatalf("once it has shown the token: %+v, want reachable and no commands", got)
 	}
@@ -89,26 +89,26 @@
 // unreachable until it shows a newer token; one that begins later does not.
 func TestEpochWithinLease(t *testing.T) {
 	w, claims := unreachableWorker(t)
-	answer(w, claims, 7, heartbeat(1, 7, ours), ours+1)
-	answer(w, claims, 8, heartbeat(1, 8, ours+1), ours+1)
+	answer(w, claims, 7, heartbeat(1, 7, ownToken), ownToken+1)
+	answer(w, claims, 8, heartbeat(1, 8, ownToken+1), ownToken+1)
 	if w.Unreachable() {
 		t.Fatal("unreachable though it has shown a newer token")
 	}
-	r := heartbeat(2, 1, ours+1)
-	if w.ObserveEpoch(r, heartbeatTime(9), testMinLease); !w.Unreachable() {
+	hb := heartbeat(2, 1, ownToken+1)
+	if w.ObserveEpoch(hb, heartbeatTime(9), testMinLease); !w.Unreachable() {
 		t.Error("reachable though its epoch ended 3 s after an answer")
 	}
-	if w.Reconcile(r, claims, ours+2, heartbeatTime(9)); !w.Unreachable() {
+	if w.Reconcile(hb, claims, ownToken+2, heartbeatTime(9)); !w.Unreachable() {
 		t.Error("reachable without having shown a newer token")
 	}
-	if w.Reconcile(heartbeat(2, 2, ours+2), claims, ours+2, heartbeatTime(10)); w.Unreachable() {
+	if w.Reconcile(heartbeat(2, 2, ownToken+2), claims, ownToken+2, heartbeatTime(10)); w.Unreachable() {
 		t.Error("unreachable though it has shown a newer token")
 	}
 
-	quiet := NewWorker(heartbeat(1, 1, ours), nil, heartbeatTime(0))
-	quiet.Reconcile(heartbeat(1, 1, ours), nil, ours, heartbeatTime(0))
+	quiet := NewWorker(heartbeat(1, 1, ownToken), nil, heartbeatTime(0))
+	quiet.Reconcile(heartbeat(1, 1, ownToken), nil, ownToken, heartbeatTime(0))
 	quiet.ObserveAnswered(heartbeatTime(0))
-	if quiet.ObserveEpoch(heartbeat(2, 1, ours), heartbeatTime(20), testMinLease); quiet.Unreachable() {
+	if quiet.ObserveEpoch(heartbeat(2, 1, ownToken), heartbeatTime(20), testMinLease); quiet.Unreachable() {
 		t.Error("unreachable though its epoch ended long after the last answer")
 	}
 }
--- a/internal/server/reconcile/reconciliation.go
+++ b/internal/server/reconcile/reconciliation.go
@@ -11,24 +11,24 @@
 
 // TaskExit is a claimed task that is proven to be over.
 type TaskExit struct {
-	Held  ledger.HeldClaim
-	Task  wire.TaskIndex
-	Cause wire.Cause    // "" if the task is just not on the machine
-	Saved bool          // a checkpoint was saved
-	Ran   time.Duration // since it was first reported running, 0 if unknown
+	Held    ledger.HeldClaim
+	Task    wire.TaskIndex
+	Cause   wire.Cause    // "" if the task is just not on the machine
+	Saved   bool          // a checkpoint was saved
+	RunTime time.Duration // since it was first reported running, 0 if unknown
 	// LostClaim: the worker has forgotten the task and can't report its exit again.
 	LostClaim bool
 }
 
 // ExitOfLostClaim is the exit of a claimed task that no worker can report any more: done if the log has its
 // completion, else of no known cause.
-func ExitOfLostClaim(completed *completion.Log, claim ledger.HeldClaim, task wire.TaskIndex) TaskExit {
-	cause := completed.Cause(&claim, task)
+func ExitOfLostClaim(completions *completion.Log, claim ledger.HeldClaim, task wire.TaskIndex) TaskExit {
+	cause := completions.Cause(&claim, task)
 	return TaskExit{Held: claim, Task: task, Cause: cause, LostClaim: cause == wire.CauseDone}
 }
 
-// ObservedTask is a task that its machine reports, in some state, with its claim.
-type ObservedTask struct {
+// ReportedTask is a task that its machine reports, in some state, with its claim.
+type ReportedTask struct {
 	Held  ledger.HeldClaim
 	Task  wire.TaskIndex
 	State wire.TaskState
@@ -36,8 +36,8 @@
 
 // Reconciliation is what a heartbeat shows of the claims on its machine.
 type Reconciliation struct {
-	Exits []TaskExit
-	Seen  []ObservedTask
+	Exits    []TaskExit
+	Reported []ReportedTask
 	// TakeOver are claims under a lower token, of gangs whose tasks are to wait on: first they must come
 	// under this controller's token. One claim of each attempt.
 	TakeOver []ledger.HeldClaim
@@ -51,7 +51,7 @@
 func (f *Reconciliation) ResolveUnsent(allReport func(*ledger.Job) bool) {
 	for _, exit := range f.Unsent {
 		if allReport(exit.Held.Job) {
-			f.takeOver(&exit.Held)
+			f.addTakeOver(&exit.Held)
 		} else {
 			f.Exits = append(f.Exits, exit)
 		}
@@ -59,21 +59,21 @@
 	f.Unsent = nil
 }
 
-// takeOver adds a claim to TakeOver unless one of its attempt is there.
-func (f *Reconciliation) takeOver(claim *ledger.HeldClaim) {
+// addTakeOver adds a claim to TakeOver unless one of its attempt is there.
+func (f *Reconciliation) addTakeOver(claim *ledger.HeldClaim) {
 	sameAttempt := func(o ledger.HeldClaim) bool { return o.Job == claim.Job && o.Attempt == claim.Attempt }
 	if !slices.ContainsFunc(f.TakeOver, sameAttempt) {
 		f.TakeOver = append(f.TakeOver, *claim)
 	}
 }
 
-// see adds a task to Seen.
-func (f *Reconciliation) see(claim *ledger.HeldClaim, index wire.TaskIndex, state wire.TaskState) {
-	f.Seen = append(f.Seen, ObservedTask{Held: *claim, Task: index, State: state})
+// addReported adds a task to Seen.
+func (f *Reconciliation) addReported(claim *ledger.HeldClaim, index wire.TaskIndex, state wire.TaskState) {
+	f.Reported = append(f.Reported, ReportedTask{Held: *claim, Task: index, State: state})
 }
 
-// exit adds a task that is just not on the machine to Exits.
-func (f *Reconciliation) exit(claim *ledger.HeldClaim, index wire.TaskIndex) {
+// addExit adds a task that is just not on the machine to Exits.
+func (f *Reconciliation) addExit(claim *ledger.HeldClaim, index wire.TaskIndex) {
 	f.Exits = append(f.Exits, TaskExit{Held: *claim, Task: index})
 }
 
@@ -86,13 +86,13 @@
 // was begun after the answer that carried it. Of a start that only we could have sent, and will not send any
 // more, the last two prove it under any token.
 func (w *Worker) Reconcile(
-	r *wire.Heartbeat,
+	hb *wire.Heartbeat,
 	held []ledger.HeldClaim,
 	token wire.FencingToken,
 	now time.Time,
 ) Reconciliation {
-	w.observeHeartbeat(r, token, now)
-	w.checkReachable(r, held, now)
+	w.observeHeartbeat(hb, token, now)
+	w.checkReachable(hb, held, now)
 	var f Reconciliation
 	for c := range held {
 		claim := &held[c]
@@ -108,13 +108,13 @@
 func (w *Worker) reconcileTask(f *Reconciliation, claim *ledger.HeldClaim, i int, now time.Time) {
 	key := keyOf(claim, i)
 	task := w.task(key)
-	if task != notObserved {
+	if task != untrackedTask {
 		task.claimed = true
 	}
 	switch {
 	case claim.Epoch < w.Epoch:
 		// The worker has forgotten how the task ended; the log of completions may show it.
-		f.Exits = append(f.Exits, ExitOfLostClaim(w.completed, *claim, key.task.Index))
+		f.Exits = append(f.Exits, ExitOfLostClaim(w.completions, *claim, key.task.Index))
 	case claim.Epoch > w.Epoch:
 		// The heartbeat is from before the claim's epoch.
 	case task.status != nil:
@@ -129,49 +129,49 @@
 	f *Reconciliation,
 	claim *ledger.HeldClaim,
 	index wire.TaskIndex,
-	task *observedTask,
+	task *trackedTask,
 	now time.Time,
 ) {
 	status := task.status
 	switch {
-	case w.rejoins(claim, status):
+	case w.shouldRejoin(claim, status):
 		// Commands sends it again under its claim.
-	case w.ReclaimAt.IsZero() && claim.Token < w.CommandToken && w.mayRejoin(claim, status):
-		f.see(claim, index, status.State)
-		f.takeOver(claim)
-	case gaveUpOnGang(status) && (!w.Fresh || claim.Token > w.CommandToken):
+	case w.ReclaimAt.IsZero() && claim.Token < w.CommandToken && w.canRejoin(claim, status):
+		f.addReported(claim, index, status.State)
+		f.addTakeOver(claim)
+	case gangWaitTimedOut(status) && (!w.Fresh || claim.Token > w.CommandToken):
 		// The controller that holds the machine may have the task wait on under the same attempt: an old
 		// heartbeat that shows it give up, processed by another controller, proves nothing. Once the worker
 		// has accepted our token no other controller can.
-		f.see(claim, index, status.State)
+		f.addReported(claim, index, status.State)
 	case status.State == wire.TaskExited:
 		exit := TaskExit{Held: *claim, Task: index, Cause: status.Cause, Saved: status.Saved}
 		if !task.runningSince.IsZero() {
-			exit.Ran = now.Sub(task.runningSince)
+			exit.RunTime = now.Sub(task.runningSince)
 		}
 		f.Exits = append(f.Exits, exit)
 	default:
-		f.see(claim, index, status.State)
+		f.addReported(claim, index, status.State)
 	}
 }
 
 // reconcileAbsent handles a claimed task that the machine doesn't report.
-func (w *Worker) reconcileAbsent(f *Reconciliation, claim *ledger.HeldClaim, key taskKey, task *observedTask) {
+func (w *Worker) reconcileAbsent(f *Reconciliation, claim *ledger.HeldClaim, key taskKey, task *trackedTask) {
 	index := key.task.Index
 	switch {
-	case w.Fresh && claim.Token < w.CommandToken && w.mayBegin(claim):
+	case w.Fresh && claim.Token < w.CommandToken && w.canStart(claim):
 		// Its controller failed before it sent the start, or the answer was lost. Releasing the task would
 		// cost the whole gang its start.
 		f.Unsent = append(f.Unsent, TaskExit{Held: *claim, Task: index})
 	case w.Fresh && claim.Token < w.CommandToken:
-		f.exit(claim, index)
-	case w.withdrawn(claim, task):
-		if task.withheldBefore || w.reachability.unreachable {
-			task = w.observe(key)
-			task.withheld, task.claimed = true, true
+		f.addExit(claim, index)
+	case w.startWithdrawn(claim, task):
+		if task.startWithheldBefore || w.reachability.unreachable {
+			task = w.track(key)
+			task.startWithheld, task.claimed = true, true
 		}
-		if !task.sent || w.Sequence > task.sentSequence {
-			f.exit(claim, index)
+		if !task.startSent || w.Sequence > task.startSequence {
+			f.addExit(claim, index)
 		}
 	}
 }
--- a/internal/server/reconcile/reconciliation_test.go
+++ b/internal/server/reconcile/reconciliation_test.go
@@ -9,18 +9,18 @@
 	"maddermill/wire"
 )
 
-// TestProof: a claim is over only when the heartbeat proves it; silence, a heartbeat under another token and
+// TestProvenExits: a claim is over only when the heartbeat proves it; silence, a heartbeat under another token and
 // one from before the start was sent prove nothing.
-func TestProof(t *testing.T) {
+func TestProvenExits(t *testing.T) {
 	const never = 0
-	absent, incomplete := heartbeat(1, 9, ours), heartbeat(1, 9, ours, gaveUp())
+	absent, incomplete := heartbeat(1, 9, ownToken), heartbeat(1, 9, ownToken, gangTimedOutStatus())
 	exited := status(wire.TaskExited, testAttempt)
 	for _, tc := range []struct {
-		name  string
-		claim []ledger.HeldClaim
-		r     *wire.Heartbeat
-		sent  wire.HeartbeatSequence // of the heartbeat whose answer carried the start
-		exits int
+		name          string
+		claim         []ledger.HeldClaim
+		hb            *wire.Heartbeat
+		startSequence wire.HeartbeatSequence // of the heartbeat whose answer carried the start
+		exits         int
 	}{
 		{"absent, claimed under a lower token, worker has accepted ours",
 			claimOf(1, 5, ""), absent, never, 1},
@@ -29,13 +29,13 @@
 		{"absent, claimed under a higher token: another controller holds it",
 			claimOf(1, 8, ""), absent, never, 0},
 		{"absent, ours, wanted: it is sent instead",
-			claimOf(1, ours, ""), absent, never, 0},
+			claimOf(1, ownToken, ""), absent, never, 0},
 		{"absent, ours, cancelled, never sent",
-			claimOf(1, ours, ledger.Cancelled), absent, never, 1},
+			claimOf(1, ownToken, ledger.Cancelled), absent, never, 1},
 		{"absent, ours, cancelled, sent with the answer before",
-			claimOf(1, ours, ledger.Cancelled), absent, 8, 1},
+			claimOf(1, ownToken, ledger.Cancelled), absent, 8, 1},
 		{"absent, ours, cancelled, sent with the answer to this heartbeat",
-			claimOf(1, ours, ledger.Cancelled), absent, 9, 0},
+			claimOf(1, ownToken, ledger.Cancelled), absent, 9, 0},
 		{"a later epoch",
 			claimOf(1, 8, ""), heartbeat(2, 1, 5), never, 1},
 		{"an earlier epoch",
@@ -43,7 +43,7 @@
 		{"exited",
 			claimOf(1, 8, ""), heartbeat(1, 9, 5, exited), never, 1},
 		{"gave up waiting for its gang, worker has not accepted ours: its controller may have it rejoin",
-			claimOf(1, 5, ""), heartbeat(1, 9, 5, gaveUp()), never, 0},
+			claimOf(1, 5, ""), heartbeat(1, 9, 5, gangTimedOutStatus()), never, 0},
 		{"gave up waiting for its gang under a lower token, worker has accepted ours: the claim is taken over",
 			claimOf(1, 5, ""), incomplete, never, 0},
 		{"the same, not wanted",
@@ -51,20 +51,20 @@
 		{"the same, under a higher token: another controller has taken the claim over",
 			claimOf(1, 8, ledger.Cancelled), incomplete, never, 0},
 		{"gave up waiting for its gang, ours and not wanted",
-			claimOf(1, ours, ledger.Cancelled), incomplete, never, 1},
+			claimOf(1, ownToken, ledger.Cancelled), incomplete, never, 1},
 		{"another attempt exited",
-			claimOf(1, 8, ""), heartbeat(1, 9, ours, status(wire.TaskExited, 2)), never, 0},
+			claimOf(1, 8, ""), heartbeat(1, 9, ownToken, status(wire.TaskExited, 2)), never, 0},
 		{"running",
-			claimOf(1, 5, ledger.Cancelled), heartbeat(1, 9, ours, status(wire.TaskRunning, 3)), never, 0},
+			claimOf(1, 5, ledger.Cancelled), heartbeat(1, 9, ownToken, status(wire.TaskRunning, 3)), never, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := NewWorker(tc.r, nil, time.Time{})
-			w.Epoch = tc.r.Epoch
-			if tc.sent != never {
-				task := w.observe(testKey)
-				task.sent, task.sentSequence = true, tc.sent
+			w := NewWorker(tc.hb, nil, time.Time{})
+			w.Epoch = tc.hb.Epoch
+			if tc.startSequence != never {
+				task := w.track(testKey)
+				task.startSent, task.startSequence = true, tc.startSequence
 			}
-			if f := w.Reconcile(tc.r, tc.claim, ours, time.Time{}); len(f.Exits) != tc.exits {
+			if f := w.Reconcile(tc.hb, tc.claim, ownToken, time.Time{}); len(f.Exits) != tc.exits {
 				t.Errorf("%d exits, want %d", len(f.Exits), tc.exits)
 			}
 		})
@@ -87,24 +87,24 @@
 		takeOver int
 		ops      []wire.Op
 	}{
-		{"waits on", 0, "", ours, true, ours, 0, 0, rejoin},
-		{"not synced", 0, "", ours, false, ours, 0, 0, nil},
-		{"the gang is to stop", testAttempt, "", ours, true, ours, 1, 0, nil},
-		{"cancelled", 0, ledger.Cancelled, ours, true, ours, 1, 0, nil},
-		{"claimed under another token", 0, "", 5, true, ours, 0, 1, nil},
+		{"waits on", 0, "", ownToken, true, ownToken, 0, 0, rejoin},
+		{"not synced", 0, "", ownToken, false, ownToken, 0, 0, nil},
+		{"the gang is to stop", testAttempt, "", ownToken, true, ownToken, 1, 0, nil},
+		{"cancelled", 0, ledger.Cancelled, ownToken, true, ownToken, 1, 0, nil},
+		{"claimed under another token", 0, "", 5, true, ownToken, 0, 1, nil},
 		{"which the worker may still obey", 0, "", 5, true, 5, 0, 0, nil},
-		{"by the controller that holds the machine now", 0, "", ours + 1, true, ours, 0, 0, nil},
-		{"and the gang is to stop", testAttempt, "", 5, true, ours, 1, 0, nil},
+		{"by the controller that holds the machine now", 0, "", ownToken + 1, true, ownToken, 0, 0, nil},
+		{"and the gang is to stop", testAttempt, "", 5, true, ownToken, 1, 0, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			claims := claimOf(1, tc.token, tc.state)
 			job := claims[0].Job
 			job.Spec.Shape, job.Spec.Tasks, job.Claimed, job.Stop = wire.Gang, 2, 2, tc.stop
-			r := heartbeat(1, 9, tc.accepted, gaveUp())
-			w := NewWorker(r, nil, time.Time{})
-			f := w.Reconcile(r, claims, ours, time.Time{})
+			hb := heartbeat(1, 9, tc.accepted, gangTimedOutStatus())
+			w := NewWorker(hb, nil, time.Time{})
+			f := w.Reconcile(hb, claims, ownToken, time.Time{})
 			var ops []wire.Op
-			for _, command := range w.Commands(r, claims, ledger.Resources{}, tc.mayStart) {
+			for _, command := range w.Commands(hb, claims, ledger.Resources{}, tc.mayStart) {
 				ops = append(ops, command.Op)
 			}
 			if len(f.Exits) != tc.exits || len(f.TakeOver) != tc.takeOver {
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestGangThatLacksATask: the claims that remain of a gang that has lost a task are released, as it would
+// TestIncompleteGang: the claims that remain of a gang that has lost a task are released, as it would
 // wait forever; those of a whole gang are taken over or wait on.
-func TestGangThatLacksATask(t *testing.T) {
+func TestIncompleteGang(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		token           wire.FencingToken
@@ -132,17 +132,17 @@
 		{"never sent, claimed under a lower token, whole", 5, nil, 2, false, 0, 1},
 		{"the same, one of its machines is silent", 5, nil, 2, true, 1, 0},
 		{"the same, lacks a task", 5, nil, 1, false, 1, 0},
-		{"gave up waiting under a lower token, whole", 5, []wire.TaskStatus{gaveUp()}, 2, false, 0, 1},
-		{"gave up waiting under a lower token, lacks a task", 5, []wire.TaskStatus{gaveUp()}, 1, false, 1, 0},
-		{"gave up waiting, ours, whole", ours, []wire.TaskStatus{gaveUp()}, 2, false, 0, 0},
-		{"gave up waiting, ours, lacks a task", ours, []wire.TaskStatus{gaveUp()}, 1, false, 1, 0},
+		{"gave up waiting under a lower token, whole", 5, []wire.TaskStatus{gangTimedOutStatus()}, 2, false, 0, 1},
+		{"gave up waiting under a lower token, lacks a task", 5, []wire.TaskStatus{gangTimedOutStatus()}, 1, false, 1, 0},
+		{"gave up waiting, ours, whole", ownToken, []wire.TaskStatus{gangTimedOutStatus()}, 2, false, 0, 0},
+		{"gave up waiting, ours, lacks a task", ownToken, []wire.TaskStatus{gangTimedOutStatus()}, 1, false, 1, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			claims := claimOf(1, tc.token, "")
 			job := claims[0].Job
 			job.Spec.Shape, job.Spec.Tasks, job.Claimed = wire.Gang, 2, tc.claimed
-			r := heartbeat(1, 9, ours, tc.tasks...)
-			f := NewWorker(r, nil, time.Time{}).Reconcile(r, claims, ours, time.Time{})
+			hb := heartbeat(1, 9, ownToken, tc.tasks...)
+			f := NewWorker(hb, nil, time.Time{}).Reconcile(hb, claims, ownToken, time.Time{})
 			f.ResolveUnsent(func(*ledger.Job) bool { return !tc.silent })
 			if len(f.Exits) != tc.exits || len(f.TakeOver) != tc.takeOver {
 				t.Errorf("%d exits, %d taken over, want %d and %d",
--- a/internal/server/reconcile/recorder.go
+++ b/internal/server/reconcile/recorder.go
@@ -22,21 +22,21 @@
 const (
 	// recordInterval is how often the log is checked for completions to record.
 	recordInterval = 300 * time.Millisecond
-	// peersJobsDelay is how long after an outage the completions of peers' jobs are left to them, so that
+	// peerJobsDelay is how long after an outage the completions of peers' jobs are left to them, so that
 	// not all controllers write the same records.
-	peersJobsDelay = 4 * time.Second
+	peerJobsDelay = 4 * time.Second
 )
 
 // Recorder records the completions that were reported during an outage of the state service as soon as it
 // is back, whichever controller the machines report to then: the leases of most workers have expired, and
 // they report again only seconds later. It also prunes the log of completions that are on record.
 type Recorder struct {
-	completed *completion.Log
-	cache     *watchcache.Cache
-	committer *committer.Committer
-	limits    ledger.Limits
-	stats     *metrics.Set
-	log       *slog.Logger
+	completions *completion.Log
+	cache       *watchcache.Cache
+	committer   *committer.Committer
+	limits      ledger.Limits
+	stats       *metrics.Set
+	log         *slog.Logger
 
 	// The cache's lock guards the fields below.
 	syncedSince time.Time // since when the state service is in reach; zero: it isn't
@@ -46,7 +46,7 @@
 // NewRecorder returns a recorder that does nothing before Run. The limits hold which of how many controllers
 // this one is.
 func NewRecorder(
-	completed *completion.Log,
+	completions *completion.Log,
 	cache *watchcache.Cache,
 	w *committer.Committer,
 	limits ledger.Limits,
@@ -54,13 +54,13 @@
 	log *slog.Logger,
 ) *Recorder {
 	return &Recorder{
-		completed: completed,
-		cache:     cache,
-		committer: w,
-		limits:    limits,
-		stats:     stats,
-		log:       log,
-		recording: map[wire.JobID][]*committer.Change{},
+		completions: completions,
+		cache:       cache,
+		committer:   w,
+		limits:      limits,
+		stats:       stats,
+		log:         log,
+		recording:   map[wire.JobID][]*committer.Change{},
 	}
 }
 
@@ -83,7 +83,7 @@
 	if r.syncedSince.IsZero() {
 		r.syncedSince = now
 	}
-	r.completed.Prune(records, r.cache.SyncedAt())
+	r.completions.Prune(records, r.cache.SyncedAt())
 	maps.DeleteFunc(r.recording, func(_ wire.JobID, changes []*committer.Change) bool {
 		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
@@ -100,8 +100,8 @@
 // unrecorded returns, by job, the completions that this controller is to record now.
 func (r *Recorder) unrecorded(records *ledger.Ledger, now time.Time) map[wire.JobID][]TaskExit {
 	exits := map[wire.JobID][]TaskExit{}
-	r.completed.EachUnrecorded(func(done peer.Completion) {
-		if r.recording[done.Job] != nil || !r.ownsJob(done.Job) && now.Sub(r.syncedSince) < peersJobsDelay {
+	r.completions.EachUnrecorded(func(done peer.Completion) {
+		if r.recording[done.Job] != nil || !r.ownsJob(done.Job) && now.Sub(r.syncedSince) < peerJobsDelay {
 			return
 		}
 		if claim, ok := completion.ClaimOf(records, done); ok {
--- a/internal/server/reconcile/registry.go
+++ b/internal/server/reconcile/registry.go
@@ -19,10 +19,10 @@
 // Registry holds the workers that report to this controller, and which images their machines hold. It has
 // no lock of its own: it is used under the lock of the watch cache.
 type Registry struct {
-	membership *membership.Membership
-	completed  *completion.Log
-	workers    map[wire.MachineID]*Worker
-	images     map[wire.MachineID]*machineImages
+	membership  *membership.Membership
+	completions *completion.Log
+	workers     map[wire.MachineID]*Worker
+	images      map[wire.MachineID]*machineImages
 }
 
 // machineImages are the images that a machine holds, as far as known, in an agent epoch.
@@ -33,12 +33,12 @@
 
 // NewRegistry returns an empty registry. The peers of the membership supply the images of a machine that
 // reported to another controller before.
-func NewRegistry(m *membership.Membership, completed *completion.Log) *Registry {
+func NewRegistry(m *membership.Membership, completions *completion.Log) *Registry {
 	return &Registry{
-		membership: m,
-		completed:  completed,
-		workers:    map[wire.MachineID]*Worker{},
-		images:     map[wire.MachineID]*machineImages{},
+		membership:  m,
+		completions: completions,
+		workers:     map[wire.MachineID]*Worker{},
+		images:      map[wire.MachineID]*machineImages{},
 	}
 }
 
@@ -47,7 +47,7 @@
 
 // Register adds a worker that sends its first heartbeat here.
 func (r *Registry) Register(heartbeat *wire.Heartbeat, now time.Time) *Worker {
-	w := NewWorker(heartbeat, r.completed, now)
+	w := NewWorker(heartbeat, r.completions, now)
 	r.workers[w.ID] = w
 	return w
 }
@@ -73,14 +73,14 @@
 	images := placement.NewImages(machineType.CacheGB)
 	if known == nil {
 		// The worker may have reported to another controller in this epoch.
-		r.addPeersImages(images, w)
+		r.addPeerImages(images, w)
 	}
 	r.images[w.ID] = &machineImages{epoch: w.Epoch, images: images}
 	return images
 }
 
-// addPeersImages adds the images that peers know to be on a machine in its present epoch.
-func (r *Registry) addPeersImages(images *placement.Images, w *Worker) {
+// addPeerImages adds the images that peers know to be on a machine in its present epoch.
+func (r *Registry) addPeerImages(images *placement.Images, w *Worker) {
 	for _, peer := range r.membership.Peers() {
 		for i := range peer.Status.Machines {
 			m := &peer.Status.Machines[i]
--- a/internal/server/reconcile/tasks.go
+++ b/internal/server/reconcile/tasks.go
@@ -18,40 +18,40 @@
 	return taskKey{wire.TaskID{Job: claim.Job.ID, Index: claim.First + wire.TaskIndex(i)}, claim.Attempt}
 }
 
-// observedTask is one attempt of a task as it was last observed on its machine, and what it was commanded
+// trackedTask is one attempt of a task as it was last observed on its machine, and what it was commanded
 // to do there. It is kept while the machine reports the task or the records hold a claim of it, and for one
 // agent epoch at most.
-type observedTask struct {
+type trackedTask struct {
 	// status is the task in the heartbeat that is being reconciled; nil: the machine doesn't report it.
 	status       *wire.TaskStatus
 	claimed      bool      // the records held a claim of it at the latest heartbeat
 	runningSince time.Time // when it was first reported running; zero: it wasn't
 
-	stop         bool                   // it is to be stopped, saving a checkpoint if it can
-	sent         bool                   // a start was sent
-	sentSequence wire.HeartbeatSequence // of the heartbeat whose answer carried the latest start
+	stopRequested bool                   // it is to be stopped, saving a checkpoint if it can
+	startSent     bool                   // a start was sent
+	startSequence wire.HeartbeatSequence // of the heartbeat whose answer carried the latest start
 
-	// withheld: its start is not to be sent any more, as other claims fill the machine or the machine is
-	// unreachable. withheldBefore is the value before the heartbeat that is being reconciled.
-	withheld, withheldBefore bool
+	// startWithheld: its start is not to be sent any more, as other claims fill the machine or the machine is
+	// unreachable. startWithheldBefore is the value before the heartbeat that is being reconciled.
+	startWithheld, startWithheldBefore bool
 }
 
-// notObserved stands for a task of which nothing is known. It is never written to.
-var notObserved = &observedTask{}
+// untrackedTask stands for a task of which nothing is known. It is never written to.
+var untrackedTask = &trackedTask{}
 
 // task is what is known of a task, for reading only.
-func (w *Worker) task(key taskKey) *observedTask {
+func (w *Worker) task(key taskKey) *trackedTask {
 	if task := w.tasks[key]; task != nil {
 		return task
 	}
-	return notObserved
+	return untrackedTask
 }
 
-// observe is what is known of a task, for writing.
-func (w *Worker) observe(key taskKey) *observedTask {
+// track is what is known of a task, for writing.
+func (w *Worker) track(key taskKey) *trackedTask {
 	task := w.tasks[key]
 	if task == nil {
-		task = &observedTask{}
+		task = &trackedTask{}
 		w.tasks[key] = task
 	}
 	return task
@@ -59,28 +59,28 @@
 
 // observeHeartbeat takes over a heartbeat's fields and tasks. In a new agent epoch nothing that was known
 // of the tasks holds any more.
-func (w *Worker) observeHeartbeat(r *wire.Heartbeat, token wire.FencingToken, now time.Time) {
-	if r.Epoch != w.Epoch {
+func (w *Worker) observeHeartbeat(hb *wire.Heartbeat, token wire.FencingToken, now time.Time) {
+	if hb.Epoch != w.Epoch {
 		clear(w.tasks)
 		w.oldTokens = nil
 		w.reachability.answeredSequence = 0
 	} else if token != w.CommandToken {
 		w.oldTokens = append(w.oldTokens, w.CommandToken)
 	}
-	w.Epoch, w.Sequence, w.LastHeartbeat, w.CommandToken = r.Epoch, r.Sequence, now, token
-	w.Addr, w.Type, w.Zone, w.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	w.Fresh = r.FencingToken == token
+	w.Epoch, w.Sequence, w.LastHeartbeat, w.CommandToken = hb.Epoch, hb.Sequence, now, token
+	w.Addr, w.Type, w.Zone, w.Spot = hb.Addr, hb.Type, hb.Zone, hb.Spot
+	w.Fresh = hb.FencingToken == token
 	w.ReclaimAt = time.Time{}
-	if r.ReclaimNotice != nil {
-		w.ReclaimAt = now.Add(r.ReclaimNotice.Duration())
+	if hb.ReclaimNotice != nil {
+		w.ReclaimAt = now.Add(hb.ReclaimNotice.Duration())
 	}
 	for _, task := range w.tasks {
 		task.status, task.claimed = nil, false
-		task.withheld, task.withheldBefore = false, task.withheld
+		task.startWithheld, task.startWithheldBefore = false, task.startWithheld
 	}
-	for i := range r.Tasks {
-		status := &r.Tasks[i]
-		task := w.observe(taskKey{status.Task, status.Attempt})
+	for i := range hb.Tasks {
+		status := &hb.Tasks[i]
+		task := w.track(taskKey{status.Task, status.Attempt})
 		task.status = status
 		if status.State == wire.TaskRunning && task.runningSince.IsZero() {
 			task.runningSince = now
@@ -97,7 +97,7 @@
 		case task.status != nil:
 			task.status = nil // not to keep the heartbeat in memory
 		case task.claimed:
-			task.stop, task.runningSince = false, time.Time{}
+			task.stopRequested, task.runningSince = false, time.Time{}
 		default:
 			delete(w.tasks, key)
 		}
--- a/internal/server/reconcile/worker.go
+++ b/internal/server/reconcile/worker.go
@@ -44,37 +44,37 @@
 	RedirectedAt   time.Time         // when the worker was last redirected to another controller
 	CordonedUntil  time.Time         // nothing is placed on the machine before that time
 
-	tasks        map[taskKey]*observedTask
+	tasks        map[taskKey]*trackedTask
 	oldTokens    []wire.FencingToken // that preceded CommandToken in this epoch
 	reachability reachability
-	completed    *completion.Log
+	completions  *completion.Log
 }
 
 // NewWorker returns a worker whose first heartbeat came now. The log of completions, which may be nil, shows
 // how tasks ended that the worker has forgotten.
-func NewWorker(r *wire.Heartbeat, completed *completion.Log, now time.Time) *Worker {
+func NewWorker(hb *wire.Heartbeat, completions *completion.Log, now time.Time) *Worker {
 	return &Worker{
-		ID:             r.Machine,
-		Addr:           r.Addr,
-		Type:           r.Type,
-		Zone:           r.Zone,
-		Spot:           r.Spot,
+		ID:             hb.Machine,
+		Addr:           hb.Addr,
+		Type:           hb.Type,
+		Zone:           hb.Zone,
+		Spot:           hb.Spot,
 		FirstHeartbeat: now,
-		tasks:          map[taskKey]*observedTask{},
-		completed:      completed,
+		tasks:          map[taskKey]*trackedTask{},
+		completions:    completions,
 	}
 }
 
 // Stale reports whether a heartbeat is older than one already reconciled. A network that was cut may
 // deliver heartbeats minutes late.
-func (w *Worker) Stale(r *wire.Heartbeat) bool {
-	return r.Epoch < w.Epoch || r.Epoch == w.Epoch && r.Sequence <= w.Sequence
+func (w *Worker) Stale(hb *wire.Heartbeat) bool {
+	return hb.Epoch < w.Epoch || hb.Epoch == w.Epoch && hb.Sequence <= w.Sequence
 }
 
 // Stop marks a claim's tasks as to be stopped, saving a checkpoint first if they can. The commands go out
 // with the next answer.
 func (w *Worker) Stop(claim ledger.HeldClaim) {
 	for i := range claim.Count {
-		w.observe(keyOf(&claim, i)).stop = true
+		w.track(keyOf(&claim, i)).stopRequested = true
 	}
 }
--- a/internal/server/reconcile/worker_test.go
+++ b/internal/server/reconcile/worker_test.go
@@ -8,8 +8,8 @@
 	"maddermill/wire"
 )
 
-// ours is the fencing token that the controller under test commands the worker under.
-const ours = wire.FencingToken(7)
+// ownToken is the fencing token that the controller under test commands the worker under.
+const ownToken = wire.FencingToken(7)
 
 // The attempt that claimOf claims, and its key.
 const testAttempt = wire.Attempt(3)
@@ -43,8 +43,8 @@
 	return wire.TaskStatus{Task: testKey.task, Attempt: attempt, State: state}
 }
 
-// gaveUp is the task of claimOf after it gave up waiting for its gang.
-func gaveUp() wire.TaskStatus {
+// gangTimedOutStatus is the task of claimOf after it gave up waiting for its gang.
+func gangTimedOutStatus() wire.TaskStatus {
 	t := status(wire.TaskExited, testAttempt)
 	t.Cause = wire.CauseGangIncomplete
 	return t
@@ -53,19 +53,19 @@
 // TestStale: a heartbeat of an earlier epoch, or not newer than the latest of this epoch, is stale.
 func TestStale(t *testing.T) {
 	w := NewWorker(heartbeat(2, 5, 0), nil, time.Time{})
-	w.Reconcile(heartbeat(2, 5, 0), nil, ours, time.Time{})
+	w.Reconcile(heartbeat(2, 5, 0), nil, ownToken, time.Time{})
 	for _, tc := range []struct {
-		r    *wire.Heartbeat
+		hb   *wire.Heartbeat
 		want bool
 	}{
-		{heartbeat(1, 90, ours), true},
-		{heartbeat(2, 5, ours), true},
-		{heartbeat(2, 4, ours), true},
+		{heartbeat(1, 90, ownToken), true},
+		{heartbeat(2, 5, ownToken), true},
+		{heartbeat(2, 4, ownToken), true},
 		{heartbeat(2, 6, 0), false},
 		{heartbeat(3, 1, 0), false},
 	} {
-		if got := w.Stale(tc.r); got != tc.want {
-			t.Errorf("epoch %d, sequence %d: stale %v, want %v", tc.r.Epoch, tc.r.Sequence, got, tc.want)
+		if got := w.Stale(tc.hb); got != tc.want {
+			t.Errorf("epoch %d, sequence %d: stale %v, want %v", tc.hb.Epoch, tc.hb.Sequence, got, tc.want)
 		}
 	}
 }
@@ -78,56 +78,56 @@
 	// started is a worker to which the start of the claim went out, and which runs and is to stop the task.
 	started := func(t *testing.T) (*Worker, []ledger.HeldClaim) {
 		t.Helper()
-		claims := claimOf(1, ours, ledger.Active)
-		w := NewWorker(heartbeat(1, 1, ours), nil, at(0))
-		w.Reconcile(heartbeat(1, 1, ours), claims, ours, at(0))
-		if commands := w.Commands(heartbeat(1, 1, ours), claims, ledger.Resources{}, true); len(commands) != 1 {
+		claims := claimOf(1, ownToken, ledger.Active)
+		w := NewWorker(heartbeat(1, 1, ownToken), nil, at(0))
+		w.Reconcile(heartbeat(1, 1, ownToken), claims, ownToken, at(0))
+		if commands := w.Commands(heartbeat(1, 1, ownToken), claims, ledger.Resources{}, true); len(commands) != 1 {
 			t.Fatalf("commands %+v, want a start", commands)
 		}
-		w.Reconcile(heartbeat(1, 2, ours, running), claims, ours, at(1))
+		w.Reconcile(heartbeat(1, 2, ownToken, running), claims, ownToken, at(1))
 		w.Stop(claims[0])
 		return w, claims
 	}
 	t.Run("reported", func(t *testing.T) {
 		w, claims := started(t)
-		w.Reconcile(heartbeat(1, 3, ours, running), claims, ours, at(2))
-		want := observedTask{claimed: true, runningSince: at(1), stop: true, sent: true, sentSequence: 1}
+		w.Reconcile(heartbeat(1, 3, ownToken, running), claims, ownToken, at(2))
+		want := trackedTask{claimed: true, runningSince: at(1), stopRequested: true, startSent: true, startSequence: 1}
 		if got := *w.task(testKey); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	})
 	t.Run("reported, not claimed", func(t *testing.T) {
 		w, _ := started(t)
-		w.Reconcile(heartbeat(1, 3, ours, running), nil, ours, at(2))
-		want := observedTask{runningSince: at(1), stop: true, sent: true, sentSequence: 1}
+		w.Reconcile(heartbeat(1, 3, ownToken, running), nil, ownToken, at(2))
+		want := trackedTask{runningSince: at(1), stopRequested: true, startSent: true, startSequence: 1}
 		if got := *w.task(testKey); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	})
 	t.Run("claimed, not reported", func(t *testing.T) {
 		w, claims := started(t)
-		w.Reconcile(heartbeat(1, 3, ours), claims, ours, at(2))
-		want := observedTask{claimed: true, sent: true, sentSequence: 1}
+		w.Reconcile(heartbeat(1, 3, ownToken), claims, ownToken, at(2))
+		want := trackedTask{claimed: true, startSent: true, startSequence: 1}
 		if got := *w.task(testKey); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	})
 	t.Run("neither", func(t *testing.T) {
 		w, _ := started(t)
-		w.Reconcile(heartbeat(1, 3, ours), nil, ours, at(2))
+		w.Reconcile(heartbeat(1, 3, ownToken), nil, ownToken, at(2))
 		if len(w.tasks) != 0 {
 			t.Errorf("%d tasks known, want none", len(w.tasks))
 		}
 	})
 	t.Run("new epoch", func(t *testing.T) {
 		w, claims := started(t)
-		w.Reconcile(heartbeat(2, 1, ours, running), claims, ours, at(2))
-		want := observedTask{claimed: true, runningSince: at(2)}
+		w.Reconcile(heartbeat(2, 1, ownToken, running), claims, ownToken, at(2))
+		want := trackedTask{claimed: true, runningSince: at(2)}
 		if got := *w.task(testKey); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	})
-	if *notObserved != (observedTask{}) {
-		t.Errorf("notObserved was written to: %+v", *notObserved)
+	if *untrackedTask != (trackedTask{}) {
+		t.Errorf("notObserved was written to: %+v", *untrackedTask)
 	}
 }
--- a/internal/server/redirect.go
+++ b/internal/server/redirect.go
@@ -18,7 +18,7 @@
 func (s *HeartbeatServer) redirect(id wire.MachineID, now time.Time) HeartbeatAnswer {
 	peers := s.Membership.ReachablePeers(now)
 	if len(peers) == 0 {
-		return notEntitled
+		return unavailable
 	}
 	h := fnv.New32a()
 	h.Write([]byte(id))
--- a/internal/server/starts.go
+++ b/internal/server/starts.go
@@ -17,21 +17,21 @@
 // startOffer is what the scheduler places on a machine that has just sent a heartbeat.
 type startOffer struct {
 	starts []placement.Start
-	// mayOfferFreed reports whether room that becomes free on the machine may be offered again at once:
+	// canReuseFreed reports whether room that becomes free on the machine may be offered again at once:
 	// false where a gang of several tasks has the machine reserved.
-	mayOfferFreed bool
+	canReuseFreed bool
 }
 
 // offerStarts places tasks on a machine, none if it is not usable or the records may be too old. It needs
 // the cache's lock.
 func (s *HeartbeatServer) offerStarts(w *reconcile.Worker, now time.Time) startOffer {
 	if !s.Scheduler.Usable(w, now) || now.Sub(s.Cache.SyncedAt()) >= settings.StartContact {
-		return startOffer{mayOfferFreed: true}
+		return startOffer{canReuseFreed: true}
 	}
 	snapshot := s.Scheduler.Snapshot(now)
 	machine := snapshot.UpdateMachine(s.Scheduler.MachineSnapshot(w, now))
 	starts := placement.PlaceOnMachine(snapshot, machine)
-	return startOffer{starts: starts, mayOfferFreed: !snapshot.WantedByGang(machine)}
+	return startOffer{starts: starts, canReuseFreed: !snapshot.WantedByGang(machine)}
 }
 
 // startChanges returns the changes that claim the starts offered to a machine, at most two: those of
@@ -98,7 +98,7 @@
 		},
 		Draft: func(txn *ledger.Transaction) (err error) {
 			claimed = nil
-			if !s.stillHolds(w, target) {
+			if !s.isCurrent(w, target) {
 				return ledger.ErrPreconditionFailed
 			}
 			claimed, err = s.claimStarts(txn, target, starts)
@@ -163,7 +163,7 @@
 		Class:     committer.ClassStart,
 		ExpiresAt: expiresAt,
 		Draft: func(txn *ledger.Transaction) error {
-			if job := s.records().Job(id); job != nil && s.stillHolds(w, target) {
+			if job := s.records().Job(id); job != nil && s.isCurrent(w, target) {
 				return txn.TakeOver(job, attempt, target)
 			}
 			return ledger.ErrPreconditionFailed
@@ -184,8 +184,8 @@
 	return m.ClaimTarget()
 }
 
-// stillHolds reports whether a worker still reports here, in the epoch and under the token that something
+// isCurrent reports whether a worker still reports here, in the epoch and under the token that something
 // was decided for. It needs the cache's lock.
-func (s *HeartbeatServer) stillHolds(w *reconcile.Worker, target ledger.ClaimTarget) bool {
+func (s *HeartbeatServer) isCurrent(w *reconcile.Worker, target ledger.ClaimTarget) bool {
 	return s.Registry.Worker(w.ID) == w && w.Epoch == target.Epoch && w.CommandToken == target.Token
 }
