--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -10,34 +10,34 @@
 	"maddermill/wire"
 )
 
-// tokenPollInterval is how often a heartbeat that waits for a newer fencing token checks for it.
+// tokenPollInterval is how often a heartbeat that waits for a newer fencing token checks for one.
 const tokenPollInterval = 20 * time.Millisecond
 
-// authorize reports whether this controller may act on a heartbeat; if not, the answer is what the worker
-// gets. It needs the cache's lock.
+// authorize reports whether this controller may act on a heartbeat. If not, refusal is the response to the
+// worker. The caller must hold the cache lock.
 func (s *HeartbeatServer) authorize(hb *wire.Heartbeat, now time.Time) (refusal HeartbeatAnswer, ok bool) {
 	if !s.Cache.Loaded() || s.Cache.Token() == 0 {
 		return unavailable, false
 	}
 	if s.Membership.RecentlyPaused(now) {
-		// The worker has long given up on this heartbeat and reports to another controller. A start here
-		// would only take the task from others.
+		// After a pause of this process the worker has already timed out and reports to another controller. A
+		// start sent here would only take the task from that controller.
 		return unavailable, false
 	}
 	if now.Sub(s.cancellationsConfirmedUntil(time.Now())) > s.set.HeartbeatGrace() {
-		// A user may have been answered that a job is cancelled, and every answer to a heartbeat renews
-		// the lease of tasks that must then end.
+		// A peer may have confirmed a cancellation to a user that these records lack, and every response to a
+		// heartbeat renews the lease of tasks that must then stop.
 		return s.redirect(hb.Machine, now), false
 	}
 	if s.records().MachinePhase(hb.Machine) == ledger.Terminated {
-		return unavailable, false // a heartbeat from before the machine was terminated
+		return unavailable, false // the heartbeat was sent before the machine was terminated
 	}
 	return HeartbeatAnswer{}, true
 }
 
-// cancellationsConfirmedUntil is the time up to which the records hold every cancellation that a user was
-// answered: the last sync with the state service or, during an outage, the time up to which every peer
-// has confirmed that it answered none that these records lack. It needs the cache's lock.
+// cancellationsConfirmedUntil returns the time up to which the records contain every cancellation confirmed to
+// a user: the last sync with the state service or, during an outage, the time up to which every peer states
+// that it confirmed no cancellation that these records lack. The caller must hold the cache lock.
 func (s *HeartbeatServer) cancellationsConfirmedUntil(now time.Time) time.Time {
 	syncedAt := s.Cache.SyncedAt()
 	if syncedAt.IsZero() {
@@ -50,10 +50,10 @@
 	return syncedAt
 }
 
-// chooseToken chooses the fencing token to command a worker under: the one used so far while the worker
-// has seen no higher one, else a newer one of this controller, for which it may wait with the cache's lock
-// released. A worker that seems unreachable is to show a token that it has not seen before; that one is
-// requested but not waited for. ok is false if ctx ended first.
+// chooseToken chooses the fencing token under which to command a worker. It keeps the current one while the
+// worker has seen no higher one; otherwise it takes a newer token of this controller and may wait for it with
+// the cache lock released. A worker that seems unreachable must show a token that it has not seen before; such
+// a token is requested but not waited for. ok is false if ctx ended first.
 func (s *HeartbeatServer) chooseToken(
 	ctx context.Context,
 	w *reconcile.Worker,
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -23,12 +23,12 @@
 	"maddermill/wire"
 )
 
-// startTimeout bounds how long a test waits for the first answer of a server.
+// startTimeout bounds how long a test waits for a server's first response.
 const startTimeout = 10 * time.Second
 
-// service stands for all services behind the API but workflows.
+// service is a fake of all services behind the API except workflows.
 type service struct {
-	blockPolls chan struct{} // polls of wk-000004 wait until it is closed
+	blockPolls chan struct{} // polls of wk-000004 block until it is closed
 }
 
 func (service) Submit(_ context.Context, s *wire.JobSpec) (wire.JobStatus, bool, error) {
@@ -75,7 +75,7 @@
 	}, true
 }
 
-// workflows is the service of workflows; wf-000001 is the only one known.
+// workflows is a fake of the workflow service; wf-000001 is the only known workflow.
 type workflows struct{}
 
 func (workflows) Submit(_ context.Context, s *wire.WorkflowSpec) (wire.WorkflowStatus, bool, error) {
@@ -97,15 +97,16 @@
 	return wire.WorkflowStatus{}, runner.ErrNotFailed
 }
 
-// testServer is a server on a loopback port, and a client of it.
+// testServer is a server on a loopback port, with a client.
 type testServer struct {
 	addr       string
 	client     *http1.Client
-	shed       chan string   // the kinds of requests that were shed
-	blockPolls chan struct{} // as in service
+	shed       chan string   // kinds of the requests that were shed
+	blockPolls chan struct{} // see service
 }
 
-// newTestServer starts a server, which ends with the test. That it ends without an error is checked.
+// newTestServer starts a server that is stopped at the end of the test, and checks that it stops without an
+// error.
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	s := &testServer{addr: freeAddr(t), shed: make(chan string, 100), blockPolls: make(chan struct{})}
@@ -142,7 +143,7 @@
 	return s
 }
 
-// freeAddr returns an address on the loopback interface that nobody listens on.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -155,7 +156,7 @@
 	return l.Addr().String()
 }
 
-// waitHealthy waits until the server answers.
+// waitHealthy waits until the server responds.
 func (s *testServer) waitHealthy(t *testing.T) {
 	t.Helper()
 	for healthy := false; !healthy; {
@@ -169,8 +170,8 @@
 	}
 }
 
-// exchange sends bytes on a connection of its own and returns all that the server answers until it closes
-// the connection; the error is that of reading.
+// exchange sends bytes on a new connection and returns everything that the server sends until it closes the
+// connection; the error is that of reading.
 func (s *testServer) exchange(t *testing.T, request string) (string, error) {
 	t.Helper()
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", s.addr)
@@ -185,14 +186,14 @@
 	return string(got), err
 }
 
-// submission is a submission of wk-000009 by a team.
+// submission returns a submission of wk-000009 by a team.
 func submission(team string) string {
 	return `{"id":"wk-000009","workclass":"c","owner":"` + team + `","shape":"array","urgency":"normal","pieces":1,
 	 "cores":1,"accelerators":0,"ram_gb":1,"bundle":"i","pull_gb":1,"together":false,"scatter":false,"loaners":true,
 	 "expect_s":1,"snapshot_s":0,"stash_s":0}`
 }
 
-// TestRoutes serves through gnet and asks through our client: the status of each path and method.
+// TestRoutes checks the status for each path and method, served through gnet and requested with our client.
 func TestRoutes(t *testing.T) {
 	s := newTestServer(t)
 	const workflow = `{"id":"wf-000001","owner":"t","bundle":{"main.cwl":` +
@@ -243,7 +244,7 @@
 	}
 }
 
-// TestMessages: the bodies of answers other than success, which users read, byte for byte.
+// TestMessages checks the bodies of error responses, which users read, byte for byte.
 func TestMessages(t *testing.T) {
 	s := newTestServer(t)
 	for _, tc := range []struct{ method, path, body, want string }{
@@ -264,7 +265,7 @@
 	}
 }
 
-// TestEvents: a stream of events ends, and its connection with it, once the workflow is final.
+// TestEvents checks that an event stream ends, and its connection is closed, once the workflow is final.
 func TestEvents(t *testing.T) {
 	s := newTestServer(t)
 	got, err := s.exchange(t, "GET /api/workflows/wf-000001/events HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -274,8 +275,8 @@
 	}
 }
 
-// TestShedding: however many polls are in progress, further ones are shed at once and submissions keep their
-// part.
+// TestShedding checks that polls beyond the limit are shed immediately, however many are in progress, and that
+// submissions keep their reserved share.
 func TestShedding(t *testing.T) {
 	s := newTestServer(t)
 	polls := make(chan int, 8)
@@ -290,26 +291,27 @@
 	}
 	for range 3 {
 		if kind := <-s.shed; kind != "poll" {
-			t.Errorf("shed a %s, want a poll", kind)
+			t.Errorf("shed a %s, want poll", kind)
 		}
 		if status := <-polls; status != 503 {
-			t.Errorf("a poll beyond the bound: status %d, want 503", status)
+			t.Errorf("poll beyond the limit: status %d, want 503", status)
 		}
 	}
 	resp, err := s.client.Do(t.Context(),
 		&http1.Request{Method: "POST", Path: "/api/jobs", Body: []byte(submission("t"))})
 	if err != nil || resp.Status != 201 {
-		t.Errorf("a submission beside them: %v, %v, want 201", resp, err)
+		t.Errorf("submission during polls: %v, %v, want 201", resp, err)
 	}
 	close(s.blockPolls)
 	for range 5 {
 		if status := <-polls; status != 200 {
-			t.Errorf("a poll in progress: status %d, want 200", status)
+			t.Errorf("poll in progress: status %d, want 200", status)
 		}
 	}
 }
 
-// TestFraming: bytes that no client of ours would send. The server closes the connection after its answer.
+// TestFraming sends requests that our client would never send. The server closes the connection after its
+// response.
 func TestFraming(t *testing.T) {
 	s := newTestServer(t)
 	for request, want := range map[string]string{
@@ -318,15 +320,15 @@
 		"GET /" + strings.Repeat("y", 9000) + " HTTP/1.1\r\n\r\n":  "HTTP/1.1 431",
 		"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n":       "HTTP/1.1 200",
 	} {
-		// The server may reset a connection with unread bytes, which is an error of reading.
+		// The server may reset a connection with unread bytes, which causes a read error.
 		if got, err := s.exchange(t, request); !strings.HasPrefix(got, want) {
 			t.Errorf("%.30q: %q, %v, want %s", request, got, err, want)
 		}
 	}
 }
 
-// TestSubmissionsWithDependencies: what is wrong with the jobs that a submission names is told with the field,
-// and nothing else is taken for a list of jobs.
+// TestSubmissionsWithDependencies checks that errors in a submission's dependencies name the field, and that
+// values other than a list of job IDs are rejected.
 func TestSubmissionsWithDependencies(t *testing.T) {
 	s := newTestServer(t)
 	const job = `{"id":"wk-000001","workclass":"c","owner":"t","shape":"array","urgency":"normal","pieces":1,` +
@@ -362,7 +364,7 @@
 				t.Errorf("got status %d with %s, want %d", response.Status, response.Body, tc.status)
 			}
 			if response.Status == 400 && !strings.Contains(string(response.Body), "awaits") {
-				t.Errorf("got %s, want it to name the field", response.Body)
+				t.Errorf("got %s, want a message that names the field awaits", response.Body)
 			}
 		})
 	}
--- a/internal/server/api/events.go
+++ b/internal/server/api/events.go
@@ -11,25 +11,25 @@
 	"maddermill/wire"
 )
 
-// Limits of streams of events.
+// Limits of event streams.
 const (
-	streamTimeout  = 10 * time.Minute // then the client asks again
-	streamInterval = time.Second      // between two reads of the status
+	streamTimeout  = 10 * time.Minute // after which the client reconnects
+	streamInterval = time.Second      // between reads of the status
 )
 
-// eventsHeader is what a stream of events begins with. Its end is that of the connection.
+// eventsHeader is the start of an event stream's response. The stream ends when the connection is closed.
 const eventsHeader = "HTTP/1.1 200 OK\r\ncontent-type: application/x-ndjson\r\nconnection: close\r\n\r\n"
 
-// eventsRequest reports whether a request is for a workflow's stream of events, and of which workflow.
+// eventsRequest reports whether a request is for a workflow's event stream, and returns the workflow's ID.
 func eventsRequest(request *http1.Request) (id wire.WorkflowID, ok bool) {
-	rest, below := strings.CutPrefix(request.Path, workflowsPath+"/")
-	name, events := strings.CutSuffix(rest, "/events")
+	rest, isWorkflow := strings.CutPrefix(request.Path, workflowsPath+"/")
+	name, isEvents := strings.CutSuffix(rest, "/events")
 	id = wire.WorkflowID(name)
-	return id, below && events && request.Method == "GET" && id.Valid()
+	return id, isWorkflow && isEvents && request.Method == "GET" && id.Valid()
 }
 
-// streamEvents writes a workflow's status as a JSON line whenever it changes, until it is final, after
-// streamTimeout, or until the client is gone. The connection can't be used after it.
+// streamEvents writes a workflow's status as a JSON line whenever it changes, until the status is final,
+// streamTimeout has passed, or the client has disconnected. The connection cannot be reused.
 func (s *Server) streamEvents(ctx context.Context, conn *transport.Conn, id wire.WorkflowID) {
 	defer s.streams.Add(-1)
 	if s.streams.Add(1) > int64(max(1, s.MaxBusy/4)) {
@@ -67,15 +67,15 @@
 	return s.Workflows.Status(ctx, id)
 }
 
-// eventStream is a stream of events on a connection.
+// eventStream is an event stream on a connection.
 type eventStream struct {
 	conn    *transport.Conn
-	started bool   // the header is written
-	last    string // line written last
+	started bool   // the header has been written
+	last    string // the most recently written line
 }
 
-// send writes a status unless it is the one written last, and reports whether more may follow: the status is
-// not final and the client is there.
+// send writes a status unless it equals the previous one, and reports whether more may follow: the status is
+// not final and the client is still connected.
 func (e *eventStream) send(st *wire.WorkflowStatus) bool {
 	line, err := json.Marshal(st)
 	if err != nil {
--- a/internal/server/api/jobs.go
+++ b/internal/server/api/jobs.go
@@ -8,7 +8,7 @@
 	"maddermill/wire"
 )
 
-// submitJob accepts a job: 201 if this request made it durable, 200 if it was known.
+// submitJob accepts a job. The status is 201 if this request made it durable, 200 if the job was already known.
 func (s *Server) submitJob(ctx context.Context, request *http1.Request) *http1.Response {
 	spec, err := wire.DecodeJobSpec(request.Body)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return jsonResponse(200, st)
 }
 
-// serveJob answers a request below /api/jobs/: GET ID is a poll, POST ID/cancel a cancellation.
+// serveJob handles requests below /api/jobs/: GET ID polls a job, POST ID/cancel cancels it.
 func (s *Server) serveJob(ctx context.Context, rest, method string) *http1.Response {
 	if id, ok := strings.CutSuffix(rest, "/cancel"); ok {
 		if method != "POST" {
@@ -40,7 +40,7 @@
 	if method != "GET" {
 		return methodNotAllowed("GET")
 	}
-	// However many polls there are, half of MaxBusy is left to submissions and cancellations.
+	// Polls use at most half of MaxUserRequests; the rest is reserved for submissions and cancellations.
 	defer s.polls.Add(-1)
 	if s.polls.Add(1) > int64(max(1, s.MaxBusy/2)) {
 		return s.shed("poll")
--- a/internal/server/api/responses.go
+++ b/internal/server/api/responses.go
@@ -18,7 +18,7 @@
 	"maddermill/wire"
 )
 
-// Errors that clients get as the body of a response.
+// Errors returned to clients in the body of a response.
 var (
 	errNoSuchPath       = errors.New("no such path")
 	errNoSuchJob        = errors.New("no such job")
@@ -33,10 +33,10 @@
 	errHeartbeatRefused = errors.New("not entitled to answer")
 )
 
-// maxDocumentError bounds the message about a workflow's documents, in bytes.
+// maxDocumentError bounds, in bytes, the error message about a workflow's documents.
 const maxDocumentError = 32 << 10
 
-// jsonResponse is a response with a value as its JSON body.
+// jsonResponse returns a response with a value as its JSON body.
 func jsonResponse(status int, v any) *http1.Response {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -45,19 +45,19 @@
 	return &http1.Response{Status: status, Body: b}
 }
 
-// errorResponse is a response with an error's message as its body.
+// errorResponse returns a response with an error's message as its body.
 func errorResponse(status int, err error) *http1.Response {
 	return jsonResponse(status, wire.ErrorBody{Error: err.Error()})
 }
 
-// methodNotAllowed is the response to a request with another method than the only one allowed.
+// methodNotAllowed returns the response to a request whose method is not the one that its path allows.
 func methodNotAllowed(method string) *http1.Response {
 	resp := errorResponse(405, errMethodNotAllowed)
 	resp.Header = append(resp.Header, http1.Field{Name: "allow", Value: method})
 	return resp
 }
 
-// retryLater is the response to a request that can't be served now, with the time to wait.
+// retryLater returns the response to a request that cannot be served now, with the time to wait before a retry.
 func (s *Server) retryLater() *http1.Response {
 	resp := errorResponse(503, errRetryLater)
 	after := strconv.Itoa(int(math.Ceil(s.RetryAfter.Seconds())))
@@ -65,8 +65,8 @@
 	return resp
 }
 
-// framingErrorResponse is the last response of a connection on which no further request can be read; nil: none is
-// to be sent.
+// framingErrorResponse returns the last response of a connection on which no further request can be read, or
+// nil if no response should be sent.
 func framingErrorResponse(err error) *http1.Response {
 	var framing *http1.Error
 	switch {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// jobErrorResponse is the response to a failed request about a job. An error of no known kind is logged.
+// jobErrorResponse returns the response to a failed request about a job. Unexpected errors are logged.
 func (s *Server) jobErrorResponse(id wire.JobID, err error) *http1.Response {
 	switch {
 	case errors.Is(err, server.ErrNoSuchJob):
@@ -94,7 +94,7 @@
 	return s.retryLater()
 }
 
-// workflowErrorResponse is the response to a failed request about a workflow.
+// workflowErrorResponse returns the response to a failed request about a workflow.
 func (s *Server) workflowErrorResponse(err error) *http1.Response {
 	var problems cwl.Problems
 	switch {
@@ -110,13 +110,13 @@
 	return s.jobErrorResponse("", err)
 }
 
-// oneLine is an error with the messages of joined errors in one line.
+// oneLine returns an error with the messages of joined errors on one line.
 func oneLine(err error) error {
 	return errors.New(strings.ReplaceAll(err.Error(), "\n", ": "))
 }
 
-// truncatedError is an error about documents, whose message has a line for each problem, with a message of little
-// more than maxDocumentError: no line of a response may be very long.
+// truncatedError shortens an error about documents, which has a line for each problem, to little more than
+// maxDocumentError, so that no line of a response becomes very long.
 func truncatedError(err error) error {
 	text := err.Error()
 	if len(text) <= maxDocumentError {
--- a/internal/server/api/routes.go
+++ b/internal/server/api/routes.go
@@ -10,14 +10,14 @@
 	"maddermill/wire"
 )
 
-// route is how the requests of a path are answered.
+// route specifies how requests for a path are handled.
 type route struct {
-	method string // the only one allowed
-	kind   string // by which the request is counted if it is shed; "": it is never shed
+	method string // the only allowed method
+	kind   string // under which a shed request is counted; "" if requests are never shed
 	handle func(s *Server, ctx context.Context, request *http1.Request) *http1.Response
 }
 
-// fixedRoutes are the routes of the paths without an id.
+// fixedRoutes maps the paths without an ID to their routes.
 var fixedRoutes = map[string]route{
 	"/healthz":        {"GET", "", (*Server).health},
 	"/metrics":        {"GET", "", (*Server).metrics},
@@ -42,7 +42,7 @@
 	return errorResponse(404, errNoSuchPath)
 }
 
-// serveRoute answers a request by a route.
+// serveRoute handles a request by a route.
 func (s *Server) serveRoute(ctx context.Context, r route, request *http1.Request) *http1.Response {
 	switch {
 	case request.Method != r.method:
@@ -92,7 +92,7 @@
 	}
 }
 
-// judgements returns the judgements of machines.
+// judgements returns the health judgements of machines.
 func (s *Server) judgements(context.Context, *http1.Request) *http1.Response {
 	list, ok := s.Inspector.Judgements()
 	if !ok {
@@ -101,7 +101,7 @@
 	return jsonResponse(200, list)
 }
 
-// heartbeat answers a worker's heartbeat.
+// heartbeat handles a worker's heartbeat.
 func (s *Server) heartbeat(ctx context.Context, request *http1.Request) *http1.Response {
 	var heartbeat wire.Heartbeat
 	if err := json.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Epoch == 0 {
--- a/internal/server/api/server.go
+++ b/internal/server/api/server.go
@@ -1,10 +1,10 @@
 // Package api serves users' requests and workers' heartbeats over HTTP/1.1. It parses and routes requests
-// (routes.go), sheds users' requests beyond the bounds of Server, and turns results and errors into
-// responses (responses.go); what a request means is decided by the services behind the interfaces Jobs,
-// Heartbeats, Workflows and Inspector.
+// (routes.go), sheds users' requests beyond the limits of Server, and converts results and errors into
+// responses (responses.go). The services behind the interfaces Jobs, Heartbeats, Workflows and Inspector
+// implement the requests.
 //
-// A Server has no lock; its counters are atomic. Serve runs once for each connection, in a goroutine of its
-// own. The bytes of responses, messages of errors included, are part of the protocol.
+// A Server has no lock; its counters are atomic. Serve runs once per connection, in its own goroutine. The
+// bytes of responses, including error messages, are part of the protocol.
 package api
 
 import (
@@ -23,7 +23,7 @@
 	"maddermill/wire"
 )
 
-// Jobs is the service of jobs as users' requests need it.
+// Jobs is the service that handles users' requests about jobs.
 type Jobs interface {
 	Submit(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, bool, error)
 	Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error)
@@ -35,14 +35,15 @@
 	Heartbeat(ctx context.Context, hb *wire.Heartbeat) server.HeartbeatAnswer
 }
 
-// Inspector is what a controller reports of itself. The booleans are false where there is nothing to report.
+// Inspector returns a controller's view of its own state and of its cluster. The booleans are false if there is
+// nothing to report.
 type Inspector interface {
 	Topology(now time.Time) (wire.TopologyView, bool)
 	Judgements() ([]wire.Judgement, bool)
 	Healthy() bool
 }
 
-// Server answers the requests of connections. Its exported fields are set before the first Serve.
+// Server handles the requests of connections. Its exported fields must be set before the first call of Serve.
 type Server struct {
 	Jobs       Jobs
 	Heartbeats Heartbeats
@@ -50,29 +51,29 @@
 	Inspector  Inspector
 	Metrics    func() []byte // in the text format of Prometheus
 	Duties     func(time.Time) []supervise.Status
-	RetryAfter time.Duration     // that clients whose request is shed are to wait
-	MaxUsers   int               // users' connections; the rest is reserved for workers
-	MaxBusy    int               // users' requests at once, at most half of them polls
-	Shed       func(kind string) // called for each request that is shed, if not nil
+	RetryAfter time.Duration     // how long clients should wait after a request was shed
+	MaxUsers   int               // maximum of users' connections; the rest is reserved for workers
+	MaxBusy    int               // maximum of users' concurrent requests, at most half of them polls
+	Shed       func(kind string) // called for each shed request, if not nil
 	Log        *slog.Logger
 
-	// The numbers of what is in progress.
+	// Numbers of connections, requests and streams in progress.
 	userConns    atomic.Int64 // connections of users
 	userRequests atomic.Int64 // users' requests
-	polls        atomic.Int64 // polls of jobs among them
-	streams      atomic.Int64 // streams of workflows' events
+	polls        atomic.Int64 // job polls, included in userRequests
+	streams      atomic.Int64 // workflow event streams
 }
 
 // Limits of connections and requests.
 const (
 	idleTimeout    = 90 * time.Second        // of a connection, between requests
 	requestTimeout = 10 * time.Second        // from a request's first byte to its last
-	pollTimeout    = 1900 * time.Millisecond // of the answer to a poll
-	submitTimeout  = 4500 * time.Millisecond // of the answer to a submission or cancellation
+	pollTimeout    = 1900 * time.Millisecond // for answering a poll
+	submitTimeout  = 4500 * time.Millisecond // for answering a submission or cancellation
 	readBufferSize = 2048                    // bytes
 )
 
-// Serve answers the requests of one connection until the connection or ctx ends.
+// Serve handles the requests of one connection until the connection or ctx ends.
 func (s *Server) Serve(ctx context.Context, conn *transport.Conn) {
 	reader := bufio.NewReaderSize(conn, readBufferSize)
 	isUser := false
@@ -108,8 +109,8 @@
 	}
 }
 
-// errIdle is returned by readRequest if no request has begun before the connection ended or idleTimeout.
-var errIdle = errors.New("api: no request on the connection")
+// errIdle is returned by readRequest if no request started before the connection ended or idleTimeout passed.
+var errIdle = errors.New("api: no request received on the connection")
 
 // readRequest waits for a request and reads it.
 func readRequest(conn *transport.Conn, reader *bufio.Reader) (*http1.Request, error) {
@@ -133,7 +134,7 @@
 // writeLast writes the last response of a connection.
 func (s *Server) writeLast(conn *transport.Conn, resp *http1.Response) {
 	resp.Close = true
-	_ = s.write(conn, resp) // the connection ends either way
+	_ = s.write(conn, resp) // the connection is closed in any case
 }
 
 // runLimited runs a user's request, or sheds it if too many are in progress.
@@ -145,7 +146,7 @@
 	return run()
 }
 
-// shed counts a request that is not run as too many are in progress, and returns its response.
+// shed counts a request that is rejected because too many are in progress, and returns the response to it.
 func (s *Server) shed(kind string) *http1.Response {
 	if s.Shed != nil {
 		s.Shed(kind)
--- a/internal/server/api/workflows.go
+++ b/internal/server/api/workflows.go
@@ -9,7 +9,7 @@
 	"maddermill/wire"
 )
 
-// workflowsPath is the path of workflows' requests.
+// workflowsPath is the path of requests about workflows.
 const workflowsPath = "/api/workflows"
 
 // Workflows is the service that runs CWL workflows.
@@ -20,14 +20,14 @@
 	Resume(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error)
 }
 
-// workflowRoute is how a request about one workflow is answered.
+// workflowRoute specifies how a request about one workflow is handled.
 type workflowRoute struct {
-	method string // the only one allowed
-	kind   string // by which the request is counted if it is shed
+	method string // the only allowed method
+	kind   string // under which a shed request is counted
 	handle func(context.Context, wire.WorkflowID) (wire.WorkflowStatus, error)
 }
 
-// findWorkflowRoute returns the route of a verb, the path's part after the id.
+// findWorkflowRoute returns the route for a verb, the part of the path after the ID.
 func (s *Server) findWorkflowRoute(verb string) (r workflowRoute, ok bool) {
 	switch verb {
 	case "":
@@ -40,8 +40,8 @@
 	return workflowRoute{}, false
 }
 
-// serveWorkflows answers a request at or below workflowsPath: POST is a submission, GET ID a poll, POST ID/cancel
-// a cancellation, POST ID/resume has a failed workflow resumed.
+// serveWorkflows handles a request at or below workflowsPath: POST submits a workflow, GET ID polls it, POST
+// ID/cancel cancels it, POST ID/resume resumes a failed workflow.
 func (s *Server) serveWorkflows(ctx context.Context, request *http1.Request) *http1.Response {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -71,7 +71,8 @@
 	})
 }
 
-// submitWorkflow accepts a workflow: 201 if this request made it durable, 200 if it was known.
+// submitWorkflow accepts a workflow. The status is 201 if this request made it durable, 200 if the workflow was
+// already known.
 func (s *Server) submitWorkflow(ctx context.Context, body []byte) *http1.Response {
 	spec, err := wire.DecodeWorkflowSpec(body)
 	if err != nil {
--- a/internal/server/cascade.go
+++ b/internal/server/cascade.go
@@ -11,20 +11,19 @@
 	"maddermill/wire"
 )
 
-// Pace of FollowDependencies.
+// Timing and limits of MaintainDependencies.
 const (
 	dependenciesInterval = time.Second
-	// maxPendingCascades is how many cancellations that follow from others may be on their way at once.
+	// maxPendingCascades bounds the cancellations caused by a cancelled ancestor that may be pending at once.
 	maxPendingCascades = 64
-	// maxResolvedPerRound is how many archived dependencies are read in a round.
+	// maxResolvedPerRound bounds the archived dependencies read per round.
 	maxResolvedPerRound = 16
 )
 
-// FollowDependencies does, until ctx ends, what follows from dependencies in the background. Whether a job is
-// ready or cancelled with an ancestor every controller derives from the records at once; here the
-// cancellation is made durable in the job's own record, by the controller that leads, so that the archive
-// keeps it, and dependencies that were archived before their dependents were known are read back. It
-// returns ctx's error.
+// FollowDependencies runs the background work that dependencies require until ctx ends, and returns ctx's
+// error. Every controller derives from the records whether a job is ready or cancelled with an ancestor. The
+// leader also writes such a cancellation to the job's own record, so that the archive keeps it. Dependencies
+// that were archived before their dependents were loaded are read back from the archive.
 func (s *JobServer) FollowDependencies(ctx context.Context, leading func() bool) error {
 	cascades := map[wire.JobID]*committer.Change{}
 	for ctx.Err() == nil {
@@ -38,8 +37,8 @@
 	return ctx.Err()
 }
 
-// logReleased counts the jobs whose last dependency was done since the last call, and logs them where that
-// is asked for.
+// logReleased counts the jobs whose last dependency completed since the previous call, and logs them if log is
+// set.
 func (s *JobServer) logReleased(log bool) {
 	var released []wire.JobID
 	s.Cache.Read(func(l *ledger.Ledger) { released = l.DrainReleased() })
@@ -51,8 +50,8 @@
 	}
 }
 
-// cancelWithAncestors enqueues the cancellation of jobs with a cancelled ancestor. cascades has those on
-// their way.
+// cancelWithAncestors enqueues the cancellation of jobs with a cancelled ancestor. cascades holds the pending
+// cancellations.
 func (s *JobServer) cancelWithAncestors(cascades map[wire.JobID]*committer.Change) {
 	for id, change := range cascades {
 		if !change.Pending() {
@@ -76,7 +75,7 @@
 	}
 }
 
-// cascadeChange returns the change that cancels a job with its ancestor.
+// cascadeChange returns the change that cancels a job because an ancestor was cancelled.
 func (s *JobServer) cascadeChange(id wire.JobID) *committer.Change {
 	return &committer.Change{
 		Class: committer.ClassRecord,
@@ -95,7 +94,8 @@
 	}
 }
 
-// resolveArchivedDependencies reads how jobs ended that are archived and that active jobs name.
+// resolveArchivedDependencies reads from the archive the final states of dependencies that active jobs name but
+// the records lack.
 func (s *JobServer) resolveArchivedDependencies(ctx context.Context) {
 	var missing []wire.JobID
 	if !s.Loaded() {
@@ -114,7 +114,7 @@
 		case errors.Is(err, ErrNoSuchJob):
 			s.log.Error("a job waits for one that is neither on record nor archived", "awaits", id)
 		case err != nil:
-			s.log.Debug("archived dependency not read", "job", id, "err", err)
+			s.log.Debug("reading archived dependency failed", "job", id, "err", err)
 		default:
 			s.Cache.Read(func(l *ledger.Ledger) { l.ResolveDependency(id, finalRecordOf(status)) })
 		}
--- a/internal/server/completions.go
+++ b/internal/server/completions.go
@@ -14,14 +14,14 @@
 	"maddermill/wire"
 )
 
-// After an exit with one of these causes the job is retried no sooner than this.
+// Minimum delays before a job is retried after an exit with the given cause.
 const (
 	notFoundBackoff       = 5 * time.Second // the worker does not know the job
 	gangIncompleteBackoff = 2 * time.Second
 )
 
-// addCompletions logs the completions that a heartbeat shows, whatever its age and whether or not it may
-// be answered: a completion stays proof for its claim. It needs the cache's lock.
+// addCompletions adds the completions that a heartbeat reports to the completion log, even if the heartbeat is
+// stale or may not be answered: a completion remains proof for its claim. The caller must hold the cache lock.
 func (s *HeartbeatServer) addCompletions(hb *wire.Heartbeat, now time.Time) {
 	for i := range hb.Tasks {
 		task := &hb.Tasks[i]
@@ -42,13 +42,14 @@
 }
 
 // CompletionUnrecorded reports whether the records may lack a completion: they hold the claim that it
-// completes, or they are not loaded, or may be too old to show that claim. It needs the cache's lock.
+// completes, or they are not loaded, or they may be too old to contain that claim. The caller must hold the
+// cache lock.
 func (s *HeartbeatServer) CompletionUnrecorded(done peer.Completion) bool {
 	return !s.Cache.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(s.records(), done)
 }
 
-// observeExits logs and counts the exits that a heartbeat proves and passes what they show on to the
-// trackers of failures, images and the topology. It needs the cache's lock.
+// observeExits logs and counts the exits that a heartbeat proves, and passes them to the trackers of failures,
+// images and topology. The caller must hold the cache lock.
 func (s *HeartbeatServer) observeExits(w *reconcile.Worker, exits []reconcile.TaskExit, now time.Time) {
 	images := s.Registry.Images(s.records(), w)
 	for _, exit := range exits {
@@ -77,21 +78,22 @@
 		case wire.CauseGangIncomplete:
 			s.Failures.Retry(job.ID, now.Add(gangIncompleteBackoff))
 		case wire.CausePreempted:
-			// Nothing follows from it: the job is placed again by its records.
+			// No tracker is involved: the records already cause the job to be placed again.
 		}
 	}
 }
 
 const (
-	// finishedSweepInterval is how often RemoveSilentWorkers examines the active jobs.
+	// finishedSweepInterval is how often CompleteFinishedJobs examines the active jobs.
 	finishedSweepInterval = 2 * time.Second
-	// finishedExpiry is how long its changes may wait before they are dropped and asked for again.
+	// finishedExpiry is how long its changes may stay queued before they are dropped; the next sweep requests
+	// them again.
 	finishedExpiry = time.Second
 )
 
-// CompleteFinishedJobs completes, until ctx ends, the jobs whose tasks are all done but that are still
-// active: two controllers recorded their last tasks at the same time, so that neither saw the last one. It
-// has nothing to do with workers; the name is kept for its caller. It returns ctx's error.
+// CompleteFinishedJobs completes, until ctx ends, active jobs whose tasks are all done, and returns ctx's
+// error. Such a job remains active if two controllers recorded its last two tasks at the same time, as neither
+// then saw the last one.
 func (s *HeartbeatServer) CompleteFinishedJobs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, finishedSweepInterval)
--- a/internal/server/dependencies.go
+++ b/internal/server/dependencies.go
@@ -10,22 +10,22 @@
 	"maddermill/wire"
 )
 
-// Reasons why a job can't be accepted for the jobs that it names, joined to ErrUnschedulable.
+// Reasons to reject a job because of its dependencies, joined to ErrUnschedulable.
 var (
 	errUnknownDependency = errors.New("awaits a job that was never accepted")
 	errServiceDependency = errors.New("awaits a service, which is never done")
 )
 
-// dependencies are what is known of the jobs that a submission names.
+// dependencies holds what is known about the dependencies of a submission.
 type dependencies struct {
-	missing  []wire.JobID // that are not on record
+	missing  []wire.JobID // not in the records
 	archived map[wire.JobID]ledger.FinalRecord
 }
 
-// resolveDependencies finds out about the jobs that a submission names. Those that are on record were
-// accepted; the others are looked for in the archive once the records are of a revision after the call, so
-// that one which is in neither was never accepted. The error is ErrUnschedulable joined with the reason, or
-// wraps kvstore.ErrUnreachable if that can't be decided now.
+// resolveDependencies looks up the dependencies of a submission. Those in the records were accepted. The others
+// are looked up in the archive, once the records are of a revision later than the call, so that a job found in
+// neither was never accepted. The error is ErrUnschedulable joined with the reason, or wraps
+// kvstore.ErrUnreachable if the lookup is not possible now.
 func (s *JobServer) resolveDependencies(ctx context.Context, spec *wire.JobSpec) (dependencies, error) {
 	if len(spec.Dependencies) == 0 {
 		return dependencies{}, nil
@@ -54,7 +54,7 @@
 	return known, nil
 }
 
-// finalRecordOf returns the final record by which a job has a status.
+// finalRecordOf returns the final record that corresponds to the status of an archived job.
 func finalRecordOf(status wire.JobStatus) ledger.FinalRecord {
 	if status.Status == wire.Cancelled {
 		return ledger.FinalRecord{State: ledger.Cancelled}
@@ -62,7 +62,7 @@
 	return ledger.FinalRecord{State: ledger.Done}
 }
 
-// dependenciesOnRecord lists the jobs that a submission names and that are not on record. The errors are
+// dependenciesOnRecord returns the dependencies of a submission that are not in the records. The errors are
 // those of resolveDependencies.
 func (s *JobServer) dependenciesOnRecord(spec *wire.JobSpec) (known dependencies, err error) {
 	s.Cache.Lock()
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -1,20 +1,19 @@
-// Package server holds the two parts of a controller that the outside talks to: HeartbeatServer answers
-// the heartbeats of workers, JobServer the requests of users. Package api serves both over HTTP.
+// Package server implements the two services of a controller: HeartbeatServer answers the heartbeats of
+// workers, JobServer the requests of users. Package api serves both over HTTP.
 //
-// A heartbeat passes these steps (HeartbeatServer.Heartbeat): completions are noted, the controller checks
-// that it is entitled to answer (admission.go), sends the worker to another controller where that serves it
+// A heartbeat passes through these steps (HeartbeatServer.Heartbeat): reported completions are logged, the
+// controller checks that it may answer (admission.go), redirects the worker to another controller where that is
 // better (redirect.go, rebalance.go), chooses the fencing token, reconciles the heartbeat with the records
-// (package reconcile), commits what follows from it and the starts that the machine is offered (starts.go,
-// preemptions.go), and answers with commands that follow from the records as they are then.
+// (package reconcile), commits the resulting changes and the starts offered to the machine (starts.go,
+// preemptions.go), and responds with commands derived from the records as they are then.
 //
-// Locking: both servers decide under the lock of the watch cache (Cache.Lock) and release it while they
-// wait for the state service. Whatever was read before such a wait must be checked again after it; the
-// drafts of changes do so, as they run under the lock when the change is committed. Methods that need the
-// lock say so.
+// Locking: both servers make decisions under the lock of the watch cache (Cache.Lock) and release it while they
+// wait for the state service. Whatever was read before such a wait must be checked again afterwards. The drafts
+// of changes do so, as they run under the lock when the change is committed. Methods that need the lock say so.
 //
-// Invariants: a command goes out only under a token that this controller holds, and only while every
-// cancellation that a user may have been answered is in the records (DESIGN, fencing). Nothing is kept here
-// that another controller could not derive from the records and one round of heartbeats.
+// Invariants: a command is sent only under a token that this controller holds, and only while the records
+// contain every cancellation that may have been confirmed to a user (DESIGN, fencing). All state kept here can
+// be derived by another controller from the records and one round of heartbeats.
 package server
 
 import (
@@ -37,22 +36,22 @@
 	"maddermill/wire"
 )
 
-// The HTTP statuses of answers to heartbeats (PROTOCOL).
+// HTTP statuses of the answers to heartbeats (PROTOCOL).
 const (
 	statusOK          = 200
-	statusMisdirected = 421 // another controller should be reported to
-	statusUnavailable = 503 // this controller may not answer
+	statusMisdirected = 421 // the worker should report to another controller
+	statusUnavailable = 503 // this controller may not command the worker
 )
 
-// minCommitWait and maxCommitWait bound how long a heartbeat may wait for its exits and starts to be made
-// durable: longer where the next heartbeat comes later. The worker gives up on an answer after 4 s and
-// drops one that comes later.
+// minCommitWait and maxCommitWait bound how long a heartbeat waits for its exits and starts to become durable.
+// The wait grows with the interval between heartbeats. The worker times out after 4 s and drops a response that
+// arrives later.
 const (
 	minCommitWait = 1500 * time.Millisecond
 	maxCommitWait = 2400 * time.Millisecond
 )
 
-// maxHeartbeatAge is the greatest age at which a heartbeat can arrive and its worker still accepts the answer.
+// maxHeartbeatAge is the maximum age of a heartbeat on arrival for which its worker still accepts the response.
 const maxHeartbeatAge = 5 * time.Second
 
 // HeartbeatAnswer is the answer to a heartbeat: a response, or a status and the controller to report to.
@@ -65,7 +64,7 @@
 // unavailable is the answer of a controller that may not command the worker now.
 var unavailable = HeartbeatAnswer{Status: statusUnavailable}
 
-// HeartbeatServerParts are the components that a HeartbeatServer works with.
+// HeartbeatServerParts are the components that a HeartbeatServer uses.
 type HeartbeatServerParts struct {
 	Cache       *watchcache.Cache
 	Committer   *committer.Committer
@@ -86,11 +85,11 @@
 	log   *slog.Logger
 
 	// The cache's lock guards the fields below.
-	surplus         surplus // workers to pass on to a peer
-	surplusSnapshot int     // number of the scheduler's snapshot that surplus was measured with
+	surplus         surplus // workers to redirect to a peer
+	surplusSnapshot int     // number of the scheduler's snapshot with which surplus was measured
 }
 
-// NewHeartbeatServer returns a server of heartbeats.
+// NewHeartbeatServer returns a server for workers' heartbeats.
 func NewHeartbeatServer(
 	set *settings.Settings,
 	p HeartbeatServerParts,
@@ -100,16 +99,16 @@
 	return &HeartbeatServer{set: set, HeartbeatServerParts: p, stats: stats, log: log}
 }
 
-// records are the replicated records; the cache's lock must be held while they are used.
+// records returns the replicated records. The caller must hold the cache lock while using them.
 func (s *HeartbeatServer) records() *ledger.Ledger { return s.Cache.Records() }
 
-// commitWait is how long a heartbeat may wait for its changes to be made durable.
+// commitWait returns how long a heartbeat may wait for its changes to become durable.
 func (s *HeartbeatServer) commitWait() time.Duration {
 	return min(maxCommitWait, max(minCommitWait, s.set.Cluster.Workers.Report.Duration()*3/10))
 }
 
 // Heartbeat processes one heartbeat and answers it. It blocks for at most commitWait while changes are
-// committed, less if ctx ends.
+// committed, or until ctx ends.
 func (s *HeartbeatServer) Heartbeat(ctx context.Context, hb *wire.Heartbeat) HeartbeatAnswer {
 	receivedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, s.commitWait())
@@ -134,19 +133,19 @@
 	if !ok || w.Stale(hb) {
 		return unavailable
 	}
-	//nolint:contextcheck // a snapshot is taken under the lock and outlives the heartbeat that asks for it
+	//nolint:contextcheck // a snapshot is taken under the lock and outlives the heartbeat that requests it
 	findings := s.reconcile(w, hb, token, receivedAt)
 	if redirect, ok := s.rebalance(w, &findings, receivedAt); ok {
 		return redirect
 	}
 	if !s.commit(ctx, w, hb, &findings, receivedAt) {
-		return unavailable // a newer heartbeat has been processed meanwhile
+		return unavailable // a newer heartbeat has been processed in the meantime
 	}
 	return s.buildResponse(w, hb, receivedAt)
 }
 
-// reconcile compares a heartbeat with the records and notes what it shows of reachability, images and
-// failures. It needs the cache's lock.
+// reconcile compares a heartbeat with the records and updates reachability, images and failures from it. The
+// caller must hold the cache lock.
 func (s *HeartbeatServer) reconcile(
 	w *reconcile.Worker,
 	hb *wire.Heartbeat,
@@ -169,7 +168,8 @@
 		}
 	}
 	if !s.Exchange.Complete(now) {
-		// A peer may have the completions of tasks whose epoch is over; the next heartbeat shows them again.
+		// A peer may hold completions of tasks whose epoch is over. The next heartbeat yields these exits
+		// again.
 		findings.Exits = slices.DeleteFunc(findings.Exits, func(exit reconcile.TaskExit) bool {
 			return exit.Held.Epoch < hb.Epoch && exit.Cause == ""
 		})
@@ -179,9 +179,9 @@
 	return findings
 }
 
-// allMachinesReport reports whether every machine that a job claims has lately sent a heartbeat to some
-// controller. A gang with a machine that is silent would wait until that machine is found to be lost.
-// It needs the cache's lock.
+// allMachinesReport reports whether every machine claimed by a job has recently sent a heartbeat to some
+// controller. A gang with a silent machine would wait until that machine is declared lost. The caller must hold
+// the cache lock.
 func (s *HeartbeatServer) allMachinesReport(job *ledger.Job, now time.Time) bool {
 	snapshot := s.Scheduler.Snapshot(now)
 	all := true
@@ -193,12 +193,12 @@
 	return all
 }
 
-// maxPlacementAttempts is how many times per heartbeat the starts of a machine are decided.
+// maxPlacementAttempts is how many times per heartbeat the starts for a machine are decided.
 const maxPlacementAttempts = 3
 
-// commit has the findings of a heartbeat and the starts of its machine made durable, and waits for that
-// until ctx ends. It reports false if a newer heartbeat of the worker has been processed meanwhile. It
-// needs the cache's lock and releases it while it waits.
+// commit makes the exits proven by a heartbeat and the starts for its machine durable, waiting until ctx ends.
+// It returns false if a newer heartbeat of the worker has been processed in the meantime. The caller must hold
+// the cache lock, which is released during the wait.
 func (s *HeartbeatServer) commit(
 	ctx context.Context,
 	w *reconcile.Worker,
@@ -215,15 +215,15 @@
 			s.Committer.Enqueue(change)
 			waits = append(waits, change)
 		}
-		roomFreed := offer.canReuseFreed && try == 0 && len(findings.Exits) > 0
+		resourcesFreed := offer.canReuseFreed && try == 0 && len(findings.Exits) > 0
 		dropped := s.waitForChanges(ctx, waits)
 		s.uncountStarts(offer.starts)
 		waits = nil
 		now = time.Now()
-		// Starts that were dropped are decided again, and so is the use of room that the recorded exits
-		// freed: else the machine would be idle until its next heartbeat. Where a gang of several tasks
-		// wants the machine (mayOfferFreed is false), the gang is to be placed first.
-		again := dropped && len(offer.starts) > 0 || roomFreed && ctx.Err() == nil
+		// Decide again if starts were dropped, or if recorded exits have freed resources; otherwise the machine
+		// would be idle until its next heartbeat. Where a gang of several tasks has reserved the machine
+		// (canReuseFreed is false), the gang must be placed first.
+		again := dropped && len(offer.starts) > 0 || resourcesFreed && ctx.Err() == nil
 		if !again || now.Sub(receivedAt) > s.commitWait()/2 {
 			break
 		}
@@ -231,8 +231,8 @@
 	return current()
 }
 
-// enqueueFindings enqueues the changes that follow from what a heartbeat proves and returns them. It needs
-// the cache's lock.
+// enqueueFindings enqueues and returns the changes that follow from what a heartbeat proves. The caller must
+// hold the cache lock.
 func (s *HeartbeatServer) enqueueFindings(
 	w *reconcile.Worker,
 	findings *reconcile.Reconciliation,
@@ -251,8 +251,8 @@
 	return changes
 }
 
-// waitForChanges waits, with the cache's lock released, until all changes are durable or dropped, and reports
-// whether any was dropped. When ctx ends first it returns false.
+// waitForChanges waits, with the cache lock released, until all changes are durable or dropped, and reports
+// whether any was dropped. If ctx ends first it returns false.
 func (s *HeartbeatServer) waitForChanges(ctx context.Context, changes []*committer.Change) (dropped bool) {
 	if len(changes) == 0 {
 		return false
@@ -270,8 +270,8 @@
 	return dropped
 }
 
-// buildResponse returns the commands for a worker that follow from the records as they are now. It needs the
-// cache's lock.
+// buildResponse returns the commands for a worker that follow from the current records. The caller must hold
+// the cache lock.
 func (s *HeartbeatServer) buildResponse(w *reconcile.Worker, hb *wire.Heartbeat, receivedAt time.Time) HeartbeatAnswer {
 	now := time.Now()
 	mayStart := now.Sub(s.Cache.SyncedAt()) < settings.StartContact &&
--- a/internal/server/images.go
+++ b/internal/server/images.go
@@ -7,7 +7,8 @@
 	"maddermill/wire"
 )
 
-// observeImages notes the images that the tasks on a machine fetch or use. It needs the cache's lock.
+// observeImages updates the images known to be on a machine with those that its tasks fetch or use. The caller
+// must hold the cache lock.
 func (s *HeartbeatServer) observeImages(w *reconcile.Worker, seen []reconcile.ReportedTask, now time.Time) {
 	images := s.Registry.Images(s.records(), w)
 	for _, task := range seen {
@@ -20,8 +21,8 @@
 	}
 }
 
-// markFetching notes that a machine is about to fetch a job's image, unless it has it already. It needs the
-// cache's lock.
+// markFetching records that a machine is about to fetch a job's image, unless it already has it. The caller
+// must hold the cache lock.
 func (s *HeartbeatServer) markFetching(w *reconcile.Worker, id wire.JobID, now time.Time) {
 	images := s.Registry.Images(s.records(), w)
 	if job := s.records().Job(id); job != nil && !images.Has(job.Spec.Image) {
--- a/internal/server/jobadmission.go
+++ b/internal/server/jobadmission.go
@@ -12,7 +12,7 @@
 	"maddermill/wire"
 )
 
-// Reasons why a job can never run, joined to ErrUnschedulable. Users see their messages.
+// Reasons why a job can never run, joined to ErrUnschedulable. The messages are returned to users.
 var (
 	errNotAdmitted   = errors.New("not admitted by the policy")
 	errUnknownTeam   = errors.New("unknown team")
@@ -20,15 +20,15 @@
 	errNoMachineType = errors.New("no allowed machine type fits a task")
 )
 
-// Indexes into policy.Admission.Names of a job's team, class and image; the team's is the zero value.
+// Indexes into policy.Admission.Names of a job's class and image. The team has index 0, the zero value.
 const (
 	admissionClassName = 1
 	admissionImageName = 2
 )
 
-// Admit returns nil if a job that is not known can run and is admitted now. The error is ErrUnschedulable
-// joined with the reason if it never can, kvstore.ErrUnreachable if that can't be decided yet. It needs the
-// cache's lock.
+// Admit returns nil if a new job can run and is admitted now. The error is ErrUnschedulable joined with the
+// reason if the job can never run, kvstore.ErrUnreachable if that cannot be decided yet. The caller must hold
+// the cache lock.
 func (s *JobServer) Admit(spec *wire.JobSpec, now time.Time) error {
 	if err := s.checkFeasible(spec); err != nil {
 		return err
@@ -36,7 +36,8 @@
 	return s.admitByPolicy(spec, now)
 }
 
-// admitByPolicy asks the active policy, if there is one, whether to admit a job. It needs the cache's lock.
+// admitByPolicy asks the active policy, if there is one, whether to admit a job. The caller must hold the cache
+// lock.
 func (s *JobServer) admitByPolicy(spec *wire.JobSpec, now time.Time) error {
 	if !s.Policies.HasPolicy(s.records()) {
 		return nil
@@ -48,7 +49,7 @@
 		Job:   placement.JobOf(spec, need, wire.UnixMillis(now.UnixMilli())),
 	}
 	admission.Job.Class, admission.Job.Image = admissionClassName, admissionImageName
-	teamSum := ledger.Resources{}.Add(need, spec.Tasks) // of the team's jobs with this one
+	teamSum := ledger.Resources{}.Add(need, spec.Tasks) // resources of the team's jobs, including this one
 	s.records().EachActive(func(job *ledger.Job) {
 		pending := uint32(job.Pending())
 		admission.AllJobs++
@@ -71,18 +72,18 @@
 	return nil
 }
 
-// checkFeasible returns nil if a job can run on some machine type within its team's limit; the errors are those
-// of Admit. It needs the cache's lock.
+// checkFeasible returns nil if a job can run on some machine type within its team's limit. The errors are those
+// of Admit. The caller must hold the cache lock.
 func (s *JobServer) checkFeasible(spec *wire.JobSpec) error {
 	team := s.set.FindTeam(spec.Team)
 	if team == nil {
 		return errors.Join(ErrUnschedulable, errUnknownTeam)
 	}
 	if len(s.records().MachineTypes()) == 0 {
-		return kvstore.ErrUnreachable // the machine types aren't known yet
+		return kvstore.ErrUnreachable // the machine types are not known yet
 	}
 	need := ledger.NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
-	together := spec.Tasks // tasks that must run at the same time
+	together := spec.Tasks // number of tasks that must run at the same time
 	if spec.Shape == wire.Array {
 		together = 1
 	}
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -18,19 +18,19 @@
 	"maddermill/wire"
 )
 
-// Errors that users get as answers. They may be joined with an error that holds the reason.
+// Errors returned to users. They may be joined with an error that states the reason.
 var (
 	ErrNoSuchJob     = errors.New("no such job")
 	ErrUnschedulable = errors.New("can never run")
 )
 
-// maxWaitingForShown is how many of the jobs that a job waits for its status names.
+// maxWaitingForShown bounds the unfinished dependencies that a job's status lists.
 const maxWaitingForShown = 20
 
-// loadWait is how long a submission waits for the records of a controller that has just started.
+// loadWait is how long a submission waits for a controller that has just started to load its records.
 const loadWait = time.Second
 
-// JobServerParts are the components that a JobServer works with.
+// JobServerParts are the components that a JobServer uses.
 type JobServerParts struct {
 	Cache     *watchcache.Cache
 	Committer *committer.Committer
@@ -39,9 +39,9 @@
 	Deadlines *deadlinetracker.Tracker
 }
 
-// JobServer answers users' requests: submissions, polls and cancellations. All are idempotent. An answer
-// is given only after what it says is durable; while that can't be had the error is or wraps
-// kvstore.ErrUnreachable, and the user is to try again.
+// JobServer answers users' requests: submissions, polls and cancellations. All are idempotent. A result is
+// returned only once it is durable; while that is not possible the error is or wraps kvstore.ErrUnreachable,
+// and the user should retry.
 type JobServer struct {
 	set *settings.Settings
 	JobServerParts
@@ -49,12 +49,12 @@
 	log   *slog.Logger
 }
 
-// NewJobServer returns a server of users' requests.
+// NewJobServer returns a server for users' requests.
 func NewJobServer(set *settings.Settings, p JobServerParts, stats *metrics.Set, log *slog.Logger) *JobServer {
 	return &JobServer{set: set, JobServerParts: p, stats: stats, log: log}
 }
 
-// records are the replicated records; the cache's lock must be held while they are used.
+// records returns the replicated records. The caller must hold the cache lock while using them.
 func (s *JobServer) records() *ledger.Ledger { return s.Cache.Records() }
 
 // Loaded reports whether the records have been loaded.
@@ -64,20 +64,20 @@
 	return s.Cache.Loaded()
 }
 
-// waitLoaded waits until the records are loaded, for at most loadWait.
+// waitLoaded waits up to loadWait until the records are loaded.
 func (s *JobServer) waitLoaded(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadWait)
 	defer cancel()
 	return s.Cache.WaitForRevision(ctx, 0)
 }
 
-// Submit accepts a job, or returns the status of one that is known already. created is true if this call
-// made the job durable. The error is ErrUnschedulable with the reason if the job is refused for good.
+// Submit accepts a job, or returns the status of a job that is already known. created is true if this call made
+// the job durable. The error is ErrUnschedulable with the reason if the job is rejected permanently.
 func (s *JobServer) Submit(ctx context.Context, spec *wire.JobSpec) (st wire.JobStatus, created bool, err error) {
 	if err := s.waitLoaded(ctx); err != nil {
 		return st, false, err
 	}
-	//nolint:contextcheck // the policy is asked under the lock, within its own time limit
+	//nolint:contextcheck // the policy runs under the lock, within its own time limit
 	known, refusal := s.checkSubmission(spec)
 	if !known && refusal == nil {
 		refusal = s.accept(ctx, spec)
@@ -86,11 +86,11 @@
 	case !known && refusal == nil:
 		return s.acceptedStatus(spec.ID), true, nil
 	case errors.Is(refusal, ledger.ErrPreconditionFailed):
-		refusal = nil // the job was submitted elsewhere meanwhile
-	case refusal != nil && !refusedForGood(refusal):
+		refusal = nil // another controller accepted the job in the meantime
+	case refusal != nil && !permanentRefusal(refusal):
 		return st, false, refusal
 	}
-	// A job that was accepted is never refused later, whatever has changed since.
+	// An accepted job is never rejected later, whatever has changed since.
 	st, err = s.Status(ctx, spec.ID)
 	if refusal != nil && errors.Is(err, ErrNoSuchJob) {
 		err = refusal
@@ -98,13 +98,14 @@
 	return st, false, err
 }
 
-// refusedForGood reports whether a submission was refused for what it says, and not for now.
-func refusedForGood(refusal error) bool {
+// permanentRefusal reports whether a submission was rejected because of its content rather than a temporary
+// condition.
+func permanentRefusal(refusal error) bool {
 	return errors.Is(refusal, ErrUnschedulable) || errors.Is(refusal, ledger.ErrTooManyDependencies)
 }
 
-// accept makes a job durable that the records don't know and that may run. The error is that of
-// commitSubmission, or says why the job can't be accepted for the jobs that it names.
+// accept makes a job durable that passed checkSubmission. The error is that of commitSubmission, or states why
+// the job cannot be accepted with its dependencies.
 func (s *JobServer) accept(ctx context.Context, spec *wire.JobSpec) error {
 	named, err := s.resolveDependencies(ctx, spec)
 	if err != nil {
@@ -113,7 +114,8 @@
 	return s.commitSubmission(ctx, spec, named)
 }
 
-// checkSubmission reports whether the records know a job and, if not, why it can't be accepted; nil if it can.
+// checkSubmission reports whether the records contain a job and, if not, why it cannot be accepted; refusal is
+// nil if it can.
 func (s *JobServer) checkSubmission(spec *wire.JobSpec) (known bool, refusal error) {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
@@ -124,9 +126,9 @@
 	return false, s.Admit(spec, time.Now())
 }
 
-// commitSubmission makes a job durable. The error is ledger.ErrPreconditionFailed if the job has become
-// known meanwhile, ErrUnschedulable if its record would be too large, ledger.ErrTooManyDependencies if that is
-// for the jobs that it names.
+// commitSubmission makes a job durable. The error is ledger.ErrPreconditionFailed if the job has been accepted
+// in the meantime, ErrUnschedulable if its record would be too large, or ledger.ErrTooManyDependencies if its
+// dependencies make it too large.
 func (s *JobServer) commitSubmission(ctx context.Context, spec *wire.JobSpec, named dependencies) error {
 	at := wire.UnixMillis(time.Now().UnixMilli())
 	err := s.Committer.CommitNow(ctx, func(txn *ledger.Transaction) error {
@@ -145,15 +147,15 @@
 		return nil
 	case errors.Is(err, ledger.ErrTooLarge):
 		return errors.Join(ErrUnschedulable, err)
-	case errors.Is(err, ledger.ErrUnknownDependency): // one was archived meanwhile
+	case errors.Is(err, ledger.ErrUnknownDependency): // a dependency was archived in the meantime
 		return errors.Join(kvstore.ErrUnreachable, err)
 	}
 	return err
 }
 
-// acceptedStatus is the status of a job that this controller has just made durable, by the records as they
-// are now: where the state service answered slowly, another controller may have answered the user with a
-// later status.
+// acceptedStatus returns the current status, by the records, of a job that this controller has just made
+// durable. If the state service was slow, another controller may already have returned a later status to the
+// user.
 func (s *JobServer) acceptedStatus(id wire.JobID) wire.JobStatus {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
@@ -166,9 +168,9 @@
 	return wire.JobStatus{ID: id, Status: wire.Queued}
 }
 
-// Status returns the status of a job, at least as new as the call (a linearizable read). Final statuses
-// that are cached are returned without a read of the state service, as they never change. The error is
-// ErrNoSuchJob if the job is not known.
+// Status returns the status of a job, at least as recent as the call (a linearizable read). Cached final
+// statuses are returned without reading the state service, as they never change. The error is ErrNoSuchJob if
+// the job is not known.
 func (s *JobServer) Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	s.Cache.Lock()
 	final, archived := s.records().ArchivedState(id)
@@ -186,12 +188,12 @@
 	if st, ok := s.recordedStatus(id); ok {
 		return st, nil
 	}
-	// The records are of a revision after the call, so that the job was either archived, which the
-	// archive's filter then shows, or is unknown.
+	// The records are of a revision after the call, so the job either was archived, and the archive's filter
+	// contains it, or is unknown.
 	return s.Archived(ctx, id)
 }
 
-// recordedStatus is the status of a job by the records, if they hold it.
+// recordedStatus returns the status of a job by the records, if they contain it.
 func (s *JobServer) recordedStatus(id wire.JobID) (wire.JobStatus, bool) {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
@@ -211,8 +213,8 @@
 	return status, true
 }
 
-// Cancel cancels a job and returns its final status: cancelled, or done if it was done before. The error is
-// ErrNoSuchJob if the job is not known, kvstore.ErrUnreachable if the end is not yet durable.
+// Cancel cancels a job and returns its final status: cancelled, or done if it had completed before. The error
+// is ErrNoSuchJob if the job is not known, kvstore.ErrUnreachable if the final status is not yet durable.
 func (s *JobServer) Cancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	st, err := s.Status(ctx, id)
 	if err != nil || isFinal(st.Status) {
@@ -229,8 +231,8 @@
 	return wire.JobStatus{ID: id, Status: st.Status}, nil
 }
 
-// commitCancellation makes the cancellation of a job durable. A record that an earlier version wrote larger
-// than the state service takes by now is first written in parts.
+// commitCancellation makes the cancellation of a job durable. If an earlier version wrote a record larger than
+// the state service now accepts, the record is first rewritten in parts.
 func (s *JobServer) commitCancellation(ctx context.Context, id wire.JobID) error {
 	for {
 		err := s.commitOnJob(ctx, id, func(txn *ledger.Transaction, job *ledger.Job) error {
@@ -246,8 +248,8 @@
 	}
 }
 
-// commitOnJob commits a change of a job on record. The error is ledger.ErrPreconditionFailed if it is not: it
-// ended since and was archived.
+// commitOnJob commits a change to a job in the records. The error is ledger.ErrPreconditionFailed if the job is
+// not there because it has ended and was archived.
 func (s *JobServer) commitOnJob(
 	ctx context.Context,
 	id wire.JobID,
@@ -262,11 +264,11 @@
 	})
 }
 
-// isFinal reports whether a job's status can't change any more.
+// isFinal reports whether a job's status can no longer change.
 func isFinal(status wire.Status) bool { return status == wire.Done || status == wire.Cancelled }
 
-// Archived returns the final status of a job that the records, which must be fresh, don't hold. The error
-// is ErrNoSuchJob if the archive does not hold it either, else it wraps kvstore.ErrUnreachable.
+// Archived returns the final status of a job that is not in the records, which must be up to date. The error is
+// ErrNoSuchJob if the archive does not contain it either; other errors wrap kvstore.ErrUnreachable.
 func (s *JobServer) Archived(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	st, err := s.Archiver.Final(ctx, id)
 	switch {
--- a/internal/server/preemptions.go
+++ b/internal/server/preemptions.go
@@ -8,9 +8,9 @@
 	"maddermill/wire"
 )
 
-// preemptGangs returns the changes that preempt the gangs with tasks on a machine that the cloud reclaims.
-// The whole gang is stopped at once, as it can save a checkpoint only if all its tasks stop nearly
-// together. It needs the cache's lock.
+// preemptGangs returns the changes that preempt the gangs with tasks on a machine that the cloud provider
+// reclaims. The whole gang is stopped at once, as it can save a checkpoint only if all its tasks stop at nearly
+// the same time. The caller must hold the cache lock.
 func (s *HeartbeatServer) preemptGangs(machine wire.MachineID) []*committer.Change {
 	var changes []*committer.Change
 	for _, claim := range s.records().ClaimsOn(machine) {
--- a/internal/server/rebalance.go
+++ b/internal/server/rebalance.go
@@ -7,19 +7,19 @@
 	"maddermill/wire"
 )
 
-// A controller's share of the change budget, of the processor and of the sockets pays for the workers
-// that report to it. Workers leave a controller by themselves only when it fails, so that after some
-// failures one controller would serve nearly all of them. Rebalancing passes some on to the peer that
-// serves the fewest.
+// The workers that report to a controller use its share of the change budget, its CPU and its sockets. Workers
+// leave a controller on their own only when it fails, so after several failures one controller would serve
+// nearly all of them. Rebalancing redirects some of its workers to the peer with the fewest.
 
-// surplus is how many workers a controller should pass on, and to which peer.
+// surplus is how many workers a controller should redirect, and to which peer.
 type surplus struct {
 	count int
 	to    wire.MemberID
 }
 
-// measureSurplus compares the number of workers that report here with those of the synced peers. Up to a
-// fifth more than the mean is left alone, as a redirect costs a heartbeat. It needs the cache's lock.
+// measureSurplus compares the number of workers that report here with the numbers of the synced peers. Up to a
+// fifth above the mean is tolerated, as a redirect costs the worker a heartbeat. The caller must hold the cache
+// lock.
 func (s *HeartbeatServer) measureSurplus(now time.Time) surplus {
 	recent := 2*s.set.Cluster.Workers.Report.Duration() + time.Second
 	mine := 0
@@ -48,12 +48,12 @@
 	if to == "" || over <= 0 {
 		return surplus{}
 	}
-	return surplus{count: max(1, over/5), to: to} // a few at a time: the next snapshot shows the effect
+	return surplus{count: max(1, over/5), to: to} // gradually: the next snapshot shows the effect
 }
 
-// rebalance redirects a worker to another controller if this one serves too many and the worker has no
-// start or exit under way that the redirect would delay. The surplus is measured once per snapshot of the
-// scheduler. It needs the cache's lock.
+// rebalance redirects a worker to another controller if this one serves too many and the worker has no start or
+// exit in progress that the redirect would delay. The surplus is measured once per scheduler snapshot. The
+// caller must hold the cache lock.
 func (s *HeartbeatServer) rebalance(
 	w *reconcile.Worker,
 	findings *reconcile.Reconciliation,
--- a/internal/server/rebalance_test.go
+++ b/internal/server/rebalance_test.go
@@ -13,10 +13,11 @@
 	"maddermill/wire"
 )
 
-// TestRebalance: a controller that serves most of the workers passes some on, to the one that serves the
-// fewest, a few at a time and each at most once per redirectInterval; one with its share keeps them, and so
-// does one whose peers are not synced. After two of three controllers had ended, the third once served nine
-// of ten workers, and its share of changes was the bound of the whole cluster.
+// TestRebalance checks that a controller that serves most of the workers redirects some to the one that serves
+// the fewest, a few at a time and each worker at most once per redirectInterval. A controller with a fair
+// share, or whose peers are not synced, redirects none. Without this, after two of three controllers had
+// failed, the third once served nine of ten workers, and its share of the change budget limited the whole
+// cluster.
 func TestRebalance(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -25,8 +26,8 @@
 		redirected int           // per snapshot
 		to         wire.MemberID
 	}{
-		{"all here", [2]int{0, 4}, 0, 3, "m-1"},
-		{"shared", [2]int{28, 31}, 0, 0, ""},
+		{"most workers here", [2]int{0, 4}, 0, 3, "m-1"},
+		{"evenly shared", [2]int{28, 31}, 0, 0, ""},
 		{"peers not synced", [2]int{0, 0}, time.Minute, 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -70,8 +71,8 @@
 	return NewHeartbeatServer(p.Set, parts, p.Stats, p.Log)
 }
 
-// heartbeatAll sends one heartbeat of each of 30 workers and returns how many were redirected, and to which
-// member the last of them.
+// heartbeatAll sends one heartbeat from each of 30 workers and returns how many were redirected, and to which
+// member the last one was.
 func heartbeatAll(t *testing.T, s *HeartbeatServer, sequence wire.HeartbeatSequence) (n int, to wire.MemberID) {
 	t.Helper()
 	const workers = 30
@@ -83,19 +84,19 @@
 	return n, to
 }
 
-// testHeartbeat is a heartbeat of the worker with a number.
+// testHeartbeat returns a heartbeat of the worker with the given number.
 func testHeartbeat(worker int, sequence wire.HeartbeatSequence) *wire.Heartbeat {
 	id := wire.MachineID(fmt.Sprint("host-", worker))
 	return &wire.Heartbeat{Machine: id, Epoch: 1, Sequence: sequence, FencingToken: 1}
 }
 
-// checkNotRedirected checks, on a server with a large surplus, that neither a worker that was redirected a
-// moment ago nor one with a start under way is redirected.
+// checkNotRedirected checks, on a server with a large surplus, that neither a recently redirected worker nor
+// one with a start in progress is redirected.
 func checkNotRedirected(t *testing.T, s *HeartbeatServer) {
 	t.Helper()
 	s.surplus.count = 100
 	if a := s.Heartbeat(t.Context(), testHeartbeat(0, 3)); a.Status != statusOK {
-		t.Errorf("status %d for a worker that was redirected and came back, want 200", a.Status)
+		t.Errorf("status %d for a worker that returned after a redirect, want 200", a.Status)
 	}
 	s.records().Apply(ledger.Event{
 		Key:     "mm1/j/wk-000001",
@@ -105,6 +106,6 @@
 	})
 	a := s.Heartbeat(t.Context(), testHeartbeat(20, 3))
 	if a.Status != statusOK || len(a.Response.Commands) != 1 {
-		t.Errorf("answer %+v for a worker whose start is under way, want 200 and one command", a)
+		t.Errorf("answer %+v for a worker with a start in progress, want 200 and one command", a)
 	}
 }
--- a/internal/server/reconcile/claims.go
+++ b/internal/server/reconcile/claims.go
@@ -7,7 +7,8 @@
 	"maddermill/wire"
 )
 
-// What a claim implies for its tasks, by the records and by what is known of the worker.
+// The predicates in this file decide what a claim implies for its tasks, given the records and the state of the
+// worker.
 
 // shouldRun reports whether a claim's tasks should be on the machine.
 func shouldRun(claim *ledger.HeldClaim) bool {
@@ -16,34 +17,34 @@
 		(job.Spec.Shape != wire.Gang || job.Stop < claim.Attempt)
 }
 
-// gangWaitTimedOut reports whether a task exited as its gang did not become complete in time.
+// gangWaitTimedOut reports whether a task exited because its gang did not become complete in time.
 func gangWaitTimedOut(status *wire.TaskStatus) bool {
 	return status.State == wire.TaskExited && status.Cause == wire.CauseGangIncomplete
 }
 
-// canRejoin reports whether a task gave up waiting for a gang that is still wanted and has all its tasks, by
-// a heartbeat that no other controller's command can have overtaken. In a gang that lacks a task it would
-// wait forever.
+// canRejoin reports whether a task timed out waiting for a gang that should still run and has all its tasks, as
+// shown by a heartbeat sent after the worker accepted this controller's token, so that no other controller's
+// command can have superseded it. In a gang that lacks a task it would wait forever.
 func (w *Worker) canRejoin(claim *ledger.HeldClaim, status *wire.TaskStatus) bool {
 	return gangWaitTimedOut(status) && w.Fresh && shouldRun(claim) && claim.Job.AllClaimedOrDone()
 }
 
-// shouldRejoin reports whether a task that gave up waiting for its gang is to wait on under the same attempt.
-// Otherwise a gang of which some machines fetch its image for longer than a task waits would be stopped,
-// fetches and all, and begin again forever. Only the controller whose token the claim names may decide that;
-// for all others the worker's exit is proof.
+// shouldRejoin reports whether a task that timed out waiting for its gang should resume waiting under the same
+// attempt. Otherwise a gang in which some machines fetch the image for longer than a task waits would be
+// stopped, fetches included, and restart forever. Only the controller whose token the claim names may decide
+// this; for all others the worker's exit is proof.
 func (w *Worker) shouldRejoin(claim *ledger.HeldClaim, status *wire.TaskStatus) bool {
 	return claim.Token == w.CommandToken && w.canRejoin(claim, status)
 }
 
-// canStart reports whether a task that is not on the machine may begin there all the same, whichever
-// controller claimed it: it is of a gang that has all its tasks.
+// canStart reports whether a task that is not on the machine may still start there, whichever controller
+// claimed it: it belongs to a gang that has all its tasks.
 func (w *Worker) canStart(claim *ledger.HeldClaim) bool {
 	return claim.Job.GangSize() > 1 && w.ReclaimAt.IsZero() && shouldRun(claim) && claim.Job.AllClaimedOrDone()
 }
 
-// startWithdrawn reports whether this controller alone could have sent the start of a claimed task that is not on
-// the machine, and will not send it any more.
+// startWithdrawn reports whether only this controller could have sent the start of a claimed task that is not
+// on the machine, and will not send it any more.
 func (w *Worker) startWithdrawn(claim *ledger.HeldClaim, task *trackedTask) bool {
 	if claim.Token == w.CommandToken &&
 		(w.Fresh && !shouldRun(claim) || task.startWithheldBefore || w.reachability.unreachable) {
--- a/internal/server/reconcile/commands.go
+++ b/internal/server/reconcile/commands.go
@@ -8,19 +8,19 @@
 	"maddermill/wire"
 )
 
-// stopMargin is added to the time that a job needs to save a checkpoint, in the grace of its stop.
+// stopMargin is added to the time that a job needs to save a checkpoint, to give the grace period of its stop.
 const stopMargin wire.Seconds = 1
 
-// Commands returns the answer to the heartbeat reconciled last, hb, by the claims as they are in the records
-// now. Starts go only to claims under the token that the answer carries; mayStart is false while the records
-// may lack a cancellation. total are the resources of the machine, zero if they aren't known.
+// Commands returns the commands in response to hb, the most recently reconciled heartbeat, given the current
+// claims. Starts are sent only for claims under the token that the response carries; mayStart is false while
+// the records may lack a cancellation. total is the resources of the machine, or zero if they are not known.
 func (w *Worker) Commands(
 	hb *wire.Heartbeat,
 	held []ledger.HeldClaim,
 	total ledger.Resources,
 	mayStart bool,
 ) []wire.Command {
-	commands := []wire.Command{} // not nil: it is written as [] if empty
+	commands := []wire.Command{} // not nil, so that it is encoded as [] if empty
 	absent := w.claimedTasks(held)
 	for i := range hb.Tasks {
 		status := &hb.Tasks[i]
@@ -35,7 +35,7 @@
 	return w.appendStarts(commands, held, absent, total)
 }
 
-// claimedTasks returns the claims of this epoch by task.
+// claimedTasks returns the claims of the current epoch, indexed by task.
 func (w *Worker) claimedTasks(held []ledger.HeldClaim) map[taskKey]*ledger.HeldClaim {
 	claims := make(map[taskKey]*ledger.HeldClaim, len(held))
 	for c := range held {
@@ -51,7 +51,7 @@
 }
 
 // appendForReported appends the commands for a task that the machine reports; claim is nil if the records
-// hold none of it.
+// contain no claim of it.
 func (w *Worker) appendForReported(
 	commands []wire.Command,
 	claim *ledger.HeldClaim,
@@ -64,8 +64,9 @@
 		w.markStartSent(key)
 		return append(commands, newCommand(wire.OpForget, key), newCommand(wire.OpStart, key))
 	case status.State == wire.TaskExited:
-		// Without a claim the exit is on record, if the records are at least as new as our token; only a
-		// worker that has accepted the token can have no newer claim by another controller.
+		// Without a claim the exit is already recorded, provided that the records are at least as recent as
+		// this controller's token. A newer claim by another controller is ruled out only if the worker has
+		// accepted the token.
 		if claim == nil && w.Fresh {
 			return append(commands, newCommand(wire.OpForget, key))
 		}
@@ -74,18 +75,18 @@
 			return append(commands, newStopCommand(key, 0))
 		}
 	case claim.Job.State == ledger.Cancelled || claim.Job.Cancelling:
-		return append(commands, newStopCommand(key, 0)) // a checkpoint would be of no use
+		return append(commands, newStopCommand(key, 0)) // no need to save a checkpoint
 	case !shouldRun(claim) || w.task(key).stopRequested || !w.ReclaimAt.IsZero():
 		return append(commands, newStopCommand(key, claim.Job.Spec.Save+stopMargin))
 	}
 	return commands
 }
 
-// appendStarts appends the starts of claimed tasks that the machine doesn't report.
+// appendStarts appends the starts of claimed tasks that the machine does not report.
 //
-// Two controllers may have claimed the same room at the same time. The worker would refuse the second start,
-// so that only what fits is sent: the largest gangs first, as a gang would lose all its other tasks. What
-// does not fit is withheld, unless its start was sent before.
+// Two controllers may have claimed the same resources at the same time. The worker would refuse the second
+// start, so only what fits is sent, the largest gangs first, as a refusal would cost a gang all its other
+// tasks. Starts that do not fit are withheld, unless they were sent before.
 func (w *Worker) appendStarts(
 	commands []wire.Command,
 	held []ledger.HeldClaim,
@@ -111,8 +112,8 @@
 	return commands
 }
 
-// startable returns the claims with absent tasks that this controller may start, the largest gangs first,
-// and the resources that the reported tasks leave of total.
+// startable returns the claims with absent tasks that this controller may start, the largest gangs first, and
+// the part of total that the reported tasks leave free.
 func (w *Worker) startable(
 	held []ledger.HeldClaim,
 	absent map[taskKey]*ledger.HeldClaim,
@@ -141,18 +142,18 @@
 	return starts, free
 }
 
-// markStartSent notes that the answer to the latest heartbeat carries a start.
+// markStartSent records that the response to the latest heartbeat carries a start.
 func (w *Worker) markStartSent(key taskKey) {
 	task := w.track(key)
 	task.startSent, task.startSequence = true, w.Sequence
 }
 
-// newCommand is a newCommand without a grace.
+// newCommand returns a command without a grace period.
 func newCommand(op wire.Op, key taskKey) wire.Command {
 	return wire.Command{Op: op, Task: key.task, Attempt: key.attempt}
 }
 
-// newStopCommand stops a task that may go on for a grace to save a checkpoint.
+// newStopCommand returns the command that stops a task, with a grace period in which it may save a checkpoint.
 func newStopCommand(key taskKey, grace wire.Seconds) wire.Command {
 	stop := newCommand(wire.OpStop, key)
 	stop.Grace = &grace
--- a/internal/server/reconcile/commands_test.go
+++ b/internal/server/reconcile/commands_test.go
@@ -8,7 +8,7 @@
 	"maddermill/wire"
 )
 
-// TestCommands: the command for one task, claimed or not, as its machine reports it.
+// TestCommands checks the command for one task, claimed or not, by the state that its machine reports.
 func TestCommands(t *testing.T) {
 	absent := heartbeat(1, 9, ownToken)
 	running := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
@@ -21,15 +21,15 @@
 		want     wire.Op // "" for none
 	}{
 		{"start", claimOf(1, ownToken, ""), absent, true, wire.OpStart},
-		{"no start while a cancellation may be missed", claimOf(1, ownToken, ""), absent, false, ""},
+		{"no start while the records may lack a cancellation", claimOf(1, ownToken, ""), absent, false, ""},
 		{"no start for a claim under another token", claimOf(1, 6, ""), absent, true, ""},
 		{"no start for a claim of another epoch", claimOf(2, ownToken, ""), absent, true, ""},
 		{"no start for a cancelled job", claimOf(1, ownToken, ledger.Cancelled), absent, true, ""},
 		{"no second start", claimOf(1, ownToken, ""),
 			heartbeat(1, 9, ownToken, status(wire.TaskFetching, testAttempt)), true, ""},
 		{"stop of a cancelled job at once", claimOf(1, ownToken, ledger.Cancelled), running, true, wire.OpStop},
-		{"an exit on record is forgotten", nil, exited, true, wire.OpForget},
-		{"an exit not yet on record is kept", claimOf(1, ownToken, ""), exited, true, ""},
+		{"a recorded exit is forgotten", nil, exited, true, wire.OpForget},
+		{"an unrecorded exit is kept", claimOf(1, ownToken, ""), exited, true, ""},
 		{"an exit is kept while another controller may have claimed it", nil,
 			heartbeat(1, 9, 6, status(wire.TaskExited, testAttempt)), true, ""},
 		{"a task without a claim is stopped", nil, running, true, wire.OpStop},
@@ -43,13 +43,14 @@
 				got = commands[0].Op
 			}
 			if got != tc.want || len(commands) > 1 || got == wire.OpStop && *commands[0].Grace != 0 {
-				t.Errorf("commands %+v, want %q, without grace", commands, tc.want)
+				t.Errorf("commands %+v, want %q without a grace period", commands, tc.want)
 			}
 		})
 	}
 }
 
-// TestStopBeforeReclaim: before the cloud reclaims its machine a task gets time to save a checkpoint.
+// TestStopBeforeReclaim checks that a task gets time to save a checkpoint before the cloud provider reclaims
+// its machine.
 func TestStopBeforeReclaim(t *testing.T) {
 	notice := wire.Seconds(5)
 	hb := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
@@ -58,11 +59,12 @@
 	w.Reconcile(hb, claimOf(1, ownToken, ""), ownToken, time.Time{})
 	commands := w.Commands(hb, claimOf(1, ownToken, ""), ledger.Resources{}, true)
 	if len(commands) != 1 || commands[0].Op != wire.OpStop || *commands[0].Grace < 2 {
-		t.Errorf("commands %+v, want a stop with a grace of 2 s or more", commands)
+		t.Errorf("commands %+v, want a stop with a grace period of at least 2 s", commands)
 	}
 }
 
-// TestStopPreempted: a task that Stop marks is stopped by the next answer, with time to save a checkpoint.
+// TestStopPreempted checks that a task marked by RequestStop is stopped by the next response, with time to save a
+// checkpoint.
 func TestStopPreempted(t *testing.T) {
 	hb := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
 	claims := claimOf(1, ownToken, "")
@@ -72,12 +74,12 @@
 	w.Reconcile(hb, claims, ownToken, time.Time{})
 	commands := w.Commands(hb, claims, ledger.Resources{}, true)
 	if len(commands) != 1 || commands[0].Op != wire.OpStop || *commands[0].Grace != 3 {
-		t.Errorf("commands %+v, want a stop with a grace of 3 s", commands)
+		t.Errorf("commands %+v, want a stop with a grace period of 3 s", commands)
 	}
 }
 
-// TestConflictingClaims: of two claims of the same room only one is sent, the gang's, and the other is proven
-// over with the next heartbeat: it was never sent.
+// TestConflictingClaims checks that of two claims of the same resources only the gang's is sent. The next
+// heartbeat proves that the other, which was never sent, has ended.
 func TestConflictingClaims(t *testing.T) {
 	claims := append(claimOf(1, ownToken, ""), claimOf(1, ownToken, "")...)
 	for i := range claims {
@@ -90,15 +92,15 @@
 	w := NewWorker(hb, nil, time.Time{})
 	w.Reconcile(hb, claims, ownToken, time.Time{})
 	if commands := w.Commands(hb, claims, total, true); len(commands) != 1 || commands[0].Task.Job != gang.ID {
-		t.Fatalf("commands %+v, want the gang's start alone", commands)
+		t.Fatalf("commands %+v, want only the gang's start", commands)
 	}
 	fetching := wire.TaskStatus{Task: wire.TaskID{Job: gang.ID}, Attempt: testAttempt, State: wire.TaskFetching}
 	hb = heartbeat(1, 10, ownToken, fetching)
-	f := w.Reconcile(hb, claims, ownToken, time.Time{})
-	if len(f.Exits) != 1 || f.Exits[0].Held.Job.ID != testKey.task.Job {
-		t.Errorf("exits %+v, want the one never sent", f.Exits)
+	r := w.Reconcile(hb, claims, ownToken, time.Time{})
+	if len(r.Exits) != 1 || r.Exits[0].Held.Job.ID != testKey.task.Job {
+		t.Errorf("exits %+v, want only the task that was never sent", r.Exits)
 	}
 	if commands := w.Commands(hb, claims, total, true); len(commands) != 0 {
-		t.Errorf("commands %+v while the claim of the one never sent still stands, want none", commands)
+		t.Errorf("commands %+v while the claim that was never sent remains, want none", commands)
 	}
 }
--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -10,8 +10,8 @@
 	"maddermill/wire"
 )
 
-// ExitChanges returns the changes that record exits, one for each job, in the order in which the jobs first
-// occur. It and the drafts of the changes need the cache's lock.
+// ExitChanges returns the changes that record exits, one per job, in the order in which the jobs first occur.
+// The caller must hold the cache lock, also when the drafts of the changes run.
 func ExitChanges(cache *watchcache.Cache, exits []TaskExit) []*committer.Change {
 	exitsByJob := map[*ledger.Job][]TaskExit{}
 	var order []*ledger.Job
@@ -42,16 +42,16 @@
 	return changes
 }
 
-// exitGroup is what tasks have in common that one release records: they were started together and ended
-// alike.
+// exitGroup is what the tasks recorded by one release have in common: they were started together and ended in
+// the same way.
 type exitGroup struct {
-	claim     ledger.Claim // without First and Count: the pieces of one start go together
+	claim     ledger.Claim // without First and Count, so that all tasks of one start form a group
 	taskRange int
 	done      bool
 }
 
-// draftExits adds a job's exits to a transaction. The error is ErrPreconditionFailed if none is left to
-// record, any other if the transaction can't take them.
+// draftExits adds a job's exits to a transaction. The error is ErrPreconditionFailed if none is left to record;
+// any other error means that the transaction cannot take them.
 func draftExits(records *ledger.Ledger, txn *ledger.Transaction, id wire.JobID, exits []TaskExit) error {
 	job := records.Job(id)
 	if job == nil {
@@ -87,15 +87,15 @@
 		if _, err := txn.CompleteGang(job, group.claim.Attempt); err == nil {
 			return nil
 		}
-		// Else task by task: the whole gang may be more than fits into the transaction.
+		// Otherwise record task by task: the whole gang may not fit into the transaction.
 	}
 	if _, err := txn.ReleaseTasks(job, group.claim, tasks, ledger.TaskEnd(group.done)); err != nil {
 		return err
 	}
 	if !group.done && inGang && job.State == ledger.Active {
-		// The gang has lost a task: the others stop, save a checkpoint if they still can, and all start
-		// again together. An error is no loss: the gang is being stopped already, or its tasks find out by
-		// themselves that they lack a peer. The release stands all the same.
+		// The gang has lost a task: the others stop, save a checkpoint if they still can, and all restart
+		// together. An error can be ignored: either the gang is already being stopped, or its tasks detect on
+		// their own that a peer is missing. The release remains valid in any case.
 		_ = txn.PreemptGang(job, group.claim.Attempt)
 	}
 	return nil
--- a/internal/server/reconcile/reachability_test.go
+++ b/internal/server/reconcile/reachability_test.go
@@ -8,18 +8,18 @@
 	"maddermill/wire"
 )
 
-// The time between heartbeats of these tests, and the lease less the age that a heartbeat may have.
+// The interval between heartbeats in these tests, and the lease less the maximum age of a heartbeat.
 const (
 	testInterval = 3 * time.Second
 	testMinLease = 25 * time.Second
 )
 
-// heartbeatTime is the time at which the i-th heartbeat comes.
+// heartbeatTime returns the time at which the i-th heartbeat arrives.
 func heartbeatTime(i int) time.Time {
 	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(i) * testInterval)
 }
 
-// answerResult is what came of a heartbeat that was answerResult.
+// answerResult is the outcome of a heartbeat that was answered.
 type answerResult struct {
 	exits, commands int
 	unreachable     bool
@@ -27,14 +27,14 @@
 
 // answer processes the i-th heartbeat under a token and answers it.
 func answer(w *Worker, claims []ledger.HeldClaim, i int, hb *wire.Heartbeat, token wire.FencingToken) answerResult {
-	f := w.Reconcile(hb, claims, token, heartbeatTime(i))
+	r := w.Reconcile(hb, claims, token, heartbeatTime(i))
 	commands := w.Commands(hb, claims, ledger.Resources{}, true)
 	w.ObserveAnswered(heartbeatTime(i))
-	return answerResult{exits: len(f.Exits), commands: len(commands), unreachable: w.Unreachable()}
+	return answerResult{exits: len(r.Exits), commands: len(commands), unreachable: w.Unreachable()}
 }
 
-// unreachableWorker is a worker that was found unreachable at its 6th heartbeat: the start of a second
-// attempt was lost twice.
+// unreachableWorker returns a worker that was found unreachable at its 6th heartbeat, after the start of a
+// second attempt was lost twice.
 func unreachableWorker(t *testing.T) (*Worker, []ledger.HeldClaim) {
 	t.Helper()
 	claims := claimOf(1, ownToken, "")
@@ -48,11 +48,11 @@
 	}
 	answer(w, claims, 2, heartbeat(1, 2, ownToken), ownToken) // the start was lost once
 	if w.Unreachable() {
-		t.Fatal("unreachable after one lost answer")
+		t.Fatal("unreachable after one lost response")
 	}
 	answer(w, claims, 3, heartbeat(1, 3, ownToken, status(wire.TaskRunning, testAttempt)), ownToken)
 	if w.Unreachable() || w.reachability.ineffectiveAnswers != 0 {
-		t.Fatal("an answer that arrived does not count")
+		t.Fatal("still unreachable or counting lost responses after a response arrived")
 	}
 	claims[0].Attempt, claims[0].First = testAttempt+1, 0
 	answer(w, claims, 4, heartbeat(1, 4, ownToken), ownToken)
@@ -64,16 +64,16 @@
 	return w, claims
 }
 
-// TestUnreachable: one lost answer makes no machine unreachable, two in a row do; only a token that the
-// worker had not shown proves that answers arrive. What was released of an unreachable machine is not sent
-// again when it is reachable.
+// TestUnreachable checks that two lost responses in a row make a machine unreachable, but a single one does
+// not, and that only a token that the worker had not shown before proves that responses arrive. Tasks released
+// while the machine was unreachable must not be sent again once it is reachable.
 func TestUnreachable(t *testing.T) {
 	w, claims := unreachableWorker(t)
 	if got := w.UnreachableFor(heartbeatTime(7)); got != testInterval {
 		t.Errorf("unreachable for %v, want %v", got, testInterval)
 	}
 	if w.ProvesReachable(ownToken) || !w.ProvesReachable(ownToken+1) {
-		t.Fatal("a token that it has shown proves that answers arrive, or one that it has not does not")
+		t.Fatal("ProvesReachable is true for a token already shown, or false for a new one")
 	}
 	got := answer(w, claims, 7, heartbeat(1, 7, ownToken), ownToken+1)
 	if want := (answerResult{exits: 1, unreachable: true}); got != want {
@@ -81,34 +81,34 @@
 	}
 	got = answer(w, claims, 8, heartbeat(1, 8, ownToken+1), ownToken+1)
 	if got.unreachable || got.commands != 0 {
-		t.Fatalf("once it has shown the token: %+v, want reachable and no commands", got)
+		t.Fatalf("after the worker has shown the token: %+v, want reachable and no commands", got)
 	}
 }
 
-// TestEpochWithinLease: an epoch that begins within a lease of an answered heartbeat makes a machine
-// unreachable until it shows a newer token; one that begins later does not.
+// TestEpochWithinLease checks that an epoch that starts within a lease of an answered heartbeat makes a machine
+// unreachable until it shows a newer token, and that a later one does not.
 func TestEpochWithinLease(t *testing.T) {
 	w, claims := unreachableWorker(t)
 	answer(w, claims, 7, heartbeat(1, 7, ownToken), ownToken+1)
 	answer(w, claims, 8, heartbeat(1, 8, ownToken+1), ownToken+1)
 	if w.Unreachable() {
-		t.Fatal("unreachable though it has shown a newer token")
+		t.Fatal("unreachable although the worker has shown a newer token")
 	}
 	hb := heartbeat(2, 1, ownToken+1)
 	if w.ObserveEpoch(hb, heartbeatTime(9), testMinLease); !w.Unreachable() {
-		t.Error("reachable though its epoch ended 3 s after an answer")
+		t.Error("reachable although its epoch ended 3 s after a response")
 	}
 	if w.Reconcile(hb, claims, ownToken+2, heartbeatTime(9)); !w.Unreachable() {
-		t.Error("reachable without having shown a newer token")
+		t.Error("reachable although the worker has not shown a newer token")
 	}
 	if w.Reconcile(heartbeat(2, 2, ownToken+2), claims, ownToken+2, heartbeatTime(10)); w.Unreachable() {
-		t.Error("unreachable though it has shown a newer token")
+		t.Error("unreachable although the worker has shown a newer token")
 	}
 
 	quiet := NewWorker(heartbeat(1, 1, ownToken), nil, heartbeatTime(0))
 	quiet.Reconcile(heartbeat(1, 1, ownToken), nil, ownToken, heartbeatTime(0))
 	quiet.ObserveAnswered(heartbeatTime(0))
 	if quiet.ObserveEpoch(heartbeat(2, 1, ownToken), heartbeatTime(20), testMinLease); quiet.Unreachable() {
-		t.Error("unreachable though its epoch ended long after the last answer")
+		t.Error("unreachable although its epoch ended long after the last response")
 	}
 }
--- a/internal/server/reconcile/recorder.go
+++ b/internal/server/reconcile/recorder.go
@@ -20,16 +20,17 @@
 )
 
 const (
-	// recordInterval is how often the log is checked for completions to record.
+	// recordInterval is how often the completion log is checked for completions to record.
 	recordInterval = 300 * time.Millisecond
-	// peerJobsDelay is how long after an outage the completions of peers' jobs are left to them, so that
-	// not all controllers write the same records.
+	// peerJobsDelay is how long after an outage a controller leaves the completions of its peers' jobs to them,
+	// so that the controllers do not all write the same records.
 	peerJobsDelay = 4 * time.Second
 )
 
-// Recorder records the completions that were reported during an outage of the state service as soon as it
-// is back, whichever controller the machines report to then: the leases of most workers have expired, and
-// they report again only seconds later. It also prunes the log of completions that are on record.
+// Recorder records the completions that were reported during an outage of the state service as soon as it is
+// available again, whichever controller the machines report to by then: the leases of most workers have
+// expired, and they report again only seconds later. It also removes recorded completions from the completion
+// log.
 type Recorder struct {
 	completions *completion.Log
 	cache       *watchcache.Cache
@@ -39,12 +40,12 @@
 	log         *slog.Logger
 
 	// The cache's lock guards the fields below.
-	syncedSince time.Time // since when the state service is in reach; zero: it isn't
+	syncedSince time.Time // start of the current contact with the state service; zero if there is none
 	recording   map[wire.JobID][]*committer.Change
 }
 
-// NewRecorder returns a recorder that does nothing before Run. The limits hold which of how many controllers
-// this one is.
+// NewRecorder returns a recorder that is idle until Run is called. The limits specify the number of controllers
+// and the index of this one.
 func NewRecorder(
 	completions *completion.Log,
 	cache *watchcache.Cache,
@@ -73,8 +74,8 @@
 	return ctx.Err()
 }
 
-// record prunes the log and enqueues changes for the completions that lack a record. It needs the cache's
-// lock.
+// record prunes the completion log and enqueues changes for the unrecorded completions. The caller must hold
+// the cache lock.
 func (r *Recorder) record(records *ledger.Ledger, now time.Time) {
 	if !r.cache.SyncedWithin(now, settings.StartContact) {
 		r.syncedSince = time.Time{}
@@ -97,7 +98,7 @@
 	}
 }
 
-// unrecorded returns, by job, the completions that this controller is to record now.
+// unrecorded returns the completions that this controller should record now, by job.
 func (r *Recorder) unrecorded(records *ledger.Ledger, now time.Time) map[wire.JobID][]TaskExit {
 	exits := map[wire.JobID][]TaskExit{}
 	r.completions.EachUnrecorded(func(done peer.Completion) {
@@ -112,7 +113,7 @@
 	return exits
 }
 
-// ownsJob reports whether a job's completions are this controller's to record first.
+// ownsJob reports whether this controller is the first choice to record a job's completions.
 func (r *Recorder) ownsJob(id wire.JobID) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
--- a/internal/server/reconcile/registry.go
+++ b/internal/server/reconcile/registry.go
@@ -10,14 +10,14 @@
 	"maddermill/wire"
 )
 
-// How long a worker that sends no heartbeats stays in the registry.
+// How long a worker without heartbeats stays in the registry.
 const (
 	silentRetention     = 10 * time.Minute
 	terminatedRetention = time.Minute // if the machine is recorded as terminated
 )
 
-// Registry holds the workers that report to this controller, and which images their machines hold. It has
-// no lock of its own: it is used under the lock of the watch cache.
+// Registry holds the workers that report to this controller, and the images on their machines. It has no lock
+// of its own; the lock of the watch cache guards it.
 type Registry struct {
 	membership  *membership.Membership
 	completions *completion.Log
@@ -25,14 +25,14 @@
 	images      map[wire.MachineID]*machineImages
 }
 
-// machineImages are the images that a machine holds, as far as known, in an agent epoch.
+// machineImages holds the images known to be on a machine in an agent epoch.
 type machineImages struct {
 	epoch  wire.AgentEpoch
 	images *placement.Images
 }
 
-// NewRegistry returns an empty registry. The peers of the membership supply the images of a machine that
-// reported to another controller before.
+// NewRegistry returns an empty registry. The peers in the membership supply the images of machines that
+// previously reported to another controller.
 func NewRegistry(m *membership.Membership, completions *completion.Log) *Registry {
 	return &Registry{
 		membership:  m,
@@ -42,17 +42,17 @@
 	}
 }
 
-// Worker returns the worker of a machine, nil if none reports here.
+// Worker returns the worker of a machine, or nil if it does not report here.
 func (r *Registry) Worker(id wire.MachineID) *Worker { return r.workers[id] }
 
-// Register adds a worker that sends its first heartbeat here.
+// Register adds a worker that sends its first heartbeat to this controller.
 func (r *Registry) Register(heartbeat *wire.Heartbeat, now time.Time) *Worker {
 	w := NewWorker(heartbeat, r.completions, now)
 	r.workers[w.ID] = w
 	return w
 }
 
-// Len is the number of workers.
+// Len returns the number of workers.
 func (r *Registry) Len() int { return len(r.workers) }
 
 // Each calls f for every worker, in no particular order.
@@ -62,8 +62,8 @@
 	}
 }
 
-// Images returns the images that a machine holds, as far as known, for the caller to update. A new agent
-// epoch begins without images.
+// Images returns the images known to be on a machine, for the caller to update. A new agent epoch starts
+// without images.
 func (r *Registry) Images(records *ledger.Ledger, w *Worker) *placement.Images {
 	known := r.images[w.ID]
 	if known != nil && known.epoch == w.Epoch {
@@ -79,7 +79,7 @@
 	return images
 }
 
-// addPeerImages adds the images that peers know to be on a machine in its present epoch.
+// addPeerImages adds the images that peers know to be on a machine in its current epoch.
 func (r *Registry) addPeerImages(images *placement.Images, w *Worker) {
 	for _, peer := range r.membership.Peers() {
 		for i := range peer.Status.Machines {
@@ -94,7 +94,7 @@
 	}
 }
 
-// KnownImages returns the images that a machine holds, nil if nothing is known of them yet.
+// KnownImages returns the images known to be on a machine, or nil if nothing is known about them yet.
 func (r *Registry) KnownImages(w *Worker) *placement.Images {
 	if known := r.images[w.ID]; known != nil {
 		return known.images
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Forget drops the workers that have been silent for long, or whose machines are terminated, and returns
-// them.
+// Forget removes and returns the workers that have been silent for silentRetention, or for terminatedRetention
+// if their machines are terminated.
 func (r *Registry) Forget(records *ledger.Ledger, now time.Time) (forgotten []wire.MachineID) {
 	for id, w := range r.workers {
 		silence := now.Sub(w.LastHeartbeat)
--- a/internal/server/reconcile/tasks.go
+++ b/internal/server/reconcile/tasks.go
@@ -7,39 +7,39 @@
 	"maddermill/wire"
 )
 
-// taskKey is one attempt of a task.
+// taskKey identifies one attempt of a task.
 type taskKey struct {
 	task    wire.TaskID
 	attempt wire.Attempt
 }
 
-// keyOf is the key of the i-th task of a claim.
+// keyOf returns the key of the i-th task of a claim.
 func keyOf(claim *ledger.HeldClaim, i int) taskKey {
 	return taskKey{wire.TaskID{Job: claim.Job.ID, Index: claim.First + wire.TaskIndex(i)}, claim.Attempt}
 }
 
-// trackedTask is one attempt of a task as it was last observed on its machine, and what it was commanded
-// to do there. It is kept while the machine reports the task or the records hold a claim of it, and for one
-// agent epoch at most.
+// trackedTask is one attempt of a task as last observed on its machine, and the commands sent for it. It is
+// kept while the machine reports the task or the records contain a claim of it, and for at most one agent
+// epoch.
 type trackedTask struct {
-	// status is the task in the heartbeat that is being reconciled; nil: the machine doesn't report it.
+	// status is the task in the heartbeat that is being reconciled, or nil if the machine does not report it.
 	status       *wire.TaskStatus
-	claimed      bool      // the records held a claim of it at the latest heartbeat
-	runningSince time.Time // when it was first reported running; zero: it wasn't
+	claimed      bool      // the records contained a claim of it at the latest heartbeat
+	runningSince time.Time // when it was first reported running; zero if it was not
 
-	stopRequested bool                   // it is to be stopped, saving a checkpoint if it can
+	stopRequested bool                   // it should stop, after saving a checkpoint if it can
 	startSent     bool                   // a start was sent
-	startSequence wire.HeartbeatSequence // of the heartbeat whose answer carried the latest start
+	startSequence wire.HeartbeatSequence // of the heartbeat whose response carried the latest start
 
-	// startWithheld: its start is not to be sent any more, as other claims fill the machine or the machine is
-	// unreachable. startWithheldBefore is the value before the heartbeat that is being reconciled.
+	// startWithheld is set if the start will not be sent any more, because other claims fill the machine or the
+	// machine is unreachable. startWithheldBefore is the value before the heartbeat that is being reconciled.
 	startWithheld, startWithheldBefore bool
 }
 
-// untrackedTask stands for a task of which nothing is known. It is never written to.
+// untrackedTask represents a task about which nothing is known. It must never be modified.
 var untrackedTask = &trackedTask{}
 
-// task is what is known of a task, for reading only.
+// task returns the state of a task, for reading only.
 func (w *Worker) task(key taskKey) *trackedTask {
 	if task := w.tasks[key]; task != nil {
 		return task
@@ -47,7 +47,7 @@
 	return untrackedTask
 }
 
-// track is what is known of a task, for writing.
+// track returns the state of a task for modification, adding it if necessary.
 func (w *Worker) track(key taskKey) *trackedTask {
 	task := w.tasks[key]
 	if task == nil {
@@ -57,8 +57,8 @@
 	return task
 }
 
-// observeHeartbeat takes over a heartbeat's fields and tasks. In a new agent epoch nothing that was known
-// of the tasks holds any more.
+// observeHeartbeat copies a heartbeat's fields and tasks to the worker. A new agent epoch invalidates
+// everything known about its tasks.
 func (w *Worker) observeHeartbeat(hb *wire.Heartbeat, token wire.FencingToken, now time.Time) {
 	if hb.Epoch != w.Epoch {
 		clear(w.tasks)
@@ -88,14 +88,14 @@
 	}
 }
 
-// pruneTasks ends the reconciliation of a heartbeat: of tasks that the machine doesn't report only what
-// claims still need is kept. A task that is neither reported nor claimed can't come back, as a later claim
-// of it has another attempt.
+// pruneTasks completes the reconciliation of a heartbeat. Of tasks that the machine does not report it keeps
+// only what claims still need. A task that is neither reported nor claimed cannot reappear, as a later claim of
+// it has another attempt.
 func (w *Worker) pruneTasks() {
 	for key, task := range w.tasks {
 		switch {
 		case task.status != nil:
-			task.status = nil // not to keep the heartbeat in memory
+			task.status = nil // release the heartbeat's memory
 		case task.claimed:
 			task.stopRequested, task.runningSince = false, time.Time{}
 		default:
--- a/internal/server/reconcile/worker_test.go
+++ b/internal/server/reconcile/worker_test.go
@@ -8,15 +8,15 @@
 	"maddermill/wire"
 )
 
-// ownToken is the fencing token that the controller under test commands the worker under.
+// ownToken is the fencing token under which the controller under test commands the worker.
 const ownToken = wire.FencingToken(7)
 
-// The attempt that claimOf claims, and its key.
+// The attempt claimed by claimOf, and its key.
 const testAttempt = wire.Attempt(3)
 
 var testKey = taskKey{wire.TaskID{Job: "wk-000001", Index: 0}, testAttempt}
 
-// claimOf is a claim of the only task of a job in a state ("" is active).
+// claimOf returns a claim of the only task of a job in a state ("" is active).
 func claimOf(epoch wire.AgentEpoch, token wire.FencingToken, state ledger.JobState) []ledger.HeldClaim {
 	job := &ledger.Job{
 		ID:      testKey.task.Job,
@@ -28,7 +28,7 @@
 	return []ledger.HeldClaim{{Job: job, Claim: claim}}
 }
 
-// heartbeat is a heartbeat of a worker that has accepted a token.
+// heartbeat returns a heartbeat of a worker that has accepted a token.
 func heartbeat(
 	epoch wire.AgentEpoch,
 	sequence wire.HeartbeatSequence,
@@ -38,19 +38,20 @@
 	return &wire.Heartbeat{Machine: "host-1", Epoch: epoch, Sequence: sequence, FencingToken: token, Tasks: tasks}
 }
 
-// status is an attempt of the task of claimOf in a state.
+// status returns an attempt of the task of claimOf in a state.
 func status(state wire.TaskState, attempt wire.Attempt) wire.TaskStatus {
 	return wire.TaskStatus{Task: testKey.task, Attempt: attempt, State: state}
 }
 
-// gangTimedOutStatus is the task of claimOf after it gave up waiting for its gang.
+// gangTimedOutStatus returns the status of claimOf's task after it timed out waiting for its gang.
 func gangTimedOutStatus() wire.TaskStatus {
 	t := status(wire.TaskExited, testAttempt)
 	t.Cause = wire.CauseGangIncomplete
 	return t
 }
 
-// TestStale: a heartbeat of an earlier epoch, or not newer than the latest of this epoch, is stale.
+// TestStale checks that a heartbeat is stale if it is of an earlier epoch, or not newer than the latest of the
+// current epoch.
 func TestStale(t *testing.T) {
 	w := NewWorker(heartbeat(2, 5, 0), nil, time.Time{})
 	w.Reconcile(heartbeat(2, 5, 0), nil, ownToken, time.Time{})
@@ -70,12 +71,12 @@
 	}
 }
 
-// TestObservedTasks: what is known of a task goes when it is neither reported nor claimed, or with the agent
-// epoch; of a claimed task that is not reported only the start that was sent stays known.
+// TestObservedTasks checks that the state of a task is dropped when the task is neither reported nor claimed,
+// or when a new agent epoch starts, and that of a claimed but unreported task only the sent start is kept.
 func TestObservedTasks(t *testing.T) {
 	at := func(s int) time.Time { return time.Date(2026, 1, 1, 0, 0, s, 0, time.UTC) }
 	running := status(wire.TaskRunning, testAttempt)
-	// started is a worker to which the start of the claim went out, and which runs and is to stop the task.
+	// started returns a worker that has received the start of the claim, runs the task and should stop it.
 	started := func(t *testing.T) (*Worker, []ledger.HeldClaim) {
 		t.Helper()
 		claims := claimOf(1, ownToken, ledger.Active)
@@ -116,7 +117,7 @@
 		w, _ := started(t)
 		w.Reconcile(heartbeat(1, 3, ownToken), nil, ownToken, at(2))
 		if len(w.tasks) != 0 {
-			t.Errorf("%d tasks known, want none", len(w.tasks))
+			t.Errorf("%d tasks tracked, want none", len(w.tasks))
 		}
 	})
 	t.Run("new epoch", func(t *testing.T) {
@@ -128,6 +129,6 @@
 		}
 	})
 	if *untrackedTask != (trackedTask{}) {
-		t.Errorf("notObserved was written to: %+v", *untrackedTask)
+		t.Errorf("untrackedTask was modified: %+v", *untrackedTask)
 	}
 }
--- a/internal/server/starts.go
+++ b/internal/server/starts.go
@@ -17,13 +17,13 @@
 // startOffer is what the scheduler places on a machine that has just sent a heartbeat.
 type startOffer struct {
 	starts []placement.Start
-	// canReuseFreed reports whether room that becomes free on the machine may be offered again at once:
-	// false where a gang of several tasks has the machine reserved.
+	// canReuseFreed reports whether resources that are freed on the machine may be offered again immediately.
+	// It is false while a gang of several tasks has the machine reserved.
 	canReuseFreed bool
 }
 
-// offerStarts places tasks on a machine, none if it is not usable or the records may be too old. It needs
-// the cache's lock.
+// offerStarts places tasks on a machine. It places none if the machine is not usable or the records may be too
+// old. The caller must hold the cache lock.
 func (s *HeartbeatServer) offerStarts(w *reconcile.Worker, now time.Time) startOffer {
 	if !s.Scheduler.Usable(w, now) || now.Sub(s.Cache.SyncedAt()) >= settings.StartContact {
 		return startOffer{canReuseFreed: true}
@@ -34,9 +34,9 @@
 	return startOffer{starts: starts, canReuseFreed: !snapshot.WantedByGang(machine)}
 }
 
-// startChanges returns the changes that claim the starts offered to a machine, at most two: those of
-// best-effort jobs are a change of their own. The starts count as started until uncountStarts. It needs the
-// cache's lock.
+// startChanges returns the changes, at most two, that claim the starts offered to a machine; starts of
+// best-effort jobs form a separate change. The starts count as started until uncountStarts is called. The
+// caller must hold the cache lock.
 func (s *HeartbeatServer) startChanges(
 	w *reconcile.Worker,
 	starts []placement.Start,
@@ -44,7 +44,7 @@
 ) []*committer.Change {
 	var regular, bestEffort []placement.Start
 	for _, start := range starts {
-		// Heartbeats of other machines that come meanwhile must not be offered the same tasks.
+		// Concurrent heartbeats of other machines must not be offered the same tasks.
 		s.Scheduler.CountStarted(start.Job.ID, start.Count)
 		if start.Job.BestEffort() {
 			bestEffort = append(bestEffort, start)
@@ -64,23 +64,23 @@
 	return changes
 }
 
-// uncountStarts ends what startChanges counted: the starts are in the records now, or were dropped. It
-// needs the cache's lock.
+// uncountStarts reverts the counting by startChanges, once the starts are in the records or were dropped. The
+// caller must hold the cache lock.
 func (s *HeartbeatServer) uncountStarts(starts []placement.Start) {
 	for _, start := range starts {
 		s.Scheduler.CountStarted(start.Job.ID, -start.Count)
 	}
 }
 
-// startChange returns the change that claims some of the starts offered to a machine; starts must not be
-// empty. Its draft claims those that are still possible when it runs.
+// startChange returns the change that claims some of the starts offered to a machine; starts must not be empty.
+// Its draft claims those that are still possible when it runs.
 func (s *HeartbeatServer) startChange(
 	w *reconcile.Worker,
 	starts []placement.Start,
 	expiresAt time.Time,
 ) *committer.Change {
 	target := claimTarget(w)
-	var claimed []placement.Start // by the latest run of the draft
+	var claimed []placement.Start // by the most recent run of the draft
 	overdue := slices.ContainsFunc(starts, func(start placement.Start) bool { return start.Overdue })
 	mostUrgent := slices.MinFunc(starts, func(a, b placement.Start) int {
 		return cmp.Compare(a.Job.Priority().Rank(), b.Job.Priority().Rank())
@@ -107,15 +107,16 @@
 	}
 }
 
-// claimStarts adds claims for those of the starts that are still possible to a transaction and returns
-// them. The error is ErrPreconditionFailed if there are none, ErrTransactionFull if the first did not fit
-// into the transaction. It needs the cache's lock.
+// claimStarts adds claims to a transaction for those starts that are still possible, and returns these. The
+// error is ErrPreconditionFailed if there are none, ErrTransactionFull if the first one did not fit into the
+// transaction. The caller must hold the cache lock.
 func (s *HeartbeatServer) claimStarts(
 	txn *ledger.Transaction,
 	target ledger.ClaimTarget,
 	starts []placement.Start,
 ) (claimed []placement.Start, err error) {
-	// A gang may have been placed on the machine meanwhile. The worker would refuse what no longer fits.
+	// A gang may have been placed on the machine in the meantime. The worker would refuse tasks that no longer
+	// fit.
 	free := s.records().Free(target)
 	err = ledger.ErrPreconditionFailed
 	for _, start := range starts {
@@ -135,7 +136,7 @@
 	return claimed, err
 }
 
-// claimStart adds a claim for count tasks of a job to a transaction. It needs the cache's lock.
+// claimStart adds a claim for count tasks of a job to a transaction. The caller must hold the cache lock.
 func (s *HeartbeatServer) claimStart(
 	txn *ledger.Transaction,
 	job *ledger.Job,
@@ -149,10 +150,10 @@
 	return err
 }
 
-// takeOver returns the change that brings a claim of a gang, made by another controller, under this
-// controller's token, so that the answer can start its tasks: those that gave up waiting for the gang wait
-// on, those that were never sent begin. Without it a gang whose machines change their controller while one
-// of them fetches the image would begin again each time.
+// takeOver returns the change that moves another controller's claim of a gang to this controller's token, so
+// that the response can start its tasks: tasks that timed out waiting for the gang resume waiting, tasks that
+// were never sent start. Without it, a gang whose machines change controllers while one of them fetches the
+// image would restart each time.
 func (s *HeartbeatServer) takeOver(
 	w *reconcile.Worker,
 	claim ledger.HeldClaim,
@@ -171,7 +172,7 @@
 	}
 }
 
-// claimTarget is a machine as claims name it, under the token that it is commanded under now.
+// claimTarget returns a machine as claims refer to it, with the token under which it is currently commanded.
 func claimTarget(w *reconcile.Worker) ledger.ClaimTarget {
 	m := placement.Machine{
 		ID:    w.ID,
@@ -184,8 +185,8 @@
 	return m.ClaimTarget()
 }
 
-// isCurrent reports whether a worker still reports here, in the epoch and under the token that something
-// was decided for. It needs the cache's lock.
+// isCurrent reports whether a worker still reports here, in the epoch and under the token of target. The caller
+// must hold the cache lock.
 func (s *HeartbeatServer) isCurrent(w *reconcile.Worker, target ledger.ClaimTarget) bool {
 	return s.Registry.Worker(w.ID) == w && w.Epoch == target.Epoch && w.CommandToken == target.Token
 }
