--- a/internal/state/ledger/apply.go
+++ b/internal/state/ledger/apply.go
@@ -10,8 +10,8 @@
 	"maddermill/wire"
 )
 
-// recordAppliers are the kinds of records with a key each, but for jobs, and the method that applies a
-// change of one. name is what follows the prefix in the key.
+// recordAppliers maps the key prefix of each kind of record, except jobs, to the method that applies a change
+// of such a record. name is the rest of the key after the prefix.
 var recordAppliers = []struct {
 	prefix string
 	apply  func(l *Ledger, name string, e Event) error
@@ -29,16 +29,16 @@
 	{modulePrefix, (*Ledger).applyModule},
 }
 
-// Apply applies one change. A change may arrive twice; changes of one key arrive in order unless the
-// records are read a second time, and older ones are ignored. A record that can't be decoded is
-// logged, and what it replaces stays.
+// Apply applies one change. Applying a change again has no effect. Changes of one key arrive in order unless
+// all records are loaded again; changes older than the current version are ignored. A record that can't be
+// decoded is logged, and the previous value is kept.
 func (l *Ledger) Apply(e Event) {
 	if err := l.apply(e); err != nil {
-		slog.Error("record not understood", "key", e.Key, "err", err)
+		slog.Error("invalid record", "key", e.Key, "err", err)
 	}
 }
 
-// apply is Apply that returns what is wrong with the record.
+// apply is like Apply but returns the error instead of logging it.
 func (l *Ledger) apply(e Event) error {
 	if id, ok := strings.CutPrefix(e.Key, jobPrefix); ok {
 		return l.applyJob(wire.JobID(id), e)
@@ -48,11 +48,11 @@
 			return kind.apply(l, name, e)
 		}
 	}
-	return l.applySingle(e)
+	return l.applySingleton(e)
 }
 
-// applyMachine applies a change of a machine's phase. The record is deleted when the machine is compacted
-// into its series.
+// applyMachine applies a change to a machine's phase. The record is deleted when CompactTerminated adds the
+// machine to its series.
 func (l *Ledger) applyMachine(name string, e Event) error {
 	m := wire.MachineID(name)
 	if e.Value == nil && e.Version >= l.phaseVersions[m] {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// applyTeam notes the version of a team's record, which every start of a limited team rewrites.
+// applyTeam stores the version of a team's record, which every claim of a team with a quota rewrites.
 func (l *Ledger) applyTeam(name string, e Event) error {
 	text, err := strconv.Unquote(name)
 	if err != nil {
@@ -89,13 +89,13 @@
 	return nil
 }
 
-// applyMember applies the status that a controller published.
+// applyMember stores the status that a controller published.
 func (l *Ledger) applyMember(name string, e Event) error {
 	l.members[wire.MemberID(name)] = e.Value
 	return nil
 }
 
-// applyMachineType applies a machine type. Types are never deleted.
+// applyMachineType stores a machine type. Types are never deleted.
 func (l *Ledger) applyMachineType(_ string, e Event) error {
 	if e.Value == nil {
 		return nil
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// applySeriesHead applies a change of the head of a series of terminated machines.
+// applySeriesHead applies a change to the head of a series of terminated machines.
 func (l *Ledger) applySeriesHead(name string, e Event) error {
 	index := &l.archived
 	series, err := archive.ParseSeries(name)
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// applySeriesPart applies a change of a part of a series of terminated machines. A part is deleted when
-// all of its machines are terminated: its head says so then.
+// applySeriesPart applies a change to a part of a series of terminated machines. A part is deleted when all of
+// its machines are terminated, because the series head then records the part as complete.
 func (l *Ledger) applySeriesPart(name string, e Event) error {
 	index := &l.archived
 	id, err := archive.ParsePartID(name)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// applyModule applies a change of a module's listing.
+// applyModule applies a change to a module's record.
 func (l *Ledger) applyModule(name string, e Event) error {
 	hash := wire.ModuleHash(name)
 	if e.Value == nil {
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// applySingle applies a change of a record that there is only one of. Other keys are ignored.
-func (l *Ledger) applySingle(e Event) error {
+// applySingleton applies a change to a record of which there is only one. Unknown keys are ignored.
+func (l *Ledger) applySingleton(e Event) error {
 	switch e.Key {
 	case LeaderKey:
 		if e.Value == nil {
@@ -185,7 +185,7 @@
 		}
 	case FormatKey:
 		err := applyNewer(e, &l.archived.formatVersion, &l.archived.format)
-		l.divideOutgrown()
+		l.divideOversizedJobs()
 		return err
 	case RegisterKey:
 		return applyNewer(e, &l.registerVersion, &l.register)
@@ -195,17 +195,17 @@
 	return nil
 }
 
-// applyNewer replaces a record by a newer one. Deletions are ignored: these records are never deleted.
+// applyNewer replaces a record with a newer version. Deletions are ignored: these records are never deleted.
 func applyNewer[T any](e Event, version *wire.Revision, record *T) error {
 	if e.Value == nil || e.Version <= *version {
 		return nil
 	}
 	*version = e.Version
-	*record = *new(T) // an older version may have left fields out
+	*record = *new(T) // clears fields that the new value omits, as records of older software versions may
 	return json.Unmarshal(e.Value, record)
 }
 
-// unmarshalIfPresent decodes a record that may have been deleted.
+// unmarshalIfPresent decodes a record; it does nothing if the record was deleted.
 func unmarshalIfPresent(value json.RawMessage, record any) error {
 	if value == nil {
 		return nil
--- a/internal/state/ledger/apply_job.go
+++ b/internal/state/ledger/apply_job.go
@@ -9,7 +9,7 @@
 	"maddermill/wire"
 )
 
-// applyJob applies a change of a job's record, in which the first range of its tasks is.
+// applyJob applies a change to a job's record, which includes the job's first task range.
 func (l *Ledger) applyJob(id wire.JobID, e Event) error {
 	if l.applyFinishedJob(id, e) {
 		return nil
@@ -42,7 +42,7 @@
 	j.State, j.Stop, j.finalDone, j.Ended = r.State, r.Stop, r.FinalDone, r.Ended
 	l.updateGalleryCount(j)
 	j.version = e.Version
-	l.replaceStored(j, 0, e.Version, &r.taskRangeRecord)
+	l.replaceStoredRange(j, 0, e.Version, &r.taskRangeRecord)
 	l.applyJobState(j)
 	if err := l.adoptOrphanRanges(j); err != nil {
 		return err
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// applyJobState brings the indexes of active jobs and of dependencies up to the state of a job.
+// applyJobState updates the indexes of active jobs and of dependencies to a job's state.
 func (l *Ledger) applyJobState(j *Job) {
 	wasActive := l.active[j.ID] != nil
 	switch {
@@ -67,11 +67,11 @@
 	}
 }
 
-// applyFinishedJob applies a change of a job that is kept in the short form. It reports whether nothing
-// is left to do: a newer record is still to be read, by which the job is whole again.
+// applyFinishedJob applies a change to a job that is kept in compact form. It returns false if the caller must
+// still apply the change: the job is not in compact form, or a newer record restores its full form.
 func (l *Ledger) applyFinishedJob(id wire.JobID, e Event) (handled bool) {
-	finished, short := l.archived.finished[id]
-	if !short {
+	finished, compact := l.archived.finished[id]
+	if !compact {
 		return false
 	}
 	if e.Version < finished.version || e.Version == finished.version && e.Value != nil {
@@ -86,18 +86,18 @@
 	return true
 }
 
-// applyJobDeletion applies that a job's record was deleted, which only archiving does. j is the job, nil
-// if it is not known.
+// applyJobDeletion applies the deletion of a job's record, which happens only when the job is archived. j is
+// nil if the ledger doesn't have the job.
 func (l *Ledger) applyJobDeletion(id wire.JobID, j *Job, at wire.Revision) {
 	switch {
 	case j == nil:
-		l.archived.filter.Add(string(id)) // archived while the records were read
+		l.archived.filter.Add(string(id)) // archived while the records were being loaded
 	case at >= j.version:
-		l.dropJob(j)
+		l.removeArchivedJob(j)
 	}
 }
 
-// addJob adds a job that was not known.
+// addJob adds a job that is not in the ledger yet.
 func (l *Ledger) addJob(id wire.JobID, r *jobRecord) *Job {
 	j := &Job{
 		ID:          id,
@@ -109,7 +109,7 @@
 		Workflow:    r.Workflow,
 	}
 	j.tasksPerRange = j.storedRange
-	if !l.mayOutgrow(j) {
+	if !l.mayDivide(j) {
 		j.long = l.isLong(j.Spec, j.storedRange)
 	} else if l.crowded(j.Spec, j.storedRange) {
 		l.divide(j)
@@ -122,7 +122,7 @@
 	return j
 }
 
-// adoptOrphanRanges applies the ranges of a job that arrived before the job.
+// adoptOrphanRanges applies the task ranges that arrived before their job.
 func (l *Ledger) adoptOrphanRanges(j *Job) error {
 	if j.Spec.Tasks <= j.tasksPerRange || len(l.orphanRanges) == 0 {
 		return nil
@@ -144,8 +144,7 @@
 	return nil
 }
 
-// applyTaskRange applies a change of a range of a job's tasks, other than the first. It may arrive
-// before its job.
+// applyTaskRange applies a change to a task range other than a job's first. It may arrive before the job.
 func (l *Ledger) applyTaskRange(name string, e Event) error {
 	id, n, ok := parseTaskRangeKey(name)
 	if !ok {
@@ -154,12 +153,12 @@
 	if j := l.jobs[id]; j != nil {
 		return l.updateRange(j, n, e)
 	}
-	l.keepOrphan(e)
+	l.bufferOrphanRange(e)
 	return nil
 }
 
-// keepOrphan keeps a change of some of a job's tasks until the job arrives.
-func (l *Ledger) keepOrphan(e Event) {
+// bufferOrphanRange keeps a change to a task range until its job arrives.
+func (l *Ledger) bufferOrphanRange(e Event) {
 	if e.Value == nil {
 		delete(l.orphanRanges, e.Key)
 	} else {
@@ -167,7 +166,7 @@
 	}
 }
 
-// storedVersion returns the version of the record of the n-th stored range, 0 if there is none.
+// storedVersion returns the version of the record that holds the n-th stored range, 0 if there is none.
 func (j *Job) storedVersion(n int) wire.Revision {
 	switch r := j.ranges[n]; {
 	case n == 0:
@@ -180,11 +179,11 @@
 	return 0
 }
 
-// updateRange applies a change of the n-th stored range of a job's tasks.
+// updateRange applies a change to the n-th stored range of a job.
 func (l *Ledger) updateRange(j *Job, n int, e Event) error {
 	old := j.storedVersion(n)
 	if e.Value == nil && old != 0 && e.Version >= old {
-		l.removeStored(j, n)
+		l.removeStoredRange(j, n)
 		return nil
 	}
 	if e.Value == nil || e.Version <= old {
@@ -194,12 +193,12 @@
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return err
 	}
-	l.replaceStored(j, n, e.Version, &r)
+	l.replaceStoredRange(j, n, e.Version, &r)
 	return nil
 }
 
-// replaceRange replaces the n-th range of a job's tasks and updates every index: the job's counts, the
-// usage of its team and the claims of machines.
+// replaceRange replaces the n-th task range of a job and updates all indexes: the job's counts, its team's
+// usage and the claims by machine.
 func (l *Ledger) replaceRange(j *Job, n int, r *TaskRange) {
 	team := j.Spec.Team
 	if old := j.ranges[n]; old != nil {
@@ -225,7 +224,7 @@
 	}
 }
 
-// removeClaims removes the claims of a range of a job's tasks from a machine's.
+// removeClaims removes the claims of a job's n-th task range from the index of a machine.
 func (l *Ledger) removeClaims(m wire.MachineID, j *Job, n int) {
 	l.changedMachines[m] = struct{}{}
 	remaining := l.claimsByMachine[m][:0]
@@ -241,10 +240,10 @@
 	l.claimsByMachine[m] = remaining
 }
 
-// dropJob removes a job that was archived.
-func (l *Ledger) dropJob(j *Job) {
+// removeArchivedJob removes an archived job from the ledger.
+func (l *Ledger) removeArchivedJob(j *Job) {
 	l.unlinkGallery(j.ID, j.Gallery)
-	if r, over := l.ArchivedState(j.ID); over {
+	if r, finished := l.ArchivedState(j.ID); finished {
 		l.noteArchived(j.ID, r)
 	}
 	for n := range j.ranges {
@@ -257,7 +256,7 @@
 	}
 }
 
-// compactFinished replaces a job by its short form if only its end can still be asked for.
+// compactFinished replaces a job with its compact form if only its final state is still needed.
 func (l *Ledger) compactFinished(j *Job) {
 	if j.State != Active && j.Claimed == 0 && j.Workflow == "" && j.Spec.Tasks <= j.tasksPerRange {
 		l.archived.finished[j.ID] = finishedJob{
--- a/internal/state/ledger/batch.go
+++ b/internal/state/ledger/batch.go
@@ -2,8 +2,8 @@
 
 import "maddermill/wire"
 
-// Batch writes new values in transactions within the limits of the store. It is for keys that nobody reads
-// before all are there, since the transactions are committed one after the other.
+// Batch writes new values in as many transactions as the limits of the store require. The transactions are
+// committed one after another, so it is only for keys that nobody reads before all of them are written.
 type Batch struct {
 	Limits Limits
 	Commit func([]wire.Change) error // commits one transaction
@@ -12,13 +12,13 @@
 	bytes   int
 }
 
-// keyBytes is about how many bytes a change takes of a transaction besides its value: its key, and once
-// more in a condition.
-const keyBytes = 280
+// changeOverheadBytes is the approximate size of a change in a transaction without its value: its key, which
+// appears a second time in a condition.
+const changeOverheadBytes = 280
 
-// Put adds a value. The values before it are committed first if it doesn't fit beside them.
+// Put adds a value. If it doesn't fit into the current transaction, the pending values are committed first.
 func (b *Batch) Put(key string, value []byte) error {
-	n := len(value) + keyBytes
+	n := len(value) + changeOverheadBytes
 	if len(b.changes) == b.Limits.TxnOps || b.bytes+n > b.Limits.TxnBytes {
 		if err := b.Flush(); err != nil {
 			return err
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Flush commits the values that are left.
+// Flush commits the pending values.
 func (b *Batch) Flush() error {
 	if len(b.changes) == 0 {
 		return nil
--- a/internal/state/ledger/cancellations.go
+++ b/internal/state/ledger/cancellations.go
@@ -10,70 +10,69 @@
 // maxCancellations is how many of the newest cancellations a ledger keeps.
 const maxCancellations = 512
 
-// cancellationLog has the newest cancellations in the order of their revisions. It has all those after
-// completeAfter.
+// cancellationLog holds the newest cancellations in the order of their revisions. It is complete for all
+// revisions after completeAfter.
 type cancellationLog struct {
 	entries       []cancellation
 	completeAfter wire.Revision
 }
 
-// cancellation is that of a job, or of a workflow with the jobs of all its steps.
+// cancellation is the cancellation of a job, or of a workflow with the jobs of all its steps.
 type cancellation struct {
 	revision wire.Revision
-	job      wire.JobID      // "" if it is a workflow's
-	workflow wire.WorkflowID // "" if it is a job's
+	job      wire.JobID      // "" if a workflow was cancelled
+	workflow wire.WorkflowID // "" if a job was cancelled
 }
 
-// add adds a cancellation. Cancellations come in any order while the records are read.
-func (log *cancellationLog) add(one cancellation) {
-	if one.revision <= log.completeAfter {
+// add adds a cancellation. While records are loaded, cancellations arrive in any order.
+func (log *cancellationLog) add(entry cancellation) {
+	if entry.revision <= log.completeAfter {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(
 		log.entries,
-		one.revision,
-		func(x cancellation, at wire.Revision) int { return cmp.Compare(x.revision, at+1) },
+		entry.revision,
+		func(c cancellation, revision wire.Revision) int { return cmp.Compare(c.revision, revision+1) },
 	)
-	log.entries = slices.Insert(log.entries, i, one)
-	if over := len(log.entries) - maxCancellations; over > 0 {
-		log.forgetUpTo(log.entries[over-1].revision)
+	log.entries = slices.Insert(log.entries, i, entry)
+	if excess := len(log.entries) - maxCancellations; excess > 0 {
+		log.discardUpTo(log.entries[excess-1].revision)
 	}
 }
 
-// forgetUpTo removes the cancellations up to a revision.
-func (log *cancellationLog) forgetUpTo(at wire.Revision) {
-	log.completeAfter = max(log.completeAfter, at)
-	log.entries = slices.DeleteFunc(log.entries, func(x cancellation) bool { return x.revision <= log.completeAfter })
+// discardUpTo removes the cancellations up to and including a revision.
+func (log *cancellationLog) discardUpTo(revision wire.Revision) {
+	log.completeAfter = max(log.completeAfter, revision)
+	log.entries = slices.DeleteFunc(log.entries, func(c cancellation) bool { return c.revision <= log.completeAfter })
 }
 
-// Cancellations are the jobs that were cancelled after a revision, and the workflows, each with the jobs of
-// all its steps.
+// Cancellations lists cancelled jobs and workflows. A workflow stands for the jobs of all its steps.
 type Cancellations struct {
 	Jobs      []wire.JobID
 	Workflows []wire.WorkflowID
 }
 
-// Len returns how many entries it has.
+// Len returns the number of jobs and workflows.
 func (c *Cancellations) Len() int { return len(c.Jobs) + len(c.Workflows) }
 
-// CancelledSince returns what was cancelled after a revision and is on record. complete is false if there
-// may be more. Jobs that were archived since run nowhere.
+// CancelledSince returns the known cancellations after a revision. complete is false if there may be more. Jobs
+// that have been archived since may be missing: none of their tasks runs.
 func (l *Ledger) CancelledSince(r wire.Revision) (c Cancellations, complete bool) {
-	for _, x := range l.recentCancels.entries {
+	for _, entry := range l.recentCancels.entries {
 		switch {
-		case x.revision <= r:
-		case x.workflow != "":
-			c.Workflows = append(c.Workflows, x.workflow)
+		case entry.revision <= r:
+		case entry.workflow != "":
+			c.Workflows = append(c.Workflows, entry.workflow)
 		default:
-			c.Jobs = append(c.Jobs, x.job)
+			c.Jobs = append(c.Jobs, entry.job)
 		}
 	}
 	return c, r >= l.recentCancels.completeAfter
 }
 
-// MarkCancelling marks jobs that are cancelled according to the ledger of another controller, which is
-// ahead of this one: none of their tasks starts any more, and those that run are to stop. The state of
-// the jobs changes only when their own records arrive.
+// MarkCancelling marks jobs as cancelling that are cancelled in the ledger of another controller, which is ahead
+// of this one. No more tasks of these jobs start, and running ones must stop. The state of the jobs changes only
+// when their own records arrive.
 func (l *Ledger) MarkCancelling(c Cancellations) {
 	for _, id := range c.Jobs {
 		if j := l.active[id]; j != nil {
--- a/internal/state/ledger/claim.go
+++ b/internal/state/ledger/claim.go
@@ -9,8 +9,8 @@
 	"maddermill/wire"
 )
 
-// Claim says that tasks [First, First+Count) may run on a machine. It is written before any of them is
-// started there, and a task leaves it only on proof that it no longer runs (DESIGN, "Safety", 2 and 5).
+// Claim permits tasks [First, First+Count) to run on a machine. It is written before any of them is started
+// there, and a task is removed from it only on proof that it no longer runs (DESIGN, "Safety", 2 and 5).
 type Claim struct {
 	First   wire.TaskIndex
 	Count   int
@@ -18,30 +18,30 @@
 	Machine wire.MachineID
 	Zone    wire.Zone
 	Epoch   wire.AgentEpoch
-	Token   wire.FencingToken // of the controller that held the machine
+	Token   wire.FencingToken // of the controller that claimed the tasks; TakeOver raises it
 }
 
-// claimList is the claims of a range of tasks as they are encoded. The pieces of one start are one array:
-// attempt, machine, zone, session, token, and then a first task and a count for each piece. Some stores
-// take only small values, and the tasks of one start end in any order: this way a claim that falls
-// into pieces takes a pair for each of them and its names once.
+// claimList encodes the claims of a task range. All pieces of one start are encoded as one array: attempt,
+// machine, zone, epoch, token, and then the first task and the count of each piece. Some stores accept only small
+// values, and the tasks of a start end in any order, which splits its claim into pieces: this way each further
+// piece takes only a pair of numbers.
 type claimList []Claim
 
-// sameStart reports whether two claims are pieces of one start.
+// sameStart reports whether two claims are pieces of the same start.
 func (c *Claim) sameStart(o *Claim) bool {
 	return c.Attempt == o.Attempt && c.Machine == o.Machine && c.Zone == o.Zone && c.Epoch == o.Epoch &&
 		c.Token == o.Token
 }
 
-// Covers reports whether the claim has a task.
+// Covers reports whether the claim includes a task.
 func (c *Claim) Covers(t wire.TaskIndex) bool {
 	return t >= c.First && int(t-c.First) < c.Count
 }
 
-// MarshalJSON encodes the claims start by start, in the order of their first pieces.
+// MarshalJSON encodes the claims grouped by start, in the order of their first pieces.
 func (claims claimList) MarshalJSON() ([]byte, error) {
 	var starts [][]any
-	var firsts []*Claim // a claim of each of starts
+	var firsts []*Claim // the first piece of each start
 next:
 	for i := range claims {
 		c := &claims[i]
@@ -57,9 +57,9 @@
 	return json.Marshal(starts)
 }
 
-// UnmarshalJSON decodes what MarshalJSON encoded, and the form of earlier versions: an array for each claim,
-// of first task, count, attempt, machine, zone, session and token. The second field tells them apart:
-// it is a string only in the new form.
+// UnmarshalJSON decodes the encoding of MarshalJSON and that of earlier versions, which is an array for each
+// claim: first task, count, attempt, machine, zone, epoch and token. The second field tells them apart: only in
+// the current encoding it is a string.
 func (claims *claimList) UnmarshalJSON(b []byte) error {
 	var starts [][]json.RawMessage
 	if err := json.Unmarshal(b, &starts); err != nil {
@@ -68,7 +68,7 @@
 	*claims = nil
 	for _, s := range starts {
 		if len(s) < 7 || len(s)%2 == 0 {
-			return fmt.Errorf("ledger: claim of %d fields", len(s))
+			return fmt.Errorf("ledger: invalid claim record with %d fields", len(s))
 		}
 		var c Claim
 		names, pairs := s[:5], s[5:]
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// worstBytes returns how many bytes the claims may come to take, however their tasks end: a piece falls into
-// at most half as many as it has tasks.
-func (claims claimList) worstBytes() int {
+// maxEncodedBytes returns an upper bound for the encoded size of the claims in whatever order their tasks end.
+// A piece splits into at most half as many pieces as it has tasks, rounded up.
+func (claims claimList) maxEncodedBytes() int {
 	sum := 0
 	for i := range claims {
 		if !slices.ContainsFunc(claims[:i], func(o Claim) bool { return o.sameStart(&claims[i]) }) {
--- a/internal/state/ledger/dependencies.go
+++ b/internal/state/ledger/dependencies.go
@@ -9,47 +9,46 @@
 	"maddermill/wire"
 )
 
-// Dependencies of jobs. A job that names others waits until all of them are done on record, and is
-// cancelled with any of them. What follows from the records is kept here for each active job, and changed
-// only with the jobs concerned: a job that ends touches those that name it, no others. Done and cancelled
-// are final, so that a job that is ready stays ready and one whose ancestor is cancelled stays cancelled
-// (DESIGN, "Dependencies").
+// A job with dependencies waits until all of them are recorded as done, and is cancelled if any of them is. The
+// state derived from this is kept for each active job and updated incrementally: a job that ends affects only
+// the jobs that depend on it. Done and cancelled are final states, so a job that is ready stays ready, and a job
+// whose ancestor is cancelled stays cancelled (DESIGN, "Dependencies").
 
-// stageOverhead is how long it takes from the end of a job to the start of one that waits for it: a
-// heartbeat that tells the end, its record, and the next heartbeat of a machine with room.
+// stageOverhead is the estimated delay between the end of a job and the start of a job that depends on it: a
+// heartbeat that reports the end, writing its record, and the next heartbeat of a machine with free resources.
 const stageOverhead = 10 * time.Second
 
-// dependencyIndex is what a ledger knows of dependencies.
+// dependencyIndex indexes the dependencies of active jobs.
 type dependencyIndex struct {
-	// dependents has the active jobs that name a job, by the job named.
+	// dependents holds the active jobs that depend on a job, by that job.
 	dependents map[wire.JobID]map[wire.JobID]struct{}
-	// missing has the jobs that are named and not on record: they arrive later or are archived.
+	// missing holds the dependencies that are not in the ledger: they arrive later or are archived.
 	missing map[wire.JobID]struct{}
-	// undone has the active jobs of which an ancestor is cancelled. Their own records are to follow.
-	undone map[wire.JobID]struct{}
-	// waiting is how many active jobs wait for others.
+	// ancestorCancelled holds the active jobs with a cancelled ancestor. Their own records don't say so yet.
+	ancestorCancelled map[wire.JobID]struct{}
+	// waiting is the number of active jobs that wait for dependencies.
 	waiting int
-	// released has the jobs whose last dependency was done, see DrainReleased.
-	released []wire.JobID
+	// newlyReady holds the jobs whose last dependency became done, see DrainNewlyReady.
+	newlyReady []wire.JobID
 }
 
 // newDependencyIndex returns an empty index.
 func newDependencyIndex() dependencyIndex {
 	return dependencyIndex{
-		dependents: map[wire.JobID]map[wire.JobID]struct{}{},
-		missing:    map[wire.JobID]struct{}{},
-		undone:     map[wire.JobID]struct{}{},
+		dependents:        map[wire.JobID]map[wire.JobID]struct{}{},
+		missing:           map[wire.JobID]struct{}{},
+		ancestorCancelled: map[wire.JobID]struct{}{},
 	}
 }
 
-// urgency is how urgent a job is by its own description and by those of the jobs that need it.
+// urgency is the effective priority and deadline of a job, which it inherits in part from its dependents.
 type urgency struct {
 	priority wire.Priority   // the highest
-	dueBy    wire.UnixMillis // when its last task should end at the latest; 0: no date
+	dueBy    wire.UnixMillis // when its last task should end at the latest; 0: no deadline
 }
 
-// moreUrgent returns the more urgent of each part.
-func (u urgency) moreUrgent(o urgency) urgency {
+// combine returns the higher priority and the earlier deadline of the two.
+func (u urgency) combine(o urgency) urgency {
 	if o.priority.Rank() < u.priority.Rank() {
 		u.priority = o.priority
 	}
@@ -59,21 +58,21 @@
 	return u
 }
 
-// Ready reports whether all dependencies of the job are done on record. No task of it may be claimed before.
+// Ready reports whether all dependencies of the job are recorded as done. Its tasks must not be claimed before.
 func (j *Job) Ready() bool { return len(j.waitingFor) == 0 && !j.AncestorCancelled }
 
-// WaitingFor returns the jobs that the job still waits for, in the order of their names.
+// WaitingFor returns the dependencies that are not done yet, sorted by id.
 func (j *Job) WaitingFor() []wire.JobID { return slices.Sorted(maps.Keys(j.waitingFor)) }
 
-// EligibleSince returns when the job could first start: when it was accepted, or when the last job that it
-// names was done.
+// EligibleSince returns when the job became eligible to start: when it was accepted, or when its last dependency
+// was done if that was later.
 func (j *Job) EligibleSince() wire.UnixMillis { return max(j.Accepted, j.readyAt) }
 
-// Priority returns the highest priority of the job and of those that need it.
+// Priority returns the effective priority of the job: the highest of its own and those of its dependents.
 func (j *Job) Priority() wire.Priority { return j.currentUrgency().priority }
 
-// DueBy returns when the job should be done for its own deadline and for those of the jobs that need it,
-// after which these still have to run; the zero time if none of them has one.
+// DueBy returns when the job should be done to meet its own deadline and those of its dependents, which still
+// have to run after it. It returns the zero time if none of them has a deadline.
 func (j *Job) DueBy() time.Time {
 	due := j.currentUrgency().dueBy
 	if due == 0 {
@@ -82,7 +81,7 @@
 	return due.Time()
 }
 
-// currentUrgency is the job's urgency with that of the jobs that need it; its own if it is not active.
+// currentUrgency returns the job's urgency, including what it inherits from its dependents if it is active.
 func (j *Job) currentUrgency() urgency {
 	if j.urgency == (urgency{}) {
 		return ownUrgency(j)
@@ -90,7 +89,7 @@
 	return j.urgency
 }
 
-// ownUrgency is a job's urgency by its own description.
+// ownUrgency returns a job's urgency according to its own specification.
 func ownUrgency(j *Job) urgency {
 	u := urgency{priority: j.Spec.Priority}
 	if j.Spec.Deadline != nil {
@@ -99,9 +98,9 @@
 	return u
 }
 
-// passedOn is the urgency that a job passes on to those that it needs: they must be done early enough for it
-// to run, by its owner's estimate.
-func passedOn(j *Job) urgency {
+// propagatedUrgency returns the urgency that a job passes on to its dependencies: they must be done early enough
+// for the job to run before its own deadline, given its owner's estimate of the run time.
+func propagatedUrgency(j *Job) urgency {
 	u := j.urgency
 	if u.dueBy != 0 {
 		u.dueBy -= wire.UnixMillis((j.Spec.Estimate.Duration() + stageOverhead).Milliseconds())
@@ -109,27 +108,28 @@
 	return u
 }
 
-// MissingDependencies returns the jobs that active jobs name and that are not on record: the archive tells
-// how they ended (ResolveDependency).
+// MissingDependencies returns the dependencies of active jobs that are not in the ledger. Their final state must
+// be read from the archive and passed to ResolveDependency.
 func (l *Ledger) MissingDependencies() iter.Seq[wire.JobID] { return maps.Keys(l.dependencies.missing) }
 
-// AncestorCancelledJobs returns the active jobs of which an ancestor is cancelled.
+// AncestorCancelledJobs returns the active jobs with a cancelled ancestor.
 func (l *Ledger) AncestorCancelledJobs() iter.Seq[wire.JobID] {
-	return maps.Keys(l.dependencies.undone)
+	return maps.Keys(l.dependencies.ancestorCancelled)
 }
 
-// WaitingJobs returns how many active jobs wait for others.
+// WaitingJobs returns the number of active jobs that wait for dependencies.
 func (l *Ledger) WaitingJobs() int { return l.dependencies.waiting }
 
-// ResolveDependency notes how a job ended that active jobs name and that is archived.
+// ResolveDependency applies the final record of an archived job to the active jobs that depend on it.
 func (l *Ledger) ResolveDependency(id wire.JobID, r FinalRecord) {
 	if _, missing := l.dependencies.missing[id]; missing {
 		l.finishDependency(id, r.State, 0)
 	}
 }
 
-// dependencyState returns how a job ended that is on record, and when if it is known; Active if it has not.
-func (l *Ledger) dependencyState(id wire.JobID) (state JobState, ended wire.UnixMillis, onRecord bool) {
+// dependencyState returns the state of a job in the ledger and, if recorded, when it ended. A job with a
+// cancelled ancestor counts as cancelled. known is false if the job is not in the ledger.
+func (l *Ledger) dependencyState(id wire.JobID) (state JobState, ended wire.UnixMillis, known bool) {
 	if finished, ok := l.archived.finished[id]; ok {
 		return finished.final().State, finished.ended, true
 	}
@@ -143,14 +143,14 @@
 	return j.State, j.Ended, true
 }
 
-// linkDependencies adds an active job that was not in the index.
+// linkDependencies adds a job that became active to the index.
 func (l *Ledger) linkDependencies(j *Job) {
 	index := &l.dependencies
 	delete(index.missing, j.ID)
 	j.urgency = ownUrgency(j)
 	for id := range index.dependents[j.ID] {
 		if dependent := l.active[id]; dependent != nil && !dependent.AncestorCancelled {
-			j.urgency = j.urgency.moreUrgent(passedOn(dependent))
+			j.urgency = j.urgency.combine(propagatedUrgency(dependent))
 		}
 	}
 	if len(j.Spec.Dependencies) == 0 {
@@ -162,25 +162,25 @@
 	if len(j.waitingFor) > 0 {
 		index.waiting++
 	}
-	l.raiseUrgency(j)
+	l.propagateUrgency(j)
 }
 
-// linkDependency adds one of the jobs that an active job names.
+// linkDependency adds one dependency of an active job to the index.
 func (l *Ledger) linkDependency(j *Job, id wire.JobID) {
 	index := &l.dependencies
 	if index.dependents[id] == nil {
 		index.dependents[id] = map[wire.JobID]struct{}{}
 	}
 	index.dependents[id][j.ID] = struct{}{}
-	state, ended, onRecord := l.dependencyState(id)
+	state, ended, known := l.dependencyState(id)
 	switch state {
 	case Done:
 		j.readyAt = max(j.readyAt, ended)
 		return
 	case Cancelled:
-		l.cancelWithAncestor(j)
+		l.markAncestorCancelled(j)
 	case Active:
-		if !onRecord {
+		if !known {
 			index.missing[id] = struct{}{}
 		}
 	}
@@ -190,10 +190,10 @@
 	j.waitingFor[id] = struct{}{}
 }
 
-// unlinkDependencies removes a job that is no longer active: it ended or left the records.
+// unlinkDependencies removes a job that is no longer active from the index: it ended or was archived.
 func (l *Ledger) unlinkDependencies(j *Job) {
 	index := &l.dependencies
-	delete(index.undone, j.ID)
+	delete(index.ancestorCancelled, j.ID)
 	if len(j.waitingFor) > 0 {
 		index.waiting--
 		j.waitingFor = nil
@@ -204,11 +204,11 @@
 			delete(index.dependents, id)
 			delete(index.missing, id)
 		}
-		l.lowerUrgency(id, passedOn(j))
+		l.recomputeUrgency(id, propagatedUrgency(j))
 	}
 }
 
-// finishDependency notes for the jobs that name a job how it ended.
+// finishDependency applies the final state of a job to the active jobs that depend on it.
 func (l *Ledger) finishDependency(id wire.JobID, state JobState, ended wire.UnixMillis) {
 	delete(l.dependencies.missing, id)
 	for dependentID := range l.dependencies.dependents[id] {
@@ -217,7 +217,7 @@
 			continue
 		}
 		if state == Cancelled {
-			l.cancelWithAncestor(dependent)
+			l.markAncestorCancelled(dependent)
 			continue
 		}
 		if _, waits := dependent.waitingFor[id]; !waits {
@@ -226,21 +226,22 @@
 		dependent.readyAt = max(dependent.readyAt, ended)
 		if delete(dependent.waitingFor, id); len(dependent.waitingFor) == 0 {
 			l.dependencies.waiting--
-			l.dependencies.released = append(l.dependencies.released, dependentID)
+			l.dependencies.newlyReady = append(l.dependencies.newlyReady, dependentID)
 		}
 	}
 }
 
-// DrainReleased returns the jobs that became ready since the last call because the last of their dependencies
-// was done.
+// DrainReleased returns the jobs that became ready since the previous call because their last dependency became
+// done.
 func (l *Ledger) DrainReleased() []wire.JobID {
-	released := l.dependencies.released
-	l.dependencies.released = nil
-	return released
+	ready := l.dependencies.newlyReady
+	l.dependencies.newlyReady = nil
+	return ready
 }
 
-// cancelWithAncestor notes that an ancestor of an active job is cancelled, also for all jobs that need it.
-func (l *Ledger) cancelWithAncestor(j *Job) {
+// markAncestorCancelled records that an active job, and with it all its direct and indirect dependents, has a
+// cancelled ancestor.
+func (l *Ledger) markAncestorCancelled(j *Job) {
 	for queue := []*Job{j}; len(queue) > 0; {
 		next := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
@@ -248,20 +249,20 @@
 			continue
 		}
 		next.AncestorCancelled = true
-		l.dependencies.undone[next.ID] = struct{}{}
+		l.dependencies.ancestorCancelled[next.ID] = struct{}{}
 		for id := range l.dependencies.dependents[next.ID] {
 			if dependent := l.active[id]; dependent != nil {
 				queue = append(queue, dependent)
 			}
 		}
 		for _, id := range next.Spec.Dependencies {
-			l.lowerUrgency(id, passedOn(next))
+			l.recomputeUrgency(id, propagatedUrgency(next))
 		}
 	}
 }
 
-// raiseUrgency passes a job's urgency on to all active jobs that it needs, directly or through others.
-func (l *Ledger) raiseUrgency(j *Job) {
+// propagateUrgency passes a job's urgency on to all its direct and indirect dependencies that are active.
+func (l *Ledger) propagateUrgency(j *Job) {
 	for queue := []*Job{j}; len(queue) > 0; {
 		next := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
@@ -273,7 +274,7 @@
 			if dependency == nil {
 				continue
 			}
-			if raised := dependency.urgency.moreUrgent(passedOn(next)); raised != dependency.urgency {
+			if raised := dependency.urgency.combine(propagatedUrgency(next)); raised != dependency.urgency {
 				dependency.urgency = raised
 				queue = append(queue, dependency)
 			}
@@ -281,28 +282,29 @@
 	}
 }
 
-// lowerUrgency computes the urgency of a job anew after one that needed it is gone, which had passed this
-// much on, and that of the jobs which the job needs itself.
-func (l *Ledger) lowerUrgency(id wire.JobID, passed urgency) {
+// recomputeUrgency recomputes the urgency of a job after one of its dependents is gone, and that of its own
+// dependencies if it changed. propagated is the urgency that the dependent had passed on.
+func (l *Ledger) recomputeUrgency(id wire.JobID, propagated urgency) {
 	j := l.active[id]
 	if j == nil {
 		return
 	}
-	if passed.priority.Rank() > j.urgency.priority.Rank() && (passed.dueBy == 0 || passed.dueBy > j.urgency.dueBy) {
-		return // it decided neither part
+	if propagated.priority.Rank() > j.urgency.priority.Rank() &&
+		(propagated.dueBy == 0 || propagated.dueBy > j.urgency.dueBy) {
+		return // it determined neither the priority nor the deadline
 	}
-	lower := ownUrgency(j)
+	recomputed := ownUrgency(j)
 	for dependentID := range l.dependencies.dependents[id] {
 		if dependent := l.active[dependentID]; dependent != nil && !dependent.AncestorCancelled {
-			lower = lower.moreUrgent(passedOn(dependent))
+			recomputed = recomputed.combine(propagatedUrgency(dependent))
 		}
 	}
-	if lower == j.urgency {
+	if recomputed == j.urgency {
 		return
 	}
-	passed = passedOn(j)
-	j.urgency = lower
+	propagated = propagatedUrgency(j)
+	j.urgency = recomputed
 	for _, dependency := range j.Spec.Dependencies {
-		l.lowerUrgency(dependency, passed)
+		l.recomputeUrgency(dependency, propagated)
 	}
 }
--- a/internal/state/ledger/dependencies_test.go
+++ b/internal/state/ledger/dependencies_test.go
@@ -20,8 +20,8 @@
 	return f
 }
 
-// named returns an array of one task that depends on jobs.
-func named(id wire.JobID, dependencies ...wire.JobID) *wire.JobSpec {
+// dependentSpec returns an array of one task that depends on jobs.
+func dependentSpec(id wire.JobID, dependencies ...wire.JobID) *wire.JobSpec {
 	spec := arraySpec(id, 1)
 	spec.Dependencies = dependencies
 	return spec
@@ -45,9 +45,9 @@
 // its job names are done on record, and the status stays queued.
 func TestClaimsWaitForDependencies(t *testing.T) {
 	f := newPipelineFixture(t)
-	f.submit(t, named("wk-000001"))
-	f.submit(t, named("wk-000002"))
-	j := f.submit(t, named("wk-000003", "wk-000001", "wk-000002"))
+	f.submit(t, dependentSpec("wk-000001"))
+	f.submit(t, dependentSpec("wk-000002"))
+	j := f.submit(t, dependentSpec("wk-000003", "wk-000001", "wk-000002"))
 	for _, first := range []wire.JobID{"wk-000001", "wk-000002"} {
 		got, err := f.ledger.NewTransaction().Claim(j, target(2, 1), 1, nil)
 		if !errors.Is(err, ledger.ErrPreconditionFailed) {
@@ -68,9 +68,9 @@
 // that left them.
 func TestSubmissionResolvesDependencies(t *testing.T) {
 	f := newPipelineFixture(t)
-	f.submit(t, named("wk-000001"))
+	f.submit(t, dependentSpec("wk-000001"))
 	f.finish(t, "wk-000001")
-	f.submit(t, named("wk-000002"))
+	f.submit(t, dependentSpec("wk-000002"))
 	f.run(t, func(txn *ledger.Transaction) error { _, err := txn.Cancel(f.ledger.Job("wk-000002")); return err })
 	for _, tc := range []struct {
 		name     string
@@ -99,7 +99,7 @@
 				"done", "cancelled", "never accepted", "itself", "archived done", "archived cancelled",
 			}, tc.name)))
 			txn := f.ledger.NewTransaction()
-			err := txn.SubmitJob(ledger.Submission{Spec: named(id, tc.names), At: 5, Archived: tc.archived})
+			err := txn.SubmitJob(ledger.Submission{Spec: dependentSpec(id, tc.names), At: 5, Archived: tc.archived})
 			if !errors.Is(err, tc.err) {
 				t.Fatalf("got error %v, want %v", err, tc.err)
 			}
@@ -113,18 +113,18 @@
 		})
 	}
 	old := newFixture(limits)
-	old.submit(t, named("wk-000001"))
-	err := old.ledger.NewTransaction().Submit(named("wk-000002", "wk-000001"), 1)
+	old.submit(t, dependentSpec("wk-000001"))
+	err := old.ledger.NewTransaction().Submit(dependentSpec("wk-000002", "wk-000001"), 1)
 	if !errors.Is(err, ledger.ErrOlderFormat) {
 		t.Errorf("in an older format: got error %v, want ErrOlderFormat", err)
 	}
 	var many []wire.JobID
 	for i := range 300 {
 		id := wire.JobID(fmt.Sprintf("wk-002%03d", i))
-		f.submit(t, named(id))
+		f.submit(t, dependentSpec(id))
 		many = append(many, id)
 	}
-	err = f.ledger.NewTransaction().Submit(named("wk-000500", many...), 1)
+	err = f.ledger.NewTransaction().Submit(dependentSpec("wk-000500", many...), 1)
 	if !errors.Is(err, ledger.ErrTooManyDependencies) {
 		t.Errorf("with 300 dependencies: got error %v, want ErrTooManyDependencies", err)
 	}
@@ -144,9 +144,9 @@
 // TestNamedJobsAreNotArchived guards against an archive that makes dependents forget that a job was done.
 func TestNamedJobsAreNotArchived(t *testing.T) {
 	f := newPipelineFixture(t)
-	f.submit(t, named("wk-000001"))
-	f.submit(t, named("wk-000003"))
-	f.submit(t, named("wk-000002", "wk-000001", "wk-000003"))
+	f.submit(t, dependentSpec("wk-000001"))
+	f.submit(t, dependentSpec("wk-000003"))
+	f.submit(t, dependentSpec("wk-000002", "wk-000001", "wk-000003"))
 	f.finish(t, "wk-000001")
 	if f.ledger.Archivable("wk-000001") {
 		t.Error("got a job archivable that an active job names")
@@ -165,8 +165,8 @@
 func TestMissingDependencyIsResolved(t *testing.T) {
 	for _, state := range []ledger.JobState{ledger.Done, ledger.Cancelled} {
 		f := newPipelineFixture(t)
-		f.submit(t, named("wk-000001"))
-		f.submit(t, named("wk-000002", "wk-000001"))
+		f.submit(t, dependentSpec("wk-000001"))
+		f.submit(t, dependentSpec("wk-000002", "wk-000001"))
 		loaded := ledger.New(limits)
 		for _, item := range f.store.Items() {
 			if item.Key != "mm1/j/wk-000001" {
@@ -292,7 +292,7 @@
 
 // randomPipelineJob returns a job that names up to three of others.
 func randomPipelineJob(rng *rand.Rand, id wire.JobID, others []wire.JobID) *wire.JobSpec {
-	spec := named(id)
+	spec := dependentSpec(id)
 	spec.Priority = []wire.Priority{wire.BestEffort, wire.Normal, wire.High}[rng.IntN(3)]
 	spec.Estimate = wire.Seconds(rng.IntN(50))
 	if rng.IntN(3) == 0 {
@@ -340,8 +340,8 @@
 // record as before.
 func TestPipelineRecordsRoundTrip(t *testing.T) {
 	f := newPipelineFixture(t)
-	f.submit(t, named("wk-000001"))
-	f.submit(t, named("wk-000002", "wk-000001"))
+	f.submit(t, dependentSpec("wk-000001"))
+	f.submit(t, dependentSpec("wk-000002", "wk-000001"))
 	for _, item := range f.store.Items() {
 		var record struct {
 			Spec map[string]any `json:"spec"`
@@ -360,8 +360,8 @@
 func TestVerifyFindsCycles(t *testing.T) {
 	records := map[string]ledger.Event{}
 	for i, spec := range []*wire.JobSpec{
-		named("wk-000001", "wk-000003"), named("wk-000002", "wk-000001"),
-		named("wk-000003", "wk-000002"), named("wk-000004", "wk-000001"),
+		dependentSpec("wk-000001", "wk-000003"), dependentSpec("wk-000002", "wk-000001"),
+		dependentSpec("wk-000003", "wk-000002"), dependentSpec("wk-000004", "wk-000001"),
 	} {
 		value, err := json.Marshal(map[string]any{"spec": spec, "at": 1})
 		if err != nil {
@@ -395,10 +395,10 @@
 			}
 			for i := range waiting {
 				id := wire.JobID(fmt.Sprintf("wk-%07d", 2*i))
-				apply(1, named(id), "")
-				apply(1, named(wire.JobID(fmt.Sprintf("wk-%07d", 2*i+1)), id), "")
+				apply(1, dependentSpec(id), "")
+				apply(1, dependentSpec(wire.JobID(fmt.Sprintf("wk-%07d", 2*i+1)), id), "")
 			}
-			first, second := named("wk-9000000"), named("wk-9000001", "wk-9000000")
+			first, second := dependentSpec("wk-9000000"), dependentSpec("wk-9000001", "wk-9000000")
 			for n := 0; b.Loop(); n++ {
 				first.ID = wire.JobID(fmt.Sprintf("wk-9%07d", 2*n))
 				second.ID = wire.JobID(fmt.Sprintf("wk-9%07d", 2*n+1))
--- a/internal/state/ledger/division.go
+++ b/internal/state/ledger/division.go
@@ -8,38 +8,40 @@
 	"maddermill/wire"
 )
 
-// Division of task ranges. A state service may come to take smaller values than before (settings.state.next).
-// Records that were written up to the old limit can then be read but not written any more. So the job is
-// divided in memory: each of its stored ranges into short ones, of which each may get a record of its own,
-// its part. A part says all about its tasks, whatever the stored range, which is not rewritten for it, says
-// of them; once enough is in parts the stored range fits again. Parts are written from PipelineFormat on.
-
-// dividedRange is how many tasks a range of a divided job has. It is part of the records' meaning. Claims for
-// all of them fit beside a job's specification into the smallest value that a state service may have.
-const dividedRange = 8
-
-// divided reports whether the ranges of the job are shorter than the stored ones.
+// The state service may be reconfigured to accept smaller values than before (settings.state.next). Records that
+// were written up to the old limit can then still be read but no longer written. A job with such records is
+// therefore divided in memory: each stored range into short ranges, each of which may get a record of its own,
+// called its part. A part overrides what the stored range says of its tasks, and the stored range is not
+// rewritten when a part is written. Once enough ranges have parts, the stored range fits the limit again. Parts
+// are written from PipelineFormat on.
+
+// dividedRangeTasks is the number of tasks in a range of a divided job. Stored parts depend on it, so it must not
+// change. Claims for all of these tasks fit, together with a job's specification, into the smallest value limit
+// that a state service may have.
+const dividedRangeTasks = 8
+
+// divided reports whether the ranges of the job are shorter than its stored ranges.
 func (j *Job) divided() bool { return j.tasksPerRange < j.storedRange }
 
-// rangesPerStored returns how many ranges a stored one is divided into.
+// rangesPerStored returns the number of ranges per stored range, which is 1 unless the job is divided.
 func (j *Job) rangesPerStored() int { return (j.storedRange + j.tasksPerRange - 1) / j.tasksPerRange }
 
-// storedIndex returns the number of the stored range that the n-th range is a part of.
+// storedIndex returns the index of the stored range that contains the n-th range.
 func (j *Job) storedIndex(n int) int { return n / j.rangesPerStored() }
 
-// rangeOf returns the number of the range that a task is in.
+// rangeOf returns the index of the range that contains a task.
 func (j *Job) rangeOf(t wire.TaskIndex) int {
 	stored, rest := int(t)/j.storedRange, int(t)%j.storedRange
 	return stored*j.rangesPerStored() + rest/j.tasksPerRange
 }
 
-// rangeCount returns how many ranges the job's tasks fall into.
+// rangeCount returns the number of ranges of the job.
 func (j *Job) rangeCount() int { return j.rangeOf(wire.TaskIndex(j.Spec.Tasks-1)) + 1 }
 
-// rangeBounds are the tasks [first, first+length) of a job, which share a record.
+// rangeBounds are the bounds of a range, which contains tasks [first, first+length).
 type rangeBounds struct{ first, length int }
 
-// rangeBounds returns the tasks of the n-th range.
+// rangeBounds returns the bounds of the n-th range.
 func (j *Job) rangeBounds(n int) rangeBounds {
 	stored := j.storedIndex(n)
 	offset := (n - stored*j.rangesPerStored()) * j.tasksPerRange
@@ -47,23 +49,23 @@
 	return rangeBounds{first, min(j.tasksPerRange, j.storedRange-offset, j.Spec.Tasks-first)}
 }
 
-// storedBounds returns the tasks of the n-th stored range.
+// storedBounds returns the bounds of the n-th stored range.
 func (j *Job) storedBounds(n int) rangeBounds {
 	first := n * j.storedRange
 	return rangeBounds{first, min(j.storedRange, j.Spec.Tasks-first)}
 }
 
-// part returns what a record says of some of its tasks. of are the tasks of the record.
-func (r *taskRangeRecord) part(of, tasks rangeBounds) taskRangeRecord {
+// part returns the part of a record that covers a smaller range. bounds are the bounds of the record.
+func (r *taskRangeRecord) part(bounds, partBounds rangeBounds) taskRangeRecord {
 	part := taskRangeRecord{Attempt: r.Attempt}
-	for i := range tasks.length {
-		if r.isDone(tasks.first - of.first + i) {
+	for i := range partBounds.length {
+		if r.isDone(partBounds.first - bounds.first + i) {
 			part.setDone(i)
 		}
 	}
 	for _, c := range r.Claims {
-		first := max(int(c.First), tasks.first)
-		end := min(int(c.First)+c.Count, tasks.first+tasks.length)
+		first := max(int(c.First), partBounds.first)
+		end := min(int(c.First)+c.Count, partBounds.first+partBounds.length)
 		if first < end {
 			c.First, c.Count = wire.TaskIndex(first), end-first
 			part.Claims = append(part.Claims, c)
@@ -72,12 +74,12 @@
 	return part
 }
 
-// merge adds what a record says of its tasks to one of more tasks.
-func (r *taskRangeRecord) merge(of rangeBounds, part *taskRangeRecord, tasks rangeBounds) {
+// merge adds the content of a part to a record of a larger range. bounds are the bounds of the record.
+func (r *taskRangeRecord) merge(bounds rangeBounds, part *taskRangeRecord, partBounds rangeBounds) {
 	r.Attempt = max(r.Attempt, part.Attempt)
-	for i := range tasks.length {
+	for i := range partBounds.length {
 		if part.isDone(i) {
-			r.setDone(tasks.first - of.first + i)
+			r.setDone(partBounds.first - bounds.first + i)
 		}
 	}
 	for _, c := range part.Claims {
@@ -90,61 +92,61 @@
 	}
 }
 
-// mayOutgrow reports whether a job is to be divided if its ranges are crowded: their records may come to be
-// larger than what the store will take, and parts may be written.
-func (l *Ledger) mayOutgrow(j *Job) bool {
-	return l.writesParts() && l.lowered() && j.storedRange > dividedRange
+// mayDivide reports whether a job must be divided if its ranges are crowded: parts may be written, a record of
+// the usual length may exceed the value limit, and the stored ranges are longer than those of a divided job.
+func (l *Ledger) mayDivide(j *Job) bool {
+	return l.writesParts() && l.lowered() && j.storedRange > dividedRangeTasks
 }
 
 // writesParts reports whether all controllers read parts.
 func (l *Ledger) writesParts() bool { return l.archived.format.Format >= PipelineFormat }
 
-// divideOutgrown divides the jobs whose records may be too large, once parts may be written.
-func (l *Ledger) divideOutgrown() {
+// divideOversizedJobs divides the jobs whose records may be too large. It does nothing until parts may be written.
+func (l *Ledger) divideOversizedJobs() {
 	for _, j := range l.jobs {
-		if l.mayOutgrow(j) && l.crowded(j.Spec, j.storedRange) {
+		if l.mayDivide(j) && l.crowded(j.Spec, j.storedRange) {
 			l.divide(j)
 		}
 	}
 }
 
-// divide divides a job. What the records say does not change.
+// divide divides a job in memory. The state of its tasks does not change.
 func (l *Ledger) divide(j *Job) {
 	if j.divided() {
 		return
 	}
-	whole := make(map[int]*TaskRange, len(j.ranges))
+	stored := make(map[int]*TaskRange, len(j.ranges))
 	j.storedVersions = map[int]wire.Revision{}
 	for n, r := range j.ranges {
-		whole[n] = r
+		stored[n] = r
 		j.storedVersions[n] = r.Version
 		l.replaceRange(j, n, &TaskRange{})
 	}
 	clear(j.ranges)
-	j.tasksPerRange, j.long = dividedRange, false
-	for n, r := range whole {
-		l.replaceStored(j, n, r.Version, &r.taskRangeRecord)
+	j.tasksPerRange, j.long = dividedRangeTasks, false
+	for n, r := range stored {
+		l.replaceStoredRange(j, n, r.Version, &r.taskRangeRecord)
 	}
 }
 
-// replaceStored applies the record of the n-th stored range to the ranges that it is divided into and that
-// have no part.
-func (l *Ledger) replaceStored(j *Job, n int, version wire.Revision, record *taskRangeRecord) {
+// replaceStoredRange applies the record of the n-th stored range. In a divided job it applies to the ranges in it
+// that have no part.
+func (l *Ledger) replaceStoredRange(j *Job, n int, version wire.Revision, record *taskRangeRecord) {
 	if !j.divided() {
 		l.replaceRange(j, n, &TaskRange{Version: version, taskRangeRecord: *record})
 		return
 	}
 	j.storedVersions[n] = version
-	of := j.storedBounds(n)
+	bounds := j.storedBounds(n)
 	for i := n * j.rangesPerStored(); i < min((n+1)*j.rangesPerStored(), j.rangeCount()); i++ {
 		if old := j.ranges[i]; old == nil || !old.hasPart {
-			l.replaceRange(j, i, &TaskRange{Version: version, taskRangeRecord: record.part(of, j.rangeBounds(i))})
+			l.replaceRange(j, i, &TaskRange{Version: version, taskRangeRecord: record.part(bounds, j.rangeBounds(i))})
 		}
 	}
 }
 
-// removeStored applies that the record of the n-th stored range, n > 0, was deleted.
-func (l *Ledger) removeStored(j *Job, n int) {
+// removeStoredRange applies the deletion of the record of the n-th stored range, n > 0.
+func (l *Ledger) removeStoredRange(j *Job, n int) {
 	per := j.rangesPerStored()
 	for i := n * per; i < min((n+1)*per, j.rangeCount()); i++ {
 		if old := j.ranges[i]; old != nil && !old.hasPart {
@@ -155,7 +157,7 @@
 	delete(j.storedVersions, n)
 }
 
-// applyPart applies a change of a part of a divided job's tasks. It may arrive before its job.
+// applyPart applies a change to a part of a divided job. It may arrive before the job.
 func (l *Ledger) applyPart(name string, e Event) error {
 	id, n, ok := parsePartKey(name)
 	if !ok {
@@ -164,12 +166,12 @@
 	if j := l.jobs[id]; j != nil {
 		return l.updatePart(j, n, e)
 	}
-	l.keepOrphan(e)
+	l.bufferOrphanRange(e)
 	return nil
 }
 
-// updatePart applies a change of the part of the n-th range. A part is deleted when its job is archived, after
-// the stored range was rewritten without it.
+// updatePart applies a change to the part of the n-th range. A part is deleted only when its job is archived,
+// after the stored range was rewritten without its tasks.
 func (l *Ledger) updatePart(j *Job, n int, e Event) error {
 	l.divide(j)
 	old := j.ranges[n]
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// recordVersions returns the versions of the job's records besides its own, by key.
+// recordVersions returns the versions of all records of the job except its own, by key.
 func (j *Job) recordVersions() map[string]wire.Revision {
 	versions := map[string]wire.Revision{}
 	for n, r := range j.ranges {
@@ -213,25 +215,26 @@
 	return versions
 }
 
-// partValue is the value of the part of a range as a transaction leaves it.
+// partValue is the value that a transaction writes for the part of a range.
 type partValue struct {
 	update *jobUpdate
 	n      int
 }
 
-// MarshalJSON encodes the range.
+// MarshalJSON encodes the record of the range.
 func (v partValue) MarshalJSON() ([]byte, error) { return json.Marshal(v.update.taskRange(v.n)) }
 
-// storedValue is the value of a stored range, other than the first, as a transaction leaves it.
+// storedValue is the value that a transaction writes for a stored range other than the first.
 type storedValue struct {
 	update *jobUpdate
 	n      int
 }
 
-// MarshalJSON encodes what of the range is in no part.
+// MarshalJSON encodes the record of the stored range without the ranges that have a part.
 func (v storedValue) MarshalJSON() ([]byte, error) { return json.Marshal(v.update.storedRange(v.n)) }
 
-// storedValue returns the value of the record of a stored range; the first is in the job's own.
+// storedValue returns the value of the record that holds the n-th stored range; the job's own record holds the
+// first.
 func (u *jobUpdate) storedValue(n int) any {
 	if n == 0 {
 		return u
@@ -239,22 +242,23 @@
 	return storedValue{u, n}
 }
 
-// storedRange returns the record of a stored range as the transaction leaves it.
+// storedRange returns the record of the n-th stored range with the changes of the transaction, without the ranges
+// that have a part.
 func (u *jobUpdate) storedRange(n int) *taskRangeRecord {
 	if !u.job.divided() {
 		return u.taskRange(n)
 	}
-	merged, of := new(taskRangeRecord), u.job.storedBounds(n)
+	merged, bounds := new(taskRangeRecord), u.job.storedBounds(n)
 	per := u.job.rangesPerStored()
 	for i := n * per; i < min((n+1)*per, u.job.rangeCount()); i++ {
 		if !u.hasPart(i) {
-			merged.merge(of, u.currentRange(i), u.job.rangeBounds(i))
+			merged.merge(bounds, u.currentRange(i), u.job.rangeBounds(i))
 		}
 	}
 	return merged
 }
 
-// currentRange returns a range as the transaction leaves it, which must not be changed.
+// currentRange returns the n-th range with the changes of the transaction. The caller must not change it.
 func (u *jobUpdate) currentRange(n int) *taskRangeRecord {
 	if r := u.ranges[n]; r != nil {
 		return r
@@ -265,26 +269,26 @@
 	return new(taskRangeRecord)
 }
 
-// hasPart reports whether a range has a record of its own, or gets one from the transaction.
+// hasPart reports whether the n-th range has a part or the transaction writes one.
 func (u *jobUpdate) hasPart(n int) bool {
 	old := u.job.ranges[n]
 	return old != nil && old.hasPart || slices.Contains(u.newParts, n)
 }
 
-// putRange writes the record of a range, on the condition that it is as in the ledger. A range of a divided
-// job whose stored range has become too large gets a part.
+// putRange writes the record of the n-th range, conditioned on its version in the ledger. In a divided job, a
+// range whose stored range would be too large gets a part.
 func (txn *Transaction) putRange(update *jobUpdate, n int) {
 	j := update.job
 	txn.requireRange(j, n)
 	stored := j.storedIndex(n)
-	if j.divided() && (update.hasPart(n) || !txn.fits(update, stored)) {
+	if j.divided() && (update.hasPart(n) || !txn.storedRangeFits(update, stored)) {
 		txn.putPart(update, n)
 		return
 	}
 	txn.put(taskRangeKey(j.ID, stored), update.storedValue(stored))
 }
 
-// putPart writes the part of a range.
+// putPart writes the part of the n-th range.
 func (txn *Transaction) putPart(update *jobUpdate, n int) {
 	if !update.hasPart(n) {
 		update.newParts = append(update.newParts, n)
@@ -292,9 +296,9 @@
 	txn.put(partKey(update.job.ID, n), partValue{update, n})
 }
 
-// movePart gives a range a part if it has none and claims that a part would take out of the stored range, and
-// reports whether it did.
-func (txn *Transaction) movePart(update *jobUpdate, n int) bool {
+// moveToPart moves the n-th range from its stored range to a new part if it has no part and has claims, and
+// reports whether it did. A range without claims would take no claims out of the stored range.
+func (txn *Transaction) moveToPart(update *jobUpdate, n int) bool {
 	if update.hasPart(n) || len(update.currentRange(n).Claims) == 0 {
 		return false
 	}
@@ -303,27 +307,27 @@
 	return true
 }
 
-// fits reports whether the record of a stored range is within the limit of values.
-func (txn *Transaction) fits(update *jobUpdate, n int) bool {
+// storedRangeFits reports whether the record of the n-th stored range is within the value limit.
+func (txn *Transaction) storedRangeFits(update *jobUpdate, n int) bool {
 	b, err := json.Marshal(update.storedValue(n))
 	return err == nil && len(b) <= txn.ledger.limits.ValueBytes
 }
 
-// putJob writes a job's own record, on the condition that it is as in the ledger. Of a divided job as many
-// ranges get a part as the record is too large.
+// putJob writes a job's own record, conditioned on its version in the ledger. In a divided job, ranges are moved
+// to parts until the record fits the value limit.
 func (txn *Transaction) putJob(update *jobUpdate) {
 	j := update.job
 	txn.requireJob(j)
 	if j.divided() {
-		for n := min(j.rangesPerStored(), j.rangeCount()) - 1; n >= 0 && !txn.fits(update, 0); n-- {
-			txn.movePart(update, n)
+		for n := min(j.rangesPerStored(), j.rangeCount()) - 1; n >= 0 && !txn.storedRangeFits(update, 0); n-- {
+			txn.moveToPart(update, n)
 		}
 	}
 	txn.put(jobKey(j.ID), update)
 }
 
-// WriteParts gives ranges of a divided job whose own record is too large to be written a part, as many as the
-// transaction has room for. It returns ErrPreconditionFailed if there are none.
+// WriteParts moves ranges of a divided job to parts until the job's own record fits the value limit, or as many as
+// fit into the transaction. It returns ErrPreconditionFailed if it moves none.
 func (txn *Transaction) WriteParts(j *Job) error {
 	if !j.divided() {
 		return ErrPreconditionFailed
@@ -333,10 +337,10 @@
 		written := 0
 		for n := range min(j.rangesPerStored(), j.rangeCount()) {
 			full := len(txn.values) >= txn.maxChanges || len(txn.conditions)+2 > conditionsPerChange*txn.maxChanges
-			if full || txn.fits(update, 0) {
+			if full || txn.storedRangeFits(update, 0) {
 				break
 			}
-			if txn.movePart(update, n) {
+			if txn.moveToPart(update, n) {
 				written++
 			}
 		}
--- a/internal/state/ledger/division_test.go
+++ b/internal/state/ledger/division_test.go
@@ -22,9 +22,9 @@
 	}
 )
 
-// largeJob returns a fixture with an array whose record is close to the usual limit of values: each of its
+// newLargeJobFixture returns a fixture with an array whose record is close to the usual limit of values: each of its
 // tasks is claimed on a machine of its own. Nothing in it knows of a lower limit.
-func largeJob(t *testing.T, tasks int) *fixture {
+func newLargeJobFixture(t *testing.T, tasks int) *fixture {
 	t.Helper()
 	f := newFixture(usualLimits)
 	j := f.submit(t, arraySpec("wk-000001", tasks))
@@ -37,9 +37,9 @@
 	return f
 }
 
-// lower has the records read by a controller that knows of the lower limits, raises their format, and then
+// lowerLimits has the records read by a controller that knows of the lowerLimits limits, raises their format, and then
 // lowers the limits of the store.
-func (f *fixture) lower(t *testing.T) {
+func (f *fixture) lowerLimits(t *testing.T) {
 	t.Helper()
 	f.ledger = f.loadWith(loweredLimits)
 	f.run(t, func(txn *ledger.Transaction) error { return txn.UpgradeFormat(ledger.PipelineFormat, 1) })
@@ -55,8 +55,8 @@
 	return l
 }
 
-// endOne ends one claimed task of a job, and reports whether there was one.
-func (f *fixture) endOne(t *testing.T, j *ledger.Job, rng *rand.Rand, end ledger.TaskEnd) bool {
+// releaseOneTask ends one claimed task of a job, and reports whether there was one.
+func (f *fixture) releaseOneTask(t *testing.T, j *ledger.Job, rng *rand.Rand, end ledger.TaskEnd) bool {
 	t.Helper()
 	var claims []ledger.Claim
 	j.Claims(func(c ledger.Claim) bool { claims = append(claims, c); return true })
@@ -81,8 +81,8 @@
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		tasks := 20 + rng.IntN(330)
-		f := largeJob(t, tasks)
-		f.lower(t)
+		f := newLargeJobFixture(t, tasks)
+		f.lowerLimits(t)
 		j := f.ledger.Job("wk-000001")
 		for step := 0; j.State == ledger.Active && step < 20*tasks; step++ {
 			if j.Pending() > 0 && rng.IntN(2) == 0 {
@@ -97,9 +97,9 @@
 			if rng.IntN(4) == 0 {
 				end = ledger.TaskStopped
 			}
-			f.endOne(t, j, rng, end)
+			f.releaseOneTask(t, j, rng, end)
 			if step%50 == 0 {
-				compareLoaded(t, seed, f, j)
+				compareWithReloaded(t, seed, f, j)
 			}
 		}
 		if final, over := f.ledger.ArchivedState("wk-000001"); !over || final.State != ledger.Done || final.Done != tasks {
@@ -128,18 +128,18 @@
 	return all
 }
 
-// compareLoaded compares a job with what a controller reads that loads all records.
-func compareLoaded(t *testing.T, seed uint64, f *fixture, j *ledger.Job) {
+// compareWithReloaded compares a job with what a controller reads that loads all records.
+func compareWithReloaded(t *testing.T, seed uint64, f *fixture, j *ledger.Job) {
 	t.Helper()
 	other := f.loadWith(loweredLimits).Job(j.ID)
-	got, want := describe(other), describe(j)
+	got, want := taskStates(other), taskStates(j)
 	if !reflect.DeepEqual(got, want) {
 		t.Fatalf("seed %d: loaded anew: got %v, want %v", seed, got, want)
 	}
 }
 
-// describe lists what the records say of each task of a job.
-func describe(j *ledger.Job) (tasks []string) {
+// taskStates lists what the records say of each task of a job.
+func taskStates(j *ledger.Job) (tasks []string) {
 	tasks = make([]string, j.Spec.Tasks)
 	for i := range tasks {
 		if j.TaskDone(wire.TaskIndex(i)) {
@@ -183,8 +183,8 @@
 // after some of its ranges were given a part, and its tasks are released afterwards.
 func TestCancelLargeJobAfterTheLimitFalls(t *testing.T) {
 	for _, tasks := range []int{9, 40, 120, 320} {
-		f := largeJob(t, tasks)
-		f.lower(t)
+		f := newLargeJobFixture(t, tasks)
+		f.lowerLimits(t)
 		j := f.ledger.Job("wk-000001")
 		for range tasks {
 			txn := f.ledger.NewTransaction()
@@ -202,7 +202,7 @@
 			t.Fatalf("%d tasks: got state %q, want cancelled", tasks, j.State)
 		}
 		rng := rand.New(rand.NewPCG(1, uint64(tasks)))
-		for f.ledger.Job("wk-000001") != nil && f.endOne(t, j, rng, ledger.TaskStopped) {
+		for f.ledger.Job("wk-000001") != nil && f.releaseOneTask(t, j, rng, ledger.TaskStopped) {
 			continue
 		}
 		if j.Claimed != 0 || len(f.store.Problems) > 0 {
@@ -214,7 +214,7 @@
 // TestNoPartsBeforeTheFormat: while a version may serve that does not read parts, none is written, and what is
 // written may be as large as before.
 func TestNoPartsBeforeTheFormat(t *testing.T) {
-	f := largeJob(t, 100)
+	f := newLargeJobFixture(t, 100)
 	f.ledger = f.loadWith(loweredLimits)
 	j := f.ledger.Job("wk-000001")
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/state/ledger/history_test.go
+++ b/internal/state/ledger/history_test.go
@@ -18,13 +18,13 @@
 // history is a random sequence of transactions by controllers whose ledgers lag behind. Every commit that
 // the store takes is checked against the plain model of the rules.
 type history struct {
-	rng     *rand.Rand
-	store   *emulator.Store
-	blind   string // the prefix of the keys on which the store ignores conditions, "" for none
-	events  []ledger.Event
-	ledgers []*ledger.Ledger // of the controllers
-	truth   *ledger.Ledger   // sees every commit at once
-	leader  wire.Revision    // of the leader's record
+	rng             *rand.Rand
+	store           *emulator.Store
+	unguardedPrefix string // the prefix of the keys on which the store ignores conditions, "" for none
+	events          []ledger.Event
+	ledgers         []*ledger.Ledger // of the controllers
+	current         *ledger.Ledger   // sees every commit at once
+	leader          wire.Revision    // of the leader's record
 
 	ids        []wire.JobID
 	specs      map[wire.JobID]*wire.JobSpec
@@ -43,28 +43,28 @@
 func newHistory(t *testing.T, seed uint64, blind string) *history {
 	t.Helper()
 	h := &history{
-		rng:        rand.New(rand.NewPCG(seed, 7)),
-		store:      emulator.NewStore(limits.TxnOps, limits.ValueBytes),
-		blind:      blind,
-		ledgers:    []*ledger.Ledger{ledger.New(limits), ledger.New(limits), ledger.New(limits)},
-		truth:      ledger.New(limits),
-		specs:      map[wire.JobID]*wire.JobSpec{},
-		proven:     map[wire.TaskID][]ledger.Claim{},
-		finals:     map[wire.JobID]ledger.FinalRecord{},
-		archivedAt: map[wire.JobID]wire.Revision{},
+		rng:             rand.New(rand.NewPCG(seed, 7)),
+		store:           emulator.NewStore(limits.TxnOps, limits.ValueBytes),
+		unguardedPrefix: blind,
+		ledgers:         []*ledger.Ledger{ledger.New(limits), ledger.New(limits), ledger.New(limits)},
+		current:         ledger.New(limits),
+		specs:           map[wire.JobID]*wire.JobSpec{},
+		proven:          map[wire.TaskID][]ledger.Claim{},
+		finals:          map[wire.JobID]ledger.FinalRecord{},
+		archivedAt:      map[wire.JobID]wire.Revision{},
 	}
 	if blind != "" {
 		h.store.Blind = map[string]bool{blind: true}
 	}
-	h.state = model.Read(h.truth, h.ids, h.finals, model.State{})
+	h.state = model.Read(h.current, h.ids, h.finals, model.State{})
 	record := []byte(`{"by":"m-0","token":1}`)
 	var err error
 	if h.leader, err = h.store.Apply(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: record}}}); err != nil {
 		t.Fatal(err)
 	}
 	h.events = append(h.events, ledger.Event{Key: ledger.LeaderKey, Value: record, Version: h.leader})
-	h.truth.Apply(h.events[0])
-	upgrade := h.truth.NewTransaction()
+	h.current.Apply(h.events[0])
+	upgrade := h.current.NewTransaction()
 	if err := upgrade.UpgradeFormat(ledger.ArchiveFormat, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -114,10 +114,10 @@
 		h.observe(c, revision)
 	}
 	for _, id := range h.ids {
-		h.truth.DropFilterPage(string(id)) // what is stored counts, not what the ledger adds to it
+		h.current.DropFilterPage(string(id)) // what is stored counts, not what the ledger adds to it
 	}
-	readPages(h.truth, h.store, h.ids...)
-	after := model.Read(h.truth, h.ids, h.finals, h.state)
+	readPages(h.current, h.store, h.ids...)
+	after := model.Read(h.current, h.ids, h.finals, h.state)
 	quotas := map[wire.Team]float64{"capped": 4}
 	h.violations = append(h.violations, model.Check(h.state, after, quotas, func(t wire.TaskID, c ledger.Claim) bool {
 		return slices.Contains(h.proven[t], c)
@@ -143,7 +143,7 @@
 		return
 	}
 	h.events = append(h.events, e)
-	h.truth.Apply(e)
+	h.current.Apply(e)
 }
 
 // transaction returns the next transaction of a random controller, which may be empty.
@@ -152,7 +152,7 @@
 	l := h.ledgers[controller]
 	catchUp(l, h.events, len(h.events)-h.rng.IntN(min(len(h.events), 6)+1))
 	for id, at := range h.archivedAt {
-		if may, known := l.MayBeArchived(id); known && !may && at <= l.Revision() && h.blind == "" {
+		if may, known := l.MayBeArchived(id); known && !may && at <= l.Revision() && h.unguardedPrefix == "" {
 			h.violations = append(h.violations, "forgotten: a page that was kept up lacks "+string(id))
 		}
 	}
--- a/internal/state/ledger/job_update.go
+++ b/internal/state/ledger/job_update.go
@@ -7,24 +7,24 @@
 	"maddermill/wire"
 )
 
-// jobUpdate is a job as a transaction leaves it. It is the value of the job's record.
+// jobUpdate is a job with the changes of a transaction. It encodes as the value of the job's record.
 type jobUpdate struct {
-	job       *Job
-	state     JobState
-	stop      wire.Attempt
-	spec      *wire.JobSpec
-	accepted  wire.UnixMillis
-	longRange int // tasks that share a record; 0 if they are the usual number
-	finalDone int // see Job
+	job         *Job
+	state       JobState
+	stop        wire.Attempt
+	spec        *wire.JobSpec
+	accepted    wire.UnixMillis
+	customRange int // tasks per stored range, 0 for the usual number
+	finalDone   int // see Job
 
 	gallery wire.GalleryName
 	ended   wire.UnixMillis
-	ranges  map[int]*taskRangeRecord // copies of those read so far; the others are as in job
-	// newParts are the ranges of a divided job that get a record of their own.
+	ranges  map[int]*taskRangeRecord // copies of the ranges accessed so far; the others are unchanged in job
+	// newParts are the ranges of a divided job for which the transaction writes a part.
 	newParts []int
 }
 
-// taskRange returns the copy of the n-th range's record, which may be changed.
+// taskRange returns the transaction's copy of the n-th range, which the caller may change.
 func (u *jobUpdate) taskRange(n int) *taskRangeRecord {
 	r := u.ranges[n]
 	if r == nil {
@@ -47,7 +47,7 @@
 			Accepted:        u.accepted,
 			State:           u.state,
 			Stop:            u.stop,
-			Range:           u.longRange,
+			Range:           u.customRange,
 			Workflow:        u.job.Workflow,
 			FinalDone:       u.finalDone,
 			Gallery:         u.gallery,
@@ -57,7 +57,7 @@
 	)
 }
 
-// eachClaim calls f for every claim, in no order. f must not change the claim.
+// eachClaim calls f for every claim in no particular order. f must not change the claim.
 func (u *jobUpdate) eachClaim(f func(*Claim)) {
 	for n, r := range u.job.ranges {
 		if u.ranges[n] == nil {
@@ -73,12 +73,12 @@
 	}
 }
 
-// allDone reports whether the job has no task left to run. A service always has.
+// allDone reports whether all tasks of the job are done. It is always false for a service.
 func (u *jobUpdate) allDone() bool {
 	return u.spec.Shape != wire.Service && u.doneTasks() == u.spec.Tasks
 }
 
-// doneTasks returns how many of the job's tasks are done.
+// doneTasks returns the number of tasks that are done.
 func (u *jobUpdate) doneTasks() int {
 	total := u.job.Done
 	for n, r := range u.ranges {
@@ -90,9 +90,9 @@
 	return total
 }
 
-// rangeTaken reports whether the n-th range has no pending task, by the counts of the ledger; a range
-// that the transaction has read is not known to be.
-func (u *jobUpdate) rangeTaken(n int) bool {
+// rangeExhausted reports whether the n-th range has no pending task according to the counts in the ledger. It
+// returns false for a range that the transaction has accessed, because the transaction may have changed it.
+func (u *jobUpdate) rangeExhausted(n int) bool {
 	r := u.job.ranges[n]
 	return r != nil && u.ranges[n] == nil && r.doneTasks+r.claimedTasks >= u.job.rangeBounds(n).length
 }
--- a/internal/state/ledger/machines.go
+++ b/internal/state/ledger/machines.go
@@ -15,32 +15,32 @@
 	return Terminated
 }
 
-// MachinePhases calls f for every machine whose phase has a record of its own.
+// MachinePhases calls f for every machine that has a phase record.
 func (l *Ledger) MachinePhases(f func(wire.MachineID, MachinePhase)) {
 	for m, phase := range l.phases {
 		f(m, phase)
 	}
 }
 
-// DecodeMachinePhase decodes the record of a machine's phase as read from the store: the machine, its phase
-// and the reason of its termination. ok is false for any other record.
-func DecodeMachinePhase(it wire.Item) (m wire.MachineID, phase MachinePhase, reason string, ok bool) {
-	rest, ok := strings.CutPrefix(it.Key, machinePrefix)
+// DecodeMachinePhase decodes a machine's phase record as read from the store: the machine, its phase and the
+// reason for its termination. ok is false if the item is not a valid phase record.
+func DecodeMachinePhase(item wire.Item) (m wire.MachineID, phase MachinePhase, reason string, ok bool) {
+	name, ok := strings.CutPrefix(item.Key, machinePrefix)
 	var r machineRecord
-	if !ok || json.Unmarshal(it.Value, &r) != nil {
+	if !ok || json.Unmarshal(item.Value, &r) != nil {
 		return "", "", "", false
 	}
-	return wire.MachineID(rest), r.Phase, r.Reason, true
+	return wire.MachineID(name), r.Phase, r.Reason, true
 }
 
-// TerminatingMachines calls f for every machine that is terminating and not yet terminated.
+// TerminatingMachines calls f for every machine that is terminating but not yet terminated.
 func (l *Ledger) TerminatingMachines(f func(wire.MachineID)) {
 	for m := range l.terminating {
 		f(m)
 	}
 }
 
-// DrainChangedMachines calls f for every machine whose claims or phase changed since the last call.
+// DrainChangedMachines calls f for every machine whose claims or phase changed since the previous call.
 func (l *Ledger) DrainChangedMachines(f func(wire.MachineID)) {
 	for m := range l.changedMachines {
 		f(m)
@@ -48,22 +48,22 @@
 	clear(l.changedMachines)
 }
 
-// CountTerminated returns how many terminated machines were compacted into their series.
+// CountTerminated returns the number of terminated machines that were compacted into their series.
 func (l *Ledger) CountTerminated() int { return l.archived.terminated.Count() }
 
-// Total returns the resources of a machine of a type, none if the type is not known.
+// Total returns the resources of a machine of a type, or zero if the type is unknown.
 func (l *Ledger) Total(t wire.MachineTypeName) Resources {
 	machineType := l.machineTypes[t]
 	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// Free returns the resources of a machine that no claim takes. Claims of earlier sessions don't count:
-// their tasks ended with the session.
-func (l *Ledger) Free(s ClaimTarget) Resources {
-	free := l.Total(s.Type)
-	for _, h := range l.ClaimsOn(s.Machine) {
-		if h.Epoch >= s.Epoch {
-			free = free.Add(h.Job.Need, -h.Count)
+// Free returns the unclaimed resources of a machine. Claims of earlier agent epochs are ignored: their tasks
+// ended with the epoch.
+func (l *Ledger) Free(target ClaimTarget) Resources {
+	free := l.Total(target.Type)
+	for _, held := range l.ClaimsOn(target.Machine) {
+		if held.Epoch >= target.Epoch {
+			free = free.Add(held.Job.Need, -held.Count)
 		}
 	}
 	return free
--- a/internal/state/ledger/transaction.go
+++ b/internal/state/ledger/transaction.go
@@ -9,29 +9,29 @@
 	"maddermill/wire"
 )
 
-// Transaction is a compare-and-swap on the store: changed records, and the versions of all records that
-// the changes were decided from. Its methods add transitions; one that returns an error adds no change.
-// It refers to the ledger as it is and must be completed before the ledger changes.
+// Transaction is a compare-and-swap on the store: the changed records, and as conditions the versions of all
+// records that the changes depend on. Its methods add transitions; one that returns an error adds no change.
+// It reads the current state of the ledger and must be completed before the ledger changes.
 type Transaction struct {
 	ledger     *Ledger
 	jobs       map[wire.JobID]*jobUpdate
-	phases     map[wire.MachineID]MachinePhase // that it sets
-	teamUsage  map[wire.Team]Resources         // the difference to the ledger's
+	phases     map[wire.MachineID]MachinePhase // set by the transaction
+	teamUsage  map[wire.Team]Resources         // added by the transaction to the ledger's usage
 	conditions map[string]wire.Revision        // by key; 0: the key must not exist
-	values     map[string]any                  // by key; a deletion deletes it
-	keyOrder   []string                        // of values, in the order in which they were first put
-	sizes      map[string]int                  // bytes of the values that were measured since they were put
+	values     map[string]any                  // by key; a value of type deletion deletes the key
+	keyOrder   []string                        // the keys of values, in the order in which they were first put
+	sizes      map[string]int                  // encoded sizes of values by key, cached until the next put
 	maxChanges int                             // at most Limits.TxnOps
 	now        wire.UnixMillis                 // see SetTime
 
-	filterPages     []*archive.Page // that it writes
-	filterAdditions uint64          // the ledger's, when the transaction was started
+	filterPages     []*archive.Page // written by the transaction
+	filterAdditions uint64          // Ledger.FilterAdditions when the transaction was created
 }
 
-// NewTransaction starts an empty transaction.
+// NewTransaction returns an empty transaction.
 func (l *Ledger) NewTransaction() *Transaction { return l.NewTransactionOf(l.limits.TxnOps) }
 
-// NewTransactionOf starts an empty transaction of at most this many changes.
+// NewTransactionOf returns an empty transaction of at most changes changes.
 func (l *Ledger) NewTransactionOf(changes int) *Transaction {
 	return &Transaction{
 		ledger:          l,
@@ -46,15 +46,15 @@
 	}
 }
 
-// Limit lowers the number of changes that the transaction may have, to no less than it has.
+// Limit lowers the maximum number of changes, but not below the number that the transaction already has.
 func (txn *Transaction) Limit(changes int) {
 	txn.maxChanges = max(len(txn.values), min(txn.maxChanges, changes))
 }
 
-// RemainingChanges returns how many changes the transaction may have, with those that it has.
+// RemainingChanges returns the maximum number of changes, including those that the transaction already has.
 func (txn *Transaction) RemainingChanges() int { return txn.maxChanges }
 
-// update returns the job as the transaction leaves it.
+// update returns the transaction's update of a job, which it creates if there is none.
 func (txn *Transaction) update(j *Job) *jobUpdate {
 	update := txn.jobs[j.ID]
 	if update == nil {
@@ -70,18 +70,19 @@
 			ranges:    map[int]*taskRangeRecord{},
 		}
 		if j.storedRange != txn.ledger.usualRange() {
-			update.longRange = j.storedRange
+			update.customRange = j.storedRange
 		}
 		txn.jobs[j.ID] = update
 	}
 	return update
 }
 
-// requireJob adds the condition that a job's own record is as in the ledger: its state, zones and stop.
+// requireJob adds the condition that a job's own record is unchanged since the ledger read it. The condition
+// covers the state, the stopped attempt and the zones: each claim of a job with a zone rule rewrites the record.
 func (txn *Transaction) requireJob(j *Job) { txn.conditions[jobKey(j.ID)] = j.version }
 
-// requireRange adds the condition that the record of a range is as in the ledger, and that a range of a
-// divided job without a part has got none.
+// requireRange adds the condition that the record of a range is unchanged since the ledger read it, and, for a
+// range of a divided job that has no part, that no part was written meanwhile.
 func (txn *Transaction) requireRange(j *Job, n int) {
 	if r := j.ranges[n]; r != nil && r.hasPart {
 		txn.conditions[partKey(j.ID, n)] = r.Version
@@ -94,7 +95,7 @@
 	}
 }
 
-// put writes a record.
+// put adds a write of a record.
 func (txn *Transaction) put(key string, v any) {
 	if _, ok := txn.values[key]; !ok {
 		txn.keyOrder = append(txn.keyOrder, key)
@@ -103,13 +104,13 @@
 	delete(txn.sizes, key)
 }
 
-// deletion is the value of a key that the transaction deletes.
+// deletion marks a key in Transaction.values as deleted.
 type deletion struct{}
 
-// remove deletes a record.
+// remove adds the deletion of a record.
 func (txn *Transaction) remove(key string) { txn.put(key, deletion{}) }
 
-// atomically runs a change and undoes it if it returns an error or makes the transaction too large.
+// atomically runs a change and rolls it back if it returns an error or makes the transaction too large.
 func (txn *Transaction) atomically(change func() error) error {
 	before := txn.clone()
 	err := change()
@@ -122,7 +123,7 @@
 	return err
 }
 
-// clone returns a copy to which the transaction can be reset.
+// clone returns a deep copy, from which the transaction can be restored.
 func (txn *Transaction) clone() *Transaction {
 	saved := *txn
 	saved.phases = maps.Clone(txn.phases)
@@ -155,15 +156,15 @@
 }
 
 const (
-	// conditionsPerChange is how many conditions the store takes for each change that a transaction
+	// conditionsPerChange is how many conditions the store accepts for each change that a transaction
 	// may have.
 	conditionsPerChange = 4
-	// conditionBytes is about how many bytes a condition takes of a transaction.
+	// conditionBytes is the approximate size of a condition in a transaction.
 	conditionBytes = 64
 )
 
-// checkSize returns ErrTransactionFull if the transaction exceeds a limit, ErrTooLarge if it would also do
-// so with its last change alone.
+// checkSize returns ErrTransactionFull if the transaction exceeds a limit, and ErrTooLarge if it does so with a
+// single job or machine, or if a value alone is too large.
 func (txn *Transaction) checkSize() error {
 	limits := &txn.ledger.limits
 	alone := len(txn.jobs)+len(txn.phases) <= 1
@@ -190,7 +191,7 @@
 		if size > txn.ledger.valueLimit() {
 			return ErrTooLarge
 		}
-		total += size + keyBytes
+		total += size + changeOverheadBytes
 	}
 	if total > limits.TxnBytes {
 		if alone {
@@ -201,8 +202,8 @@
 	return nil
 }
 
-// Request returns the transaction as the store takes it: conditions by key, changes in the order in
-// which they were added.
+// Request encodes the transaction for the store, with the conditions sorted by key and the changes in the
+// order in which they were added.
 func (txn *Transaction) Request() (wire.Txn, error) {
 	var request wire.Txn
 	for k, v := range txn.conditions {
--- a/internal/state/ledger/transaction_archive.go
+++ b/internal/state/ledger/transaction_archive.go
@@ -9,11 +9,11 @@
 	"maddermill/wire"
 )
 
-// Archive moves finished jobs into the archive: as many of them, from the first, as the transaction
-// has room for; it returns how many. All must belong to one page of the filter, which must be known
-// (ErrNoPage otherwise). Their records are deleted and their final records written in one
-// transaction, so at every revision exactly one of the two has a job, and the filter contains
-// every archived job.
+// Archive moves finished jobs to the archive, starting with the first, as many as fit into the transaction, and
+// returns how many it moved. All jobs must belong to one page of the filter; it returns ErrNoPage if that page
+// is not loaded. Their records are deleted and their final records written in one transaction, so at every
+// revision each job is either in the live records or in the archive, and the filter contains every archived
+// job.
 func (txn *Transaction) Archive(ids []wire.JobID) (int, error) {
 	if !txn.archiveEnabled() || len(ids) == 0 {
 		return 0, refuse("archive jobs", strconv.Itoa(len(ids)))
@@ -37,7 +37,7 @@
 	return 0, ErrTransactionFull
 }
 
-// countKeys returns how many keys a job's records take.
+// countKeys returns the number of keys under which a job is stored.
 func (l *Ledger) countKeys(id wire.JobID) int {
 	if j := l.jobs[id]; j != nil {
 		return 1 + len(j.recordVersions())
@@ -45,7 +45,7 @@
 	return 1
 }
 
-// archiveJobs moves exactly these jobs.
+// archiveJobs moves all of the jobs to the archive, or none.
 func (txn *Transaction) archiveJobs(ids []wire.JobID) error {
 	page := txn.ledger.FilterPage(ids[0])
 	if page == nil {
@@ -53,12 +53,12 @@
 	}
 	var names []string
 	for _, id := range ids {
-		final, over := txn.ledger.ArchivedState(id)
-		if !over || !txn.ledger.Archivable(id) || !page.Covers(string(id)) {
+		final, finished := txn.ledger.ArchivedState(id)
+		if !finished || !txn.ledger.Archivable(id) || !page.Covers(string(id)) {
 			return refuse("archive job", id)
 		}
-		if finished, short := txn.ledger.archived.finished[id]; short {
-			txn.conditions[jobKey(id)] = finished.version
+		if job, compact := txn.ledger.archived.finished[id]; compact {
+			txn.conditions[jobKey(id)] = job.version
 			txn.remove(jobKey(id))
 		} else {
 			j := txn.ledger.jobs[id]
@@ -77,9 +77,8 @@
 	return txn.addToFilter(names...)
 }
 
-// DeleteTaskRanges deletes ranges of a finished job that has too many for Archive to delete in one
-// transaction: as many as this one has room for. The number of its done tasks is kept in the job's
-// own record.
+// DeleteTaskRanges deletes task ranges of a finished job that has too many for Archive to delete in one
+// transaction, as many as fit into this one. The job's own record keeps the number of completed tasks.
 func (txn *Transaction) DeleteTaskRanges(id wire.JobID) error {
 	j := txn.ledger.jobs[id]
 	if !txn.archiveEnabled() || j == nil || len(j.recordVersions()) == 0 || !txn.ledger.Archivable(id) {
@@ -100,8 +99,8 @@
 	})
 }
 
-// ArchiveWorkflow moves a workflow that has ended into the archive, its record unchanged. The jobs of
-// its steps are archived by themselves.
+// ArchiveWorkflow moves a workflow that has ended to the archive, with its record unchanged. The jobs of its
+// steps are archived separately.
 func (txn *Transaction) ArchiveWorkflow(id wire.WorkflowID) error {
 	workflow := txn.ledger.workflows[id]
 	if !txn.archiveEnabled() || workflow == nil || !workflow.Ended() {
@@ -116,8 +115,8 @@
 	})
 }
 
-// ArchiveGallery moves a gallery that has ended, and none of whose jobs is on record, into the
-// archive, its record unchanged.
+// ArchiveGallery moves a gallery to the archive, with its record unchanged. The gallery must have ended, and all
+// of its jobs must have been archived.
 func (txn *Transaction) ArchiveGallery(g *Gallery) error {
 	if !g.Ended() || g.HasJobs() || !txn.archiveEnabled() {
 		return refuse("archive gallery", g.Name)
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -7,34 +7,35 @@
 	"maddermill/wire"
 )
 
-// ClaimTarget is the machine on which tasks are claimed, as the controller that holds it knows it.
+// ClaimTarget is the machine on which tasks are claimed, as seen by the controller that holds it.
 type ClaimTarget struct {
 	Machine wire.MachineID
 	Type    wire.MachineTypeName
 	Zone    wire.Zone
 	Spot    bool
-	Epoch   wire.AgentEpoch   // the incarnation of its worker
+	Epoch   wire.AgentEpoch   // the epoch of its worker, which changes when the worker restarts
 	Token   wire.FencingToken // under which the controller holds the machine
 }
 
-// Allowed reports whether a job may run on a machine of a type, in a zone, spot or not.
+// Allowed reports whether a job's constraints allow a machine of a type in a zone. spot says whether it is a
+// spot machine.
 func Allowed(s *wire.JobSpec, typ wire.MachineTypeName, zone wire.Zone, spot bool) bool {
 	return (s.Types == nil || slices.Contains(s.Types, typ)) &&
 		(s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
 
-// zoneCapacity returns how many more tasks of a job may be claimed in a zone. each calls its argument for
-// every claim of the job. A job that must spread has at most half of its tasks, rounded up, in a zone.
-func zoneCapacity(s *wire.JobSpec, zone wire.Zone, each func(func(*Claim))) int {
+// zoneCapacity returns how many more tasks of a job may be claimed in a zone. eachClaim calls its argument for
+// every claim of the job. A job with Spread may have at most half of its tasks, rounded up, in one zone.
+func zoneCapacity(s *wire.JobSpec, zone wire.Zone, eachClaim func(func(*Claim))) int {
 	capacity := s.Tasks
 	if !s.Spread && !s.OneZone {
-		return capacity // without a rule for zones the claims, of which there may be many, are not read
+		return capacity // avoids reading all claims, of which there may be many
 	}
 	if s.Spread {
 		capacity = (s.Tasks + 1) / 2
 	}
 	here, elsewhere := 0, 0
-	each(func(c *Claim) {
+	eachClaim(func(c *Claim) {
 		if c.Zone == zone {
 			here += c.Count
 		} else {
@@ -47,9 +48,9 @@
 	return max(0, capacity-here)
 }
 
-// Claim claims up to count pending tasks of an array or service for a target and returns how many it
-// claimed. Tasks for which backedOff is true are left out; it may be nil. It returns
-// ErrPreconditionFailed if it claimed none.
+// Claim claims up to count pending tasks of an array or service for a target and returns how many it claimed.
+// It skips tasks for which backedOff, which may be nil, returns true. It returns ErrPreconditionFailed if it
+// claimed none.
 func (txn *Transaction) Claim(
 	j *Job, target ClaimTarget, count int, backedOff func(wire.TaskIndex) bool,
 ) (int, error) {
@@ -57,26 +58,26 @@
 	err := txn.atomically(func() error {
 		update := txn.update(j)
 		if j.Spec.Shape == wire.Gang {
-			return fmt.Errorf("ledger: %s is a gang", j.ID)
+			return fmt.Errorf("ledger: job %s is a gang, whose tasks must be claimed together", j.ID)
 		}
 		if err := txn.requireTarget(update, target); err != nil {
 			return err
 		}
 		count = min(count, zoneCapacity(j.Spec, target.Zone, update.eachClaim), txn.teamCapacity(j, count))
 		ranges := j.rangeCount()
-		// Controllers begin at different ranges of a large job. Those that start tasks of it at the
-		// same time seldom write the same record, and starts and ends that one records together are
-		// in few.
+		// Each controller begins at a different range of a large job. Controllers that claim its tasks
+		// concurrently then rarely conflict on a record, and the claims and releases of one controller
+		// are concentrated in few records.
 		first := txn.ledger.limits.firstRange(j.ID, ranges)
 		for k := 0; k < ranges && claimed < count; k++ {
 			n := (first + k) % ranges
-			if update.rangeTaken(n) {
+			if update.rangeExhausted(n) {
 				continue
 			}
 			_, changed := update.ranges[n]
 			tasks := pendingTasks(update.taskRange(n), j.rangeBounds(n), count-claimed, backedOff)
 			tasks = tasks[:txn.recordCapacity(update, n, tasks)]
-			full := claimed > 0 && len(txn.values) >= txn.maxChanges-1 // the rest goes into a later transaction
+			full := claimed > 0 && len(txn.values) >= txn.maxChanges-1 // leaves the rest to a later transaction
 			if len(tasks) > 0 && !full {
 				txn.claimInRange(update, n, tasks, target)
 				claimed += len(tasks)
@@ -92,7 +93,7 @@
 		if claimed == 0 {
 			return ErrPreconditionFailed
 		}
-		txn.addTeamUse(j, claimed, target.Token)
+		txn.addTeamUsage(j, claimed, target.Token)
 		return nil
 	})
 	if err != nil {
@@ -101,38 +102,39 @@
 	return claimed, nil
 }
 
-// claimInRange claims pending tasks of the n-th range, in ascending order, under a new attempt.
+// claimInRange claims pending tasks of the n-th range under a new attempt. tasks must be in ascending order.
 func (txn *Transaction) claimInRange(update *jobUpdate, n int, tasks []wire.TaskIndex, target ClaimTarget) {
 	r, j := update.taskRange(n), update.job
 	r.Attempt++
 	appendClaims(r, tasks, r.Attempt, target)
 	txn.putRange(update, n)
-	// Cancellation and zones are read from the job's own record; with a zone rule every start must
-	// also rewrite it.
+	// The condition on the job's own record makes the claim conflict with a cancellation. With a zone rule
+	// every claim also rewrites that record, so that concurrent claims conflict.
 	txn.requireJob(j)
 	if j.Spec.OneZone || j.Spec.Spread {
 		txn.putJob(update)
 	}
 }
 
-// recordCapacity returns how many of the tasks, as one start, the record of the n-th range has room for
-// however its tasks end. A record that the end of a task would make too large could never be written.
+// recordCapacity returns how many of the tasks can be claimed together so that the record of the n-th range
+// stays within the value limit in whatever order its tasks end. Otherwise the end of a task could make the
+// record too large, and could never be written.
 func (txn *Transaction) recordCapacity(update *jobUpdate, n int, tasks []wire.TaskIndex) int {
 	if !update.job.long || len(tasks) == 0 {
 		return len(tasks) // each task has room for a claim of its own
 	}
-	size := 64 + update.longRange/6 + 8 // the rest of the record, done tasks among it
+	size := 64 + update.customRange/6 + 8 // the rest of the record, including the bitmap of done tasks
 	if n == 0 {
 		size += maxSpecBytes
 	}
-	size += update.taskRange(n).Claims.worstBytes() + maxClaimBytes
+	size += update.taskRange(n).Claims.maxEncodedBytes() + maxClaimBytes
 	capacity := 0
 	for i := 0; i < len(tasks); {
 		end := i + 1
 		for end < len(tasks) && tasks[end] == tasks[end-1]+1 {
 			end++
 		}
-		// As much of this run of tasks as fits becomes one piece of the claim.
+		// Takes as much of this run of consecutive tasks as fits, as one piece of the claim.
 		for piece := end - i; piece > 0; piece-- {
 			if size+(piece+1)/2*maxPairBytes <= txn.ledger.valueLimit() {
 				size += (piece + 1) / 2 * maxPairBytes
@@ -148,19 +150,20 @@
 	return capacity
 }
 
-// GangPart is the number of a gang's tasks on one machine.
+// GangPart is the number of a gang's tasks to claim on one machine.
 type GangPart struct {
 	Target ClaimTarget
 	Count  int
 }
 
-// ClaimGang claims every task of a gang that is not done at once, as a new attempt. It refuses while any
-// claim of an earlier attempt is left, and unless the parts have room for exactly all tasks.
+// ClaimGang claims all unfinished tasks of a gang at once, under a new attempt. It returns
+// ErrPreconditionFailed while claims of an earlier attempt are left, and if the counts of the parts don't add
+// up to exactly the unfinished tasks.
 func (txn *Transaction) ClaimGang(j *Job, parts []GangPart) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if j.Spec.Shape != wire.Gang {
-			return fmt.Errorf("ledger: %s is not a gang", j.ID)
+			return fmt.Errorf("ledger: job %s is not a gang", j.ID)
 		}
 		claimed := false
 		update.eachClaim(func(*Claim) { claimed = true })
@@ -190,14 +193,14 @@
 			remaining = remaining[part.Count:]
 		}
 		if len(remaining) > 0 {
-			return ErrPreconditionFailed // all or none
+			return ErrPreconditionFailed // a gang starts with all of its tasks or not at all
 		}
-		txn.addTeamUse(j, total, parts[0].Target.Token)
+		txn.addTeamUsage(j, total, parts[0].Target.Token)
 		return nil
 	})
 }
 
-// claimGangPart claims a gang's tasks, which are in ascending order, on one machine.
+// claimGangPart claims tasks of a gang on one machine. tasks must be in ascending order.
 func (txn *Transaction) claimGangPart(
 	update *jobUpdate, tasks []wire.TaskIndex, attempt wire.Attempt, target ClaimTarget,
 ) {
@@ -213,9 +216,9 @@
 	}
 }
 
-// TakeOver puts the claims of a gang's attempt on a machine under the token of the controller that holds
-// the machine now. The worker must accept no lower token any more. Only under its own token may a
-// controller let tasks rejoin that gave up waiting for the others. No task is claimed or released.
+// TakeOver moves the claims of a gang's attempt on a machine to the fencing token of the controller that holds
+// the machine now. The worker must already reject lower tokens. A controller may let tasks that gave up waiting
+// for the other tasks of the gang rejoin only under its own token. No task is claimed or released.
 func (txn *Transaction) TakeOver(j *Job, attempt wire.Attempt, target ClaimTarget) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
@@ -225,7 +228,7 @@
 		if err := txn.requireTarget(update, target); err != nil {
 			return err
 		}
-		// A gang that has lost a member must start again, and any range may show that it has.
+		// A gang that has lost a task must start again, and any range may show that it has.
 		for n := range j.ranges {
 			txn.requireRange(j, n)
 		}
@@ -248,21 +251,22 @@
 	})
 }
 
-// takeOverClaims puts the claims of an attempt on a machine in its session under the token of target where
-// they are under a lower one, and reports whether there were any.
+// takeOverClaims raises the token of an attempt's claims on a machine, in its current epoch, to that of target,
+// and reports whether there were any with a lower token.
 func takeOverClaims(r *taskRangeRecord, attempt wire.Attempt, target ClaimTarget) (changed bool) {
 	for i := range r.Claims {
 		claim := &r.Claims[i]
-		here := claim.Machine == target.Machine && claim.Epoch == target.Epoch
-		if here && claim.Attempt == attempt && claim.Token < target.Token {
+		onTarget := claim.Machine == target.Machine && claim.Epoch == target.Epoch
+		if onTarget && claim.Attempt == attempt && claim.Token < target.Token {
 			claim.Token, changed = target.Token, true
 		}
 	}
 	return changed
 }
 
-// requireTarget returns ErrPreconditionFailed unless a job may start on a machine, and adds the condition
-// that the machine is in no phase. That all dependencies are done needs no condition: done is final.
+// requireTarget returns ErrPreconditionFailed if a job must not start on a machine, and otherwise adds the
+// condition that the machine is still in service. The dependencies of the job need no condition, because done
+// is a final state.
 func (txn *Transaction) requireTarget(update *jobUpdate, target ClaimTarget) error {
 	if update.state != Active || !update.job.Ready() || !Allowed(update.spec, target.Type, target.Zone, target.Spot) {
 		return ErrPreconditionFailed
@@ -274,28 +278,28 @@
 	return nil
 }
 
-// pendingTasks returns up to limit tasks of a range that are neither done nor claimed nor backed off, in
-// ascending order. backedOff may be nil.
+// pendingTasks returns up to limit tasks of a range that are not done, claimed or backed off, in ascending
+// order. backedOff may be nil.
 func pendingTasks(
 	r *taskRangeRecord, bounds rangeBounds, limit int, backedOff func(wire.TaskIndex) bool,
 ) []wire.TaskIndex {
-	taken := make([]bool, bounds.length)
+	claimed := make([]bool, bounds.length)
 	for _, c := range r.Claims {
 		for i := range c.Count {
-			taken[int(c.First)+i-bounds.first] = true
+			claimed[int(c.First)+i-bounds.first] = true
 		}
 	}
 	var pending []wire.TaskIndex
 	for i := 0; i < bounds.length && len(pending) < limit; i++ {
 		task := wire.TaskIndex(bounds.first + i)
-		if !taken[i] && !r.isDone(i) && (backedOff == nil || !backedOff(task)) {
+		if !claimed[i] && !r.isDone(i) && (backedOff == nil || !backedOff(task)) {
 			pending = append(pending, task)
 		}
 	}
 	return pending
 }
 
-// appendClaims adds claims for tasks, which are in ascending order: one for each run of them.
+// appendClaims adds one claim for each run of consecutive tasks. tasks must be in ascending order.
 func appendClaims(r *taskRangeRecord, tasks []wire.TaskIndex, attempt wire.Attempt, target ClaimTarget) {
 	for i, t := range tasks {
 		if i > 0 && tasks[i-1] == t-1 {
--- a/internal/state/ledger/transaction_galleries.go
+++ b/internal/state/ledger/transaction_galleries.go
@@ -10,7 +10,7 @@
 	"maddermill/wire"
 )
 
-// UpgradeRegister puts a newer edition of the operators' register in force.
+// UpgradeRegister records that a newer revision of the operators' register is in force.
 func (txn *Transaction) UpgradeRegister(revision int) error {
 	if revision <= txn.ledger.register.Revision || txn.ledger.archived.format.Format < GalleryFormat {
 		return refuse("upgrade register", strconv.Itoa(revision))
@@ -22,7 +22,7 @@
 	})
 }
 
-// requireRegister adds the condition that an edition of the register is in force.
+// requireRegister adds the condition that a revision of the register is in force.
 func (txn *Transaction) requireRegister(revision int) error {
 	if txn.ledger.register.Revision != revision {
 		return refuse("require register", strconv.Itoa(revision))
@@ -34,7 +34,8 @@
 // SetTime sets the time that transitions record.
 func (txn *Transaction) SetTime(now wire.UnixMillis) { txn.now = now }
 
-// completeJob makes a job done, and records when if it belongs to a gallery or others may wait for it.
+// completeJob sets a job's state to done, and records the time if it belongs to a gallery or other jobs may
+// depend on it.
 func (txn *Transaction) completeJob(update *jobUpdate) {
 	update.state = Done
 	if update.gallery != "" || txn.ledger.archived.format.Format >= PipelineFormat {
@@ -42,7 +43,8 @@
 	}
 }
 
-// assignGallery adds a job that belongs to no gallery to one that has not ended, and reports whether it did.
+// assignGallery adds a job to a gallery if it belongs to none and the gallery has not ended, and reports
+// whether it did.
 func (txn *Transaction) assignGallery(update *jobUpdate, g *Gallery) bool {
 	if update.gallery != "" || g.Version == 0 || g.Ended() || txn.ledger.archived.format.Format < GalleryFormat {
 		return false
@@ -52,7 +54,7 @@
 	return true
 }
 
-// AssignGallery adds a job to a gallery that was not known when the job was accepted.
+// AssignGallery adds a job to a gallery that did not exist when the job was accepted.
 func (txn *Transaction) AssignGallery(j *Job, g *Gallery) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
@@ -64,8 +66,8 @@
 	})
 }
 
-// OpenGallery adds a gallery with its first promise, as an edition of the register has it. A name is never
-// used twice.
+// OpenGallery adds a gallery with its first promised date, as given in a revision of the register. A gallery's
+// name is never used again, even after it was archived.
 func (txn *Transaction) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
 	if !n.Valid() || txn.ledger.Gallery(n) != nil || txn.ledger.archived.format.Format < GalleryFormat {
 		return refuse("open gallery", n)
@@ -80,17 +82,17 @@
 	})
 }
 
-// truncated returns the promise with a reason that fits its record.
+// truncated returns the promise with its reason cut to the maximum length.
 func (p Promise) truncated() Promise {
 	p.Why = truncateReason(p.Why)
 	return p
 }
 
-// truncateReason cuts a reason so that it takes at most maxReasonBytes as JSON.
+// truncateReason cuts a reason to at most maxReasonBytes when encoded as JSON.
 func truncateReason(why string) string {
 	why = strings.ToValidUTF8(why, "?")
 	for {
-		b, _ := json.Marshal(why) // a string never fails
+		b, _ := json.Marshal(why) // encoding a string never fails
 		if len(b) <= maxReasonBytes+2 {
 			return why
 		}
@@ -99,12 +101,12 @@
 	}
 }
 
-// ChangeDate adds a promise with another date, as an edition of the register has it. It returns
-// ErrManyDates if the record has no room for another.
+// ChangeDate adds a promise with a new date, as given in a revision of the register. It returns ErrManyDates if
+// the gallery already has maxPromises promises.
 func (txn *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
 	switch {
 	case g.Ended() || p.Date == g.Date():
-		return refuse("change date of gallery", g.Name)
+		return refuse("change promised date of gallery", g.Name)
 	case len(g.Promises) >= maxPromises:
 		return ErrManyDates
 	}
@@ -117,7 +119,7 @@
 	return txn.writeGallery(g, r)
 }
 
-// WithdrawGallery ends a gallery that an edition of the register no longer has.
+// WithdrawGallery ends a gallery that a revision of the register no longer contains.
 func (txn *Transaction) WithdrawGallery(g *Gallery, why string, at wire.UnixMillis, register int) error {
 	if err := txn.requireRegister(register); err != nil {
 		return err
@@ -125,10 +127,11 @@
 	return txn.MoveGallery(g, GalleryWithdrawn, why, at)
 }
 
-// MoveGallery moves a gallery to another state. In a final state its record has the counts of its jobs.
+// MoveGallery changes the state of a gallery. On entering a final state its record stores the counts of its
+// jobs.
 func (txn *Transaction) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
 	if !slices.Contains(galleryTransitions[g.State], to) {
-		return refuse("move gallery", g.Name)
+		return refuse("set gallery state", g.Name)
 	}
 	r := g.GalleryRecord
 	r.State, r.Why, r.Since = to, truncateReason(why), at
--- a/internal/state/ledger/transaction_jobs.go
+++ b/internal/state/ledger/transaction_jobs.go
@@ -7,30 +7,31 @@
 	"maddermill/wire"
 )
 
-// Submission is a job to be accepted, with what else its record depends on.
+// Submission is a job to be accepted, with the other records that its acceptance depends on.
 type Submission struct {
 	Spec     *wire.JobSpec
-	At       wire.UnixMillis // the time of the acceptance
-	Gallery  *Gallery        // that it belongs to; nil for none
-	workflow *Workflow       // that it is a step of; nil for none
-	// Archived has the final records of those of its dependencies that are archived.
+	At       wire.UnixMillis // when the job was accepted
+	Gallery  *Gallery        // the gallery that it belongs to, nil if none
+	workflow *Workflow       // the workflow that it is a step of, nil if none
+	// Archived holds the final records of its archived dependencies.
 	Archived map[wire.JobID]FinalRecord
 }
 
-// Submit accepts a job. It returns ErrPreconditionFailed if the job is on record. That it is not in the
-// archive either is a condition, and final records are never deleted: however late the transaction is
-// committed, a finished job is not accepted again. Dependencies that are done are left out of the record;
-// with one that is cancelled the job is accepted as cancelled. Both are final, so no condition is needed.
+// Submit accepts a job. It returns ErrPreconditionFailed if the ledger already has the job. The transaction is
+// also conditioned on the job not being archived. Since final records are never deleted, a finished job is not
+// accepted again, however late the transaction is committed. Dependencies that are done are left out of the
+// record; if one is cancelled, the job is accepted as cancelled. Both states are final and need no condition.
 func (txn *Transaction) Submit(spec *wire.JobSpec, at wire.UnixMillis) error {
 	return txn.SubmitJob(Submission{Spec: spec, At: at})
 }
 
-// SubmitJob is Submit for a job that may belong to a gallery and may name archived jobs. It returns
-// ErrPreconditionFailed also if the gallery has ended, ErrUnknownDependency if a job is named that is neither
-// on record nor in Archived, ErrOlderFormat or ErrTooManyDependencies.
+// SubmitJob is like Submit for a job that may belong to a gallery and may depend on archived jobs. It also
+// returns ErrPreconditionFailed if the gallery has ended, ErrUnknownDependency if a dependency is neither in the
+// ledger nor in Archived, ErrOlderFormat if the record format has no dependencies yet, and
+// ErrTooManyDependencies if the record has no room for all of them.
 func (txn *Transaction) SubmitJob(s Submission) error {
 	limits := &txn.ledger.limits
-	if _, over := txn.ledger.ArchivedState(s.Spec.ID); over || txn.ledger.jobs[s.Spec.ID] != nil {
+	if _, finished := txn.ledger.ArchivedState(s.Spec.ID); finished || txn.ledger.jobs[s.Spec.ID] != nil {
 		return refuse("submit job", s.Spec.ID)
 	}
 	spec, state, err := txn.resolveDependencies(&s)
@@ -39,7 +40,7 @@
 	}
 	return txn.atomically(func() error {
 		if spec.Shape == wire.Gang && spec.Tasks > (limits.TxnOps-1)*txn.ledger.newRange(spec) {
-			return fmt.Errorf("%w: a gang starts in one transaction", ErrTooLarge)
+			return fmt.Errorf("%w: all tasks of a gang must be claimed in one transaction", ErrTooLarge)
 		}
 		j := &Job{ID: spec.ID, Spec: spec, Accepted: s.At, State: state, storedRange: txn.ledger.newRange(spec)}
 		j.tasksPerRange = j.storedRange
@@ -57,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		// Every task may come to have a claim of its own in the record.
+		// In the worst case every task has a claim of its own in the record.
 		fits := len(b)+min(spec.Tasks, j.tasksPerRange)*maxClaimBytes <= limits.ValueBytes
 		if long {
 			fits = len(b) <= maxSpecBytes
@@ -72,8 +73,8 @@
 	})
 }
 
-// resolveDependencies returns the description of a job with those of its dependencies that are not done, and
-// the state in which it is accepted.
+// resolveDependencies returns a job's specification with only the dependencies that are not done, and the
+// state in which the job is accepted.
 func (txn *Transaction) resolveDependencies(s *Submission) (*wire.JobSpec, JobState, error) {
 	if len(s.Spec.Dependencies) == 0 {
 		return s.Spec, Active, nil
@@ -84,8 +85,8 @@
 	spec, accepted := *s.Spec, Active
 	spec.Dependencies = nil
 	for _, id := range s.Spec.Dependencies {
-		state, _, onRecord := txn.ledger.dependencyState(id)
-		if !onRecord {
+		state, _, known := txn.ledger.dependencyState(id)
+		if !known {
 			final, archived := s.Archived[id]
 			if !archived {
 				return nil, Active, ErrUnknownDependency
@@ -105,7 +106,7 @@
 	return &spec, accepted, nil
 }
 
-// Cancel cancels a job and returns the state that it is then in: a done job stays done.
+// Cancel cancels a job and returns its state afterwards: a job that is done stays done.
 func (txn *Transaction) Cancel(j *Job) (JobState, error) {
 	update := txn.update(j)
 	if update.state != Active {
@@ -120,7 +121,8 @@
 	return Cancelled, err
 }
 
-// PreemptGang has a gang's attempts up to upTo stopped by the controllers that hold their machines.
+// PreemptGang records that a gang's attempts up to upTo must be stopped. The controllers that hold their
+// machines stop them.
 func (txn *Transaction) PreemptGang(j *Job, upTo wire.Attempt) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
@@ -133,8 +135,8 @@
 	})
 }
 
-// CompleteJob makes a job done all of whose tasks are. It is needed when two controllers each record the
-// last task of a different range at the same time: each sees the other range unfinished, and neither
+// CompleteJob sets the state of a job to done if all of its tasks are done. It is needed when two controllers
+// concurrently record the last tasks of different ranges: each sees the other range unfinished, so neither
 // completes the job.
 func (txn *Transaction) CompleteJob(j *Job) error {
 	return txn.atomically(func() error {
--- a/internal/state/ledger/transaction_machines.go
+++ b/internal/state/ledger/transaction_machines.go
@@ -7,12 +7,12 @@
 	"maddermill/wire"
 )
 
-// phaseOrder is the order in which a machine goes through the phases, none left out.
+// phaseOrder lists the phases in the order in which every machine goes through them.
 var phaseOrder = []MachinePhase{"", Terminating, Terminated}
 
-// SetMachinePhase advances a machine to Terminating, or from there to Terminated. leaderVersion is the
-// version of the leader's record under which the caller leads, and is a condition. The reason that
-// was given for Terminating is kept for Terminated.
+// SetMachinePhase advances a machine to Terminating, or from there to Terminated. The transaction is conditioned
+// on leaderVersion, the version of the leader record that made the caller the leader. The reason given for
+// Terminating is kept for Terminated.
 func (txn *Transaction) SetMachinePhase(
 	m wire.MachineID, phase MachinePhase, reason string, leaderVersion wire.Revision,
 ) error {
@@ -34,48 +34,48 @@
 	})
 }
 
-// CompactTerminated deletes the records of terminated machines, which all belong to one part of a
-// series, and adds the machines to the part. A claim on one of them that was decided before fails,
-// as its transaction is conditioned on the head of the machine's series, which is rewritten here.
+// CompactTerminated deletes the records of terminated machines, which must all belong to one part of a series,
+// and adds the machines to that part. A claim on one of them that is committed later fails: its transaction is
+// conditioned on the head of the machine's series, which this transaction rewrites.
 func (txn *Transaction) CompactTerminated(id archive.PartID, names []wire.MachineID) error {
 	if !txn.archiveEnabled() || len(names) == 0 {
 		return refuse("compact terminated machines", id.String())
 	}
 	return txn.atomically(func() error {
-		p := &txn.ledger.archived
-		var texts []string
+		index := &txn.ledger.archived
+		var machines []string
 		for _, m := range names {
-			if of, ok := archive.PartOfMachine(string(m)); !ok || of != id || txn.ledger.phases[m] != Terminated {
+			if partID, ok := archive.PartOfMachine(string(m)); !ok || partID != id || txn.ledger.phases[m] != Terminated {
 				return refuse("compact terminated machine", m)
 			}
 			txn.conditions[machineKey(m)] = txn.ledger.phaseVersions[m]
 			txn.remove(machineKey(m))
-			texts = append(texts, string(m))
+			machines = append(machines, string(m))
 		}
-		head, part := p.terminated.With(id, texts)
+		head, part := index.terminated.With(id, machines)
 		headKey, partKey := seriesHeadPrefix+id.Series.String(), seriesPartPrefix+id.String()
-		txn.conditions[headKey] = p.headVersions[id.Series]
-		txn.conditions[partKey] = p.partVersions[id]
+		txn.conditions[headKey] = index.headVersions[id.Series]
+		txn.conditions[partKey] = index.partVersions[id]
 		txn.put(headKey, head)
 		switch {
 		case part.Len() > 0:
 			txn.put(partKey, part)
-		case p.partVersions[id] != 0:
+		case index.partVersions[id] != 0:
 			txn.remove(partKey)
 		}
 		return nil
 	})
 }
 
-// requireMachine conditions the transaction on a machine not being in a phase, neither by a record of
-// its own nor as a compacted one.
+// requireMachine adds the conditions that a machine is in service: it has no phase record and has not been
+// compacted into its series.
 func (txn *Transaction) requireMachine(m wire.MachineID) {
-	txn.conditions[machineKey(m)] = 0 // it never had a record
+	txn.conditions[machineKey(m)] = 0 // a machine in service has no record
 	txn.requireSeries(m)
 }
 
-// requireSeries conditions the transaction on the head of a machine's series, which every compaction
-// of the series rewrites.
+// requireSeries adds the condition that the head of a machine's series is unchanged. Every compaction of the
+// series rewrites it.
 func (txn *Transaction) requireSeries(m wire.MachineID) {
 	if s, _, ok := archive.SplitName(string(m)); ok {
 		txn.conditions[seriesHeadPrefix+s.String()] = txn.ledger.archived.headVersions[s]
--- a/internal/state/ledger/transaction_releases.go
+++ b/internal/state/ledger/transaction_releases.go
@@ -6,20 +6,20 @@
 	"maddermill/wire"
 )
 
-// TaskEnd is how tasks ended.
+// TaskEnd is the outcome of tasks that no longer run.
 type TaskEnd bool
 
-// The ends of tasks.
+// The outcomes of tasks.
 const (
-	TaskStopped   TaskEnd = false // failed, preempted or lost: they are pending again
+	TaskStopped   TaskEnd = false // failed, preempted or lost: the tasks become pending again
 	TaskCompleted TaskEnd = true
 )
 
-// ReleaseTasks removes tasks from the claim under which they were started, on proof that they no longer run,
-// and returns how many it removed. Completed tasks are recorded as done, except those of a service, which
-// start again; the job is done with its last task. Claims of other starts are not touched. All tasks
-// must be of one range, as those of a HeldClaim are. It returns ErrPreconditionFailed, not wrapped, if
-// none of the tasks is under the claim.
+// ReleaseTasks removes tasks from the claim under which they were started and returns how many it removed. The
+// caller must have proof that they no longer run. Completed tasks are recorded as done, except those of a
+// service, which become pending again; the job is done when its last task is. Claims of other starts are not
+// changed. All tasks must be in one range, as those of a HeldClaim are. It returns ErrPreconditionFailed,
+// unwrapped, if none of the tasks is held by the claim.
 func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, end TaskEnd) (int, error) {
 	n := j.rangeOf(tasks[0])
 	first := j.rangeBounds(n).first
@@ -55,9 +55,9 @@
 	return released, nil
 }
 
-// CompleteGang records that all tasks of a gang's attempt are done, and returns how many it released: they
-// complete together, so that one that is done proves it of all (PROTOCOL, "Gangs"), whichever
-// controllers hold their machines. It takes one change a range, where ReleaseTasks may take one a task.
+// CompleteGang records that all tasks of a gang's attempt are done, and returns how many it released. The tasks
+// of a gang complete together, so that the completion of one proves that of all (PROTOCOL, "Gangs"), whichever
+// controllers hold their machines. It needs one change per range, where ReleaseTasks may need one per task.
 func (txn *Transaction) CompleteGang(j *Job, attempt wire.Attempt) (released int, err error) {
 	err = txn.atomically(func() error {
 		released = 0
@@ -95,17 +95,17 @@
 	return released, err
 }
 
-// removeTask removes a task from the claim at index i, which falls into up to two pieces.
+// removeTask removes a task from the claim at index i, which is split into up to two claims.
 func removeTask(claims []Claim, i int, task wire.TaskIndex) []Claim {
 	c := claims[i]
 	left, right := c, c
 	left.Count = int(task - c.First)
 	right.First, right.Count = task+1, c.Count-left.Count-1
-	var parts []Claim
-	for _, p := range []Claim{left, right} {
-		if p.Count > 0 {
-			parts = append(parts, p)
+	var remaining []Claim
+	for _, claim := range []Claim{left, right} {
+		if claim.Count > 0 {
+			remaining = append(remaining, claim)
 		}
 	}
-	return slices.Replace(claims, i, i+1, parts...)
+	return slices.Replace(claims, i, i+1, remaining...)
 }
--- a/internal/state/ledger/transaction_workflows.go
+++ b/internal/state/ledger/transaction_workflows.go
@@ -6,7 +6,7 @@
 	"maddermill/wire"
 )
 
-// writeWorkflow replaces the record of a workflow at a version; 0: there must be none.
+// writeWorkflow replaces the record of a workflow if it is still at a version; 0 means that there is none yet.
 func (txn *Transaction) writeWorkflow(id wire.WorkflowID, at wire.Revision, r WorkflowRecord) error {
 	return txn.atomically(func() error {
 		txn.conditions[workflowKey(id)] = at
@@ -15,8 +15,8 @@
 	})
 }
 
-// SubmitWorkflow accepts a workflow. It returns ErrPreconditionFailed if it is on record; that it is not
-// archived either is a condition. Its documents were written before.
+// SubmitWorkflow accepts a workflow, whose documents must already be written. It returns ErrPreconditionFailed
+// if the ledger already has the workflow. The transaction is also conditioned on it not being archived.
 func (txn *Transaction) SubmitWorkflow(id wire.WorkflowID, r WorkflowRecord) error {
 	if txn.ledger.workflows[id] != nil {
 		return refuse("submit workflow", id)
@@ -25,8 +25,8 @@
 	return txn.writeWorkflow(id, 0, r)
 }
 
-// MoveWorkflow moves a workflow to a state if that is a legal transition, and returns the state that it is
-// then in. A failed workflow that becomes active again counts as resumed.
+// MoveWorkflow changes the state of a workflow if that is a legal transition, and returns its state afterwards.
+// It counts a failed workflow that becomes active again as resumed.
 func (txn *Transaction) MoveWorkflow(workflow *Workflow, to WorkflowState, why string) (WorkflowState, error) {
 	if !slices.Contains(workflowTransitions[workflow.State], to) {
 		return workflow.State, nil
@@ -39,19 +39,20 @@
 	return to, txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
-// SweepWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow.
+// SweepWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow and
+// makes it archivable.
 func (txn *Transaction) SweepWorkflow(workflow *Workflow) error {
 	if workflow.State != WorkflowCancelled || workflow.Swept {
-		return refuse("delete workflow", workflow.ID)
+		return refuse("finish cancelled workflow", workflow.ID)
 	}
 	r := workflow.WorkflowRecord
 	r.Swept = true
 	return txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
-// SubmitStep is Submit for a step of a workflow, and of a gallery, nil for none. That the workflow is active
-// is a condition: no step is accepted after its workflow's cancellation was confirmed, however late
-// the transaction is committed.
+// SubmitStep is like Submit for a step of a workflow, which may also belong to a gallery; g is nil if it does
+// not. The transaction is conditioned on the workflow's record, so that no step is accepted after the
+// cancellation of its workflow was confirmed, however late the transaction is committed.
 func (txn *Transaction) SubmitStep(workflow *Workflow, spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
 	if workflow.State != WorkflowActive {
 		return refuse("submit step", spec.ID)
