--- a/internal/state/ledger/cancellations_test.go
+++ b/internal/state/ledger/cancellations_test.go
@@ -11,8 +11,8 @@
 
 const cancelledWorkflow = wire.WorkflowID("wf-000001")
 
-// cancelRandomly applies random cancellations, in no order of revisions, and returns them: of jobs by
-// revision, and that of the workflow, 0 if there is none.
+// cancelRandomly applies random cancellations, not ordered by revision. It returns the cancelled jobs by revision,
+// and the revision at which the workflow was cancelled, 0 if it was not.
 func cancelRandomly(l *Ledger, rng *rand.Rand) (jobs map[wire.Revision]wire.JobID, workflow wire.Revision) {
 	jobs = map[wire.Revision]wire.JobID{}
 	for i := range rng.IntN(3 * maxCancellations) {
@@ -39,11 +39,12 @@
 	return jobs, workflow
 }
 
-// TestCancelledSince compares the cancellations since a revision with a plain list of all: what is said to
-// be complete is, also when records are read in any order and there are more than are kept.
+// TestCancelledSince compares the cancellations since a revision with a list of all of them: a result that is
+// reported as complete must be, even if the records are loaded in any order and there are more cancellations than
+// the ledger keeps.
 func TestCancelledSince(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
-	completes := 0
+	completeResults := 0
 	for range 60 {
 		l := New(Limits{ValueBytes: 4096, TxnOps: 12})
 		jobs, workflow := cancelRandomly(l, rng)
@@ -60,7 +61,7 @@
 			if !complete {
 				continue
 			}
-			completes++
+			completeResults++
 			var want []wire.JobID
 			for at, id := range jobs {
 				if at > since {
@@ -77,7 +78,7 @@
 			}
 		}
 	}
-	if completes < 300 {
-		t.Errorf("got a complete list %d times, want at least 300", completes)
+	if completeResults < 300 {
+		t.Errorf("got a complete list %d times, want at least 300", completeResults)
 	}
 }
--- a/internal/state/ledger/claims_test.go
+++ b/internal/state/ledger/claims_test.go
@@ -12,8 +12,8 @@
 	"maddermill/wire"
 )
 
-// TestLargeJobsAreKeptInRanges: the tasks of a job that takes several records are claimed and end one by
-// one, and the job is done with the last.
+// TestLargeJobsAreKeptInRanges checks a job that is stored in several records: its tasks are claimed and completed
+// one by one, and the job is done when the last of them is.
 func TestLargeJobsAreKeptInRanges(t *testing.T) {
 	const tasks = 50
 	f := newFixture(limits)
@@ -41,14 +41,14 @@
 	}
 }
 
-// TestControllersBeginApart: starts of a large job that one controller makes on several machines are in one
-// record, and those of others in other records, whichever of its jobs it is. They once began where
-// the machine's name led, and ten starts took as many changes as there were ranges.
-func TestControllersBeginApart(t *testing.T) {
+// TestControllersClaimDifferentRangesFirst checks that the claims of a large job by one controller on several
+// machines are in one record, and those by other controllers in other records. When the first range depended on
+// the machine's name, ten starts took as many changes as the job has ranges.
+func TestControllersClaimDifferentRangesFirst(t *testing.T) {
 	for _, controllers := range []int{2, 3, 7} {
 		for i := range 20 {
 			spec := arraySpec(wire.JobID(fmt.Sprintf("wk-%06d", i)), controllers*8*(1+i%3))
-			writers := map[string]int{} // of the job's records, by key
+			writers := map[string]int{} // the controller that writes a record, by key
 			for n := range controllers {
 				key := firstClaimedRecord(t, spec, n, controllers)
 				if other, ok := writers[key]; ok {
@@ -60,13 +60,13 @@
 	}
 }
 
-// firstClaimedRecord returns the key of the one record that eight starts by a controller on four machines
-// write.
+// firstClaimedRecord claims eight tasks for a controller on four machines and returns the key of the single record
+// that this writes.
 func firstClaimedRecord(t *testing.T, spec *wire.JobSpec, controller, controllers int) string {
 	t.Helper()
-	own := limits
-	own.ControllerIndex, own.ControllerCount = controller, controllers
-	f := newFixture(own)
+	controllerLimits := limits
+	controllerLimits.ControllerIndex, controllerLimits.ControllerCount = controller, controllers
+	f := newFixture(controllerLimits)
 	j := f.submit(t, spec)
 	txn := f.ledger.NewTransaction()
 	for m := range 4 {
@@ -77,15 +77,15 @@
 	request, err := txn.Request()
 	if err != nil || len(request.Then) != 1 {
 		t.Fatalf(
-			"eight starts of %s by controller %d of %d: got %d changes, want 1: %v",
+			"eight claims of %s by controller %d of %d: got %d changes, want 1: %v",
 			spec.ID, controller, controllers, len(request.Then), err,
 		)
 	}
 	return request.Then[0].Put
 }
 
-// TestTwoLastRanges: two controllers that record the last tasks of different ranges at once both see the
-// other's range unfinished. The job must still be done in the end.
+// TestTwoLastRanges guards against a job that is never done because two controllers concurrently record the last
+// tasks of different ranges, and each sees the other's range unfinished.
 func TestTwoLastRanges(t *testing.T) {
 	f := newFixture(limits)
 	size := limits.TasksPerRange()
@@ -112,9 +112,9 @@
 			f.commit(t, release(i))
 		}
 	}
-	one, other := release(2*size-1), release(tasks-1)
-	f.commit(t, one)
-	f.commit(t, other)
+	first, second := release(2*size-1), release(tasks-1)
+	f.commit(t, first)
+	f.commit(t, second)
 	if j.Done != tasks {
 		t.Fatalf("got %d tasks done, want %d", j.Done, tasks)
 	}
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestHugeArray: the tasks of a huge array that many machines take at once end in the worst order there is,
-// every other one first, and some of them fail. Every value stays within the store's limit, nothing is
-// stuck, and the changes are a small part of the tasks. An array whose claims fell into pieces of a
-// hundred bytes each once needed records of thirty tasks, and nine changes for a machine's start alone.
+// TestHugeArray runs a huge array on many machines whose tasks end in the worst order for the encoding, every other
+// one first, and some of them fail. Every value must stay within the store's limit, the job must complete, and it
+// must take fewer changes than half of its tasks. When each piece of a claim took a hundred bytes, records had room
+// for only thirty tasks, and claiming tasks for one machine took nine changes.
 func TestHugeArray(t *testing.T) {
 	const tasks = 5000
 	f := newFixture(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.TxnBytes})
@@ -164,35 +164,35 @@
 	t.Logf("%d changes for %d tasks: %d starts, %d exits", f.changes, tasks, starts, exits)
 }
 
-// releaseEveryOther releases every other task of each claim on a machine, some of them as failed, and
-// returns in how many transactions: one for each start and range.
+// releaseEveryOther releases every other task of each claim on a machine, some of them as failed, in one
+// transaction for each start and range, and returns the number of transactions.
 func releaseEveryOther(
 	t *testing.T, f *fixture, j *ledger.Job, machine wire.MachineID, rng *rand.Rand,
 ) (transactions int) {
 	t.Helper()
 	type start struct {
 		rangeIndex int
-		claim      ledger.Claim // without tasks
+		claim      ledger.Claim // First and Count are 0
 	}
 	ended := map[start][]wire.TaskIndex{}
 	for _, held := range f.ledger.ClaimsOn(machine) {
-		of := start{held.Range(), held.Claim}
-		of.claim.First, of.claim.Count = 0, 0
+		key := start{held.Range(), held.Claim}
+		key.claim.First, key.claim.Count = 0, 0
 		for i := 0; i < held.Count; i += 2 {
-			ended[of] = append(ended[of], held.First+wire.TaskIndex(i))
+			ended[key] = append(ended[key], held.First+wire.TaskIndex(i))
 		}
 	}
-	for of, list := range ended {
+	for key, tasks := range ended {
 		txn := f.ledger.NewTransaction()
-		if n, err := txn.ReleaseTasks(j, of.claim, list, ledger.TaskEnd(rng.IntN(20) > 0)); err != nil || n != len(list) {
-			t.Fatalf("got %d of %d tasks released: %v", n, len(list), err)
+		if n, err := txn.ReleaseTasks(j, key.claim, tasks, ledger.TaskEnd(rng.IntN(20) > 0)); err != nil || n != len(tasks) {
+			t.Fatalf("got %d of %d tasks released: %v", n, len(tasks), err)
 		}
 		f.commit(t, txn)
 	}
 	return len(ended)
 }
 
-// TestEarlierFormOfClaims: records that an earlier version wrote are read.
+// TestEarlierFormOfClaims checks that claims in the encoding of earlier versions are decoded.
 func TestEarlierFormOfClaims(t *testing.T) {
 	l := ledger.New(limits)
 	l.Apply(ledger.Event{
--- a/internal/state/ledger/dependencies_test.go
+++ b/internal/state/ledger/dependencies_test.go
@@ -12,7 +12,7 @@
 	"maddermill/wire"
 )
 
-// newPipelineFixture returns a fixture whose records are of the newest format.
+// newPipelineFixture returns a fixture whose records have PipelineFormat.
 func newPipelineFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixture(limits)
@@ -20,14 +20,14 @@
 	return f
 }
 
-// dependentSpec returns an array of one task that depends on jobs.
+// dependentSpec returns an array of one task that depends on the given jobs.
 func dependentSpec(id wire.JobID, dependencies ...wire.JobID) *wire.JobSpec {
 	spec := arraySpec(id, 1)
 	spec.Dependencies = dependencies
 	return spec
 }
 
-// finish has the only task of a job start on a machine and end.
+// finish claims the only task of a job and completes it at time 1000.
 func (f *fixture) finish(t *testing.T, id wire.JobID) {
 	t.Helper()
 	j := f.ledger.Job(id)
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestClaimsWaitForDependencies guards the rule too_early: no transaction claims a task before all jobs that
-// its job names are done on record, and the status stays queued.
+// TestClaimsWaitForDependencies guards the rule too_early: no transaction claims a task before all dependencies of
+// its job are recorded as done, and the job's status stays queued until then.
 func TestClaimsWaitForDependencies(t *testing.T) {
 	f := newPipelineFixture(t)
 	f.submit(t, dependentSpec("wk-000001"))
@@ -51,7 +51,7 @@
 	for _, first := range []wire.JobID{"wk-000001", "wk-000002"} {
 		got, err := f.ledger.NewTransaction().Claim(j, target(2, 1), 1, nil)
 		if !errors.Is(err, ledger.ErrPreconditionFailed) {
-			t.Errorf("claim before %s is done: got %d claimed, error %v, want it refused", first, got, err)
+			t.Errorf("claim before %s is done: got %d claimed, error %v, want ErrPreconditionFailed", first, got, err)
 		}
 		if j.Pending() != 0 || j.Status() != wire.Queued {
 			t.Errorf("before %s is done: got %d pending, status %s, want 0 and queued", first, j.Pending(), j.Status())
@@ -64,8 +64,8 @@
 	f.finish(t, j.ID)
 }
 
-// TestSubmissionResolvesDependencies: what a job names is decided by the records, and by the archive for jobs
-// that left them.
+// TestSubmissionResolvesDependencies checks that a submission takes the state of its dependencies from the ledger,
+// and from the archive for those that are archived.
 func TestSubmissionResolvesDependencies(t *testing.T) {
 	f := newPipelineFixture(t)
 	f.submit(t, dependentSpec("wk-000001"))
@@ -73,11 +73,11 @@
 	f.submit(t, dependentSpec("wk-000002"))
 	f.run(t, func(txn *ledger.Transaction) error { _, err := txn.Cancel(f.ledger.Job("wk-000002")); return err })
 	for _, tc := range []struct {
-		name     string
-		names    wire.JobID
-		archived map[wire.JobID]ledger.FinalRecord
-		want     wire.Status
-		err      error
+		name       string
+		dependency wire.JobID
+		archived   map[wire.JobID]ledger.FinalRecord
+		want       wire.Status
+		err        error
 	}{
 		{"done", "wk-000001", nil, wire.Queued, nil},
 		{"cancelled", "wk-000002", nil, wire.Cancelled, nil},
@@ -99,7 +99,7 @@
 				"done", "cancelled", "never accepted", "itself", "archived done", "archived cancelled",
 			}, tc.name)))
 			txn := f.ledger.NewTransaction()
-			err := txn.SubmitJob(ledger.Submission{Spec: dependentSpec(id, tc.names), At: 5, Archived: tc.archived})
+			err := txn.SubmitJob(ledger.Submission{Spec: dependentSpec(id, tc.dependency), At: 5, Archived: tc.archived})
 			if !errors.Is(err, tc.err) {
 				t.Fatalf("got error %v, want %v", err, tc.err)
 			}
@@ -130,9 +130,9 @@
 	}
 }
 
-// statusOf returns the status of a job on record.
+// statusOf returns the status of a job in the ledger, "" if it is not there.
 func statusOf(l *ledger.Ledger, id wire.JobID) wire.Status {
-	if final, over := l.ArchivedState(id); over {
+	if final, finished := l.ArchivedState(id); finished {
 		return final.Status(id).Status
 	}
 	if j := l.Job(id); j != nil {
@@ -141,27 +141,28 @@
 	return ""
 }
 
-// TestNamedJobsAreNotArchived guards against an archive that makes dependents forget that a job was done.
-func TestNamedJobsAreNotArchived(t *testing.T) {
+// TestDependenciesOfActiveJobsAreNotArchived guards against archiving a job whose dependents still need to know
+// that it is done.
+func TestDependenciesOfActiveJobsAreNotArchived(t *testing.T) {
 	f := newPipelineFixture(t)
 	f.submit(t, dependentSpec("wk-000001"))
 	f.submit(t, dependentSpec("wk-000003"))
 	f.submit(t, dependentSpec("wk-000002", "wk-000001", "wk-000003"))
 	f.finish(t, "wk-000001")
 	if f.ledger.Archivable("wk-000001") {
-		t.Error("got a job archivable that an active job names")
+		t.Error("wk-000001: got archivable while an active job depends on it, want not archivable")
 	}
 	f.finish(t, "wk-000003")
 	f.finish(t, "wk-000002")
 	for _, id := range []wire.JobID{"wk-000001", "wk-000002", "wk-000003"} {
 		if !f.ledger.Archivable(id) {
-			t.Errorf("%s: got not archivable once all are done, want it to be", id)
+			t.Errorf("%s: got not archivable after all jobs are done, want archivable", id)
 		}
 	}
 }
 
-// TestMissingDependencyIsResolved: a job that was archived just as another was accepted that names it. The
-// dependent waits until the archive was read, and then follows what it says.
+// TestMissingDependencyIsResolved covers a job that is archived just as another job that depends on it is accepted.
+// The dependent must wait until the final record was read from the archive, and then follow it.
 func TestMissingDependencyIsResolved(t *testing.T) {
 	for _, state := range []ledger.JobState{ledger.Done, ledger.Cancelled} {
 		f := newPipelineFixture(t)
@@ -175,7 +176,7 @@
 		}
 		j, missing := loaded.Job("wk-000002"), slices.Collect(loaded.MissingDependencies())
 		if j.Ready() || !slices.Contains(missing, "wk-000001") {
-			t.Fatal("got a job ready whose dependency is not on record, want it missing")
+			t.Fatal("got a job ready or its dependency not missing although the dependency is not in the ledger")
 		}
 		loaded.ResolveDependency("wk-000001", ledger.FinalRecord{State: state})
 		want := wire.Queued
@@ -188,13 +189,13 @@
 	}
 }
 
-// modelJob is a job of the plain model of dependencies.
+// modelJob is a job in the reference model of dependencies.
 type modelJob struct {
 	spec  *wire.JobSpec
 	state ledger.JobState
 }
 
-// cancelled reports whether a job or one that it needs is cancelled.
+// cancelled reports whether a job or one of its ancestors is cancelled.
 func (m pipelineModel) cancelled(id wire.JobID) bool {
 	job := m[id]
 	if job.state == ledger.Active {
@@ -203,15 +204,15 @@
 	return job.state == ledger.Cancelled
 }
 
-// pipelineModel is the plain model: each property is computed from all jobs.
+// pipelineModel is the reference model: it computes each property from all jobs, without an index.
 type pipelineModel map[wire.JobID]*modelJob
 
-// ready reports whether all that a job names is done.
+// ready reports whether all dependencies of a job are done.
 func (m pipelineModel) ready(id wire.JobID) bool {
 	return !slices.ContainsFunc(m[id].spec.Dependencies, func(d wire.JobID) bool { return m[d].state != ledger.Done })
 }
 
-// urgency returns the rank of a job's priority and when it should be done, 0 for no date.
+// urgency returns the rank of a job's effective priority and its effective deadline, 0 if it has none.
 func (m pipelineModel) urgency(id wire.JobID) (rank int, due int64) {
 	spec := m[id].spec
 	rank = spec.Priority.Rank()
@@ -234,9 +235,9 @@
 	return rank, due
 }
 
-// TestDependenciesFollowTheModel plays random pipelines (chains, fan-in, fan-out, diamonds) in which jobs
-// are submitted, done and cancelled, and compares what each ledger derives with the plain model: one that saw
-// every change, and one that reads all records in a random order.
+// TestDependenciesFollowTheModel runs random pipelines (chains, fan-in, fan-out, diamonds) in which jobs are
+// submitted, completed and cancelled, and compares the state that two ledgers derive with the reference model: a
+// ledger that saw every change, and one that loads all records in a random order.
 func TestDependenciesFollowTheModel(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -269,7 +270,7 @@
 	}
 }
 
-// activeOf returns those of the jobs that are active on record.
+// activeOf returns those of the jobs that are active in the ledger.
 func (f *fixture) activeOf(ids []wire.JobID) (active []wire.JobID) {
 	for _, id := range ids {
 		if j := f.ledger.Job(id); j != nil && j.State == ledger.Active {
@@ -279,7 +280,7 @@
 	return active
 }
 
-// reload returns a ledger that read all records in a random order.
+// reload returns a ledger that loaded all records in a random order.
 func (f *fixture) reload(rng *rand.Rand) *ledger.Ledger {
 	items := f.store.Items()
 	rng.Shuffle(len(items), func(i, k int) { items[i], items[k] = items[k], items[i] })
@@ -290,7 +291,7 @@
 	return l
 }
 
-// randomPipelineJob returns a job that names up to three of others.
+// randomPipelineJob returns a job that depends on up to three of the other jobs.
 func randomPipelineJob(rng *rand.Rand, id wire.JobID, others []wire.JobID) *wire.JobSpec {
 	spec := dependentSpec(id)
 	spec.Priority = []wire.Priority{wire.BestEffort, wire.Normal, wire.High}[rng.IntN(3)]
@@ -307,7 +308,7 @@
 	return spec
 }
 
-// compareWithModel compares all that a ledger derives from dependencies with the model.
+// compareWithModel compares everything that a ledger derives from dependencies with the model.
 func compareWithModel(t *testing.T, seed uint64, l *ledger.Ledger, m pipelineModel) {
 	t.Helper()
 	for id, want := range m {
@@ -336,8 +337,8 @@
 	}
 }
 
-// TestPipelineRecordsRoundTrip: a dependency is kept under the protocol's key, and a job without any has a
-// record as before.
+// TestPipelineRecordsRoundTrip checks that dependencies are stored under the protocol's key, and that the record of
+// a job without dependencies omits the key, as before PipelineFormat.
 func TestPipelineRecordsRoundTrip(t *testing.T) {
 	f := newPipelineFixture(t)
 	f.submit(t, dependentSpec("wk-000001"))
@@ -356,7 +357,7 @@
 	}
 }
 
-// TestVerifyFindsCycles: records in which jobs need each other, which no submission can make, are reported.
+// TestVerifyFindsCycles checks that Verify reports dependency cycles, which no submission can create.
 func TestVerifyFindsCycles(t *testing.T) {
 	records := map[string]ledger.Event{}
 	for i, spec := range []*wire.JobSpec{
@@ -376,12 +377,12 @@
 	}
 	delete(records, "mm1/j/wk-000003")
 	if _, problems := ledger.Verify(records, limits); len(problems) > 1 {
-		t.Errorf("without the cycle: got %v, want at most that one is missing", problems)
+		t.Errorf("without the cycle: got %v, want at most the problem of the missing job", problems)
 	}
 }
 
-// BenchmarkFinishDependency: the end of a job that another names, among more and more jobs that wait for
-// others. It costs as much however many there are.
+// BenchmarkFinishDependency measures the end of a job with one dependent while many other jobs wait for their
+// dependencies. Its cost must not grow with their number.
 func BenchmarkFinishDependency(b *testing.B) {
 	for _, waiting := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
--- a/internal/state/ledger/division_test.go
+++ b/internal/state/ledger/division_test.go
@@ -14,7 +14,8 @@
 	"maddermill/wire"
 )
 
-// The limits of a state service before and after it was lowered, as earlier and current versions know them.
+// usualLimits are the limits of a state service as earlier versions know them; loweredLimits are those after the
+// service lowered its limits, as the current version knows them.
 var (
 	usualLimits   = ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: kvstore.TxnBytes}
 	loweredLimits = ledger.Limits{
@@ -22,8 +23,8 @@
 	}
 )
 
-// newLargeJobFixture returns a fixture with an array whose record is close to the usual limit of values: each of its
-// tasks is claimed on a machine of its own. Nothing in it knows of a lower limit.
+// newLargeJobFixture returns a fixture with the usual limits and an array in which each task is claimed on a machine
+// of its own. With many tasks its record is close to the usual value limit.
 func newLargeJobFixture(t *testing.T, tasks int) *fixture {
 	t.Helper()
 	f := newFixture(usualLimits)
@@ -37,8 +38,8 @@
 	return f
 }
 
-// lowerLimits has the records read by a controller that knows of the lowerLimits limits, raises their format, and then
-// lowers the limits of the store.
+// lowerLimits reloads the records with the lowered limits, upgrades their format, and then lowers the limits of the
+// store.
 func (f *fixture) lowerLimits(t *testing.T) {
 	t.Helper()
 	f.ledger = f.loadWith(loweredLimits)
@@ -46,7 +47,7 @@
 	f.store.TxnOps, f.store.Value = loweredLimits.TxnOps, loweredLimits.ValueBytes
 }
 
-// loadWith returns a ledger that read all records.
+// loadWith returns a ledger with the given limits that loaded all records.
 func (f *fixture) loadWith(limits ledger.Limits) *ledger.Ledger {
 	l := ledger.New(limits)
 	for _, item := range f.store.Items() {
@@ -55,7 +56,7 @@
 	return l
 }
 
-// releaseOneTask ends one claimed task of a job, and reports whether there was one.
+// releaseOneTask releases a random claimed task of a job, and reports whether there was one.
 func (f *fixture) releaseOneTask(t *testing.T, j *ledger.Job, rng *rand.Rand, end ledger.TaskEnd) bool {
 	t.Helper()
 	var claims []ledger.Claim
@@ -73,10 +74,10 @@
 	return true
 }
 
-// TestLargeRecordsAfterTheLimitFalls guards against records that can't be written any more once the state
-// service takes only small values: a job whose record an earlier version wrote up to the old limit is
-// claimed, ended and completed under the new one, in any order of its tasks, and every controller that reads
-// the records anew sees the same.
+// TestLargeRecordsAfterTheLimitFalls guards against records that can no longer be written after the state service
+// lowered its value limit. The tasks of a job whose record an earlier version wrote up to the old limit are claimed
+// and released in random order under the new limit until the job is done, and a ledger that reloads the records must
+// derive the same state.
 func TestLargeRecordsAfterTheLimitFalls(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -102,11 +103,11 @@
 				compareWithReloaded(t, seed, f, j)
 			}
 		}
-		if final, over := f.ledger.ArchivedState("wk-000001"); !over || final.State != ledger.Done || final.Done != tasks {
-			t.Fatalf("seed %d: got %+v, over %v, want done with %d tasks", seed, final, over, tasks)
+		if final, ended := f.ledger.ArchivedState("wk-000001"); !ended || final.State != ledger.Done || final.Done != tasks {
+			t.Fatalf("seed %d: got %+v, finished %v, want done with %d tasks", seed, final, ended, tasks)
 		}
 		if len(f.store.Problems) > 0 {
-			t.Errorf("seed %d: the store refused %q", seed, f.store.Problems[0])
+			t.Errorf("seed %d: the store rejected %q", seed, f.store.Problems[0])
 		}
 		if _, problems := ledger.Verify(f.events(), loweredLimits); len(problems) > 0 {
 			t.Errorf("seed %d: verification: got %v, want no problem", seed, problems)
@@ -115,7 +116,7 @@
 	}
 }
 
-// events returns all records by key.
+// events returns all records except the archive, by key, with a token record that covers the tokens of all claims.
 func (f *fixture) events() map[string]ledger.Event {
 	all := map[string]ledger.Event{}
 	for _, item := range f.store.Items() {
@@ -123,40 +124,40 @@
 			all[item.Key] = ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version}
 		}
 	}
-	// Claims are checked against the tokens taken.
+	// Verify reports claims whose token is higher than the last one in this record.
 	all[ledger.TokenKey] = ledger.Event{Key: ledger.TokenKey, Value: []byte(`{"n":100,"by":"m-0"}`), Version: 1}
 	return all
 }
 
-// compareWithReloaded compares a job with what a controller reads that loads all records.
+// compareWithReloaded compares a job with the same job in a ledger that loads all records.
 func compareWithReloaded(t *testing.T, seed uint64, f *fixture, j *ledger.Job) {
 	t.Helper()
-	other := f.loadWith(loweredLimits).Job(j.ID)
-	got, want := taskStates(other), taskStates(j)
+	reloaded := f.loadWith(loweredLimits).Job(j.ID)
+	got, want := taskStates(reloaded), taskStates(j)
 	if !reflect.DeepEqual(got, want) {
-		t.Fatalf("seed %d: loaded anew: got %v, want %v", seed, got, want)
+		t.Fatalf("seed %d: after reload: got %v, want %v", seed, got, want)
 	}
 }
 
-// taskStates lists what the records say of each task of a job.
-func taskStates(j *ledger.Job) (tasks []string) {
-	tasks = make([]string, j.Spec.Tasks)
-	for i := range tasks {
+// taskStates returns a description of each task of a job: done, claimed (by machine and attempt) or pending ("").
+func taskStates(j *ledger.Job) (states []string) {
+	states = make([]string, j.Spec.Tasks)
+	for i := range states {
 		if j.TaskDone(wire.TaskIndex(i)) {
-			tasks[i] = "done"
+			states[i] = "done"
 		}
 	}
 	j.Claims(func(c ledger.Claim) bool {
 		for i := range c.Count {
-			tasks[int(c.First)+i] += fmt.Sprintf("%s attempt %d", c.Machine, c.Attempt)
+			states[int(c.First)+i] += fmt.Sprintf("%s attempt %d", c.Machine, c.Attempt)
 		}
 		return true
 	})
-	return tasks
+	return states
 }
 
-// archiveAll archives the finished job with all its records, some of its ranges at a time where they are too
-// many.
+// archiveAll archives the finished job, after deleting task ranges in several transactions if there are too many
+// for one, and checks that none of its live records is left.
 func (f *fixture) archiveAll(t *testing.T) {
 	t.Helper()
 	readPages(f.ledger, f.store, "wk-000001")
@@ -179,8 +180,8 @@
 	}
 }
 
-// TestCancelLargeJobAfterTheLimitFalls: the record of a large job is cancelled under the new limit, if need be
-// after some of its ranges were given a part, and its tasks are released afterwards.
+// TestCancelLargeJobAfterTheLimitFalls checks that a large job can be cancelled under the lowered limit, if necessary
+// after some of its ranges were moved to parts, and that its tasks can be released afterwards.
 func TestCancelLargeJobAfterTheLimitFalls(t *testing.T) {
 	for _, tasks := range []int{9, 40, 120, 320} {
 		f := newLargeJobFixture(t, tasks)
@@ -206,25 +207,25 @@
 			continue
 		}
 		if j.Claimed != 0 || len(f.store.Problems) > 0 {
-			t.Errorf("%d tasks: got %d claims left, refused %v, want none", tasks, j.Claimed, f.store.Problems)
+			t.Errorf("%d tasks: got %d claims left, rejected %v, want none", tasks, j.Claimed, f.store.Problems)
 		}
 	}
 }
 
-// TestNoPartsBeforeTheFormat: while a version may serve that does not read parts, none is written, and what is
-// written may be as large as before.
+// TestNoPartsBeforeTheFormat checks that, while controllers may run a version that does not read parts, no parts are
+// written, and that records may still be as large as the old limit.
 func TestNoPartsBeforeTheFormat(t *testing.T) {
 	f := newLargeJobFixture(t, 100)
 	f.ledger = f.loadWith(loweredLimits)
 	j := f.ledger.Job("wk-000001")
 	rng := rand.New(rand.NewPCG(1, 1))
-	refused := 0
+	failed := 0
 	for range 30 {
 		txn := f.ledger.NewTransaction()
 		var claim ledger.Claim
 		j.Claims(func(c ledger.Claim) bool { claim = c; return rng.IntN(5) > 0 })
 		if _, err := txn.ReleaseTasks(j, claim, []wire.TaskIndex{claim.First}, ledger.TaskCompleted); err != nil {
-			refused++
+			failed++
 			continue
 		}
 		f.commit(t, txn)
@@ -234,13 +235,14 @@
 			t.Fatalf("got part %s in format 3", item.Key)
 		}
 	}
-	if refused > 0 {
-		t.Errorf("got %d ends refused while the limit is the old one, want 0", refused)
+	if failed > 0 {
+		t.Errorf("got %d failed releases while the old limit is in force, want 0", failed)
 	}
 }
 
-// TestNewJobsFitTheLoweredLimit: jobs that are accepted from the upgrade on have records that fit both limits
-// however their tasks are claimed, also before the format rose, so that both versions work on them.
+// TestNewJobsFitTheLoweredLimit checks that the records of jobs that are accepted after the software upgrade, but
+// before the format upgrade, fit the lowered limit however their tasks are claimed, and that ledgers with the usual
+// and with the lowered limits can both claim their tasks.
 func TestNewJobsFitTheLoweredLimit(t *testing.T) {
 	f := newFixture(usualLimits)
 	f.ledger = ledger.New(loweredLimits)
@@ -271,6 +273,6 @@
 		}
 	}
 	if j.Claimed != 100 || len(f.store.Problems) > 0 {
-		t.Errorf("got %d claimed, refused %v, want 100 and none", j.Claimed, f.store.Problems)
+		t.Errorf("got %d claimed, rejected %v, want 100 and none", j.Claimed, f.store.Problems)
 	}
 }
--- a/internal/state/ledger/history_test.go
+++ b/internal/state/ledger/history_test.go
@@ -15,23 +15,23 @@
 	"maddermill/wire"
 )
 
-// history is a random sequence of transactions by controllers whose ledgers lag behind. Every commit that
-// the store takes is checked against the plain model of the rules.
+// history is a random sequence of transactions by controllers whose ledgers lag behind the store. Every successful
+// commit is checked against the reference model of the rules.
 type history struct {
 	rng             *rand.Rand
 	store           *emulator.Store
 	unguardedPrefix string // the prefix of the keys on which the store ignores conditions, "" for none
 	events          []ledger.Event
 	ledgers         []*ledger.Ledger // of the controllers
-	current         *ledger.Ledger   // sees every commit at once
-	leader          wire.Revision    // of the leader's record
+	current         *ledger.Ledger   // sees every commit immediately
+	leader          wire.Revision    // the version of the leader record
 
 	ids        []wire.JobID
 	specs      map[wire.JobID]*wire.JobSpec
-	proven     map[wire.TaskID][]ledger.Claim // claims whose tasks are proven to run no more
+	proven     map[wire.TaskID][]ledger.Claim // claims of single tasks that are proven to run no longer
 	finals     map[wire.JobID]ledger.FinalRecord
 	archivedAt map[wire.JobID]wire.Revision
-	delayed    []wire.Txn // are committed some time later
+	delayed    []wire.Txn // to be committed later
 	state      model.State
 
 	violations []string
@@ -39,13 +39,13 @@
 	conflicts  int
 }
 
-// newHistory returns a history with a leader and the format with an archive.
-func newHistory(t *testing.T, seed uint64, blind string) *history {
+// newHistory returns a history with a leader record and ArchiveFormat.
+func newHistory(t *testing.T, seed uint64, unguardedPrefix string) *history {
 	t.Helper()
 	h := &history{
 		rng:             rand.New(rand.NewPCG(seed, 7)),
 		store:           emulator.NewStore(limits.TxnOps, limits.ValueBytes),
-		unguardedPrefix: blind,
+		unguardedPrefix: unguardedPrefix,
 		ledgers:         []*ledger.Ledger{ledger.New(limits), ledger.New(limits), ledger.New(limits)},
 		current:         ledger.New(limits),
 		specs:           map[wire.JobID]*wire.JobSpec{},
@@ -53,8 +53,8 @@
 		finals:          map[wire.JobID]ledger.FinalRecord{},
 		archivedAt:      map[wire.JobID]wire.Revision{},
 	}
-	if blind != "" {
-		h.store.Blind = map[string]bool{blind: true}
+	if unguardedPrefix != "" {
+		h.store.Blind = map[string]bool{unguardedPrefix: true}
 	}
 	h.state = model.Read(h.current, h.ids, h.finals, model.State{})
 	record := []byte(`{"by":"m-0","token":1}`)
@@ -76,10 +76,10 @@
 	return h
 }
 
-// runHistory returns a history after a number of steps.
-func runHistory(t *testing.T, seed uint64, blind string, steps int) *history {
+// runHistory returns a history after the given number of steps.
+func runHistory(t *testing.T, seed uint64, unguardedPrefix string, steps int) *history {
 	t.Helper()
-	h := newHistory(t, seed, blind)
+	h := newHistory(t, seed, unguardedPrefix)
 	for step := range steps {
 		request, err := h.transaction(step).Request()
 		if err != nil {
@@ -102,7 +102,7 @@
 	return h
 }
 
-// commit commits a request, if the store takes it, and checks the records after it against those before.
+// commit sends a request to the store and, if it succeeds, checks the records after it against those before it.
 func (h *history) commit(request wire.Txn) {
 	revision, err := h.store.Apply(request)
 	if err != nil {
@@ -114,7 +114,7 @@
 		h.observe(c, revision)
 	}
 	for _, id := range h.ids {
-		h.current.DropFilterPage(string(id)) // what is stored counts, not what the ledger adds to it
+		h.current.DropFilterPage(string(id)) // so that the stored pages are checked, not the ledger's additions to them
 	}
 	readPages(h.current, h.store, h.ids...)
 	after := model.Read(h.current, h.ids, h.finals, h.state)
@@ -125,7 +125,7 @@
 	h.state = after
 }
 
-// observe records a committed change. The archive is no part of the events that ledgers see.
+// observe records a committed change. Changes of the archive are not among the events that ledgers see.
 func (h *history) observe(c wire.Change, revision wire.Revision) {
 	e := ledger.Event{Key: c.Put, Value: c.Value, Version: revision}
 	if c.Delete != "" {
@@ -153,7 +153,7 @@
 	catchUp(l, h.events, len(h.events)-h.rng.IntN(min(len(h.events), 6)+1))
 	for id, at := range h.archivedAt {
 		if may, known := l.MayBeArchived(id); known && !may && at <= l.Revision() && h.unguardedPrefix == "" {
-			h.violations = append(h.violations, "forgotten: a page that was kept up lacks "+string(id))
+			h.violations = append(h.violations, "forgotten: an up-to-date filter page lacks "+string(id))
 		}
 	}
 	txn := l.NewTransaction()
@@ -162,12 +162,12 @@
 			spec := h.newSpec(step)
 			h.ids = append(h.ids, spec.ID)
 			h.specs[spec.ID] = spec
-			_ = txn.Submit(spec, wire.UnixMillis(step)) // refusals are part of the history, here and below
+			_ = txn.Submit(spec, wire.UnixMillis(step)) // here and below, failed transitions are part of the history
 			continue
 		}
 		j := l.Job(h.ids[h.rng.IntN(len(h.ids))])
 		if j == nil {
-			// Not accepted yet, or archived: a user submits a job once more.
+			// Not accepted yet, or archived: submits a known job again, as a user may.
 			_ = txn.Submit(h.specs[h.ids[h.rng.IntN(len(h.ids))]], wire.UnixMillis(step))
 			continue
 		}
@@ -200,8 +200,8 @@
 	return s
 }
 
-// transition adds a random transition of a job or a machine, and returns the transaction with it: another
-// one for the archive, which shares no transaction with starts and exits.
+// transition adds a random transition of a job or a machine, and returns the transaction that contains it. Archive
+// transitions get a transaction of their own, because they never share one with claims and releases.
 func (h *history) transition(
 	txn *ledger.Transaction, l *ledger.Ledger, j *ledger.Job, token wire.FencingToken,
 ) *ledger.Transaction {
@@ -220,11 +220,11 @@
 		return h.archive(txn, l)
 	case 13:
 		part, _ := archive.PartOfMachine(string(name))
-		if one := l.NewTransaction(); one.CompactTerminated(part, []wire.MachineID{name}) == nil {
-			return one
+		if separate := l.NewTransaction(); separate.CompactTerminated(part, []wire.MachineID{name}) == nil {
+			return separate
 		}
 	case 14:
-		// As in 1: phases are rare otherwise.
+		// A second chance besides case 1, without which machines are rarely terminated.
 		_ = txn.SetMachinePhase(name, ledger.Terminated, "test", h.leader)
 	case 2, 3, 4, 5, 6:
 		h.claim(txn, j, machine, token)
@@ -240,12 +240,13 @@
 	return txn
 }
 
-// archive returns a transaction that archives finished jobs or deletes ranges of one, txn if none can be.
+// archive returns a transaction that archives finished jobs or deletes task ranges of one, or txn if that is not
+// possible.
 func (h *history) archive(txn *ledger.Transaction, l *ledger.Ledger) *ledger.Transaction {
 	var finished []wire.JobID
 	l.EachFinished(func(id wire.JobID, _ wire.Revision) { finished = append(finished, id) })
 	slices.Sort(finished)
-	if h.rng.IntN(3) == 0 { // a controller that finds a conflict reads the page again
+	if h.rng.IntN(3) == 0 { // as a controller does after a conflict, to read the page again
 		for _, id := range finished {
 			l.DropFilterPage(string(id))
 		}
@@ -254,13 +255,13 @@
 	if len(finished) == 0 {
 		return txn
 	}
-	one := l.NewTransaction()
-	if h.rng.IntN(2) == 0 && one.DeleteTaskRanges(finished[0]) == nil {
-		return one
+	separate := l.NewTransaction()
+	if h.rng.IntN(2) == 0 && separate.DeleteTaskRanges(finished[0]) == nil {
+		return separate
 	}
 	if l.FilterPage(finished[0]) == l.FilterPage(finished[len(finished)-1]) {
-		if _, err := one.Archive(finished[:1+h.rng.IntN(len(finished))]); err == nil {
-			return one
+		if _, err := separate.Archive(finished[:1+h.rng.IntN(len(finished))]); err == nil {
+			return separate
 		}
 	}
 	return txn
@@ -283,7 +284,7 @@
 	}
 }
 
-// completeGang records that one task of a gang is done, which proves it of all.
+// completeGang completes a gang. The completion of one of its tasks proves that of all.
 func (h *history) completeGang(txn *ledger.Transaction, j *ledger.Job) {
 	if _, err := txn.CompleteGang(j, j.Attempt()); err != nil {
 		return
@@ -296,7 +297,7 @@
 	})
 }
 
-// release releases a task of each of some claims.
+// release releases one task from each of some claims.
 func (h *history) release(txn *ledger.Transaction, j *ledger.Job) {
 	j.Claims(func(c ledger.Claim) bool {
 		task := c.First + wire.TaskIndex(h.rng.IntN(c.Count))
@@ -307,13 +308,15 @@
 	})
 }
 
-// prove notes that a task no longer runs under a claim.
+// prove records the proof that a task no longer runs under a claim.
 func (h *history) prove(j *ledger.Job, c ledger.Claim, task wire.TaskIndex) {
 	id := wire.TaskID{Job: j.ID, Index: task}
 	c.First, c.Count = task, 1
 	h.proven[id] = append(h.proven[id], c)
 }
 
+// TestStaleControllersKeepTheRules checks that transactions decided from stale ledgers, some of them committed late,
+// violate no rule of the model.
 func TestStaleControllersKeepTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		h := runHistory(t, seed, "", 400)
@@ -326,29 +329,29 @@
 	}
 }
 
-// TestRemovedGuardsAreSeen shows that the checks above can fail: without the conditions on one kind of
-// record, the rule that they guard is violated.
-func TestRemovedGuardsAreSeen(t *testing.T) {
-	for _, tc := range []struct{ blind, rule string }{
+// TestRemovedConditionsAreDetected checks that TestStaleControllersKeepTheRules can fail: without the conditions on
+// one kind of record, the model reports a violation of the rule that they guard.
+func TestRemovedConditionsAreDetected(t *testing.T) {
+	for _, tc := range []struct{ unguardedPrefix, rule string }{
 		{"mm1/j/", "ran_twice"},
 		{"mm1/j/", "went_back"},
 		{"mm1/j/", "ran_cancelled"},
 		{"mm1/t/", "ran_twice"},
 		{"mm1/u/", "quota"},
 		{"mm1/m/", "a start on a leaving machine"},
-		// The archive's own: an archived job is accepted again by a transaction that is committed late,
-		// and two that archive jobs of one page at once lose each other's from the filter.
+		// Rules of the archive: a transaction that is committed late accepts an archived job again, and two
+		// transactions that concurrently archive jobs of one page lose each other's jobs from the filter.
 		{"mma1/j/", "accepted anew"},
 		{"mma1/f/", "forgotten: the filter"},
 	} {
-		t.Run(tc.blind+" "+tc.rule, func(t *testing.T) {
+		t.Run(tc.unguardedPrefix+" "+tc.rule, func(t *testing.T) {
 			violated := false
 			for seed := uint64(1); seed <= 60 && !violated; seed++ {
-				h := runHistory(t, seed, tc.blind, 400)
+				h := runHistory(t, seed, tc.unguardedPrefix, 400)
 				violated = slices.ContainsFunc(h.violations, func(s string) bool { return strings.HasPrefix(s, tc.rule) })
 			}
 			if !violated {
-				t.Errorf("without conditions on %s nothing violated %q", tc.blind, tc.rule)
+				t.Errorf("without conditions on %s nothing violated %q", tc.unguardedPrefix, tc.rule)
 			}
 		})
 	}
--- a/internal/state/ledger/machines_test.go
+++ b/internal/state/ledger/machines_test.go
@@ -9,15 +9,15 @@
 	"maddermill/wire"
 )
 
-// TestLateStartOnASweptMachine: a start is decided, its transaction is delayed, and is committed after its
-// machine was terminated and compacted. The machine has no record of its own any more then; the start
-// fails by the head of its series, and would violate a rule without that condition.
-func TestLateStartOnASweptMachine(t *testing.T) {
-	for _, blind := range []string{"", "mm1/g/"} {
-		t.Run("without conditions on "+blind, func(t *testing.T) {
+// TestLateClaimOnCompactedMachine guards against a claim that is committed after its machine was terminated and
+// compacted. The machine then has no record of its own any more, so the claim must fail by the condition on the head
+// of the machine's series. Without that condition it must violate a rule of the model.
+func TestLateClaimOnCompactedMachine(t *testing.T) {
+	for _, unguardedPrefix := range []string{"", "mm1/g/"} {
+		t.Run("without conditions on "+unguardedPrefix, func(t *testing.T) {
 			f := newFixture(limits)
-			if blind != "" {
-				f.store.Blind = map[string]bool{blind: true}
+			if unguardedPrefix != "" {
+				f.store.Blind = map[string]bool{unguardedPrefix: true}
 			}
 			record := []byte(`{"by":"m-0","token":1}`)
 			if err := f.tryCommit(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: record}}}); err != nil {
@@ -48,14 +48,14 @@
 			err = f.tryCommit(request)
 			after := model.Read(l, []wire.JobID{j.ID}, nil, before)
 			violations := model.Check(before, after, nil, nil)
-			if broken := blind != ""; (err == nil) != broken || (len(violations) > 0) != broken {
+			if broken := unguardedPrefix != ""; (err == nil) != broken || (len(violations) > 0) != broken {
 				t.Errorf("got %v and %v, want a violation: %v", err, violations, broken)
 			}
 		})
 	}
 }
 
-// terminateAndCompact takes a machine through its phases and compacts its record.
+// terminateAndCompact advances a machine through its phases and compacts its record.
 func terminateAndCompact(t *testing.T, f *fixture, machine int) {
 	t.Helper()
 	m := target(machine, 1).Machine
--- a/internal/state/ledger/transaction_archive.go
+++ b/internal/state/ledger/transaction_archive.go
@@ -77,7 +77,7 @@
 	return txn.addToFilter(names...)
 }
 
-// DeleteTaskRanges deletes task ranges of a finished job that has too many for Archive to delete in one
+// DeleteTaskRanges deletes task ranges of a finished job that has too many for ArchiveJobs to delete in one
 // transaction, as many as fit into this one. The job's own record keeps the number of completed tasks.
 func (txn *Transaction) DeleteTaskRanges(id wire.JobID) error {
 	j := txn.ledger.jobs[id]
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -13,7 +13,7 @@
 	Type    wire.MachineTypeName
 	Zone    wire.Zone
 	Spot    bool
-	Epoch   wire.AgentEpoch   // the epoch of its worker, which changes when the worker restarts
+	Epoch   wire.AgentEpoch   // of its worker; an expired lease begins a new epoch
 	Token   wire.FencingToken // under which the controller holds the machine
 }
 
