--- a/internal/state/ledger/claims_test.go
+++ b/internal/state/ledger/claims_test.go
@@ -184,7 +184,9 @@
 	}
 	for key, tasks := range ended {
 		txn := f.ledger.NewTransaction()
-		if n, err := txn.ReleaseTasks(j, key.claim, tasks, ledger.TaskEnd(rng.IntN(20) > 0)); err != nil || n != len(tasks) {
+		if n, err := txn.ReleaseTasks(
+			j, key.claim, tasks, ledger.TaskEnd(rng.IntN(20) > 0),
+		); err != nil || n != len(tasks) {
 			t.Fatalf("got %d of %d tasks released: %v", n, len(tasks), err)
 		}
 		f.commit(t, txn)
--- a/internal/state/ledger/division.go
+++ b/internal/state/ledger/division.go
@@ -98,7 +98,7 @@
 	return l.writesParts() && l.lowered() && j.storedRange > dividedRangeTasks
 }
 
-// writesParts reports whether all controllers read parts.
+// writesParts reports whether parts may be written, which requires that all controllers can read them.
 func (l *Ledger) writesParts() bool { return l.archived.format.Format >= PipelineFormat }
 
 // divideOversizedJobs divides the jobs whose records may be too large. It does nothing until parts may be written.
--- a/internal/state/ledger/transaction.go
+++ b/internal/state/ledger/transaction.go
@@ -31,7 +31,7 @@
 // NewTransaction returns an empty transaction.
 func (l *Ledger) NewTransaction() *Transaction { return l.NewTransactionOf(l.limits.TxnOps) }
 
-// NewTransactionOf returns an empty transaction of at most changes changes.
+// NewTransactionOf returns an empty transaction with a maximum number of changes.
 func (l *Ledger) NewTransactionOf(changes int) *Transaction {
 	return &Transaction{
 		ledger:          l,
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -268,7 +268,8 @@
 // condition that the machine is still in service. The dependencies of the job need no condition, because done
 // is a final state.
 func (txn *Transaction) requireTarget(update *jobUpdate, target ClaimTarget) error {
-	if update.state != Active || !update.job.Ready() || !Allowed(update.spec, target.Type, target.Zone, target.Spot) {
+	if update.state != Active || !update.job.Ready() ||
+		!Allowed(update.spec, target.Type, target.Zone, target.Spot) {
 		return ErrPreconditionFailed
 	}
 	if txn.ledger.MachinePhase(target.Machine) != "" || txn.phases[target.Machine] != "" {
