--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -18,16 +18,16 @@
 	_ watchcache.Follower = cacheFollower{}
 )
 
-// host implements the interfaces in which the archiver and the manager of policy modules declare
-// what they need of the controller. Read takes the cache's lock: no part may call it while it holds
-// a lock of its own that it also takes inside of Read.
+// host implements the Host interfaces of the archiver and the policy manager, which declare what they
+// need from the controller. Read takes the cache's lock: a component must not call Read while it holds a
+// lock of its own that it also takes inside Read.
 type host struct{ c *Controller }
 
-// Read calls f with the cached records under the cache's lock.
+// Read calls f with the cached records while holding the cache's lock.
 func (h host) Read(f func(*ledger.Ledger)) { h.c.cache.Read(f) }
 
-// Term returns the version of the leader record under which this controller leads the fleet, and
-// false if it doesn't lead or has not synced with the state service for settings.StartContact.
+// Term returns the version of the leader record under which this controller is the leader, and false if
+// it is not the leader or has not synced with the state service within settings.StartContact.
 func (h host) Term() (term wire.Revision, leads bool) {
 	c := h.c
 	c.cache.Read(func(l *ledger.Ledger) {
@@ -38,7 +38,7 @@
 	return term, leads
 }
 
-// Leading reports whether this controller leads the fleet; see Term.
+// Leading reports whether this controller is the leader; see Term.
 func (h host) Leading() bool {
 	_, leads := h.Term()
 	return leads
@@ -56,8 +56,8 @@
 	return others
 }
 
-// AllRead reports whether every controller of the deployment runs a version that reads a format of records,
-// by the record of fencing tokens, which every start of a controller rewrites.
+// AllRead reports whether every controller of the deployment runs a version that supports a format of the
+// records, according to the fencing token record, which each controller updates when it starts.
 func (h host) AllRead(format int) (all bool) {
 	members := []wire.MemberID{h.c.set.Member}
 	for _, p := range h.c.set.Peers {
@@ -70,33 +70,34 @@
 	return all && len(members) == h.c.set.Cluster.Count
 }
 
-// SpareCapacity returns how many changes a best-effort transaction may have now.
+// SpareCapacity returns how many changes a best-effort transaction may contain now.
 func (h host) SpareCapacity() int { return h.c.committer.SpareCapacity() }
 
-// Commit runs a transaction and waits until the cache shows its outcome.
+// Commit executes a transaction and waits until the cache reflects its outcome.
 func (h host) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	return h.c.committer.Commit(ctx, t)
 }
 
-// cacheFollower passes what the watch cache sees on to the parts. Its methods are called under the
+// cacheFollower forwards events of the watch cache to the components. Its methods are called under the
 // cache's lock and must not block.
 type cacheFollower struct{ c *Controller }
 
-// Loaded invalidates what was derived from the records, which were all read again.
+// Loaded invalidates state derived from the records after a full reload.
 func (f cacheFollower) Loaded() { f.c.scheduler.InvalidateSnapshot() }
 
-// Advanced applies the peers' cancellations to the records, which have changed, and refreshes the
-// machines that the changes concern.
+// Advanced applies the peers' cancellations to the changed records, and refreshes the machines that the
+// changes affect.
 func (f cacheFollower) Advanced(now time.Time) {
-	// Peers confirm the cancellations they list for these records as well, which may have been
-	// loaded again or have gained jobs since the peers' status came.
+	// The cancellations listed by peers must be applied again: the records may have been reloaded, or may
+	// contain new jobs, since the status of the peers arrived.
 	for _, p := range f.c.membership.Peers() {
 		f.c.cache.Records().MarkCancelling(cancellations(&p.Status))
 	}
 	f.c.scheduler.RefreshChangedMachines(now)
 }
 
-// JobArchived drops what is kept of a job that has left the records for the archive.
+// JobArchived caches the final record of a job that has moved to the archive, and drops all other state
+// of it.
 func (f cacheFollower) JobArchived(id wire.JobID, r ledger.FinalRecord) {
 	f.c.archiver.CacheFinal(id, r)
 	f.c.failures.ForgetJob(id)
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxSilence is after what time without an answer of a peer or of the state service a
-	// component reports a health problem.
-	maxSilence = 10 * time.Second
-	// probeInterval is the time between two probes of a peer.
+	// unresponsiveAfter is how long a peer or the state service may not respond before a component reports
+	// a health problem.
+	unresponsiveAfter = 10 * time.Second
+	// probeInterval is the interval between probes of a peer.
 	probeInterval = time.Second
-	// connectionsPerPeer and spareConnections bound the connections to the mesh.
+	// connectionsPerPeer and spareConnections limit the connections that the mesh listener accepts.
 	connectionsPerPeer, spareConnections = 8, 16
 )
 
-// Run runs the controller's components until ctx ends or one of them fails.
+// Run runs all components of the controller until ctx ends or one of them fails.
 func (c *Controller) Run(ctx context.Context, dialer *transport.Dialer, cloud leader.Cloud) error {
 	c.registerComponents(cloud)
 	c.Components.Add(c.meshComponent())
@@ -33,7 +33,7 @@
 	return c.Components.Run(ctx)
 }
 
-// meshComponent answers the probes of peers.
+// meshComponent returns the component that answers probes from peers.
 func (c *Controller) meshComponent() supervise.Component {
 	connections := connectionsPerPeer*len(c.set.Peers) + spareConnections
 	return supervise.Component{Name: "mesh", Run: func(ctx context.Context) error {
@@ -43,7 +43,7 @@
 	}}
 }
 
-// peerComponent probes a peer.
+// peerComponent returns the component that probes a peer.
 func (c *Controller) peerComponent(dialer *transport.Dialer, p settings.Peer) supervise.Component {
 	return supervise.Component{
 		Name: "peer " + string(p.Member),
@@ -56,17 +56,17 @@
 			answer := c.membership.Peer(p.Member)
 			switch {
 			case answer == nil:
-				return "was never heard"
-			case now.Sub(answer.AsOf) > maxSilence:
-				return fmt.Sprintf("not heard for %v", now.Sub(answer.AsOf).Round(time.Second))
+				return "peer has not responded yet"
+			case now.Sub(answer.AsOf) > unresponsiveAfter:
+				return fmt.Sprintf("no response from peer for %v", now.Sub(answer.AsOf).Round(time.Second))
 			}
 			return ""
 		},
 	}
 }
 
-// registerComponents adds all components but the mesh and the probes of peers: those that need no
-// network of their own.
+// registerComponents adds all components except the mesh and the peer probes: those that need no network
+// connections of their own.
 func (c *Controller) registerComponents(cloud leader.Cloud) {
 	c.Components.Add(
 		supervise.Component{Name: "attention", Run: c.membership.DetectPauses},
@@ -74,7 +74,7 @@
 		supervise.Component{Name: "contact", Run: c.cache.ServeReadIndex, HealthProblem: c.syncProblem},
 		supervise.Component{Name: "tokens", Run: c.cache.AcquireTokens, HealthProblem: c.tokenProblem},
 		supervise.Component{Name: "writer", Run: c.committer.Run, HealthProblem: c.committer.HealthProblem},
-		supervise.Component{Name: "completions", Run: c.recorder.Run},
+		supervise.Component{Name: "completions", Run: c.completionRecorder.Run},
 		supervise.Component{Name: "sweeper", Run: c.Heartbeats.CompleteFinishedJobs},
 		supervise.Component{Name: "dependencies", Run: func(ctx context.Context) error {
 			return c.Jobs.FollowDependencies(ctx, host{c}.Leading)
@@ -97,44 +97,44 @@
 	)
 }
 
-// loadProblem returns the health problem of the watch cache; "": none.
+// loadProblem returns the health problem of the watch cache, or "" if there is none.
 func (c *Controller) loadProblem(time.Time) (problem string) {
 	c.cache.Read(func(*ledger.Ledger) {
 		if !c.cache.Loaded() {
-			problem = "the records are yet to be read"
+			problem = "records not loaded yet"
 		}
 	})
 	return problem
 }
 
-// syncProblem returns the health problem of the sync with the state service; "": none.
+// syncProblem returns the health problem of the sync with the state service, or "" if there is none.
 func (c *Controller) syncProblem(now time.Time) (problem string) {
 	c.cache.Read(func(*ledger.Ledger) {
 		syncedAt := c.cache.SyncedAt()
 		if syncedAt.IsZero() {
-			problem = "the state service was never reached"
-		} else if age := now.Sub(syncedAt); age > maxSilence {
-			problem = fmt.Sprintf("the state service was last reached %v ago", age.Round(time.Second))
+			problem = "no sync with the state service yet"
+		} else if age := now.Sub(syncedAt); age > unresponsiveAfter {
+			problem = fmt.Sprintf("last sync with the state service %v ago", age.Round(time.Second))
 		}
 	})
 	return problem
 }
 
-// tokenProblem returns the health problem of the fencing token; "": none.
+// tokenProblem returns the health problem of the fencing token, or "" if there is none.
 func (c *Controller) tokenProblem(time.Time) (problem string) {
 	c.cache.Read(func(*ledger.Ledger) {
 		if c.cache.Token() == 0 {
-			problem = "no token is taken yet"
+			problem = "no fencing token acquired yet"
 		}
 	})
 	return problem
 }
 
-// policyProblem returns the health problem of the policy module in use; "": none.
+// policyProblem returns the health problem of the active policy module, or "" if there is none.
 func (c *Controller) policyProblem(now time.Time) (problem string) {
 	c.cache.Read(func(l *ledger.Ledger) {
 		if c.policies.Suspended(l, now) {
-			problem = "the module in use is suspended"
+			problem = "active policy module suspended"
 		}
 	})
 	return problem
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,28 +1,27 @@
-// Package controller assembles a controller process from its parts.
+// Package controller assembles a controller process.
 //
-// [New] constructs every part and hands it the others that it may use, layer by layer:
+// [New] constructs the objects of the process layer by layer and injects their dependencies:
 //
 //   - state: the watch cache of the records in the state service, the committer that batches
-//     transactions, the archiver and the policy modules kept there;
-//   - membership: the status of the other controllers and the log of completed tasks that is
+//     transactions, the archiver, and the manager of the policy modules stored there;
+//   - membership: the status of the other controllers, and the log of completed tasks that is
 //     shared with them;
 //   - scheduling: run-time estimates, crash-loop and fault detection, topology, deadlines and
 //     the scheduler;
-//   - servers: the APIs for workers' heartbeats and for users' jobs;
-//   - leader: the loop that adjusts the fleet, and the runner of workflows.
+//   - servers: the APIs for worker heartbeats and for user jobs;
+//   - leader: the autoscaling loop and the workflow runner.
 //
-// [Controller.Run] registers the components (the long-running loops) of the parts and runs them
-// until the context ends or one of them fails. The other files of the package connect the parts
-// where one must not import another: adapters.go implements the interfaces that parts declare,
-// status.go exchanges member status with peers, gauges.go exports metrics, and health.go answers
-// health checks.
+// [Controller.Run] registers their components (long-running loops) and runs them until the context
+// ends or one of them fails. The other files of the package connect packages that must not import
+// each other: adapters.go implements the interfaces that they declare, status.go exchanges member
+// status with peers, gauges.go exports metrics, and health.go answers health checks.
 //
-// The package holds no state of its own besides the parts. All of them rebuild what they know from
-// the records and from one round of heartbeats after a restart.
+// The package keeps no state of its own. After a restart, all state is rebuilt from the records and
+// from one round of heartbeats.
 //
-// Locking: the lock of the watch cache (Cache.Read, Cache.Lock) comes first. A part may take its
-// own lock under it, so no part may take the cache's lock while it holds a lock that is also taken
-// under it. docs/ARCHITECTURE.md lists the packages and who may import whom.
+// Locking: the lock of the watch cache (Cache.Read, Cache.Lock) is acquired first. A component may
+// acquire its own lock while holding it, so no component may acquire the cache's lock while holding a
+// lock that is also acquired under it. docs/ARCHITECTURE.md lists the packages and their allowed imports.
 package controller
 
 import (
@@ -56,12 +55,12 @@
 	"maddermill/wire"
 )
 
-// completionMemoryDivisor is the part of a controller's memory that the log of completions may
-// take: one in so many.
+// completionMemoryDivisor limits the completion log to 1/completionMemoryDivisor of the controller's
+// memory.
 const completionMemoryDivisor = 50
 
-// Controller is one of the controllers of a deployment. The exported parts are those that the
-// process serves (APIs, metrics) or switches on by its flags.
+// Controller is one of the controllers of a deployment. The exported fields are those that the process
+// serves (APIs, metrics) or configures by command-line flags.
 type Controller struct {
 	Stats           *metrics.Set
 	Components      supervise.Group
@@ -83,11 +82,11 @@
 	policies  *policymanager.Manager
 
 	// Membership.
-	membership  *membership.Membership
-	completions *completion.Log
-	exchange    *completion.Exchange
-	registry    *reconcile.Registry
-	recorder    *reconcile.Recorder
+	membership         *membership.Membership
+	completions        *completion.Log
+	completionExchange *completion.Exchange
+	registry           *reconcile.Registry
+	completionRecorder *reconcile.Recorder
 
 	// Scheduling.
 	runTimes     *estimate.RunTimes
@@ -98,7 +97,7 @@
 	leader *leader.Leader
 }
 
-// New returns a controller that has read no records and runs no component yet.
+// New returns a controller. It reads no records and runs no components before Run.
 func New(set *settings.Settings, store kvstore.Store, log *slog.Logger) *Controller {
 	c := &Controller{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
 	c.newState()
@@ -114,7 +113,7 @@
 	return c
 }
 
-// newState makes the cache of the records and the committer that changes them.
+// newState creates the watch cache of the records and the committer that changes them.
 func (c *Controller) newState() {
 	service, count := c.set.Cluster.State, float64(c.set.Cluster.Count)
 	c.cache = watchcache.New(
@@ -138,13 +137,13 @@
 	)
 }
 
-// newMembership makes the view of the other controllers.
+// newMembership creates the view of the other controllers.
 func (c *Controller) newMembership() {
 	c.membership = membership.New(membershipOptions(c.set), c.Stats, c.log)
 }
 
-// newFailureTracking makes the estimates of run times and spot reclaims, and the detection of
-// crash loops and faulty machines, which uses them.
+// newFailureTracking creates the estimators of run times and spot reclaims, and the detector of crash
+// loops and faulty machines, which uses them.
 func (c *Controller) newFailureTracking() {
 	c.runTimes = estimate.NewRunTimes(c.membership)
 	c.spotReclaims = &estimate.SpotReclaims{}
@@ -154,22 +153,22 @@
 	}
 }
 
-// newCompletions makes the log of completed tasks, its exchange with peers, the registry of the
-// workers that report here and the recorder that commits what they completed.
+// newCompletions creates the log of completed tasks, its exchange with peers, the registry of the
+// workers that report to this controller, and the recorder that commits their completions.
 func (c *Controller) newCompletions() {
 	c.completions = completion.New(completion.Capacity(c.set.MemoryBytes() / completionMemoryDivisor))
-	c.exchange = completion.NewExchange(c.completions, c.boot, membershipOptions(c.set).Others)
+	c.completionExchange = completion.NewExchange(c.completions, c.boot, membershipOptions(c.set).Others)
 	c.registry = reconcile.NewRegistry(c.membership, c.completions)
-	c.recorder = reconcile.NewRecorder(c.completions, c.cache, c.committer, Limits(c.set), c.Stats, c.log)
+	c.completionRecorder = reconcile.NewRecorder(c.completions, c.cache, c.committer, Limits(c.set), c.Stats, c.log)
 }
 
-// newPoliciesAndArchiver makes the manager of policy modules and the archiver of finished jobs.
+// newPoliciesAndArchiver creates the manager of policy modules and the archiver of finished jobs.
 func (c *Controller) newPoliciesAndArchiver() {
 	c.policies = policymanager.New(host{c}, c.store, c.set.Member, c.Stats, c.log)
 	c.archiver = archiver.New(host{c}, c.store, archiverOptions(c.set), c.Stats, c.log)
 }
 
-// newScheduling makes the topology, the deadlines and the scheduler.
+// newScheduling creates the topology tracker, the deadline tracker and the scheduler.
 func (c *Controller) newScheduling() {
 	c.TopologyTracker = topologytracker.New(
 		c.set,
@@ -177,7 +176,7 @@
 		c.membership,
 		c.registry,
 		c.failures,
-		func() { c.scheduler.InvalidateSnapshot() }, // the scheduler is made below
+		func() { c.scheduler.InvalidateSnapshot() }, // the scheduler is created below
 		c.Stats,
 		c.log,
 	)
@@ -211,7 +210,7 @@
 	)
 }
 
-// newServers makes the servers of workers' heartbeats and of users' jobs.
+// newServers creates the servers for worker heartbeats and for user jobs.
 func (c *Controller) newServers() {
 	c.Heartbeats = server.NewHeartbeatServer(
 		c.set,
@@ -224,7 +223,7 @@
 			Topology:    c.TopologyTracker,
 			Scheduler:   c.scheduler,
 			Completions: c.completions,
-			Exchange:    c.exchange,
+			Exchange:    c.completionExchange,
 		},
 		c.Stats,
 		c.log,
@@ -243,7 +242,7 @@
 	)
 }
 
-// newLeader makes the loop that adjusts the fleet while this controller leads.
+// newLeader creates the component that scales the cluster while this controller is the leader.
 func (c *Controller) newLeader() {
 	c.leader = leader.New(
 		c.set,
@@ -264,7 +263,7 @@
 	)
 }
 
-// newWorkflows makes the runner of workflows, which submits their steps to the job server.
+// newWorkflows creates the workflow runner, which submits workflow steps to the job server.
 func (c *Controller) newWorkflows() {
 	c.Workflows = runner.New(
 		c.set,
@@ -284,7 +283,7 @@
 	)
 }
 
-// Limits returns the limits of a deployment's state service and of its teams.
+// Limits returns the limits of the state service and the resource limits of the teams.
 func Limits(set *settings.Settings) ledger.Limits {
 	state := set.StateLimits()
 	limits := ledger.Limits{
@@ -308,7 +307,7 @@
 	return limits
 }
 
-// membershipOptions returns the options of the view of the other controllers.
+// membershipOptions returns the options for the view of the other controllers.
 func membershipOptions(set *settings.Settings) membership.Options {
 	options := membership.Options{
 		Self:       set.Member,
@@ -322,7 +321,7 @@
 	return options
 }
 
-// archiverOptions returns the options of the archiver of finished jobs.
+// archiverOptions returns the options for the archiver of finished jobs.
 func archiverOptions(set *settings.Settings) archiver.Options {
 	operators, service := set.Operators, set.StateLimits()
 	return archiver.Options{
@@ -336,8 +335,8 @@
 	}
 }
 
-// SetPlugins switches policy modules on, before Run. If keys are given, only modules signed by one
-// of them are accepted. The initial module is used where no policy was ever chosen.
+// SetPlugins enables policy modules. It must be called before Run. If keys is not empty, only modules
+// signed with one of the keys are accepted. The initial module is used until a policy is chosen.
 func (c *Controller) SetPlugins(
 	keys []ed25519.PublicKey,
 	bounds plugin.Bounds,
@@ -349,7 +348,8 @@
 	})
 }
 
-// RecordPasses calls f with every scheduling pass over the queue. f must not retain the pass.
+// RecordPasses registers a function that is called with every scheduling pass over the queue. f must not
+// retain the pass.
 func (c *Controller) RecordPasses(f func(*policy.Pass)) {
 	c.policies.Set(func(o *policymanager.Options) { o.Record = f })
 }
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -8,8 +8,8 @@
 	"maddermill/internal/state/ledger"
 )
 
-// registerGauges registers the gauges that are read when metrics are requested. The names are part
-// of the metrics' interface.
+// registerGauges registers the gauges, which are read when metrics are requested. Their names are a public
+// interface.
 func (c *Controller) registerGauges() {
 	c.registerRecordGauges()
 	c.registerTrackerGauges()
@@ -33,9 +33,9 @@
 	})
 }
 
-// machineCount registers a gauge that counts the workers that report here and match. It is read
-// under the cache's lock.
-func (c *Controller) machineCount(name string, match func(l *ledger.Ledger, w *reconcile.Worker) bool) {
+// machineCountGauge registers a gauge that counts the workers reporting to this controller for which match
+// returns true. It is read under the cache's lock.
+func (c *Controller) machineCountGauge(name string, match func(l *ledger.Ledger, w *reconcile.Worker) bool) {
 	c.gauge(name, func(l *ledger.Ledger) (count float64) {
 		c.registry.Each(func(w *reconcile.Worker) {
 			if match(l, w) {
@@ -67,7 +67,7 @@
 	c.gauge("contact_age_seconds", func(*ledger.Ledger) float64 { return time.Since(c.cache.SyncedAt()).Seconds() })
 }
 
-// registerTrackerGauges registers gauges of policies, deadlines, completions and crash loops.
+// registerTrackerGauges registers gauges of policy modules, deadlines, completions and crash loops.
 func (c *Controller) registerTrackerGauges() {
 	c.gauge("policy_suspended", func(l *ledger.Ledger) float64 {
 		if c.policies.Suspended(l, time.Now()) {
@@ -88,13 +88,13 @@
 	c.gauge("jobs_suspect", func(*ledger.Ledger) float64 { return float64(c.failures.CountCrashLooping()) })
 }
 
-// registerMachineGauges registers gauges of the fleet and its topology.
+// registerMachineGauges registers gauges of the machines and their topology.
 func (c *Controller) registerMachineGauges() {
-	c.machineCount("machines_faulty", func(l *ledger.Ledger, w *reconcile.Worker) bool {
+	c.machineCountGauge("machines_faulty", func(l *ledger.Ledger, w *reconcile.Worker) bool {
 		return c.failures.Faulty(l, w.ID, time.Now())
 	})
-	c.machineCount("machines_slow", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return c.failures.Slow(w.ID) })
-	c.machineCount("machines_deaf", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return w.Unreachable() })
+	c.machineCountGauge("machines_slow", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return c.failures.Slow(w.ID) })
+	c.machineCountGauge("machines_deaf", func(_ *ledger.Ledger, w *reconcile.Worker) bool { return w.Unreachable() })
 	c.gauge("machines_awaited", func(*ledger.Ledger) float64 {
 		awaited, _ := c.leader.BootingMachines()
 		return float64(awaited)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// maxSharedCancellations is how many cancellations one status lists at most.
+	// maxSharedCancellations is the maximum number of cancellations listed in a status.
 	maxSharedCancellations = 400
-	// maxHeartbeatAge is how long after its last heartbeat a worker is still listed to peers.
+	// maxHeartbeatAge is how long after its last heartbeat a worker is still included in the status.
 	maxHeartbeatAge = 2 * time.Minute
 )
 
-// Topology returns the declared topology with its machines and the gangs on them, as this
-// controller sees them, and false if none is declared.
+// Topology returns the declared topology with its machines and the gangs running on them, as known to
+// this controller, and false if no topology is declared.
 func (c *Controller) Topology(now time.Time) (wire.TopologyView, bool) {
 	return c.TopologyTracker.Topology(now, c.scheduler.Snapshot)
 }
 
-// Judgements returns the verdicts on the machines that report here, with the evidence, and false
-// if quarantine by evidence is switched off.
+// Judgements returns the quarantine verdicts, with their evidence, on the machines that report to this
+// controller, and false if quarantine is disabled.
 func (c *Controller) Judgements() (judgements []wire.Judgement, enabled bool) {
 	c.cache.Read(func(*ledger.Ledger) {
 		var machines []wire.MachineID
@@ -36,18 +36,18 @@
 	return judgements, enabled
 }
 
-// answerProbe returns the status of this controller for a peer that probes it, with the
-// cancellations since the peer's revision and the completions that it asks for.
+// answerProbe returns the response to a probe from a peer: the status of this controller with the
+// cancellations since the peer's revision and the completions that the peer requests.
 func (c *Controller) answerProbe(probe peer.Status) peer.Status {
 	c.membership.ObserveProbe(probe.Member, time.Now())
 	status := c.status()
 	c.cache.Read(func(l *ledger.Ledger) {
-		c.exchange.Answer(probe, &status, time.Now())
+		c.completionExchange.Answer(probe, &status, time.Now())
 		if status.Cancelled <= probe.Revision {
 			return
 		}
-		// The records may have advanced since the status was made. It must list every
-		// cancellation up to the revision that it confirms, so both are read here.
+		// The records may have advanced since the status was built. It must list every cancellation up
+		// to the revision that it confirms, so both are read here under the same lock.
 		missing, complete := l.CancelledSince(probe.Revision)
 		status.Since, status.Cancelled = probe.Revision, l.LastCancel()
 		if missing.Len() <= maxSharedCancellations {
@@ -58,19 +58,19 @@
 	return status
 }
 
-// probe returns what this controller sends when it probes a peer: its revision, and the
-// completions that it asks the peer for.
+// probe returns the probe that this controller sends to a peer: its revision, and the completions that
+// it requests from the peer.
 func (c *Controller) probe(member wire.MemberID) peer.Status {
 	probe := peer.Status{Member: c.set.Member}
 	c.cache.Read(func(l *ledger.Ledger) {
 		probe.Revision = l.Revision()
-		c.exchange.Request(member, &probe)
+		c.completionExchange.Request(member, &probe)
 	})
 	return probe
 }
 
-// publishedStatus returns the status for peers that the mesh does not reach, which find it in the
-// state service, and false before the records are loaded.
+// publishedStatus returns the status that is published in the state service, for peers that can't be
+// reached over the mesh, and false until the records are loaded.
 func (c *Controller) publishedStatus() (status peer.Status, ok bool) {
 	if !c.Jobs.Loaded() {
 		return status, false
@@ -78,7 +78,7 @@
 	return c.status(), true
 }
 
-// status returns the status of this controller that is shared with peers.
+// status returns the status of this controller for its peers.
 func (c *Controller) status() peer.Status {
 	c.cache.Lock()
 	defer c.cache.Unlock()
@@ -112,8 +112,8 @@
 	return status
 }
 
-// machineStatus returns the status of a machine whose worker reports here. It must be called under
-// the cache's lock, inside of registry.Each.
+// machineStatus returns the status of a machine whose worker reports to this controller. It must be called
+// under the cache's lock, from within registry.Each.
 func (c *Controller) machineStatus(records *ledger.Ledger, w *reconcile.Worker, now time.Time) peer.Machine {
 	machine := peer.Machine{
 		ID:            w.ID,
@@ -142,25 +142,25 @@
 	return machine
 }
 
-// cancellations returns the cancellations that a peer's status lists.
+// cancellations returns the cancellations listed in a peer's status.
 func cancellations(status *peer.Status) ledger.Cancellations {
 	return ledger.Cancellations{Jobs: status.CancelledJobs, Workflows: status.CancelledWorkflows}
 }
 
-// mergeAnswer merges a peer's answer to a probe into the parts that use it.
+// mergeAnswer passes a peer's response to a probe to the components that use it.
 func (c *Controller) mergeAnswer(answer peer.Answer) {
 	status, asOf := &answer.Status, answer.AsOf
 	c.cache.Read(func(l *ledger.Ledger) {
 		l.MarkCancelling(cancellations(status))
 		now := time.Now()
-		c.exchange.Merge(
+		c.completionExchange.Merge(
 			status,
 			c.Heartbeats.CompletionUnrecorded,
 			!c.cache.SyncedWithin(now, settings.StartContact),
 			now,
 		)
-		// After MarkCancelling: from here on the peer may confirm that these records know all
-		// cancellations.
+		// This must come after MarkCancelling: from here on the peer's status may confirm that these
+		// records include all cancellations.
 		c.membership.ObserveStatus(*status, asOf)
 		c.failures.MergeSuspects(l, status.Suspects, asOf)
 		c.failures.MergeFailures(status.Failures)
--- a/internal/leader/autoscale/idle.go
+++ b/internal/leader/autoscale/idle.go
@@ -10,14 +10,14 @@
 	"maddermill/wire"
 )
 
-// idleReserves returns how many idle machines with accelerators, of each type in each zone, are to be in
-// reserve for work that needs them. There are none where all machine types have accelerators.
+// idleReserves returns, per type and zone, how many accelerator machines to keep idle for jobs that need
+// accelerators. It returns no reserves if every machine type has accelerators.
 func (in *Input) idleReserves() map[MachineOption]int {
-	reserves, hasPlainType := map[MachineOption]int{}, false
+	reserves, hasCPUOnlyType := map[MachineOption]int{}, false
 	for _, machineType := range in.MachineTypes {
-		hasPlainType = hasPlainType || machineType.GPUs == 0
+		hasCPUOnlyType = hasCPUOnlyType || machineType.GPUs == 0
 	}
-	if !hasPlainType {
+	if !hasCPUOnlyType {
 		return reserves
 	}
 	for i := range in.Machines {
@@ -31,8 +31,8 @@
 	return reserves
 }
 
-// scaleOutReserves adds the machines that the reserves lack: work that needs them starts without waiting
-// for a boot.
+// scaleOutReserves plans the machines missing from the reserves, so that jobs that need accelerators start
+// without waiting for a boot.
 func (p *packer) scaleOutReserves(reserves map[MachineOption]int) {
 	options := slices.SortedFunc(maps.Keys(reserves), func(a, b MachineOption) int {
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
@@ -44,17 +44,17 @@
 	}
 }
 
-// reserveShortfall returns how many machines of a kind the plan lacks so that it leaves a reserve idle,
-// which is never more than are in use.
+// reserveShortfall returns how many machines must be added to keep the reserve of a machine option idle. The
+// reserve is capped at the number of machines in use.
 func (p *packer) reserveShortfall(option MachineOption, reserve int) int {
 	if p.input.OutOfCapacity(option) {
 		return 0
 	}
 	inUse, idle := 0, 0
-	for _, s := range p.slots {
+	for _, b := range p.bins {
 		switch {
-		case s.machine.option() != option:
-		case s.used || len(s.machine.Busy) > 0:
+		case b.machine.option() != option:
+		case b.hasTasks || len(b.machine.Busy) > 0:
 			inUse++
 		default:
 			idle++
@@ -63,9 +63,9 @@
 	return max(0, min(reserve, inUse)-idle)
 }
 
-// drains returns the idle machines that are to be returned, the most expensive first and then those idle
-// for the longest. It leaves the reserves, which it counts down, and the operators' headroom.
-func (p *packer) drains(reserves map[MachineOption]int) []wire.MachineID {
+// machinesToDrain returns the machines that have exceeded their idle limit, the most expensive first and
+// then the longest idle. It keeps the reserves, which it decrements, and the configured headroom.
+func (p *packer) machinesToDrain(reserves map[MachineOption]int) []wire.MachineID {
 	var ids []wire.MachineID
 	idle := p.idleMachines()
 	for _, m := range idle[:max(0, len(idle)-p.input.headroomMachines())] {
@@ -80,12 +80,12 @@
 	return ids
 }
 
-// idleMachines returns the idle machines that the plan does not use, in the order in which they go.
+// idleMachines returns the idle machines that the plan does not use, in drain order.
 func (p *packer) idleMachines() []*Machine {
 	var idle []*Machine
-	for _, s := range p.slots {
-		if !s.toRent && !s.used && s.machine.isIdle() {
-			idle = append(idle, &s.machine)
+	for _, b := range p.bins {
+		if !b.isNew && !b.hasTasks && b.machine.isIdle() {
+			idle = append(idle, &b.machine)
 		}
 	}
 	slices.SortFunc(idle, func(a, b *Machine) int {
@@ -97,7 +97,7 @@
 	return idle
 }
 
-// headroomMachines returns how many idle machines the operators want beside those in use.
+// headroomMachines returns how many idle machines the configured headroom requires on top of those in use.
 func (in *Input) headroomMachines() int {
 	inUse := 0
 	for i := range in.Machines {
@@ -108,8 +108,8 @@
 	return int(in.Headroom * float64(inUse))
 }
 
-// maxIdle returns for how long a machine may be idle: IdleBoots boot times, and a spot machine longer by
-// as much as it is cheaper, since its cached images cost less to keep.
+// maxIdle returns how long a machine may stay idle: IdleBoots boot times, multiplied for a spot machine by
+// the ratio of the on-demand price to the spot price, since its cached images cost less to keep.
 func (in *Input) maxIdle(m *Machine) time.Duration {
 	machineType := in.MachineTypes[m.Type]
 	limit := in.IdleBoots * float64(machineType.Boot.Duration())
--- a/internal/leader/autoscale/job_packing.go
+++ b/internal/leader/autoscale/job_packing.go
@@ -9,27 +9,28 @@
 	"maddermill/wire"
 )
 
-// jobPacking packs the tasks of one job into the machines of a packer.
+// jobPacking packs the tasks of one job into the bins of a packer.
 type jobPacking struct {
 	*packer
 	entry    *placement.Entry
-	unplaced int // tasks without a place
+	unplaced int // tasks not yet assigned to a machine
 
-	neededBy   time.Time // when the tasks need room
-	releasedAt time.Time // when they are expected to release it
-	urgent     bool      // they can't wait for another boot
+	neededBy   time.Time // when the tasks need their resources
+	releasedAt time.Time // when they are expected to release them
+	urgent     bool      // the tasks can't wait for another boot
 
-	zone           wire.Zone // the only zone to be used, "" if any may be
-	prefersOneZone bool      // zone is dropped where it has no capacity or is more expensive than another
+	zone           wire.Zone // the only zone to use; "" means any zone
+	prefersOneZone bool      // zone is a preference, dropped if it has no capacity or another is cheaper
 
-	usedSlots     map[*slot]bool    // by fill
-	placedPerZone map[wire.Zone]int // tasks of this plan
-	filledMachine bool              // a machine has become full
+	filledBins    map[*bin]bool     // bins that fillOpenBins has assigned tasks to
+	placedPerZone map[wire.Zone]int // tasks of the job in this plan
+	filledMachine bool              // the job has filled a machine up
 }
 
-// newJobPacking returns the packing of some of a job's tasks. A machine that is rented now is up a boot
-// time from now. For work that has the time for one more boot after that, room that is free by then will
-// do as well; with less time, forecasts that are wrong again and again would let it wait for ever.
+// newJobPacking returns the packing of a number of a job's tasks. A machine provisioned now is up after one
+// boot time. If the job could then still wait for another boot, resources that are expected to be free by
+// then count as free. For a more urgent job only resources that are free now count: repeatedly wrong
+// estimates could otherwise make it wait forever.
 func (p *packer) newJobPacking(entry *placement.Entry, tasks int) *jobPacking {
 	spec := entry.Job.Spec
 	job := &jobPacking{
@@ -39,7 +40,7 @@
 		neededBy:       p.input.Now,
 		urgent:         true,
 		prefersOneZone: p.input.PreferOneZone && entry.Job.GangSize() > 1 && !spec.OneZone && !spec.Spread,
-		usedSlots:      map[*slot]bool{},
+		filledBins:     map[*bin]bool{},
 		placedPerZone:  map[wire.Zone]int{},
 	}
 	if spec.OneZone {
@@ -55,41 +56,40 @@
 	return job
 }
 
-// zoneWithMostRoom returns the zone whose machines have room for the most of the job's tasks, "" if none
-// has room.
-func (job *jobPacking) zoneWithMostRoom() wire.Zone {
+// zoneWithMostCapacity returns the zone whose machines have capacity for the most of the job's tasks, or ""
+// if none has any.
+func (job *jobPacking) zoneWithMostCapacity() wire.Zone {
 	var best wire.Zone
-	room := map[wire.Zone]int{}
-	for _, s := range job.open {
-		zone := s.machine.Zone
-		room[zone] += job.capacity(s)
-		if room[zone] > room[best] || room[zone] == room[best] && zone < best {
+	capacity := map[wire.Zone]int{}
+	for _, b := range job.openBins {
+		zone := b.machine.Zone
+		capacity[zone] += job.capacity(b)
+		if capacity[zone] > capacity[best] || capacity[zone] == capacity[best] && zone < best {
 			best = zone
 		}
 	}
 	return best
 }
 
-// capacity returns how many of the tasks without a place a machine takes.
-func (job *jobPacking) capacity(s *slot) int {
-	j, m := job.entry.Job, &s.machine
-	if !job.mayUse(m) {
+// capacity returns how many of the unplaced tasks fit on a machine.
+func (job *jobPacking) capacity(b *bin) int {
+	j, m := job.entry.Job, &b.machine
+	if !job.isEligible(m) {
 		return 0
 	}
-	// A machine fetches one image at a time: one that has to fetch another first is of no use to work that
-	// can't wait.
+	// A machine fetches one image at a time, so urgent tasks can't use one that is fetching another image.
 	if job.urgent && !m.caches(j.Spec.Image) && m.Fetching != "" && m.Fetching != j.Spec.Image {
 		return 0
 	}
-	tasks := m.room(job.neededBy).Times(j.Need, job.unplaced)
+	tasks := m.freeAt(job.neededBy).Times(j.Need, job.unplaced)
 	if j.Spec.Spread {
 		tasks = max(0, min(tasks, j.ZoneRoom(m.Zone)-job.placedPerZone[m.Zone]))
 	}
 	return tasks
 }
 
-// mayUse reports whether the job may run on a machine.
-func (job *jobPacking) mayUse(m *Machine) bool {
+// isEligible reports whether the job may run on a machine.
+func (job *jobPacking) isEligible(m *Machine) bool {
 	switch {
 	case !ledger.Allowed(job.entry.Job.Spec, m.Type, m.Zone, m.Spot):
 		return false
@@ -101,47 +101,48 @@
 	return job.zone == "" || m.Zone == job.zone
 }
 
-// use places tasks on a machine.
-func (job *jobPacking) use(s *slot, tasks int) {
+// assign assigns tasks to a machine.
+func (job *jobPacking) assign(b *bin, tasks int) {
 	image := job.entry.Job.Spec.Image
-	s.machine.claim(job.entry.Job.Need, tasks, job.releasedAt)
-	s.used = true
-	if !s.machine.caches(image) {
-		s.machine.Fetching = image
+	b.machine.claim(job.entry.Job.Need, tasks, job.releasedAt)
+	b.hasTasks = true
+	if !b.machine.caches(image) {
+		b.machine.Fetching = image
 	}
 	job.unplaced -= tasks
-	job.placedPerZone[s.machine.Zone] += tasks
-	job.filledMachine = job.filledMachine || job.isFull(s)
+	job.placedPerZone[b.machine.Zone] += tasks
+	job.filledMachine = job.filledMachine || job.isFull(b)
 }
 
-// fill places tasks on the machines that have room.
-func (job *jobPacking) fill() {
-	for _, s := range job.open {
+// fillOpenBins assigns tasks to the open bins that they fit in.
+func (job *jobPacking) fillOpenBins() {
+	for _, b := range job.openBins {
 		if job.unplaced == 0 {
 			return
 		}
 		job.input.MachinesExamined++
-		tasks := job.capacity(s)
-		if tasks == 0 || job.usedSlots[s] {
+		tasks := job.capacity(b)
+		if tasks == 0 || job.filledBins[b] {
 			continue
 		}
-		job.use(s, tasks)
-		job.usedSlots[s] = true
+		job.assign(b, tasks)
+		job.filledBins[b] = true
 		if job.entry.Job.Spec.OneZone {
-			job.zone = s.machine.Zone
+			job.zone = b.machine.Zone
 		}
 	}
 }
 
-// addMachine adds the cheapest machine to be rented, with as many tasks as it takes, or gives up a zone
-// that is only preferred. It reports whether it may be called again for the tasks that are left.
+// addMachine plans a machine of the cheapest option and assigns as many tasks to it as fit. If the job only
+// prefers its zone and a machine elsewhere is cheaper, or the only one available, it drops the preference
+// instead. It reports whether it may be called again for the remaining tasks.
 func (job *jobPacking) addMachine() bool {
 	best, found := job.cheapest(job.zone)
 	if job.prefersOneZone && job.zone != "" {
 		anywhere, foundAnywhere := job.cheapest("")
 		if foundAnywhere && (!found || anywhere.pricePerTask < best.pricePerTask) {
 			job.prefersOneZone, job.zone = false, ""
-			job.fill()
+			job.fillOpenBins()
 			return true
 		}
 	}
@@ -149,23 +150,23 @@
 		return false
 	}
 	option, machineType := best.option, job.input.MachineTypes[best.option.Type]
-	rented := &slot{
+	added := &bin{
 		machine: Machine{
 			Type:  option.Type,
 			Zone:  option.Zone,
 			Spot:  option.Spot,
 			Total: resourcesOf(&machineType),
 		},
-		used:   true,
-		toRent: true,
+		hasTasks: true,
+		isNew:    true,
 	}
-	tasks := job.capacity(rented)
+	tasks := job.capacity(added)
 	if tasks == 0 {
 		return false
 	}
-	job.use(rented, tasks)
-	job.slots = append(job.slots, rented)
-	job.open = append(job.open, rented)
+	job.assign(added, tasks)
+	job.bins = append(job.bins, added)
+	job.openBins = append(job.openBins, added)
 	job.machinesPerZone[option.Zone]++
 	job.countScaleOut(option)
 	if job.entry.Job.Spec.OneZone || job.prefersOneZone {
@@ -174,14 +175,14 @@
 	return true
 }
 
-// offer is a kind of machine that could be rented for a job.
+// offer is a machine option that could be provisioned for a job.
 type offer struct {
 	option       MachineOption
-	pricePerTask float64 // its price by the number of the job's tasks that it has room for
+	pricePerTask float64 // machine price divided by the number of the job's tasks that fit
 }
 
-// cheapest returns the best kind of machine to rent for the job in a zone, or in any if zone is "", and
-// whether there is one: the lowest price for a task, then the zone with the fewest machines.
+// cheapest returns the best machine option for the job in a zone, or in any zone if zone is "", and whether
+// there is one. It prefers the lowest price per task, then the zone with the fewest machines.
 func (job *jobPacking) cheapest(zone wire.Zone) (best offer, found bool) {
 	for _, machineType := range job.input.MachineTypes {
 		candidate, ok := job.cheapestOfType(&machineType, zone)
@@ -192,21 +193,21 @@
 	return best, found
 }
 
-// cheapestOfType is cheapest among the machines of a type.
+// cheapestOfType is like cheapest, restricted to one machine type.
 func (job *jobPacking) cheapestOfType(machineType *wire.MachineType, zone wire.Zone) (best offer, found bool) {
 	j, in := job.entry.Job, job.input
 	tasks := resourcesOf(machineType).Times(j.Need, j.Spec.Tasks)
 	if tasks == 0 || job.entry.Plain && machineType.GPUs > 0 {
 		return offer{}, false
 	}
-	mayBeSpot := in.Spot && machineType.SpotPrice > 0 && !job.entry.AvoidSpot
+	spotAllowed := in.Spot && machineType.SpotPrice > 0 && !job.entry.AvoidSpot
 	for _, z := range machineType.Zones {
 		if zone != "" && z != zone {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
 			option := MachineOption{Type: machineType.Name, Zone: z, Spot: spot}
-			if spot && !mayBeSpot || !job.mayRent(option) {
+			if spot && !spotAllowed || !job.mayProvision(option) {
 				continue
 			}
 			candidate := offer{option: option, pricePerTask: in.price(option) / float64(tasks)}
@@ -218,17 +219,17 @@
 	return best, found
 }
 
-// mayRent reports whether a kind of machine may be rented for the job: the job may run there, and the kind
-// is not out of capacity.
-func (job *jobPacking) mayRent(option MachineOption) bool {
+// mayProvision reports whether a machine option may be provisioned for the job: the job may run on it and
+// OutOfCapacity does not exclude it.
+func (job *jobPacking) mayProvision(option MachineOption) bool {
 	j := job.entry.Job
 	if j.Spec.Spread && j.ZoneRoom(option.Zone) <= job.placedPerZone[option.Zone] {
-		return false // a job that is to be spread once waited for ever for a second zone
+		return false // without this check, a spread job waited forever for a second zone
 	}
 	return ledger.Allowed(j.Spec, option.Type, option.Zone, option.Spot) && !job.input.OutOfCapacity(option)
 }
 
-// compareOffers orders the better of two offers first.
+// compareOffers compares two offers; the better one sorts first.
 func (job *jobPacking) compareOffers(a, b offer) int {
 	return cmp.Or(
 		cmp.Compare(a.pricePerTask, b.pricePerTask),
--- a/internal/leader/autoscale/packing.go
+++ b/internal/leader/autoscale/packing.go
@@ -10,29 +10,29 @@
 	"maddermill/wire"
 )
 
-// slot is a machine in a plan, with the tasks that the plan places there.
-type slot struct {
-	machine Machine // a copy, whose Busy and Fetching include the plan's tasks
-	used    bool    // the plan places tasks there
-	toRent  bool    // the plan rents it
+// bin is a machine in a plan, together with the tasks that the plan assigns to it.
+type bin struct {
+	machine  Machine // a copy; ExpectedReleases and Fetching include the plan's tasks
+	hasTasks bool    // the plan assigns tasks to it
+	isNew    bool    // the plan provisions it
 }
 
-// packer packs the pending jobs into machines, one job after the other.
+// packer packs the pending jobs into machines, one job at a time, with a first-fit strategy.
 type packer struct {
 	input        *Input
-	slots        []*slot          // the usable machines and those to be rented
-	open         []*slot          // those of them with room for a task of some job
-	smallestNeed ledger.Resources // of each resource, the least that a task of any job needs
-	latestBoot   time.Time        // by when a machine of any type would be up if rented now
+	bins         []*bin           // the usable machines and those to provision
+	openBins     []*bin           // bins that may still fit a task of some job
+	smallestNeed ledger.Resources // per resource, the smallest need of any pending task
+	latestBoot   time.Time        // when a machine of the slowest type would be up if requested now
 
-	scaleOut        map[MachineOption]int          // the machines to be rented
-	machineCount    int                            // all machines, those to be rented among them
-	machinesPerZone map[wire.Zone]int              // those to be rented for jobs among them, not those for reserves
-	placedPerTeam   map[wire.Team]ledger.Resources // by this plan
+	scaleOut        map[MachineOption]int          // number of machines to provision
+	machineCount    int                            // all machines, including those to provision
+	machinesPerZone map[wire.Zone]int              // including those to provision for jobs, but not those for reserves
+	placedPerTeam   map[wire.Team]ledger.Resources // resources that this plan gives to each team
 }
 
-// newPacker returns a packer that has placed nothing. Its machines that are up come before those that
-// boot, and cheap ones before expensive ones, which are left to work that may run nowhere else.
+// newPacker returns a packer without placed tasks. Running machines come before booting ones, and cheap
+// before expensive ones, so that expensive machines are left to jobs that can't run elsewhere.
 func newPacker(in *Input) *packer {
 	p := &packer{
 		input:           in,
@@ -46,17 +46,17 @@
 	for _, m := range in.Machines {
 		p.machinesPerZone[m.Zone]++
 		if m.Usable {
-			p.slots = append(p.slots, &slot{machine: m})
+			p.bins = append(p.bins, &bin{machine: m})
 		}
 	}
-	slices.SortStableFunc(p.slots, func(a, b *slot) int {
+	slices.SortStableFunc(p.bins, func(a, b *bin) int {
 		return cmp.Or(
 			compareBool(a.machine.Booting, b.machine.Booting),
 			cmp.Compare(in.price(a.machine.option()), in.price(b.machine.option())),
 			cmp.Compare(a.machine.ID, b.machine.ID),
 		)
 	})
-	p.open = slices.DeleteFunc(slices.Clone(p.slots), p.isFull)
+	p.openBins = slices.DeleteFunc(slices.Clone(p.bins), p.isFull)
 	return p
 }
 
@@ -71,22 +71,22 @@
 	return 1
 }
 
-// isFull reports whether a machine has no room for a task of any job, so that it need not be examined for
-// each of them.
-func (p *packer) isFull(s *slot) bool { return !s.machine.room(p.latestBoot).Fits(p.smallestNeed) }
+// isFull reports whether a machine is too full for any pending task, so that it can be skipped for all
+// remaining jobs.
+func (p *packer) isFull(b *bin) bool { return !b.machine.freeAt(p.latestBoot).Fits(p.smallestNeed) }
 
-// mayScaleOut reports whether the bound on machines allows one more.
+// mayScaleOut reports whether MaxMachines allows one more machine.
 func (p *packer) mayScaleOut() bool {
 	return p.input.MaxMachines == 0 || p.machineCount < p.input.MaxMachines
 }
 
-// countScaleOut counts one more machine to be rented.
+// countScaleOut adds one machine to the machines to provision.
 func (p *packer) countScaleOut(option MachineOption) {
 	p.scaleOut[option]++
 	p.machineCount++
 }
 
-// scaleOuts returns what is to be rented, the largest number first.
+// scaleOuts returns the machines to provision, the largest count first.
 func (p *packer) scaleOuts() []ScaleOut {
 	var out []ScaleOut
 	for option, count := range p.scaleOut {
@@ -102,9 +102,8 @@
 	return out
 }
 
-// place packs a job's tasks, as far as its team's quota allows, into the machines there are, and rents
-// machines for the rest. Nothing is rented for a job that fails wherever it runs, or for one that is
-// backed off.
+// place packs the job's tasks into the existing bins, up to its team's quota, and plans new machines for
+// the rest. It skips jobs that crash-loop and jobs whose retry delay has not passed.
 func (p *packer) place(entry *placement.Entry) {
 	if entry.CrashLooping {
 		return
@@ -118,15 +117,15 @@
 	p.placedPerTeam[j.Spec.Team] = placed.Add(j.Need, tasks)
 	job := p.newJobPacking(entry, tasks)
 	if job.prefersOneZone {
-		job.zone = job.zoneWithMostRoom()
+		job.zone = job.zoneWithMostCapacity()
 	}
-	job.fill()
+	job.fillOpenBins()
 	for job.unplaced > 0 && p.mayScaleOut() {
 		if !job.addMachine() {
 			break
 		}
 	}
 	if job.filledMachine {
-		p.open = slices.DeleteFunc(p.open, p.isFull)
+		p.openBins = slices.DeleteFunc(p.openBins, p.isFull)
 	}
 }
--- a/internal/leader/autoscale/plan.go
+++ b/internal/leader/autoscale/plan.go
@@ -1,15 +1,15 @@
-// Package autoscale plans which machines to scale out and which to scale in. It is a pure function of
-// its input: it does no I/O, reads no clock, holds no locks and keeps nothing between plans. The leader
-// carries the plan out.
+// Package autoscale computes which machines to add and which to remove. A plan is a pure function of its
+// input: the package does no I/O, reads no clock, holds no locks and keeps no state between plans. The
+// leader executes the plan.
 //
-// ComputePlan packs the pending work, in policy order, into the machines that are up or boot, and into
-// new ones where there is no room (packer for all jobs, jobPacking for one). It then adds the machines
-// with accelerators that are to be in reserve, and drains machines that have been idle for longer than
-// it would take to boot them again. ApplyPolicy lets a fleet policy of the operators change the plan.
+// ComputePlan packs the pending jobs, in policy order, into the machines that are up or booting, and adds
+// new machines for what does not fit (packer handles all jobs, jobPacking one). It then adds the machines
+// missing from the accelerator reserve, and drains machines that have been idle for too long (see
+// Input.IdleBoots). ApplyPolicy lets an operator-supplied fleet policy change the plan.
 //
-// A plan never has more machines than Input.MaxMachines, never scales out kinds of machines that are out
-// of capacity, and never drains a machine that has claims or boots. It need not be exact: what it
-// foresees about running tasks are expectations, and the scheduler places tasks by itself.
+// A plan never exceeds Input.MaxMachines, never provisions machine options that are out of capacity, and
+// never drains a machine that is booting or has claims. It is an approximation: the run times of running
+// tasks are estimates, and the scheduler places tasks independently of the plan.
 package autoscale
 
 import (
@@ -20,23 +20,23 @@
 	"maddermill/wire"
 )
 
-// Machine is a machine as the leader knows it.
+// Machine is a machine of the cluster, in the leader's view.
 type Machine struct {
 	ID        wire.MachineID
 	Type      wire.MachineTypeName
 	Zone      wire.Zone
 	Spot      bool
-	Booting   bool // it has sent no heartbeat yet
-	Usable    bool // it takes tasks, or will when it is up
+	Booting   bool // no heartbeat received yet
+	Usable    bool // it accepts tasks, or will once it is up
 	Total     ledger.Resources
-	Busy      []placement.ExpectedRelease // what its tasks take, and until when
-	Caches    func(wire.Image) bool       // reports whether it has an image; nil: it is not known to have any
-	Fetching  wire.Image                  // the image that it fetches now, "" if none
+	Busy      []placement.ExpectedRelease // resources used by its tasks, and the expected time of their release
+	Caches    func(wire.Image) bool       // reports whether an image is cached; nil: none is known to be
+	Fetching  wire.Image                  // the image being fetched; "" means none
 	IdleSince time.Time                   // zero while it has claims
 }
 
-// room returns the resources that are free at a time, as far as can be foreseen.
-func (m *Machine) room(at time.Time) ledger.Resources {
+// freeAt returns the resources that are expected to be free at a given time.
+func (m *Machine) freeAt(at time.Time) ledger.Resources {
 	free := m.Total
 	for _, release := range m.Busy {
 		if release.Until.After(at) {
@@ -46,62 +46,62 @@
 	return free
 }
 
-// caches reports whether the machine is known to have an image.
+// caches reports whether an image is known to be cached on the machine.
 func (m *Machine) caches(image wire.Image) bool { return m.Caches != nil && m.Caches(image) }
 
-// claim takes the room of some tasks until they are expected to end.
+// claim reserves resources for a number of tasks until their expected end.
 func (m *Machine) claim(need ledger.Resources, tasks int, until time.Time) {
 	m.Busy = append(m.Busy, placement.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, tasks)})
 }
 
-// isIdle reports whether the machine is up and has no claims, so that it could be returned.
+// isIdle reports whether the machine is up and has no claims, so that it can be drained.
 func (m *Machine) isIdle() bool { return !m.IdleSince.IsZero() && !m.Booting }
 
-// option returns the kind of the machine.
+// option returns the machine option that the machine was provisioned as.
 func (m *Machine) option() MachineOption {
 	return MachineOption{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// MachineOption is a kind of machine that the cloud offers.
+// MachineOption is a combination of machine type, zone and purchase option (spot or on-demand).
 type MachineOption struct {
 	Type wire.MachineTypeName
 	Zone wire.Zone
 	Spot bool
 }
 
-// ScaleOut is a number of machines of a kind to be rented.
+// ScaleOut is a number of machines of one option to provision.
 type ScaleOut struct {
 	MachineOption
 	Count int
 }
 
-// Input is what a plan is made from.
+// Input holds everything that a plan depends on.
 type Input struct {
 	Now          time.Time
-	MachineTypes map[wire.MachineTypeName]wire.MachineType // the cloud's machine types at current prices
-	Machines     []Machine                                 // all machines but those on their way out
-	Queue        []placement.Entry                         // the pending jobs in policy order
-
-	// TeamRoom returns how many tasks of a job, most of them at the most, its team's quota leaves room
-	// for, beside the resources that the plan has given the team already.
-	RemainingTeamQuota func(j *ledger.Job, extra ledger.Resources, most int) int
-	// OutOfCapacity reports whether machines of a kind are not to be requested now.
+	MachineTypes map[wire.MachineTypeName]wire.MachineType // the cloud's machine types with current prices
+	Machines     []Machine                                 // all machines except those being terminated
+	Queue        []placement.Entry                         // pending jobs in policy order
+
+	// RemainingTeamQuota returns how many tasks of a job, at most maxTasks, still fit its team's quota if
+	// extra, the resources that the plan has already given the team, counts as used.
+	RemainingTeamQuota func(j *ledger.Job, extra ledger.Resources, maxTasks int) int
+	// OutOfCapacity reports whether a machine option must not be requested for now.
 	OutOfCapacity func(MachineOption) bool
 
-	// Settings of the operators.
-	Spot        bool    // spot machines may be rented
-	MaxMachines int     // machines at once, 0: no bound
-	IdleBoots   float64 // how long a machine may be idle, in boot times of its type
-	Headroom    float64 // idle machines that are kept, as a share of those in use
+	// Operator settings.
+	Spot        bool    // spot machines may be provisioned
+	MaxMachines int     // maximum cluster size; 0 means unlimited
+	IdleBoots   float64 // maximum idle time of a machine, in boot times of its type
+	Headroom    float64 // idle machines to keep, as a fraction of those in use
 
-	// PreferOneZone is set where a topology is declared: a gang's machines are wanted in one zone.
+	// PreferOneZone is set if a topology is declared: the machines of a gang should be in one zone.
 	PreferOneZone bool
 
-	// MachinesExamined counts the machines that have been examined for a job: what the plan has cost.
+	// MachinesExamined counts how often a machine was examined for a job. It measures the cost of the plan.
 	MachinesExamined int
 }
 
-// price returns the current price of a kind of machine.
+// price returns the current price of a machine option.
 func (in *Input) price(option MachineOption) float64 {
 	machineType := in.MachineTypes[option.Type]
 	if option.Spot {
@@ -110,7 +110,7 @@
 	return machineType.Price
 }
 
-// smallestNeed returns, of each resource, the least that a task of any pending job needs.
+// smallestNeed returns, for each resource, the smallest amount that a task of any pending job needs.
 func (in *Input) smallestNeed() ledger.Resources {
 	var smallest ledger.Resources
 	for i := range in.Queue {
@@ -125,7 +125,7 @@
 	return smallest
 }
 
-// longestBoot returns the longest boot time of all machine types.
+// longestBoot returns the longest boot time of any machine type.
 func (in *Input) longestBoot() time.Duration {
 	var longest time.Duration
 	for _, machineType := range in.MachineTypes {
@@ -134,8 +134,8 @@
 	return longest
 }
 
-// shortestBoot returns the shortest boot time of the machine types that a task of a job fits on, 0 if
-// there is none.
+// shortestBoot returns the shortest boot time of the machine types that a task of the job fits on, or 0 if
+// it fits on none.
 func (in *Input) shortestBoot(j *ledger.Job) time.Duration {
 	var shortest time.Duration
 	for _, machineType := range in.MachineTypes {
@@ -147,20 +147,19 @@
 	return shortest
 }
 
-// resourcesOf returns the resources of a machine of a type.
+// resourcesOf returns the resources of a machine type.
 func resourcesOf(machineType *wire.MachineType) ledger.Resources {
 	return ledger.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// Plan is which machines to rent and which to return.
+// Plan lists the machines to provision and the machines to drain.
 type Plan struct {
-	ScaleOut []ScaleOut       // the largest number first
-	Drain    []wire.MachineID // idle machines to be returned
+	ScaleOut []ScaleOut       // the largest count first
+	Drain    []wire.MachineID // idle machines to terminate
 }
 
-// ComputePlan packs the pending work, in policy order, into the machines that are up or boot, rents what
-// the rest needs and what is to be in reserve, and returns machines that have been idle for longer than
-// it would take to boot them again.
+// ComputePlan packs the pending jobs, in policy order, into the machines that are up or booting, plans new
+// machines for the rest and for the accelerator reserve, and drains machines idle for too long.
 func ComputePlan(in *Input) Plan {
 	p := newPacker(in)
 	for i := range in.Queue {
@@ -168,5 +167,5 @@
 	}
 	reserves := in.idleReserves()
 	p.scaleOutReserves(reserves)
-	return Plan{ScaleOut: p.scaleOuts(), Drain: p.drains(reserves)}
+	return Plan{ScaleOut: p.scaleOuts(), Drain: p.machinesToDrain(reserves)}
 }
--- a/internal/leader/autoscale/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Machine types of the tests: typeG is rented in two zones, and plainType has no accelerators.
+// Machine types of the tests: typeG is available in two zones, cpuType has no accelerators.
 var (
 	typeG = wire.MachineType{
 		Name:      "g",
@@ -35,7 +35,7 @@
 		Boot:      20,
 		Zones:     []wire.Zone{"a"},
 	}
-	plainType = wire.MachineType{
+	cpuType = wire.MachineType{
 		Name:     "cpu",
 		CPUs:     4,
 		MemoryGB: 16,
@@ -45,13 +45,13 @@
 	}
 )
 
-// never is the OutOfCapacity of a cloud that has all kinds of machines.
+// never is an OutOfCapacity function for a cloud with unlimited capacity.
 func never(MachineOption) bool { return false }
 
-// noQuota is the TeamRoom of teams without quotas.
-func noQuota(_ *ledger.Job, _ ledger.Resources, most int) int { return most }
+// noQuota is a RemainingTeamQuota function for teams without quotas.
+func noQuota(_ *ledger.Job, _ ledger.Resources, maxTasks int) int { return maxTasks }
 
-// input returns an input with typeG, no machines, and a pending job for each spec.
+// input returns an input with machine type typeG, no machines, and a pending job for each spec.
 func input(t *testing.T, specs ...wire.JobSpec) *Input {
 	t.Helper()
 	records := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
@@ -82,7 +82,7 @@
 	return in
 }
 
-// acceleratorInput returns an input with gpuType and, if mixed, plainType, and without jobs and machines.
+// acceleratorInput returns an input with gpuType and, if mixed is set, cpuType. It has no jobs or machines.
 func acceleratorInput(mixed bool) *Input {
 	in := &Input{
 		Now:                now,
@@ -92,12 +92,12 @@
 		OutOfCapacity:      never,
 	}
 	if mixed {
-		in.MachineTypes["cpu"] = plainType
+		in.MachineTypes["cpu"] = cpuType
 	}
 	return in
 }
 
-// scaledOut returns how many spot machines, or how many others, a plan rents.
+// scaledOut returns how many spot or on-demand machines a plan provisions.
 func scaledOut(p Plan, spot bool) (n int) {
 	for _, scaleOut := range p.ScaleOut {
 		if scaleOut.Spot == spot {
@@ -107,8 +107,8 @@
 	return n
 }
 
-// TestScaleOut: machines are rented for the tasks that have no room, of the cheapest kind that the job may
-// run on.
+// TestScaleOut checks that a plan provisions machines for the tasks that don't fit on existing machines, of
+// the cheapest option that the job may run on.
 func TestScaleOut(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
 	zone := wire.Zone("b")
@@ -125,7 +125,7 @@
 		wantOnDemand  int
 	}{
 		{name: "packed", spec: wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1, Spot: true}, wantSpot: 2},
-		{name: "not on spot", spec: wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1}, wantOnDemand: 2},
+		{name: "on-demand only", spec: wire.JobSpec{Tasks: 8, GPUs: 1, CPUs: 1}, wantOnDemand: 2},
 		{
 			name:          "spot out of capacity",
 			spec:          wire.JobSpec{Tasks: 4, GPUs: 1, Spot: true},
@@ -133,20 +133,21 @@
 			wantOnDemand:  1,
 		},
 		{
-			name:     "one booting is counted",
+			name:     "booting machine is counted",
 			spec:     wire.JobSpec{Tasks: 8, GPUs: 1, Spot: true},
 			machines: booting,
 			wantSpot: 1,
 		},
 		{
-			name:     "room in the wrong zone does not count",
+			name:     "capacity in another zone is ignored",
 			spec:     wire.JobSpec{Tasks: 4, GPUs: 1, Spot: true, Zone: &zone},
 			machines: up,
 			wantSpot: 1,
 		},
-		{name: "bounded", spec: wire.JobSpec{Tasks: 40, GPUs: 1, Spot: true}, maxMachines: 3, wantSpot: 3},
+		{name: "machine limit", spec: wire.JobSpec{Tasks: 40, GPUs: 1, Spot: true}, maxMachines: 3, wantSpot: 3},
 		{
-			// A job that is to be spread once counted room in one zone for all of its tasks, and waited for ever.
+			// Regression: the capacity of one zone was counted for all tasks of a spread job, which then
+			// waited forever.
 			name:         "spread",
 			spec:         wire.JobSpec{Tasks: 4, GPUs: 1, Shape: wire.Gang, Spread: true},
 			machines:     up,
@@ -162,7 +163,7 @@
 			}
 			p := ComputePlan(in)
 			if scaledOut(p, true) != tc.wantSpot || scaledOut(p, false) != tc.wantOnDemand {
-				t.Errorf("got %+v, want %d spot and %d others", p.ScaleOut, tc.wantSpot, tc.wantOnDemand)
+				t.Errorf("got %+v, want %d spot and %d on-demand", p.ScaleOut, tc.wantSpot, tc.wantOnDemand)
 			}
 			for _, scaleOut := range p.ScaleOut {
 				if tc.spec.Zone != nil && scaleOut.Zone != *tc.spec.Zone {
@@ -173,8 +174,8 @@
 	}
 }
 
-// TestDrain: machines idle for longer than a boot are returned, the most expensive first, but not those
-// that pending work fits on.
+// TestDrain checks that machines idle for longer than a boot time are drained, the most expensive first,
+// except those that pending jobs fit on.
 func TestDrain(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
 	idleFor := func(id wire.MachineID, idle time.Duration, spot bool) Machine {
@@ -198,13 +199,13 @@
 	in = input(t, wire.JobSpec{Tasks: 1, GPUs: 1})
 	in.Machines = []Machine{idleFor("expensive", 90*time.Second, false)}
 	if p := ComputePlan(in); len(p.Drain) != 0 || len(p.ScaleOut) != 0 {
-		t.Errorf("with pending work that fits: got %+v, want no change", p)
+		t.Errorf("with a pending job that fits: got %+v, want no change", p)
 	}
 }
 
-// TestScaleOutForAGangKeepsItsZone: where a topology is declared, what is rented for a gang is in one zone,
-// that of the machines with room for it; not at a higher price, and not if the zone is out of capacity.
-// Without a topology the zones take turns, as they did.
+// TestScaleOutForAGangKeepsItsZone checks that, with a declared topology, the machines provisioned for a gang
+// are in the zone that already has capacity for it, unless that zone is more expensive or out of capacity.
+// Without a topology they are spread over the zones.
 func TestScaleOutForAGangKeepsItsZone(t *testing.T) {
 	full := ledger.NewResources(8, 4, 64)
 	inZoneB := []Machine{{ID: "h", Type: "g", Zone: "b", Usable: true, Total: full}}
@@ -216,9 +217,9 @@
 		wantA, wantB  int
 	}{
 		{"no topology", false, nil, never, 2, 2},
-		{"none there", true, nil, never, 4, 0},
-		{"one has room", true, inZoneB, never, 0, 3},
-		{"spot only elsewhere", true, inZoneB, func(o MachineOption) bool { return o.Spot && o.Zone == "b" }, 3, 0},
+		{"no machines", true, nil, never, 4, 0},
+		{"zone with capacity", true, inZoneB, never, 0, 3},
+		{"spot only in the other zone", true, inZoneB, func(o MachineOption) bool { return o.Spot && o.Zone == "b" }, 3, 0},
 		{"zone out of capacity", true, inZoneB, func(o MachineOption) bool { return o.Zone == "b" }, 3, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -235,8 +236,8 @@
 	}
 }
 
-// TestIdleAcceleratorsAreKept: where there are machine types without accelerators, some idle machines with
-// them are not returned; where there are none all that are idle go, as before.
+// TestIdleAcceleratorsAreKept checks that, if some machine types have no accelerators, a reserve of idle
+// accelerator machines is not drained. If all types have accelerators, all idle machines are drained.
 func TestIdleAcceleratorsAreKept(t *testing.T) {
 	const machines = 12
 	for _, tc := range []struct {
@@ -266,9 +267,10 @@
 	}
 }
 
-// TestAcceleratorReserveIsScaledOut: where there are machine types without accelerators, as many machines
-// with them are rented ahead as are in reserve anyway, no more than are in use, and only such as any work may
-// run on. Gangs waited for a boot each time that the cluster grew.
+// TestAcceleratorReserveIsScaledOut checks that, if some machine types have no accelerators, missing machines
+// of the accelerator reserve are provisioned ahead of demand: no more than are in use, and on-demand only,
+// since not all jobs may run on spot machines. Without it gangs waited for a boot each time that the cluster
+// grew.
 func TestAcceleratorReserveIsScaledOut(t *testing.T) {
 	for _, tc := range []struct {
 		name                 string
@@ -279,10 +281,10 @@
 		{"none in use", 0, 1, 0, true, false, 0},
 		{"one in use", 1, 0, 0, true, false, 1},
 		{"a quarter", 16, 0, 0, true, false, 4},
-		{"some are idle", 14, 2, 0, true, false, 2},
-		{"some boot", 16, 0, 3, true, false, 1},
+		{"some idle", 14, 2, 0, true, false, 2},
+		{"some booting", 16, 0, 3, true, false, 1},
 		{"no capacity", 16, 0, 0, true, true, 0},
-		{"only such types", 16, 0, 0, false, false, 0},
+		{"accelerators only", 16, 0, 0, false, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			in := acceleratorInput(tc.mixed)
@@ -307,7 +309,7 @@
 				in.Machines = append(in.Machines, m)
 			}
 			if p := ComputePlan(in); scaledOut(p, false) != tc.want || scaledOut(p, true) != 0 {
-				t.Errorf("got %+v, want %d that are not spot", p.ScaleOut, tc.want)
+				t.Errorf("got %+v, want %d on-demand and no spot", p.ScaleOut, tc.want)
 			}
 		})
 	}
--- a/internal/leader/autoscale/policy.go
+++ b/internal/leader/autoscale/policy.go
@@ -8,12 +8,12 @@
 	"maddermill/wire"
 )
 
-// microsPerUnit converts prices to those of a policy, which are in millionths.
+// microsPerUnit converts prices to the unit of policies, millionths.
 const microsPerUnit = 1e6
 
-// ApplyPolicy lets a fleet policy decide on a plan. The policy gets how many machines there are of each
-// kind and what the plan would do with them, and returns one change for each kind. Only idle machines are
-// drained: those of the plan first, then those idle for the longest.
+// ApplyPolicy lets a fleet policy replace the decisions of a plan. The policy receives, for each machine
+// option, the machine counts and the planned changes, and returns one change per option. Only idle machines
+// are drained: those in the plan first, then the longest idle.
 func ApplyPolicy(in *Input, plan Plan, decide func(*policy.Fleet) []policy.Change) Plan {
 	options := in.options()
 	if len(options) == 0 {
@@ -34,8 +34,8 @@
 	return decided
 }
 
-// idleForDrain returns the idle machines of each kind in the order in which they go: those that a plan
-// drains, then those idle for the longest.
+// idleForDrain returns the idle machines of each option in drain order: those that the plan drains, then
+// the longest idle.
 func (in *Input) idleForDrain(plan Plan) map[MachineOption][]*Machine {
 	planned := map[wire.MachineID]bool{}
 	for _, id := range plan.Drain {
@@ -59,7 +59,8 @@
 	return idle
 }
 
-// options returns all kinds of machines that may be rented, by type, zone, and spot last.
+// options returns all machine options that may be provisioned, ordered by type and zone, on-demand before
+// spot.
 func (in *Input) options() []MachineOption {
 	var options []MachineOption
 	for name, machineType := range in.MachineTypes {
@@ -80,7 +81,7 @@
 	return options
 }
 
-// summarize returns what a policy sees of a plan, with the kinds of machines in the order of options.
+// summarize returns the policy's input for a plan, with the machine kinds in the order of options.
 func (in *Input) summarize(plan Plan, options []MachineOption) *policy.Fleet {
 	fleet := &policy.Fleet{
 		Now:   in.Now.UnixMilli(),
@@ -93,7 +94,7 @@
 	var names policy.Namer
 	kinds := map[MachineOption]*policy.Kind{}
 	for i, option := range options {
-		fleet.Kinds[i] = in.kind(option, &names)
+		fleet.Kinds[i] = in.policyKind(option, &names)
 		kinds[option] = &fleet.Kinds[i]
 	}
 	fleet.Names = names.Names
@@ -102,8 +103,8 @@
 	return fleet
 }
 
-// kind returns a kind of machine in the form of policies, without counts.
-func (in *Input) kind(option MachineOption, names *policy.Namer) policy.Kind {
+// policyKind returns a machine option in the representation of the policy interface, without counts.
+func (in *Input) policyKind(option MachineOption, names *policy.Namer) policy.Kind {
 	kind := policy.Kind{
 		Type:  names.Number(string(option.Type)),
 		Zone:  names.Number(string(option.Zone)),
@@ -119,7 +120,7 @@
 	return kind
 }
 
-// countMachines adds to the kinds how many machines there are.
+// countMachines adds the numbers of existing machines to their kinds.
 func (in *Input) countMachines(kinds map[MachineOption]*policy.Kind) {
 	for i := range in.Machines {
 		m := &in.Machines[i]
@@ -138,7 +139,7 @@
 	}
 }
 
-// countPlan adds to the kinds how many of the machines a plan rents and returns.
+// countPlan adds the numbers of machines that a plan provisions and drains to their kinds.
 func countPlan(plan Plan, kinds map[MachineOption]*policy.Kind, machines []Machine) {
 	options := make(map[wire.MachineID]MachineOption, len(machines))
 	for i := range machines {
--- a/internal/leader/autoscale/policy_test.go
+++ b/internal/leader/autoscale/policy_test.go
@@ -11,7 +11,7 @@
 	"maddermill/wire"
 )
 
-// randomPlan returns an input with random machines, and a plan that drains some of the idle ones and may
+// randomPlan returns an input with random machines, and a plan that drains some of the idle machines and may
 // scale out.
 func randomPlan(rng *rand.Rand) (*Input, Plan) {
 	zones := []wire.Zone{"a", "b"}
@@ -49,7 +49,8 @@
 	return in, plan
 }
 
-// drainOneMore is a policy that rents nothing and drains one more idle machine of each kind than the plan.
+// drainOneMore is a fleet policy that provisions nothing and drains, of each kind, one idle machine more than
+// the plan.
 func drainOneMore(fleet *policy.Fleet) []policy.Change {
 	changes := policy.BuiltinFleet(fleet)
 	for i, kind := range fleet.Kinds {
@@ -58,8 +59,8 @@
 	return changes
 }
 
-// TestApplyPolicy: the built-in policy leaves a plan as it is, and of the machines that another policy
-// drains only idle ones go, those of the plan first.
+// TestApplyPolicy checks that the built-in policy does not change a plan, and that a policy that drains more
+// machines than the plan drains only idle ones, those of the plan first.
 func TestApplyPolicy(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range 100 {
@@ -76,7 +77,7 @@
 		}
 		for _, id := range plan.Drain {
 			if !slices.Contains(more.Drain, id) {
-				t.Errorf("got %v drained, want %s of the plan among them", more.Drain, id)
+				t.Errorf("got %v drained, want them to include %s from the plan", more.Drain, id)
 			}
 		}
 		for _, id := range more.Drain {
--- a/internal/leader/cloud/cloud.go
+++ b/internal/leader/cloud/cloud.go
@@ -1,10 +1,10 @@
-// Package cloud is the client of the cloud's machine interface: machine types and prices, scale-out,
-// scale-in, and the list of rented machines (PROTOCOL, the cloud's interface).
+// Package cloud is a client for the cloud's machine API: machine types and prices, scale-out, scale-in, and
+// the list of provisioned machines (PROTOCOL, the cloud's interface).
 //
-// Client keeps to the cloud's request budget by a rate limiter and does not retry. An error tells whether
-// the request was certainly not executed (ErrRefused, ErrNoCapacity) or may have been, or may be later
-// (ErrUnknown); the caller has to make a repetition harmless, which it is for scale-out under the same
-// request ID and for scale-in. A Client may be used by several goroutines at once.
+// Client enforces the cloud's request rate limit and does not retry. Its errors distinguish requests that
+// were certainly not executed (ErrRefused, ErrNoCapacity) from those that may have been executed or may
+// still be (ErrUnknown). A caller that retries must use an idempotent request: scale-out with the same
+// request ID, or scale-in. A Client is safe for concurrent use.
 package cloud
 
 import (
@@ -21,47 +21,47 @@
 	"maddermill/wire"
 )
 
-// Errors of requests to the cloud, to be compared by errors.Is.
+// Errors of requests to the cloud, to be checked with errors.Is.
 var (
-	// ErrNoCapacity: the cloud has no machine of the kind; nothing was rented.
+	// ErrNoCapacity means that the cloud has no machine of the requested kind; none was provisioned.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrRefused: the request was not sent or was refused, and is not executed.
-	ErrRefused = errors.New("cloud: refused, not executed")
-	// ErrUnknown: there is no usable answer; the request may have been executed, or may be later.
-	ErrUnknown = errors.New("cloud: no answer, outcome unknown")
+	// ErrRefused means that the request was not sent or was rejected, and is not executed.
+	ErrRefused = errors.New("cloud: request not sent or rejected")
+	// ErrUnknown means that there is no valid response; the request may have been executed, or may still be.
+	ErrUnknown = errors.New("cloud: no valid response, outcome unknown")
 )
 
-// Limits of single requests, in machines.
+// Maximum number of machines per request.
 const (
-	MaxScaleOut = 50  // that a scale-out rents
-	MaxReturn   = 100 // that a scale-in returns
-	pageSize    = 500 // that a page of the list has
+	MaxScaleOut = 50  // per scale-out request
+	MaxScaleIn  = 100 // per scale-in request
+	pageSize    = 500 // per page of the machine list
 )
 
 const (
-	// requestTimeout bounds a request, beside the caller's context.
+	// requestTimeout is the timeout of a request, in addition to the caller's context.
 	requestTimeout = 5 * time.Second
-	// budgetShare is the part of the request rate that a client uses. The rest is left for a
-	// predecessor whose last requests are still under way.
+	// budgetShare is the fraction of the request rate that a client uses. The rest is left for the last
+	// requests in flight of the previous leader.
 	budgetShare = 0.9
-	// noCapacityMessage is the error in the body of an answer that has no capacity to offer.
+	// noCapacityMessage is the error text in the body of a response that reports a lack of capacity.
 	noCapacityMessage = "no capacity"
 )
 
-// Client sends requests to the cloud within its request budget.
+// Client sends requests to the cloud within its request rate limit.
 type Client struct {
 	http    *http1.Client
 	limiter *rate.Limiter
 }
 
-// NewClient returns a client that sends at most budgetShare of rps requests a second.
+// NewClient returns a client that sends at most budgetShare*rps requests per second.
 func NewClient(h *http1.Client, rps float64) *Client {
 	return &Client{http: h, limiter: rate.NewLimiter(rate.Limit(rps*budgetShare), 1)}
 }
 
-// do sends a request with a body, if that is not nil, and decodes the answer into another value, if that
-// is not nil.
-func (c *Client) do(ctx context.Context, method, path, query string, body, into any) error {
+// do sends a request with body encoded as JSON, unless it is nil, and decodes the response into result,
+// unless that is nil.
+func (c *Client) do(ctx context.Context, method, path, query string, body, result any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return errors.Join(ErrRefused, err)
 	}
@@ -82,50 +82,50 @@
 	case err != nil:
 		return errors.Join(ErrUnknown, err)
 	case response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests:
-		return refusal(response.Body)
+		return refusalError(response.Body)
 	case response.Status != http.StatusOK:
 		return fmt.Errorf("cloud: %s %s: status %d: %.200s", method, path, response.Status, response.Body)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(response.Body, into); err != nil {
+	if err := json.Unmarshal(response.Body, result); err != nil {
 		return errors.Join(ErrUnknown, err)
 	}
 	return nil
 }
 
-// refusal returns the error of an answer that refuses a request: ErrNoCapacity or ErrRefused.
-func refusal(body []byte) error {
+// refusalError returns the error for a response that rejects a request: ErrNoCapacity or ErrRefused.
+func refusalError(body []byte) error {
 	var problem wire.ErrorBody
-	_ = json.Unmarshal(body, &problem) // a body that is not understood gives no reason
+	_ = json.Unmarshal(body, &problem) // a body that can't be decoded counts as ErrRefused
 	if problem.Error == noCapacityMessage {
 		return ErrNoCapacity
 	}
 	return ErrRefused
 }
 
-// MachineTypes returns the machine types at current prices.
+// MachineTypes returns the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var list wire.MachineTypeList
 	err := c.do(ctx, http.MethodGet, "/flavors", "", nil, &list)
 	return list.Types, err
 }
 
-// ScaleOut rents up to MaxHire machines and returns their IDs, which may be fewer than requested. Under a
-// request ID that was used before it returns that request's machines and rents nothing.
+// ScaleOut provisions up to MaxScaleOut machines and returns their IDs, possibly fewer than requested. It is
+// idempotent: a request ID that was used before returns the machines of that request and provisions none.
 func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	var list wire.MachineIDList
 	err := c.do(ctx, http.MethodPost, "/machines", "", request, &list)
 	return list.Names, err
 }
 
-// ScaleIn returns up to MaxReturn machines. When it succeeds, they and all tasks on them have ended.
+// ScaleIn terminates up to MaxScaleIn machines. When it succeeds, they and all tasks on them have ended.
 func (c *Client) ScaleIn(ctx context.Context, ids []wire.MachineID) error {
 	return c.do(ctx, http.MethodPost, "/machines/return", "", wire.MachineIDList{Names: ids}, nil)
 }
 
-// List returns all machines that the cloud lists as rented. The list lags behind.
+// List returns all machines in the cloud's list of provisioned machines, which lags behind.
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var machines []wire.ListedMachine
 	after := ""
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -11,30 +11,31 @@
 	"maddermill/internal/wait"
 )
 
-// gangStartTimeout is how long a gang's start may wait in the committer's queue.
+// gangStartTimeout is how long the start of a gang may wait in the committer's queue.
 const gangStartTimeout = 2 * time.Second
 
-// gangStart is a gang's start that has been enqueued and is not known to be in the records yet.
+// gangStart is the start of a gang that has been enqueued and is not yet known to be in the records.
 type gangStart struct {
 	change *committer.Change
 	tasks  int
 }
 
-// placeGangsUntilDone places gangs until ctx ends, and then abandons the starts under way.
-func (t *term) placeGangsUntilDone(ctx context.Context) {
+// runGangPlacement places gangs until ctx ends, and then abandons the pending starts.
+func (t *term) runGangPlacement(ctx context.Context) {
 	for ctx.Err() == nil {
-		t.placeGangs(time.Now()) //nolint:contextcheck // the queue policy, called under the lock, has a deadline of its own
+		t.placeGangs(time.Now()) //nolint:contextcheck // the queue policy, called under the lock, has its own deadline
 		wait.For(ctx, gangPlacementInterval)
 	}
 	t.abandonGangStarts()
 }
 
-// placeGangs places the gangs of several tasks over all machines, and plans room for those that wait.
+// placeGangs places multi-task gangs on the machines of all controllers, and plans capacity for the gangs
+// that wait.
 func (t *term) placeGangs(now time.Time) {
 	l := t.leader
 	l.Cache.Lock()
 	defer l.Cache.Unlock()
-	if !t.machinesReport(now) {
+	if !t.startupGraceOver(now) {
 		return
 	}
 	for id, start := range t.gangStarts {
@@ -46,21 +47,22 @@
 	for _, placed := range placement.PlaceGangs(l.Scheduler.Snapshot(now)) {
 		t.enqueueGangStart(placed, now)
 	}
-	if now.Sub(t.gangRoomPlannedAt) > l.Scheduler.SnapshotInterval(t.gangRoomPlanTime) {
-		t.planGangRoom(now)
+	if now.Sub(t.gangCapacityPlannedAt) > l.Scheduler.SnapshotInterval(t.gangCapacityPlanDuration) {
+		t.planGangCapacity(now)
 	}
 }
 
-// machinesReport reports whether the workers have had the time to find a controller. After the start
-// of a controller, and often of all of them, they have yet to; a gang placed before would be placed on
-// a few of the machines. The caller holds the cache's lock.
-func (t *term) machinesReport(now time.Time) bool {
+// startupGraceOver reports whether the workers have had time to connect to a controller. After a start of
+// this controller, often together with all others, few workers have; a gang placed too early would be
+// restricted to their machines. The caller holds the cache's lock.
+func (t *term) startupGraceOver(now time.Time) bool {
 	l := t.leader
-	settled := l.set.Cluster.Workers.Report.Duration()*5/4 + time.Second
-	return now.Sub(l.Cache.SyncedAt()) <= settings.StartContact && now.Sub(l.startedAt) >= settled
+	grace := l.set.Cluster.Workers.Report.Duration()*5/4 + time.Second
+	return now.Sub(l.Cache.SyncedAt()) <= settings.StartContact && now.Sub(l.startedAt) >= grace
 }
 
-// enqueueGangStart enqueues the claims of a placed gang. The caller holds the cache's lock.
+// enqueueGangStart enqueues the change that claims the machines of a placed gang. The caller holds the
+// cache's lock.
 func (t *term) enqueueGangStart(placed placement.GangStart, now time.Time) {
 	l := t.leader
 	job, parts := placed.Entry.Job, placed.Parts
@@ -72,7 +74,7 @@
 		OnCommit:  func() { l.log.Info("gang started", "job", id, "tasks", tasks, "machines", len(parts)) },
 		Draft: func(txn *ledger.Transaction) error {
 			job := l.records().Job(id)
-			if job == nil || !l.haveRoom(job, parts) {
+			if job == nil || !l.hasCapacity(job, parts) {
 				return ledger.ErrPreconditionFailed
 			}
 			return txn.ClaimGang(job, parts)
@@ -83,9 +85,10 @@
 	l.Committer.Enqueue(change)
 }
 
-// haveRoom reports whether the machines of a gang's parts still have room for them: the controllers
-// that they report to may have placed other tasks there since. The caller holds the cache's lock.
-func (l *Leader) haveRoom(job *ledger.Job, parts []ledger.GangPart) bool {
+// hasCapacity reports whether the chosen machines still have capacity for all parts of a gang: the
+// controllers that the machines report to may have placed other tasks there since. The caller holds the
+// cache's lock.
+func (l *Leader) hasCapacity(job *ledger.Job, parts []ledger.GangPart) bool {
 	for _, part := range parts {
 		if l.records().Free(part.Target).Times(job.Need, part.Count) < part.Count {
 			return false
@@ -94,18 +97,19 @@
 	return true
 }
 
-// planGangRoom reserves room for overdue gangs and plans preemption for gangs. The caller holds the
+// planGangCapacity reserves capacity for overdue gangs and plans preemption for gangs. The caller holds the
 // cache's lock.
-func (t *term) planGangRoom(now time.Time) {
+func (t *term) planGangCapacity(now time.Time) {
 	startedAt := time.Now()
-	t.gangRoomPlannedAt = now
+	t.gangCapacityPlannedAt = now
 	t.leader.Scheduler.ReserveForOverdueGangs(now)
 	t.leader.Scheduler.PlanPreemptionForGangs(now)
-	t.gangRoomPlanTime = time.Since(startedAt)
+	t.gangCapacityPlanDuration = time.Since(startedAt)
 }
 
-// abandonGangStarts ends gang placement: the gangs whose starts are under way may be started by
-// anyone. If such a start is committed after all, others for the same gang are refused.
+// abandonGangStarts ends gang placement and no longer counts the pending starts, so that other starts of
+// those gangs may be attempted. If a pending start is committed after all, the other starts of that gang
+// fail their preconditions.
 func (t *term) abandonGangStarts() {
 	t.leader.Cache.Lock()
 	defer t.leader.Cache.Unlock()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,36 +1,37 @@
-// Package leader is the elected leader of the cluster: the one controller that observes all
-// machines, scales the cluster out and in, records the phases of lost and returned machines, and
-// places gangs over all machines (docs/DESIGN.md, points 5 and 8).
+// Package leader implements the elected leader of the cluster: the one controller that observes all
+// machines, scales the cluster out and in, records the phases of lost and terminated machines, and
+// places gangs on the machines of all controllers (docs/DESIGN.md, points 5 and 8).
 //
 // # Election and fencing
 //
-// A controller becomes leader by creating the leader's record (ledger.LeaderKey) under a lease of
-// its own; the record exists only while that lease is renewed. The record's revision is unique to
-// the term and is its fencing token towards the store: every write of a term is conditioned on it,
-// so that what a deposed leader still sends conflicts and changes nothing.
+// A controller becomes leader by creating the leader record (ledger.LeaderKey) under its own lease; the
+// record exists only while the lease is renewed. The record's revision is unique to the term and serves
+// as the term's fencing token: every write of a term is conditional on it, so that late writes of a
+// deposed leader conflict and have no effect.
 //
-// The cloud knows no such condition. Therefore a request for machines
-//   - is recorded as an intent in the store before it is sent, under a request ID that no other term
-//     uses; a successor repeats the recorded intents under the same IDs to learn their outcome, and
-//   - is sent only while the lease certainly holds by this process's own clock.
+// The cloud's API does not support such conditions. Therefore a request for machines
+//   - is recorded as an intent in the store before it is sent, with a request ID that no other term
+//     uses; a new leader repeats the recorded intents with the same IDs to learn their outcome, and
+//   - is sent only while the lease certainly has not expired by this process's own clock.
 //
-// Machines are returned only after their phase Terminating is on record, and claims on them are
-// released only after the cloud has confirmed the return.
+// Machines are terminated only after their phase Terminating is recorded, and claims on them are released
+// only after the cloud has confirmed the termination.
 //
-// # What holds the leader back
+// # Safeguards
 //
-// Nothing is scaled before the cloud's list has been read in the term, and no idle machine is
-// returned before the list is certain to be complete. Silence of machines counts only from the time
-// that this process runs and is in sync with the store (Membership.SilenceCountsFrom); zones that
-// have fallen silent as a whole are not scaled out into; and of the machines of a kind no more than
-// a share is returned as faulty within faultyReturnWindow.
+//   - Nothing is scaled before the cloud's machine list has been read in the term, and no idle machine is
+//     terminated before the list is certain to be complete.
+//   - Missing heartbeats count only from the time since which this process has been running and in sync
+//     with the store without interruption.
+//   - Zones in which all machines have stopped sending heartbeats are not scaled out into.
+//   - At most a fraction of the machines of a kind is terminated as faulty within faultyReturnWindow.
 //
 // # Main types and locking
 //
-// Leader is the component, which lives as long as its controller. term is the state of one time as
-// leader and starts anew from the records, the heartbeats and the cloud's list. The lock of
-// Parts.Cache guards the records, the members' state and the fields that are marked as guarded by
-// it. It must not be held during a request to the store or the cloud.
+// Leader is the component, which lives as long as its controller. term is the state of one leadership
+// term; it is rebuilt from the records, the heartbeats and the cloud's list. The lock of Parts.Cache
+// guards the records, the state of the members, and the fields marked as guarded by it. It must not be
+// held during a request to the store or the cloud.
 package leader
 
 import (
@@ -55,30 +56,30 @@
 	"maddermill/wire"
 )
 
-// Cloud is the part of the cloud's interface that the leader uses.
+// Cloud is the part of the cloud's API that the leader uses.
 type Cloud interface {
-	// MachineTypes returns the machine types at current prices.
+	// MachineTypes returns the machine types with their current prices.
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
-	// ScaleOut rents machines. A request ID that was used before returns the machines of that
-	// request and rents nothing.
-	ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]wire.MachineID, error)
-	// ScaleIn returns machines. When it succeeds, they and all tasks on them have ended.
-	ScaleIn(ctx context.Context, names []wire.MachineID) error
-	// List returns all machines that are rented. It lags behind.
+	// ScaleOut provisions machines. It is idempotent: a request ID that was used before returns the
+	// machines of that request and provisions none.
+	ScaleOut(ctx context.Context, request wire.ScaleOutRequest) ([]wire.MachineID, error)
+	// ScaleIn terminates machines. When it succeeds, they and all tasks on them have ended.
+	ScaleIn(ctx context.Context, ids []wire.MachineID) error
+	// List returns all provisioned machines. It lags behind.
 	List(ctx context.Context) ([]wire.ListedMachine, error)
 }
 
 const (
-	// campaignInterval is the time between two checks of whether the cluster has a leader.
+	// campaignInterval is the interval between checks of whether the cluster has a leader.
 	campaignInterval = 500 * time.Millisecond
-	// resignPause is for how long a controller that has resigned leaves the election to others, which
-	// know where the machines report.
-	resignPause = 4 * campaignInterval
-	// retryPause is the time between the loss of a term and the next campaign.
-	retryPause = time.Second
+	// resignBackoff is how long a controller that has resigned does not campaign, so that another
+	// controller, which already receives heartbeats, can win the election.
+	resignBackoff = 4 * campaignInterval
+	// campaignRetryDelay is the delay between the end of a term and the next campaign.
+	campaignRetryDelay = time.Second
 )
 
-// Parts are the components that the leader works with.
+// Parts holds the components that the leader depends on.
 type Parts struct {
 	Cache        *watchcache.Cache
 	Committer    *committer.Committer
@@ -91,8 +92,8 @@
 	Completions  *completion.Log
 }
 
-// Leader is the component of a controller that campaigns for leadership and acts as leader while it
-// is elected.
+// Leader is the component of a controller that campaigns for leadership and acts as leader while
+// elected.
 type Leader struct {
 	set   *settings.Settings
 	store kvstore.Store
@@ -101,24 +102,24 @@
 	log       *slog.Logger
 	startedAt time.Time
 
-	boots bootCounts // what BootingMachines returns; guarded by the cache's lock
+	boots bootCounts // result of BootingMachines; guarded by the cache's lock
 }
 
-// New returns a component that does not campaign before Run.
+// New returns a Leader, which starts to campaign in Run.
 func New(set *settings.Settings, store kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Leader {
 	return &Leader{set: set, store: store, Parts: p, stats: stats, log: log, startedAt: time.Now()}
 }
 
-// BootingMachines returns how many machines have been rented and have sent no heartbeat yet, and how
-// many of them are overdue; 0 while this controller is not the leader. The caller holds the cache's
+// BootingMachines returns how many provisioned machines have not sent a heartbeat yet, and how many of
+// them are overdue. Both are 0 while this controller is not the leader. The caller holds the cache's
 // lock.
 func (l *Leader) BootingMachines() (booting, overdue int) { return l.boots.booting, l.boots.overdue }
 
-// records returns the cached records. The caller holds the cache's lock while it uses them.
+// records returns the cached records. The caller holds the cache's lock while using them.
 func (l *Leader) records() *ledger.Ledger { return l.Cache.Records() }
 
-// Run campaigns for leadership, and acts as leader while this controller is elected, until ctx ends.
-func (l *Leader) Run(ctx context.Context, cl Cloud) error {
+// Run campaigns for leadership, and acts as leader while elected, until ctx ends.
+func (l *Leader) Run(ctx context.Context, cloud Cloud) error {
 	for ctx.Err() == nil {
 		l.Cache.Lock()
 		ready := l.Cache.Loaded() && l.Cache.Token() != 0
@@ -132,22 +133,22 @@
 			wait.For(ctx, campaignInterval)
 			continue
 		}
-		if err := l.runTerm(ctx, cl); err != nil && ctx.Err() == nil {
+		if err := l.runTerm(ctx, cloud); err != nil && ctx.Err() == nil {
 			l.log.Info("leadership lost", "err", err)
-			wait.For(ctx, retryPause)
+			wait.For(ctx, campaignRetryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// resign deletes the leader's record of an earlier term of this controller, for instance of one
-// before a restart. Otherwise nobody could lead until that term's lease has expired. What that term
-// still sends is conditioned on the record and conflicts.
+// resign deletes the leader record of an earlier term of this controller, for instance from before a
+// restart. Without it, no controller could become leader until the lease of that term expires. Late
+// writes of that term are conditional on the record and conflict.
 func (l *Leader) resign(ctx context.Context, version wire.Revision) {
 	_, err := l.Committer.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: ledger.LeaderKey, Version: version}},
 		Then: []wire.Change{{Delete: ledger.LeaderKey}},
 	})
 	l.log.Info("stale leadership resigned", "version", version, "err", err)
-	wait.For(ctx, resignPause)
+	wait.For(ctx, resignBackoff)
 }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -13,24 +13,24 @@
 	"maddermill/wire"
 )
 
-// newTestLeader returns a leader that doesn't run, with the parts of a controller that don't run either.
+// newTestLeader returns a leader with the components of a controller; none of them is running.
 func newTestLeader(tb testing.TB) *Leader {
 	tb.Helper()
-	p := controllertest.New(tb, 0)
+	components := controllertest.New(tb, 0)
 	parts := Parts{
-		Cache:        p.Cache,
-		Committer:    p.Committer,
-		Membership:   p.Membership,
-		Registry:     p.Registry,
-		Failures:     p.Failures,
+		Cache:        components.Cache,
+		Committer:    components.Committer,
+		Membership:   components.Membership,
+		Registry:     components.Registry,
+		Failures:     components.Failures,
 		SpotReclaims: &estimate.SpotReclaims{},
-		Scheduler:    p.Scheduler,
-		Policies:     p.Policies,
+		Scheduler:    components.Scheduler,
+		Policies:     components.Policies,
 	}
-	return New(p.Set, p.Store, parts, p.Stats, p.Log)
+	return New(components.Set, components.Store, parts, components.Stats, components.Log)
 }
 
-// recordLeader writes a leader's record of l's controller with a token, has l's cache load it, and returns
+// recordLeader writes a leader record for l's controller with a token, loads it into l's cache, and returns
 // its revision.
 func recordLeader(t *testing.T, l *Leader, token wire.FencingToken) wire.Revision {
 	t.Helper()
@@ -50,11 +50,11 @@
 	return revision
 }
 
-// recordingCloud records the requests for machines that it gets.
+// recordingCloud records the scale-out requests that it receives.
 type recordingCloud struct {
 	emulator.Cloud
 	requests []wire.ScaleOutID
-	fail     error // the answer to each request; nil: the machines requested
+	fail     error // returned for each request; nil: the requested machines are returned
 }
 
 func (c *recordingCloud) ScaleOut(_ context.Context, request wire.ScaleOutRequest) ([]wire.MachineID, error) {
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -7,26 +7,26 @@
 	"maddermill/wire"
 )
 
-// machine is a machine as the leader knows it from the cloud, the records, and the heartbeats to all
-// controllers.
+// machine is the leader's view of a machine, merged from the cloud, the records, and the heartbeats to
+// all controllers.
 type machine struct {
 	wire.ListedMachine
-	requestedAt time.Time // when it was rented, or first seen
+	requestedAt time.Time // when it was requested from the cloud, or else first seen
 	idleSince   time.Time // zero while it has claims
 
-	// What its last heartbeat to any controller said.
-	lastHeartbeat    time.Time     // zero: it has sent none yet, and boots
-	reportsTo        wire.MemberID // the controller that got it
-	reclaimNotice    bool          // the cloud reclaims it
-	faulty           bool          // it is judged faulty
-	quarantineReason string        // the evidence, where machines are judged by it
-	unreachableFor   time.Duration // for which no answer to its heartbeats has arrived there
+	// State at its last heartbeat to any controller.
+	lastHeartbeat    time.Time     // zero: none yet, the machine is booting
+	reportsTo        wire.MemberID // the controller that received the heartbeat
+	reclaimNotice    bool          // the cloud has announced a spot reclaim
+	faulty           bool          // classified as faulty
+	quarantineReason string        // the evidence; set only if quarantine is enabled
+	unreachableFor   time.Duration // how long it has received no response to its heartbeats
 
-	reclaimCounted bool // as a spot reclaim
+	reclaimCounted bool // counted in Parts.SpotReclaims
 }
 
-// kind returns the machine's type and zone.
+// kind returns the machine's type and zone, by which boot times and faulty machines are counted.
 func (m *machine) kind() estimate.Kind { return estimate.Kind{Type: m.Type, Zone: m.Zone} }
 
-// booting reports whether the machine has sent no heartbeat yet.
+// booting reports whether no heartbeat of the machine has been received yet.
 func (m *machine) booting() bool { return m.lastHeartbeat.IsZero() }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -12,8 +12,8 @@
 	"maddermill/wire"
 )
 
-// readMachineTypes reads the machine types and their prices from the cloud, and records those that are
-// new or have changed in more than their price.
+// readMachineTypes reads the machine types and their prices from the cloud, and records those that are new
+// or have changed in anything but their prices.
 func (t *term) readMachineTypes(ctx context.Context) error {
 	list, err := t.cloud.MachineTypes(ctx)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// isRecorded reports whether the records hold a machine type. Its prices, which change all the time, are
-// not compared.
+// isRecorded reports whether the records hold this definition of a machine type. Prices are not compared,
+// because they change frequently.
 func (t *term) isRecorded(machineType wire.MachineType) bool {
 	t.leader.Cache.Lock()
 	recorded, found := t.leader.records().MachineType(machineType.Name)
@@ -48,16 +48,16 @@
 func (t *term) recordMachineType(ctx context.Context, machineType wire.MachineType) error {
 	value, err := json.Marshal(machineType)
 	if err != nil {
-		return fmt.Errorf("leader: record machine type %s: %w", machineType.Name, err)
+		return fmt.Errorf("leader: encode machine type %s: %w", machineType.Name, err)
 	}
 	_, err = t.leader.Committer.Commit(ctx, wire.Txn{
-		If:   []wire.Condition{t.whileLeader()},
+		If:   []wire.Condition{t.fencingCondition()},
 		Then: []wire.Change{{Put: ledger.MachineTypeKey(machineType.Name), Value: value}},
 	})
 	return err
 }
 
-// readMachineList reads the list of rented machines from the cloud.
+// readMachineList reads the list of provisioned machines from the cloud.
 func (t *term) readMachineList(ctx context.Context) error {
 	list, err := t.cloud.List(ctx)
 	if err != nil {
@@ -76,13 +76,13 @@
 	return nil
 }
 
-// observe merges the heartbeats that this controller and its peers have got, and the claims on record,
-// into the state of the machines.
+// observe merges the heartbeats received by this controller and its peers, and the recorded claims, into
+// the state of the machines.
 func (t *term) observe(now time.Time) {
 	l := t.leader
 	l.Cache.Lock()
 	defer l.Cache.Unlock()
-	t.updateSilenceCountsFrom(now)
+	t.updateObservingSince(now)
 	l.Registry.Each(func(w *reconcile.Worker) {
 		status := l.workerStatus(w, now)
 		t.observeHeartbeat(&status, w.LastHeartbeat, l.set.Member)
@@ -95,7 +95,7 @@
 	}
 	l.records().EachHolder(func(id wire.MachineID, held []ledger.HeldClaim) {
 		if t.machines[id] == nil {
-			// Claims on a machine that has reported to nobody in this term.
+			// The machine has claims but has not sent a heartbeat to any controller in this term.
 			t.machines[id] = &machine{
 				ListedMachine: wire.ListedMachine{ID: id, Zone: held[0].Zone, State: wire.MachineRunning},
 				requestedAt:   now,
@@ -103,11 +103,11 @@
 			}
 		}
 	})
-	t.observeUse(now)
+	t.updateUsage(now)
 }
 
-// workerStatus returns the status of a worker that reports to this controller, in the form in which
-// peers share theirs. The caller holds the cache's lock.
+// workerStatus returns the status of a worker that reports to this controller, in the format that peers
+// use for theirs. The caller holds the cache's lock.
 func (l *Leader) workerStatus(w *reconcile.Worker, now time.Time) peer.Machine {
 	status := peer.Machine{
 		ID:            w.ID,
@@ -126,7 +126,8 @@
 	return status
 }
 
-// observeHeartbeat merges a heartbeat that a controller got at a time, if it is the machine's latest.
+// observeHeartbeat merges the status from a heartbeat that controller by received at a given time, if it is
+// the machine's latest.
 func (t *term) observeHeartbeat(status *peer.Machine, at time.Time, by wire.MemberID) {
 	m := t.machines[status.ID]
 	if m == nil {
@@ -151,9 +152,9 @@
 	m.unreachableFor = time.Duration(status.UnreachableMS) * time.Millisecond
 }
 
-// observeUse keeps the time since which each machine is idle, and counts the time of spot machines and
-// their reclaims. The caller holds the cache's lock.
-func (t *term) observeUse(now time.Time) {
+// updateUsage updates since when each machine is idle, and accumulates the running time and the reclaims of
+// spot machines. The caller holds the cache's lock.
+func (t *term) updateUsage(now time.Time) {
 	l := t.leader
 	spotMachines := 0
 	for id, m := range t.machines {
@@ -172,7 +173,7 @@
 	l.SpotReclaims.CountMachineTime(spotMachines, now)
 }
 
-// countReclaim counts a spot machine that the cloud reclaims, once.
+// countReclaim counts the reclaim of a spot machine, once per machine.
 func (t *term) countReclaim(m *machine) {
 	if m.Spot && !m.reclaimCounted {
 		m.reclaimCounted = true
@@ -180,9 +181,9 @@
 	}
 }
 
-// updateSilenceCountsFrom moves on the time from which silence of machines counts, after a pause of
-// this process or a loss of sync with the store. The caller holds the cache's lock.
-func (t *term) updateSilenceCountsFrom(now time.Time) {
+// updateObservingSince advances observingSince after a pause of this process or a loss of sync with the
+// store: heartbeats that were missed then say nothing about the machines. The caller holds the cache's lock.
+func (t *term) updateObservingSince(now time.Time) {
 	l := t.leader
-	t.silenceCountsFrom = l.Membership.SilenceCountsFrom(t.silenceCountsFrom, l.Cache.SyncedAt(), now)
+	t.observingSince = l.Membership.SilenceCountsFrom(t.observingSince, l.Cache.SyncedAt(), now)
 }
--- a/internal/leader/phases.go
+++ b/internal/leader/phases.go
@@ -9,34 +9,34 @@
 	"maddermill/wire"
 )
 
-// Reasons for the phase of a machine, as they are recorded.
+// Reasons for phase changes of machines. They are stored in the records.
 const (
-	reasonFailed    = "failed"
-	reasonReclaimed = "taken back"
-	reasonLost      = "lost"
-	reasonNeverUp   = "never came up"
-	reasonFaulty    = "faulty"
-	reasonIdle      = "idle"
-	reasonReturned  = "returned"
+	reasonFailed      = "failed"
+	reasonReclaimed   = "taken back"
+	reasonLost        = "lost"
+	reasonBootTimeout = "never came up"
+	reasonFaulty      = "faulty"
+	reasonIdle        = "idle"
+	reasonReturned    = "returned"
 )
 
-// faultyReturnWindow is for how long a machine that was returned as faulty counts against others of
-// its kind.
+// faultyReturnWindow is the sliding window of the limit on machines of a kind that are terminated as
+// faulty.
 const faultyReturnWindow = 30 * time.Minute
 
-// phaseKey names a change of a machine's phase.
+// phaseKey identifies a phase change of a machine.
 type phaseKey struct {
 	machine wire.MachineID
 	phase   ledger.MachinePhase
 }
 
-// terminateLost sets the phase of the machines that are to be returned whatever runs on them: failed,
-// reclaimed, lost, never up, or faulty.
-func (t *term) terminateLost(now time.Time) {
+// terminateUnhealthy enqueues the phase Terminating for the machines that must be terminated even if tasks
+// run on them: those that have failed, were reclaimed, are lost, did not boot in time, or are faulty.
+func (t *term) terminateUnhealthy(now time.Time) {
 	l := t.leader
 	l.Cache.Lock()
 	defer l.Cache.Unlock()
-	t.updateSilenceCountsFrom(now)
+	t.updateObservingSince(now)
 	for id, m := range t.machines {
 		if phase := l.records().MachinePhase(id); phase == ledger.Terminating || phase == ledger.Terminated {
 			continue
@@ -46,14 +46,15 @@
 			continue
 		}
 		if reason == reasonLost && now.After(t.silentZonesUntil[m.Zone]) {
-			t.countReclaim(m) // without notice
+			t.countReclaim(m) // a lost spot machine counts as reclaimed without notice
 		}
 		t.setPhase(id, ledger.Terminating, reason)
 	}
 }
 
-// terminationReason returns why a machine is to be returned whatever runs on it, "" if it is not. A
-// machine for which it returns reasonFaulty counts as returned. The caller holds the cache's lock.
+// terminationReason returns why a machine must be terminated even if tasks run on it, or "" if it need not
+// be. A machine for which it returns reasonFaulty counts towards the limit of allowFaultyReturn. The caller
+// holds the cache's lock.
 func (t *term) terminationReason(m *machine, now time.Time) string {
 	switch {
 	case m.State == wire.MachineFailed:
@@ -62,9 +63,9 @@
 		return reasonReclaimed
 	case !m.booting() && t.silentFor(m, now) > t.lostAfter(m, now):
 		return reasonLost
-	case m.booting() && t.neverCameUp(m, now):
-		return reasonNeverUp
-	case m.faulty && t.mayReturnFaulty(m, now):
+	case m.booting() && t.bootTimedOut(m, now):
+		return reasonBootTimeout
+	case m.faulty && t.allowFaultyReturn(m, now):
 		if m.quarantineReason != "" {
 			return reasonFaulty + ": " + m.quarantineReason
 		}
@@ -73,15 +74,16 @@
 	return ""
 }
 
-// silentFor returns for how long a machine has sent no heartbeat, as far as it could have been
-// received.
+// silentFor returns for how long no heartbeat of a machine has been received, excluding times at which
+// this process could not have received one.
 func (t *term) silentFor(m *machine, now time.Time) time.Duration {
-	return min(now.Sub(m.lastHeartbeat), now.Sub(t.silenceCountsFrom))
+	return min(now.Sub(m.lastHeartbeat), now.Sub(t.observingSince))
 }
 
-// lostAfter returns for how long a machine may be silent. One that last reported to another controller
-// that is itself silent gets the time that its worker needs to find another one, and for which that
-// controller may go on answering alone. The caller holds the cache's lock.
+// lostAfter returns how long a machine may send no heartbeat before it is considered lost. If it last
+// reported to another controller that is itself silent, the heartbeat grace is added: that controller may
+// be partitioned but still answer heartbeats, and the worker needs time to find another one. The caller
+// holds the cache's lock.
 func (t *term) lostAfter(m *machine, now time.Time) time.Duration {
 	l := t.leader
 	d := l.set.Operators.LostAfter
@@ -93,20 +95,20 @@
 	return d
 }
 
-// silentPeerAfter is the age of a controller's last status from which on it counts as silent.
+// silentPeerAfter is the age of a controller's last status above which the controller counts as silent.
 const silentPeerAfter = 4 * time.Second
 
-// neverCameUp reports whether a booting machine has had more than the time that its boot may take.
-func (t *term) neverCameUp(m *machine, now time.Time) bool {
+// bootTimedOut reports whether a booting machine has exceeded its boot timeout.
+func (t *term) bootTimedOut(m *machine, now time.Time) bool {
 	boot := t.machineTypes[m.Type].Boot.Duration()
 	return boot > 0 && now.Sub(m.requestedAt) > t.bootTimes.BootTimeout(m.kind(), boot) &&
-		now.Sub(t.silenceCountsFrom) > t.leader.set.Operators.LostAfter
+		now.Sub(t.observingSince) > t.leader.set.Operators.LostAfter
 }
 
-// mayReturnFaulty reports whether a machine that is judged faulty may be returned, and counts it as
-// returned if so. Where machines are quarantined by evidence, no more than a share of a kind's machines
-// is returned within faultyReturnWindow, whatever they were judged by.
-func (t *term) mayReturnFaulty(m *machine, now time.Time) bool {
+// allowFaultyReturn reports whether a faulty machine may be terminated and, if so, counts it as terminated.
+// If quarantine is enabled, at most a fraction of a kind's machines is terminated as faulty within
+// faultyReturnWindow, no matter how they were classified.
+func (t *term) allowFaultyReturn(m *machine, now time.Time) bool {
 	quarantine := t.leader.set.Operators.Quarantine
 	if !quarantine.On {
 		return true
@@ -130,15 +132,15 @@
 	return true
 }
 
-// setPhase enqueues a change of a machine's phase, on the condition that this term still leads. A change
-// that is under way is not repeated. The caller holds the cache's lock.
+// setPhase enqueues a phase change of a machine, conditional on this controller still being the leader in
+// this term. A pending change is not enqueued again. The caller holds the cache's lock.
 func (t *term) setPhase(id wire.MachineID, phase ledger.MachinePhase, reason string) {
 	key := phaseKey{machine: id, phase: phase}
 	if change := t.phaseChanges[key]; change != nil && change.Pending() {
 		return
 	}
 	t.leader.log.Info("machine phase changed", "machine", id, "phase", phase, "why", reason)
-	if !t.recordStands() {
+	if !t.ownsLeaderRecord() {
 		return
 	}
 	change := &committer.Change{
--- a/internal/leader/phases_test.go
+++ b/internal/leader/phases_test.go
@@ -12,15 +12,15 @@
 	"maddermill/wire"
 )
 
-// TestSilenceDuringOwnPauseIsIgnored: a leader whose process was paused does not give up machines whose
-// heartbeats it could not receive meanwhile, even if the first thing to run afterwards was a read of the
-// store, after which it seemed to have been in sync all along.
+// TestSilenceDuringOwnPauseIsIgnored checks that a leader whose process was paused does not terminate machines
+// whose heartbeats it could not receive during the pause. A read of the store may complete first after the
+// pause, so that the leader appears to have been in sync all along.
 func TestSilenceDuringOwnPauseIsIgnored(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
 		name         string
-		lastRan      time.Duration // how long ago this process last ran
-		runningSince time.Duration // how long ago it went on after a pause, 0: never paused
+		lastRan      time.Duration // how long ago the process last ran
+		runningSince time.Duration // how long ago the process resumed after a pause; 0: never paused
 		lost         bool
 	}{
 		{"never paused", 0, 0, true},
@@ -40,22 +40,22 @@
 			}
 			active := newTerm(l, nil, 0)
 			active.startedAt = now.Add(-time.Hour)
-			active.silenceCountsFrom = now.Add(-time.Hour)
+			active.observingSince = now.Add(-time.Hour)
 			active.machines["host-1"] = &machine{
 				ListedMachine: wire.ListedMachine{ID: "host-1", Zone: "a"},
 				lastHeartbeat: now.Add(-40 * time.Second),
 				reportsTo:     "m-0",
 			}
-			active.terminateLost(now)
+			active.terminateUnhealthy(now)
 			if got := len(active.phaseChanges) > 0; got != tc.lost {
-				t.Errorf("given up: got %v, want %v", got, tc.lost)
+				t.Errorf("terminated as lost: got %v, want %v", got, tc.lost)
 			}
 		})
 	}
 }
 
-// TestShareOfFaultyReturnsIsBounded: of a kind's machines no more than a share is returned for being
-// judged faulty within faultyReturnWindow, however many are, and the same ones at each step.
+// TestShareOfFaultyReturnsIsBounded checks that at most a fraction of a kind's machines is terminated as faulty
+// within faultyReturnWindow, no matter how many are faulty, and that repeated steps select the same machines.
 func TestShareOfFaultyReturnsIsBounded(t *testing.T) {
 	const machines, faulty, want = 30, 9, 3
 	l := newTestLeader(t)
@@ -70,7 +70,7 @@
 	}
 	returned := func(now time.Time) (n int) {
 		for _, m := range active.machines {
-			if m.faulty && active.mayReturnFaulty(m, now) {
+			if m.faulty && active.allowFaultyReturn(m, now) {
 				n++
 			}
 		}
--- a/internal/leader/scale_in.go
+++ b/internal/leader/scale_in.go
@@ -12,9 +12,9 @@
 	"maddermill/wire"
 )
 
-// advanceScaleIn moves machines on whose phase is Terminating: it returns them to the cloud and, once
-// the cloud has confirmed that, releases the claims on them. The phase Terminated is recorded when the
-// committer has spare capacity: without it a new leader only returns the machine once more.
+// advanceScaleIn advances the machines in phase Terminating: it terminates them in the cloud and, once the
+// cloud has confirmed that, releases the claims on them. The phase Terminated is recorded only when the
+// committer has spare capacity: if it is missing, a new leader merely repeats the request.
 func (t *term) advanceScaleIn(ctx context.Context) error {
 	if err := t.returnMachines(ctx, t.machinesToReturn()); err != nil {
 		return err
@@ -26,12 +26,12 @@
 		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
 	l.records().EachHolder(func(id wire.MachineID, held []ledger.HeldClaim) {
-		if t.isGone(id) {
+		if t.terminationConfirmed(id) {
 			t.releaseClaims(id, held)
 		}
 	})
 	for id := range t.machines {
-		if t.isGone(id) {
+		if t.terminationConfirmed(id) {
 			delete(t.machines, id)
 			delete(t.phaseChanges, phaseKey{machine: id, phase: ledger.Terminating})
 		}
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// machinesToReturn returns the terminating machines whose return the cloud has not confirmed in this
-// term, by ID, and enqueues the phase Terminated of the others if the committer has spare capacity.
+// machinesToReturn returns the terminating machines whose termination the cloud has not confirmed in this
+// term, sorted by ID. For the others it enqueues the phase Terminated if the committer has spare capacity.
 func (t *term) machinesToReturn() []wire.MachineID {
 	l := t.leader
 	var ids []wire.MachineID
@@ -49,7 +49,7 @@
 	defer l.Cache.Unlock()
 	l.records().TerminatingMachines(func(id wire.MachineID) {
 		switch {
-		case !t.scaledIn[id]:
+		case !t.returnConfirmed[id]:
 			ids = append(ids, id)
 		case hasSpareCapacity:
 			t.setPhase(id, ledger.Terminated, reasonReturned)
@@ -59,29 +59,29 @@
 	return ids
 }
 
-// returnMachines returns machines to the cloud, in batches, up to the first batch that fails.
+// returnMachines terminates machines in the cloud, in batches. It stops at the first batch that fails.
 func (t *term) returnMachines(ctx context.Context, ids []wire.MachineID) error {
-	for batch := range slices.Chunk(ids, cloud.MaxReturn) {
+	for batch := range slices.Chunk(ids, cloud.MaxScaleIn) {
 		if err := t.cloud.ScaleIn(ctx, batch); err != nil {
 			return err
 		}
 		for _, id := range batch {
-			t.scaledIn[id] = true
+			t.returnConfirmed[id] = true
 		}
 	}
 	return nil
 }
 
-// isGone reports whether the cloud has confirmed, in this term or an earlier one, that a machine and all
-// tasks on it have ended. The caller holds the cache's lock.
-func (t *term) isGone(id wire.MachineID) bool {
-	return t.scaledIn[id] || t.leader.records().MachinePhase(id) == ledger.Terminated
+// terminationConfirmed reports whether the cloud has confirmed, in this term or an earlier one, that a
+// machine and all tasks on it have ended. The caller holds the cache's lock.
+func (t *term) terminationConfirmed(id wire.MachineID) bool {
+	return t.returnConfirmed[id] || t.leader.records().MachinePhase(id) == ledger.Terminated
 }
 
-// releaseClaims enqueues the release of the claims on a machine that is gone. Releases under way are not
-// enqueued again: when a zone is lost, those of its hundreds of machines take longer than any timeout,
-// and, enqueued again and again, they once filled the queue, so that what was lost started nowhere else
-// for minutes. The caller holds the cache's lock.
+// releaseClaims enqueues the release of the claims on a terminated machine. Pending releases are not
+// enqueued again: when a zone with hundreds of machines is lost, the releases take longer than any timeout.
+// Repeated releases once filled the queue, so that the lost tasks were not restarted elsewhere for minutes.
+// The caller holds the cache's lock.
 func (t *term) releaseClaims(id wire.MachineID, held []ledger.HeldClaim) {
 	if slices.ContainsFunc(t.claimReleases[id], (*committer.Change).Pending) {
 		return
--- a/internal/leader/scale_in_test.go
+++ b/internal/leader/scale_in_test.go
@@ -12,12 +12,12 @@
 	"maddermill/wire"
 )
 
-// TestPendingReleasesAreNotRepeated: releases of the claims on machines that are gone are not enqueued
-// again while they are pending, however long that takes, and are when they were dropped. Enqueued every
-// 3 s, those of a lost zone once filled the queue for minutes.
+// TestPendingReleasesAreNotRepeated checks that releases of claims on terminated machines are not enqueued
+// again while they are pending, however long that takes, but are enqueued again after they were dropped.
+// When they were enqueued every 3 s, the releases of a lost zone filled the queue for minutes.
 func TestPendingReleasesAreNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newTestLeader(t) // its committer commits nothing
+		l := newTestLeader(t) // its committer is not running
 		active := newTerm(l, nil, 0)
 		var held []ledger.HeldClaim
 		for i := range 3 {
@@ -34,9 +34,9 @@
 		time.Sleep(time.Minute)
 		active.releaseClaims("host-1", held)
 		if got := active.claimReleases["host-1"]; len(pending) != 3 || !slices.Equal(pending, got) {
-			t.Errorf("got %d changes and then %d others, want 3 and then the same", len(pending), len(got))
+			t.Errorf("got %d changes, then %d different ones, want 3 and then the same", len(pending), len(got))
 		}
-		for dropped := false; !dropped; { // the queue fills up
+		for dropped := false; !dropped; { // fill the queue
 			change := &committer.Change{Draft: func(*ledger.Transaction) error { return nil }}
 			l.Committer.Enqueue(change)
 			dropped = !change.Pending()
@@ -45,7 +45,7 @@
 		dropped := active.claimReleases["host-2"]
 		active.releaseClaims("host-2", held)
 		if len(dropped) != 3 || slices.Equal(dropped, active.claimReleases["host-2"]) {
-			t.Errorf("got %d dropped changes, not enqueued again, want 3 that are", len(dropped))
+			t.Errorf("got %d dropped changes that were not enqueued again, want 3 enqueued again", len(dropped))
 		}
 	})
 }
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -16,19 +16,20 @@
 	"maddermill/wire"
 )
 
-// noCapacityPause is for how long a kind of machine is not requested after the cloud had no capacity.
-const noCapacityPause = 20 * time.Second
+// noCapacityBackoff is how long a machine option is not requested again after the cloud had no capacity.
+const noCapacityBackoff = 20 * time.Second
 
-// errLeaseUncertain refuses a request to the cloud that could come from a deposed leader.
-var errLeaseUncertain = errors.New("leader: the leader's lease may have expired")
+// errLeaseUncertain means that a request to the cloud was not sent because this controller may no longer be
+// the leader.
+var errLeaseUncertain = errors.New("leader: lease may have expired, request not sent")
 
-// bootCounts counts the machines that boot, and those of them that are overdue.
+// bootCounts holds the number of booting machines and how many of them are overdue.
 type bootCounts struct {
 	booting, overdue int
 }
 
-// computePlan returns what is to be scaled out, and sets the phase of the machines that are to be
-// scaled in.
+// computePlan returns the machines to provision, and enqueues the phase Terminating for the machines to
+// scale in.
 func (t *term) computePlan(now time.Time) []autoscale.ScaleOut {
 	l := t.leader
 	l.Cache.Lock()
@@ -45,17 +46,17 @@
 		})
 	}
 	if now.Sub(t.startedAt) < 2*l.set.Cluster.Cloud.ListLag.Duration() {
-		plan.Drain = nil // the list may still lack machines
+		plan.Drain = nil // the list may still be incomplete
 	}
 	for _, id := range plan.Drain {
-		// Nothing has been claimed there for a while. A task that starts at the very same time is lost
-		// with the machine; two changes of phase for every machine would cost more.
+		// The machine has had no claims for a while. A task that starts there at this very moment is lost
+		// with it; a two-step phase change for every drained machine would cost more.
 		t.setPhase(id, ledger.Terminating, reasonIdle)
 	}
 	return plan.ScaleOut
 }
 
-// planInput returns the input of a plan, and counts the machines that boot. The caller holds the cache's
+// planInput returns the input for a plan and the counts of booting machines. The caller holds the cache's
 // lock.
 func (t *term) planInput(now time.Time) (*autoscale.Input, bootCounts) {
 	l := t.leader
@@ -88,7 +89,7 @@
 			boots.overdue++
 		}
 		if machineType.Name == "" {
-			continue // it can't be planned with while its size is unknown
+			continue // can't be included in the plan while its resources are unknown
 		}
 		planned := autoscale.Machine{
 			ID:        id,
@@ -107,9 +108,9 @@
 	return in, boots
 }
 
-// isUsable reports whether a machine takes tasks, or will when it is up. One that is up and has yet to
-// accept the controller's fencing token will take tasks in a moment; not to count it would rent another
-// in its place.
+// isUsable reports whether a machine accepts tasks, or will once it is up. It includes a machine that is up
+// but has not accepted the controller's fencing token yet: it will in a moment, and excluding it would
+// provision a replacement.
 func (t *term) isUsable(m *machine, overdue bool, now time.Time) bool {
 	if m.booting() {
 		return !overdue && !now.Before(t.silentZonesUntil[m.Zone])
@@ -118,8 +119,8 @@
 	return !m.reclaimNotice && !m.faulty && now.Sub(m.lastHeartbeat) < lostAfter && m.unreachableFor < lostAfter
 }
 
-// addImages adds to a machine of a plan which images it has cached and which it fetches, as the
-// scheduler's snapshot has them; known is nil if the machine is not part of the snapshot.
+// addImages copies the cached images of a machine and the image that it is fetching from the scheduler's
+// snapshot to the plan; known is nil if the machine is not in the snapshot.
 func addImages(planned *autoscale.Machine, known *placement.Machine) {
 	if known == nil {
 		return
@@ -130,27 +131,28 @@
 	}
 }
 
-// maxUnlisted is for how long the cloud's list may not show a machine that it has rented out.
-func (t *term) maxUnlisted() time.Duration {
+// maxListDelay returns how long a provisioned machine may be missing from the cloud's list.
+func (t *term) maxListDelay() time.Duration {
 	return 3*t.leader.set.Cluster.Cloud.ListLag.Duration() + 5*time.Second
 }
 
-// maxIntents is how many intents the record of recent intents holds.
+// maxIntents returns how many intents fit in the record of recent intents.
 func (t *term) maxIntents() int { return t.leader.set.StateLimits().ValueBytes / ledger.HireBytes }
 
-// pruneIntents drops the intents whose machines the cloud's list shows by now, and the oldest ones beyond
-// what their record holds.
+// pruneIntents removes the intents whose machines must be in the cloud's list by now, and the oldest ones if
+// there are more than fit in the record.
 func (t *term) pruneIntents(now time.Time) {
 	t.recentIntents = slices.DeleteFunc(t.recentIntents, func(intent ledger.ScaleOutIntent) bool {
-		return now.Sub(intent.At.Time()) > t.maxUnlisted()
+		return now.Sub(intent.At.Time()) > t.maxListDelay()
 	})
 	if excess := len(t.recentIntents) - t.maxIntents(); excess > 0 {
 		t.recentIntents = t.recentIntents[excess:]
 	}
 }
 
-// resolveIntents repeats the requests of earlier terms that the cloud's list may not show yet, under
-// their IDs, to learn which machines they got. A plan without them would rent the same again.
+// resolveIntents repeats the requests of earlier terms whose machines may still be missing from the cloud's
+// list, with the same IDs, to learn which machines they provisioned. A plan that does not know these would
+// provision them a second time.
 func (t *term) resolveIntents(ctx context.Context) error {
 	for len(t.unresolvedIntents) > 0 {
 		if err := t.requestMachines(ctx, t.unresolvedIntents[0]); err != nil {
@@ -161,22 +163,23 @@
 	return nil
 }
 
-// scaleOut records what is to be rented, on the condition that this term still leads, and then requests
-// it from the cloud. A leader that was paused before the record is written finds that another leads, and
-// rents nothing; the requests of one that is paused after it are repeated by its successor. The record is
-// also conditioned on its own version: one that is written late does not replace a later one.
-func (t *term) scaleOut(ctx context.Context, needs []autoscale.ScaleOut) error {
-	if len(needs) == 0 {
+// scaleOut records the machines to provision as intents, conditional on still being the leader, and then
+// requests them from the cloud. If the process is paused before the write and another controller becomes
+// leader meanwhile, the write fails and nothing is requested; if it is paused after the write, the new
+// leader repeats the requests. The write is also conditional on the record's own version, so that a delayed
+// write does not replace a newer record.
+func (t *term) scaleOut(ctx context.Context, scaleOuts []autoscale.ScaleOut) error {
+	if len(scaleOuts) == 0 {
 		return nil
 	}
 	now := time.Now()
 	t.pruneIntents(now)
-	intents := t.newIntents(needs, now)
+	intents := t.newIntents(scaleOuts, now)
 	before := t.recentIntents
 	t.recentIntents = slices.Concat(before, intents)
 	t.pruneIntents(now)
 	if err := t.recordIntents(ctx); err != nil {
-		t.recentIntents = before // nothing has been requested; if the record is written after all, a successor may
+		t.recentIntents = before // nothing was requested; if the write succeeded after all, a successor may request it
 		return err
 	}
 	for _, intent := range intents {
@@ -187,29 +190,29 @@
 	return nil
 }
 
-// newIntents returns the requests for what is needed, as many as the record of intents holds.
-func (t *term) newIntents(needs []autoscale.ScaleOut, now time.Time) []ledger.ScaleOutIntent {
+// newIntents returns the requests for the machines to provision, as many as fit in the record of intents.
+func (t *term) newIntents(scaleOuts []autoscale.ScaleOut, now time.Time) []ledger.ScaleOutIntent {
 	var intents []ledger.ScaleOutIntent
-	for _, need := range needs {
+	for _, requested := range scaleOuts {
 		t.requestCount++
 		intents = append(intents, ledger.ScaleOutIntent{
 			At: wire.UnixMillis(now.UnixMilli()),
 			ScaleOutRequest: wire.ScaleOutRequest{
 				Request: t.requestID(),
-				Type:    need.Type,
-				Zone:    need.Zone,
-				Spot:    need.Spot,
-				Count:   min(need.Count, cloud.MaxScaleOut),
+				Type:    requested.Type,
+				Zone:    requested.Zone,
+				Spot:    requested.Spot,
+				Count:   min(requested.Count, cloud.MaxScaleOut),
 			},
 		})
 	}
 	return intents[:min(len(intents), max(1, t.maxIntents()))]
 }
 
-// requestID returns the ID of request number requestCount of this term, which no other request ever has:
-// the revision of the leader's record is unique to the term. The fencing token of the controller would
-// not do, since a controller may lead twice under one, and the cloud answers a request under an ID that
-// was used before with the old machines and rents nothing.
+// requestID returns the globally unique ID of request number requestCount of this term: the revision of the
+// leader record is unique to the term. The fencing token of the controller is not, since a controller may be
+// elected twice with the same token. A reused ID would return the machines of the earlier request and
+// provision none.
 func (t *term) requestID() wire.ScaleOutID {
 	t.leader.Cache.Lock()
 	format, _ := t.leader.records().Format()
@@ -220,28 +223,28 @@
 	return wire.ScaleOutID(fmt.Sprintf("r-%d-%d", t.recordVersion, t.requestCount))
 }
 
-// recordIntents writes the recent intents to their record.
+// recordIntents writes the recent intents to the store.
 func (t *term) recordIntents(ctx context.Context) error {
 	value, err := json.Marshal(ledger.ScaleOutRecord{Recent: t.recentIntents})
 	if err != nil {
-		return fmt.Errorf("leader: record scale-out intents: %w", err)
+		return fmt.Errorf("leader: encode scale-out intents: %w", err)
 	}
 	t.leader.Cache.Lock()
 	_, version := t.leader.records().ScaleOutIntents()
 	t.leader.Cache.Unlock()
 	_, err = t.leader.Committer.Commit(ctx, wire.Txn{
-		If:   []wire.Condition{t.whileLeader(), {Key: ledger.ScaleOutKey, Version: version}},
+		If:   []wire.Condition{t.fencingCondition(), {Key: ledger.ScaleOutKey, Version: version}},
 		Then: []wire.Change{{Put: ledger.ScaleOutKey, Value: value}},
 	})
 	return err
 }
 
-// requestMachines sends a recorded request to the cloud and adds the machines that it gets. Less capacity
-// than requested is no error: the kind is left out of plans for a while. It returns errLeaseUncertain, and
-// sends nothing, if the term may be over.
+// requestMachines sends a recorded request to the cloud and adds the provisioned machines to the term's
+// state. Getting fewer machines than requested is not an error: the machine option is excluded from plans
+// for noCapacityBackoff. If the term may be over, it sends nothing and returns errLeaseUncertain.
 func (t *term) requestMachines(ctx context.Context, intent ledger.ScaleOutIntent) error {
 	now := time.Now()
-	if !t.certainlyLeads(now) {
+	if !t.holdsLease(now) {
 		return errLeaseUncertain
 	}
 	ids, err := t.cloud.ScaleOut(ctx, intent.ScaleOutRequest)
@@ -250,7 +253,7 @@
 		"count", intent.Count, "got", len(ids), "err", err)
 	if errors.Is(err, cloud.ErrNoCapacity) || err == nil && len(ids) < intent.Count {
 		option := autoscale.MachineOption{Type: intent.Type, Zone: intent.Zone, Spot: intent.Spot}
-		t.noCapacityUntil[option] = time.Now().Add(noCapacityPause)
+		t.noCapacityUntil[option] = time.Now().Add(noCapacityBackoff)
 	}
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		return err
@@ -261,7 +264,7 @@
 	}
 	for _, id := range ids {
 		if t.machines[id] != nil {
-			continue // it has reported before the cloud has answered
+			continue // its first heartbeat arrived before the cloud's response
 		}
 		t.machines[id] = &machine{
 			ListedMachine: wire.ListedMachine{
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -16,14 +16,14 @@
 	"maddermill/wire"
 )
 
-// The leader's lease is long enough to survive a few slow answers of the store, and short enough that
-// a dead leader is replaced before machines are missed.
+// The lease is long enough to survive a few slow responses of the store, and short enough that a dead
+// leader is replaced before jobs have to wait for machines.
 const (
 	leaseTTL           = 6 * time.Second
 	leaseRenewInterval = 1500 * time.Millisecond
 )
 
-// Intervals of the work of a term.
+// Intervals of the leader's loops.
 const (
 	stepInterval             = 500 * time.Millisecond
 	gangPlacementInterval    = 300 * time.Millisecond
@@ -31,64 +31,64 @@
 	machineListReadInterval  = 4 * time.Second
 )
 
-// errOtherLeader ends a term whose record has been replaced or deleted.
-var errOtherLeader = errors.New("another leads")
+// errOtherLeader ends a term whose leader record has been replaced or deleted.
+var errOtherLeader = errors.New("leader record replaced or deleted")
 
-// term is the state of one time as leader, from the creation of the leader's record to its end.
+// term is the state of one leadership term, from the creation of the leader record to its deletion.
 //
-// The goroutine of runTerm owns all fields but those that are marked as guarded by the cache's lock
-// and those of gang placement, which belong to the goroutine of placeGangsUntilDone.
+// The goroutine of runTerm owns all fields except those marked as guarded by the cache's lock and those of
+// gang placement, which are owned by the goroutine of runGangPlacement.
 type term struct {
 	leader        *Leader
 	cloud         Cloud
-	lease         wire.LeaseID  // under which the leader's record stands
-	recordVersion wire.Revision // of the leader's record: the term's fencing token
+	lease         wire.LeaseID  // the lease that the leader record is attached to
+	recordVersion wire.Revision // revision of the leader record; the term's fencing token
 	startedAt     time.Time
-	renewedAt     time.Time // when the last successful renewal of the lease was sent; guarded by the cache's lock
-
-	// State of the machines, and what is known of them beside their own fields.
-	machines          map[wire.MachineID]*machine
-	bootTimes         estimate.BootTimes
-	silentZonesUntil  map[wire.Zone]time.Time                        // not to be scaled out into until then
-	silenceCountsFrom time.Time                                      // silence of machines before it is our own
-	returnedFaulty    map[estimate.Kind]map[wire.MachineID]time.Time // machines returned as faulty, and when
-	phaseChanges      map[phaseKey]*committer.Change                 // enqueued, perhaps not yet in the records
-	scaledIn          map[wire.MachineID]bool                        // the cloud has confirmed the return
-	claimReleases     map[wire.MachineID][]*committer.Change         // of the claims on machines that are gone
-	machineTypes      map[wire.MachineTypeName]wire.MachineType      // at current prices
+	renewedAt     time.Time // send time of the last successful lease renewal; guarded by the cache's lock
+
+	// Machines, and state about them that is not in their own fields.
+	machines         map[wire.MachineID]*machine
+	bootTimes        estimate.BootTimes
+	silentZonesUntil map[wire.Zone]time.Time                        // zones that are not scaled out into until then
+	observingSince   time.Time                                      // missing heartbeats before this time don't count
+	returnedFaulty   map[estimate.Kind]map[wire.MachineID]time.Time // when machines were terminated as faulty, by kind
+	phaseChanges     map[phaseKey]*committer.Change                 // enqueued, and possibly not yet in the records
+	returnConfirmed  map[wire.MachineID]bool                        // machines whose termination the cloud has confirmed
+	claimReleases    map[wire.MachineID][]*committer.Change         // releases of the claims on terminated machines
+	machineTypes     map[wire.MachineTypeName]wire.MachineType      // with current prices
 
 	// Scale-out.
-	requestCount      int                                   // for the next request's ID
-	noCapacityUntil   map[autoscale.MachineOption]time.Time // the cloud had no capacity; not requested until then
-	recentIntents     []ledger.ScaleOutIntent               // that the cloud's list may not show yet, of all terms
-	unresolvedIntents []ledger.ScaleOutIntent               // of earlier terms, whose outcome is not known yet
+	requestCount      int                                   // number of requests so far, part of their IDs
+	noCapacityUntil   map[autoscale.MachineOption]time.Time // options without capacity, not requested until then
+	recentIntents     []ledger.ScaleOutIntent               // of all terms, while the cloud's list may lack their machines
+	unresolvedIntents []ledger.ScaleOutIntent               // of earlier terms, with unknown outcome
 
-	// What was last read from the cloud.
+	// Reads from the cloud.
 	machineTypesReadAt time.Time
 	listReadAt         time.Time
 	listRead           bool // the list has been read in this term
 
 	// Gang placement; owned by its goroutine.
-	gangStarts        map[wire.JobID]gangStart // decided and not known to be in the records yet
-	gangRoomPlannedAt time.Time                // when room for gangs was last planned
-	gangRoomPlanTime  time.Duration            // how long that took
+	gangStarts               map[wire.JobID]gangStart // decided, and not yet known to be in the records
+	gangCapacityPlannedAt    time.Time                // when capacity for gangs was last planned
+	gangCapacityPlanDuration time.Duration            // how long the last planning took
 }
 
-// runTerm campaigns once and, if elected, acts as leader until the term or ctx ends. It returns why
-// the term did not begin or has ended.
-func (l *Leader) runTerm(ctx context.Context, cl Cloud) error {
-	t, err := l.acquire(ctx, cl)
+// runTerm campaigns once and, if elected, acts as leader until the term or ctx ends. It returns the reason
+// why the term did not begin or has ended.
+func (l *Leader) runTerm(ctx context.Context, cloud Cloud) error {
+	t, err := l.acquire(ctx, cloud)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go t.renewLease(ctx, cancel)
-	// Gangs must not wait for the cloud, which is slow, limited, and at times unavailable.
+	// Gang placement must not wait for the cloud, which is slow, rate-limited and sometimes unavailable.
 	placementDone := make(chan struct{})
 	go func() {
 		defer close(placementDone)
-		t.placeGangsUntilDone(ctx)
+		t.runGangPlacement(ctx)
 	}()
 	defer func() {
 		cancel(nil)
@@ -107,9 +107,9 @@
 	return context.Cause(ctx)
 }
 
-// acquire creates the leader's record under a new lease and waits until the cache holds it. It fails
-// if another controller has been faster.
-func (l *Leader) acquire(ctx context.Context, cl Cloud) (*term, error) {
+// acquire creates the leader record under a new lease and waits until the cache holds it. It fails if
+// another controller has created the record first.
+func (l *Leader) acquire(ctx context.Context, cloud Cloud) (*term, error) {
 	requestedAt := time.Now()
 	lease, err := l.store.GrantLease(ctx, leaseTTL)
 	if err != nil {
@@ -133,42 +133,42 @@
 		return nil, err
 	}
 	l.log.Info("leadership acquired", "token", token)
-	t := newTerm(l, cl, version)
+	t := newTerm(l, cloud, version)
 	t.lease, t.renewedAt = lease, requestedAt
 	return t, nil
 }
 
-// newTerm returns the state of a term that begins now under the leader's record of a version.
-func newTerm(l *Leader, cl Cloud, recordVersion wire.Revision) *term {
+// newTerm returns the state of a term that begins now, with the given version of the leader record.
+func newTerm(l *Leader, cloud Cloud, recordVersion wire.Revision) *term {
 	now := time.Now()
 	return &term{
-		leader:            l,
-		cloud:             cl,
-		recordVersion:     recordVersion,
-		startedAt:         now,
-		renewedAt:         now,
-		silenceCountsFrom: now,
-		machines:          map[wire.MachineID]*machine{},
-		silentZonesUntil:  map[wire.Zone]time.Time{},
-		returnedFaulty:    map[estimate.Kind]map[wire.MachineID]time.Time{},
-		phaseChanges:      map[phaseKey]*committer.Change{},
-		scaledIn:          map[wire.MachineID]bool{},
-		claimReleases:     map[wire.MachineID][]*committer.Change{},
-		noCapacityUntil:   map[autoscale.MachineOption]time.Time{},
-		gangStarts:        map[wire.JobID]gangStart{},
+		leader:           l,
+		cloud:            cloud,
+		recordVersion:    recordVersion,
+		startedAt:        now,
+		renewedAt:        now,
+		observingSince:   now,
+		machines:         map[wire.MachineID]*machine{},
+		silentZonesUntil: map[wire.Zone]time.Time{},
+		returnedFaulty:   map[estimate.Kind]map[wire.MachineID]time.Time{},
+		phaseChanges:     map[phaseKey]*committer.Change{},
+		returnConfirmed:  map[wire.MachineID]bool{},
+		claimReleases:    map[wire.MachineID][]*committer.Change{},
+		noCapacityUntil:  map[autoscale.MachineOption]time.Time{},
+		gangStarts:       map[wire.JobID]gangStart{},
 	}
 }
 
-// renewLease renews the term's lease until ctx ends, and ends the term when its lease has expired or
-// its record is no longer the leader's.
-func (t *term) renewLease(ctx context.Context, end context.CancelCauseFunc) {
+// renewLease renews the term's lease until ctx ends. It ends the term by calling cancel when the lease has
+// expired or the leader record is no longer this term's.
+func (t *term) renewLease(ctx context.Context, cancel context.CancelCauseFunc) {
 	l := t.leader
 	for ctx.Err() == nil {
 		wait.For(ctx, leaseRenewInterval)
 		sentAt := time.Now()
 		err := l.store.RenewLease(ctx, t.lease)
 		if errors.Is(err, kvstore.ErrLeaseNotFound) {
-			end(err)
+			cancel(err)
 		}
 		l.Cache.Lock()
 		if err == nil {
@@ -177,32 +177,32 @@
 		_, version := l.records().Leader()
 		l.Cache.Unlock()
 		if version != t.recordVersion {
-			end(errOtherLeader)
+			cancel(errOtherLeader)
 		}
 	}
 }
 
-// certainlyLeads reports whether this term certainly goes on. It is called right before each request
-// to the cloud: the process may be paused between a plan and its last request.
-func (t *term) certainlyLeads(now time.Time) bool {
+// holdsLease reports whether this controller certainly still is the leader. It is called right before each
+// scale-out request to the cloud, since the process may be paused between a plan and its last request.
+func (t *term) holdsLease(now time.Time) bool {
 	t.leader.Cache.Lock()
 	defer t.leader.Cache.Unlock()
-	return t.recordStands() && now.Sub(t.renewedAt) < leaseTTL
+	return t.ownsLeaderRecord() && now.Sub(t.renewedAt) < leaseTTL
 }
 
-// recordStands reports whether the leader's record in the cache is this term's. The caller holds the
+// ownsLeaderRecord reports whether the leader record in the cache is this term's. The caller holds the
 // cache's lock.
-func (t *term) recordStands() bool {
+func (t *term) ownsLeaderRecord() bool {
 	_, version := t.leader.records().Leader()
 	return version == t.recordVersion
 }
 
-// whileLeader is the condition of each of the term's writes: its record is still the leader's.
-func (t *term) whileLeader() wire.Condition {
+// fencingCondition returns the condition of all writes of the term: the leader record is still this term's.
+func (t *term) fencingCondition() wire.Condition {
 	return wire.Condition{Key: ledger.LeaderKey, Version: t.recordVersion}
 }
 
-// loadIntents takes over the recorded requests of earlier terms.
+// loadIntents loads the recorded scale-out requests of earlier terms.
 func (t *term) loadIntents() {
 	t.leader.Cache.Lock()
 	defer t.leader.Cache.Unlock()
@@ -212,9 +212,9 @@
 	t.unresolvedIntents = slices.Clone(t.recentIntents)
 }
 
-// step does one round of the leader's work: it reads the cloud where that is due, resolves the
-// requests of earlier terms, observes the machines, and scales in and out. It stops at the first
-// request that fails; the next step begins anew.
+// step runs one iteration of the leader's loop: it reads from the cloud if that is due, resolves the
+// requests of earlier terms, observes the machines, and scales in and out. It stops at the first request
+// that fails; the next step starts over.
 func (t *term) step(ctx context.Context) error {
 	now := time.Now()
 	if now.Sub(t.machineTypesReadAt) > machineTypesReadInterval {
@@ -232,7 +232,7 @@
 	}
 	t.observe(time.Now())
 	t.updateSilentZones(time.Now())
-	t.terminateLost(time.Now())
+	t.terminateUnhealthy(time.Now())
 	if err := t.advanceScaleIn(ctx); err != nil {
 		return err
 	}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -6,33 +6,33 @@
 	"maddermill/wire"
 )
 
-// minMachinesToJudgeZone is how many machines of a zone must be silent, and how many elsewhere must
-// report, for the zone to be judged silent.
-const minMachinesToJudgeZone = 3
+// minMachinesForZoneOutage is the minimum number of silent machines in a zone, and of reporting machines
+// elsewhere, for the zone to count as silent.
+const minMachinesForZoneOutage = 3
 
-// zoneHeartbeats counts the machines of a zone that have sent heartbeats in this term, and those of
-// them that still do.
+// zoneHeartbeats holds the number of a zone's machines that have sent heartbeats in this term (known), and of
+// those that still do (reporting).
 type zoneHeartbeats struct {
 	known, reporting int
 }
 
-// updateSilentZones finds the zones that are cut off: several machines there have sent heartbeats in
-// this term and none does any longer, while machines elsewhere do. What is rented in such a zone costs
-// money and cannot report, and work that counts on it waits. A zone is used again after two leases of
-// the workers, or as soon as a machine there reports.
+// updateSilentZones detects zones that are cut off: several machines there have sent heartbeats in this
+// term but none does any longer, while machines elsewhere do. Machines provisioned in such a zone would cost
+// money without being able to report, and the jobs planned for them would wait. A zone is used again after
+// two worker leases, or as soon as one of its machines reports.
 func (t *term) updateSilentZones(now time.Time) {
 	l := t.leader
 	l.Cache.Lock()
 	defer l.Cache.Unlock()
-	t.updateSilenceCountsFrom(now)
+	t.updateObservingSince(now)
 	silentAfter := l.set.SilentAfter()
 	zones, reporting := t.countHeartbeats(now, silentAfter)
 	for zone, count := range zones {
 		switch {
 		case count.reporting > 0:
 			delete(t.silentZonesUntil, zone)
-		case count.known >= minMachinesToJudgeZone && reporting >= minMachinesToJudgeZone &&
-			now.Sub(t.silenceCountsFrom) > silentAfter:
+		case count.known >= minMachinesForZoneOutage && reporting >= minMachinesForZoneOutage &&
+			now.Sub(t.observingSince) > silentAfter:
 			if t.silentZonesUntil[zone].IsZero() {
 				l.log.Info("zone is silent", "zone", zone, "machines", count.known)
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// countHeartbeats counts by zone the machines that have sent heartbeats in this term, and in all zones
-// those that have sent one within silentAfter.
+// countHeartbeats returns the heartbeat counts per zone, and the number of machines in all zones that have
+// sent a heartbeat within silentAfter.
 func (t *term) countHeartbeats(now time.Time, silentAfter time.Duration) (
 	zones map[wire.Zone]zoneHeartbeats, reporting int,
 ) {
