--- a/internal/leader/autoscale/plan.go
+++ b/internal/leader/autoscale/plan.go
@@ -51,7 +51,10 @@
 
 // claim reserves resources for a number of tasks until their expected end.
 func (m *Machine) claim(need ledger.Resources, tasks int, until time.Time) {
-	m.Busy = append(m.Busy, placement.ExpectedRelease{Until: until, Room: ledger.Resources{}.Add(need, tasks)})
+	m.Busy = append(m.Busy, placement.ExpectedRelease{
+		Until: until,
+		Room:  ledger.Resources{}.Add(need, tasks),
+	})
 }
 
 // isIdle reports whether the machine is up and has no claims, so that it can be drained.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -106,8 +106,8 @@
 }
 
 // New returns a Leader, which starts to campaign in Run.
-func New(set *settings.Settings, store kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Leader {
-	return &Leader{set: set, store: store, Parts: p, stats: stats, log: log, startedAt: time.Now()}
+func New(set *settings.Settings, store kvstore.Store, parts Parts, stats *metrics.Set, log *slog.Logger) *Leader {
+	return &Leader{set: set, store: store, Parts: parts, stats: stats, log: log, startedAt: time.Now()}
 }
 
 // BootingMachines returns how many provisioned machines have not sent a heartbeat yet, and how many of
--- a/internal/leader/phases.go
+++ b/internal/leader/phases.go
@@ -86,13 +86,13 @@
 // holds the cache's lock.
 func (t *term) lostAfter(m *machine, now time.Time) time.Duration {
 	l := t.leader
-	d := l.set.Operators.LostAfter
+	timeout := l.set.Operators.LostAfter
 	if m.reportsTo != l.set.Member {
 		if peer := l.Membership.Peer(m.reportsTo); peer == nil || now.Sub(peer.AsOf) > silentPeerAfter {
-			d += l.set.HeartbeatGrace()
+			timeout += l.set.HeartbeatGrace()
 		}
 	}
-	return d
+	return timeout
 }
 
 // silentPeerAfter is the age of a controller's last status above which the controller counts as silent.
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -239,6 +239,6 @@
 	if !t.listRead {
 		return nil
 	}
-	needs := t.computePlan(time.Now()) //nolint:contextcheck // policies, called under the lock, have their own deadlines
-	return t.scaleOut(ctx, needs)
+	scaleOuts := t.computePlan(time.Now()) //nolint:contextcheck // policies, called under the lock, have own deadlines
+	return t.scaleOut(ctx, scaleOuts)
 }
