--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -5,13 +5,13 @@
 	"maddermill/wire"
 )
 
-// FinalRecord is the record of an archived job. It is never changed nor deleted.
+// FinalRecord is the record of an archived job. It is never changed or deleted.
 type FinalRecord struct {
 	State JobState `json:"s"`
 	Done  int      `json:"n,omitempty"` // tasks done
 }
 
-// Status returns the status that the API shows.
+// Status returns the status that the API reports for the job.
 func (r FinalRecord) Status(id wire.JobID) wire.JobStatus {
 	done, running := r.Done, 0
 	st := wire.JobStatus{ID: id, Status: wire.Done, Done: &done, Running: &running}
@@ -21,31 +21,32 @@
 	return st
 }
 
-// archiveIndex is what a ledger knows of finished jobs, of the archive and of terminated machines.
+// archiveIndex is the part of a ledger about finished jobs, the archive, and terminated machines.
 type archiveIndex struct {
-	format        FormatRecord // zero: there is no record; see Format
+	format        FormatRecord // zero if there is no record; see Format
 	formatVersion wire.Revision
 	importing     bool            // an import is not complete
-	filter        *archive.Filter // the pages that are known
+	filter        *archive.Filter // the loaded pages
 	terminated    *archive.TerminatedMachines
 	headVersions  map[archive.Series]wire.Revision
 	partVersions  map[archive.PartID]wire.Revision
-	newlyArchived map[wire.JobID]FinalRecord // see ArchivedJobs
-	// finished has the finished jobs that are still on record, in a short form that takes little
-	// memory: all but those of several ranges, with claims, or of workflows, which stay in Ledger.jobs.
+	newlyArchived map[wire.JobID]FinalRecord // see DrainArchivedJobs
+	// finished holds the finished jobs that are still on record, in a compact form that takes little
+	// memory: all except those with several task ranges, with claims, or of workflows, which stay in
+	// Ledger.jobs.
 	finished map[wire.JobID]finishedJob
 }
 
-// finishedJob is a finished job in the short form.
+// finishedJob is the compact form of a finished job.
 type finishedJob struct {
 	version   wire.Revision // of its record
 	done      int32         // tasks done
 	cancelled bool
 	gallery   wire.GalleryName
-	ended     wire.UnixMillis // when it was done, if that is on record
+	ended     wire.UnixMillis // when it was done; 0 if that is not on record
 }
 
-// final returns the record that the archive keeps of it.
+// final returns the record that the archive keeps of the job.
 func (j finishedJob) final() FinalRecord {
 	if j.cancelled {
 		return FinalRecord{State: Cancelled, Done: int(j.done)}
@@ -65,7 +66,7 @@
 	}
 }
 
-// ArchivedJobs calls f for every job that was seen to be archived since the last call.
+// ArchivedJobs calls f for every job whose archiving was observed since the last call.
 func (l *Ledger) ArchivedJobs(f func(wire.JobID, FinalRecord)) {
 	for id, r := range l.archived.newlyArchived {
 		f(id, r)
@@ -73,8 +74,8 @@
 	clear(l.archived.newlyArchived)
 }
 
-// ArchivedState returns the record that the archive will keep of a finished job that is still on record;
-// ok is false for any other job.
+// ArchivedState returns the final record that a finished job which is still on record will get in the
+// archive; ok is false for any other job.
 func (l *Ledger) ArchivedState(id wire.JobID) (r FinalRecord, ok bool) {
 	if finished, ok := l.archived.finished[id]; ok {
 		return finished.final(), true
@@ -85,9 +86,9 @@
 	return r, false
 }
 
-// Archivable reports whether a job is on record, finished, and proven to run nowhere. Jobs of a workflow
-// or gallery that has not ended are not archivable: its state follows from them. Neither are those that
-// active jobs name.
+// Archivable reports whether a job is on record, finished, and has no claims, so that none of its tasks
+// runs. Jobs of a workflow or gallery that has not ended are not archivable, since its state is derived
+// from them. Neither are jobs that active jobs depend on.
 func (l *Ledger) Archivable(id wire.JobID) bool {
 	if len(l.dependencies.dependents[id]) > 0 {
 		return false
@@ -103,7 +104,7 @@
 	return w == nil || w.Ended()
 }
 
-// EachFinished calls f for every archivable job, with the revision of its last change.
+// EachFinished calls f for every archivable job with the revision of its last change.
 func (l *Ledger) EachFinished(f func(wire.JobID, wire.Revision)) {
 	for id, finished := range l.archived.finished {
 		if l.Archivable(id) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// noteArchived notes that a job was archived, also in the pages of the filter that are known.
+// noteArchived records that a job was archived, and adds it to its filter page if that is loaded.
 func (l *Ledger) noteArchived(id wire.JobID, r FinalRecord) {
 	l.archived.newlyArchived[id] = r
 	l.archived.filter.Add(string(id))
--- a/internal/state/ledger/archive_test.go
+++ b/internal/state/ledger/archive_test.go
@@ -15,36 +15,37 @@
 	"maddermill/wire"
 )
 
-// archiveRace is two controllers that both believe to lead and archive the same jobs.
+// archiveRace simulates two controllers that both believe to be the leader and archive the same jobs.
 type archiveRace struct {
 	rng     *rand.Rand
 	store   *emulator.Store
 	events  []ledger.Event
 	leaders []*ledger.Ledger
-	ids     []wire.JobID // in the order of their positions in the filter
+	ids     []wire.JobID // ordered by position in the filter
 	delayed []archiveRequest
 }
 
-// archiveRequest is a transaction that archives jobs and was not committed yet.
+// archiveRequest is a transaction that archives jobs and has not been committed yet.
 type archiveRequest struct {
 	txn     *ledger.Transaction
 	request wire.Txn
 	ledger  *ledger.Ledger
-	job     wire.JobID // one of the jobs, which are all on one page
+	job     wire.JobID // one of the jobs, which all belong to one filter page
 }
 
-// newArchiveRace returns a race for a number of done jobs.
-func newArchiveRace(t *testing.T, blind string, jobs int) *archiveRace {
+// newArchiveRace returns a race for a number of done jobs. The store ignores conditions on keys with the prefix
+// unchecked unless it is empty.
+func newArchiveRace(t *testing.T, unchecked string, jobs int) *archiveRace {
 	t.Helper()
-	roomy := limits
-	roomy.TxnOps = 40
+	raceLimits := limits
+	raceLimits.TxnOps = 40
 	r := &archiveRace{
 		rng:     rand.New(rand.NewPCG(6, 6)),
-		store:   emulator.NewStore(roomy.TxnOps, roomy.ValueBytes),
-		leaders: []*ledger.Ledger{ledger.New(roomy), ledger.New(roomy)},
+		store:   emulator.NewStore(raceLimits.TxnOps, raceLimits.ValueBytes),
+		leaders: []*ledger.Ledger{ledger.New(raceLimits), ledger.New(raceLimits)},
 	}
-	if blind != "" {
-		r.store.Blind = map[string]bool{blind: true}
+	if unchecked != "" {
+		r.store.Blind = map[string]bool{unchecked: true}
 	}
 	format, err := json.Marshal(ledger.FormatRecord{Format: ledger.ArchiveFormat})
 	if err != nil {
@@ -62,7 +63,7 @@
 				id,
 			),
 		})
-		if len(request.Then) == roomy.TxnOps || i == jobs-1 {
+		if len(request.Then) == raceLimits.TxnOps || i == jobs-1 {
 			if _, err := r.commit(request); err != nil {
 				t.Fatal(err)
 			}
@@ -75,7 +76,7 @@
 	return r
 }
 
-// commit commits a request. Only changes of records become events.
+// commit commits a request. Only changes of keys under ledger.Prefix become events.
 func (r *archiveRace) commit(request wire.Txn) (wire.Revision, error) {
 	revision, err := r.store.Apply(request)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return revision, nil
 }
 
-// finish commits one of the delayed requests as the archiver does, and reports whether the store took it.
+// finish commits a random delayed request as the archiver does, and reports whether the store accepted it.
 func (r *archiveRace) finish() (committed bool) {
 	n := r.rng.IntN(len(r.delayed))
 	a := r.delayed[n]
@@ -104,7 +105,7 @@
 	return true
 }
 
-// group returns up to a dozen archivable jobs of one page, from a random position.
+// group returns up to twelve archivable jobs of one filter page, starting at a random position.
 func (r *archiveRace) group(l *ledger.Ledger) []wire.JobID {
 	var group []wire.JobID
 	at := r.rng.IntN(len(r.ids))
@@ -121,8 +122,8 @@
 	return group
 }
 
-// run archives all jobs and returns how many transactions the store refused. After many steps the
-// controllers see everything at once, so that the race ends.
+// run archives all jobs and returns how many transactions the store rejected. After raceSteps steps the
+// controllers no longer lag behind, so that the race ends.
 func (r *archiveRace) run(t *testing.T) (conflicts int) {
 	t.Helper()
 	const raceSteps = 3000
@@ -154,7 +155,7 @@
 	}
 }
 
-// pages returns the number of pages in the store, and whether each begins where the one before it ends.
+// pages returns the number of filter pages in the store, and whether each begins where the previous one ends.
 func (r *archiveRace) pages(t *testing.T) (count int, adjacent bool) {
 	t.Helper()
 	adjacent = true
@@ -174,7 +175,7 @@
 	return count, adjacent
 }
 
-// missing returns how many of the jobs the filter in the store does not contain.
+// missing returns how many of the jobs are missing from the filter in the store.
 func (r *archiveRace) missing() int {
 	missing := 0
 	for _, id := range r.ids {
@@ -185,21 +186,21 @@
 	return missing
 }
 
-// TestPagesAreSplitUnderRaces: two controllers that both believe to lead archive jobs at once, with pages
-// that the other has changed or split since, and with transactions that are committed late. In the end
-// every job is archived and in the filter as it is stored, whose pages are adjacent. Without the
-// conditions on pages jobs are missing in it.
+// TestPagesAreSplitUnderRaces guards against lost updates of filter pages. Two controllers that both believe to
+// be the leader archive jobs concurrently, from pages that the other has changed or split since, and some
+// transactions are committed late. In the end every job must be archived and in the stored filter, whose pages
+// must be adjacent. Without the conditions on pages jobs are missing from the filter.
 func TestPagesAreSplitUnderRaces(t *testing.T) {
-	for _, blind := range []string{"", "mma1/f/"} {
-		t.Run("without conditions on "+blind, func(t *testing.T) {
-			r := newArchiveRace(t, blind, 900)
+	for _, unchecked := range []string{"", "mma1/f/"} {
+		t.Run("without conditions on "+unchecked, func(t *testing.T) {
+			r := newArchiveRace(t, unchecked, 900)
 			conflicts := r.run(t)
 			pages, adjacent := r.pages(t)
-			if !adjacent && blind == "" {
+			if !adjacent && unchecked == "" {
 				t.Error("the pages are not adjacent")
 			}
-			if missing := r.missing(); (missing > 0) != (blind != "") {
-				t.Errorf("got %d of %d jobs missing in the filter, want some: %v", missing, len(r.ids), blind != "")
+			if missing := r.missing(); (missing > 0) != (unchecked != "") {
+				t.Errorf("got %d of %d jobs missing in the filter, want some: %v", missing, len(r.ids), unchecked != "")
 			}
 			if pages < 4 || conflicts < 20 {
 				t.Errorf("got %d pages and %d conflicts, want at least 4 and 20", pages, conflicts)
--- a/internal/state/ledger/errors.go
+++ b/internal/state/ledger/errors.go
@@ -2,55 +2,57 @@
 
 import "errors"
 
-// Errors of transitions. The call that returned one added no change to the
-// transaction.
+// Errors of transitions. A call that returns one has added no change to the transaction.
 var (
-	// ErrTransactionFull says that the change does not fit into this transaction any more; it may
-	// fit into a later one.
+	// ErrTransactionFull means that the change does not fit into this transaction; it may fit into a
+	// later one.
 	ErrTransactionFull = errors.New("ledger: transaction full")
-	// ErrPreconditionFailed says that the records do not, or no longer, allow the transition. The
-	// transitions of tasks (claims and releases), which fail often and are retried, return it
-	// as it is. All others return a *PreconditionError, which errors.Is matches with it.
+	// ErrPreconditionFailed means that the records do not, or no longer, allow the transition. Claims
+	// and releases of tasks, which fail often and are retried, return it directly. All other
+	// transitions return a *PreconditionError, which errors.Is matches with it.
 	ErrPreconditionFailed = errors.New("ledger: precondition failed")
-	// ErrTooLarge says that a record, or a change by itself, would exceed the store's limits.
+	// ErrTooLarge means that a record, or a change by itself, would exceed the store's limits.
 	ErrTooLarge = errors.New("ledger: record too large")
-	// ErrNoPage says that a page of the archive's filter must be read first; see PutFilterPage.
-	ErrNoPage = errors.New("ledger: a page of the filter is not known")
-	// ErrUnknownDependency says that a job names one that is not on record.
-	ErrUnknownDependency = errors.New("ledger: names a job that is not on record")
-	// ErrOlderFormat says that the records' format does not know what a change needs yet.
-	ErrOlderFormat = errors.New("ledger: not before all controllers have the new version")
-	// ErrTooManyDependencies says that a job names more others than its record has room for.
+	// ErrNoPage means that a page of the archive's filter must be read first; see PutFilterPage.
+	ErrNoPage = errors.New("ledger: filter page not loaded")
+	// ErrUnknownDependency means that a job depends on one that is neither on record nor known to be
+	// archived.
+	ErrUnknownDependency = errors.New("ledger: dependency is not on record")
+	// ErrOlderFormat means that the current format of the records does not support the change yet.
+	ErrOlderFormat = errors.New("ledger: record format too old: not all controllers run the new version")
+	// ErrTooManyDependencies means that a job has more dependencies than its record has room for. The
+	// text is part of an API response.
 	ErrTooManyDependencies = errors.New("names more jobs than can be kept")
-	// ErrManyDates says that a gallery's date was changed as often as its record has room for.
-	ErrManyDates = errors.New("ledger: the date was changed too often")
+	// ErrManyDates means that a gallery's record has no room for another change of its date.
+	ErrManyDates = errors.New("ledger: too many date changes of a gallery")
 )
 
 // Errors of records that this version must not serve from.
 var (
-	// ErrNewerFormat says that the records are of a format that this version does not read.
-	ErrNewerFormat = errors.New("ledger: records of a newer version")
-	// ErrImporting says that an import is not complete.
-	ErrImporting = errors.New("ledger: records are being imported")
+	// ErrNewerFormat means that the records have a format that this version does not support.
+	ErrNewerFormat = errors.New("ledger: unsupported newer record format")
+	// ErrImporting means that an import of records is not complete.
+	ErrImporting = errors.New("ledger: import of records in progress")
 )
 
 // Errors of policy changes. Their text is shown to operators.
 var (
-	// ErrInUse says that a module can't be removed.
-	ErrInUse = errors.New("the module is in use, or about to be")
-	// ErrNoPreviousPolicy says that a rollback has no target.
+	// ErrInUse means that a module can't be removed because it is the current or the next policy.
+	ErrInUse = errors.New("the module is the current or the next policy")
+	// ErrNoPreviousPolicy means that there is no policy to roll back to.
 	ErrNoPreviousPolicy = errors.New("nothing to go back to")
-	// ErrSwapping says that a policy swap is not complete.
-	ErrSwapping = errors.New("another change is under way")
+	// ErrSwapInProgress means that another policy swap is not complete.
+	ErrSwapInProgress = errors.New("another policy change is in progress")
 )
 
-// PreconditionError is an ErrPreconditionFailed with the transition and the record that refused it.
+// PreconditionError is an ErrPreconditionFailed that names the transition and the record that does not
+// allow it.
 type PreconditionError struct {
-	Operation string // for instance "archive workflow"
-	Record    string // the name of the record, for instance a workflow's id
+	Operation string // for example "archive workflow"
+	Record    string // the name of the record, for example a workflow ID
 }
 
-// Error returns the operation, the record and the reason.
+// Error returns a message with the operation, the record and the reason.
 func (e *PreconditionError) Error() string {
 	return "ledger: " + e.Operation + " " + e.Record + ": precondition failed"
 }
@@ -58,7 +60,7 @@
 // Is reports whether target is ErrPreconditionFailed.
 func (e *PreconditionError) Is(target error) bool { return target == ErrPreconditionFailed }
 
-// refuse returns the error of a transition that a record does not allow.
+// refuse returns the error for a transition that a record does not allow.
 func refuse[Name ~string](operation string, record Name) error {
 	return &PreconditionError{Operation: operation, Record: string(record)}
 }
--- a/internal/state/ledger/errors_test.go
+++ b/internal/state/ledger/errors_test.go
@@ -8,8 +8,8 @@
 	"maddermill/wire"
 )
 
-// TestRefusalNamesOperationAndRecord: a refused transition says what was refused of which record, matches
-// the sentinel, and adds no change to the transaction.
+// TestRefusalNamesOperationAndRecord: the error of a refused transition contains the operation and the record
+// and matches the sentinel error, and the transition adds no change to the transaction.
 func TestRefusalNamesOperationAndRecord(t *testing.T) {
 	f := newFixture(limits)
 	j := f.submit(t, arraySpec("wk-000001", 1))
@@ -63,7 +63,7 @@
 }
 
 // TestHotTransitionsReturnTheSentinel: claims and releases, which are retried in loops, return the sentinel
-// itself, by which callers compare.
+// error itself, since callers compare with ==.
 func TestHotTransitionsReturnTheSentinel(t *testing.T) {
 	f := newFixture(limits)
 	j := f.submit(t, arraySpec("wk-000001", 1))
--- a/internal/state/ledger/gallery.go
+++ b/internal/state/ledger/gallery.go
@@ -9,8 +9,8 @@
 	"maddermill/wire"
 )
 
-// GalleryState is the durable state of a gallery: a group of jobs with one promised date
-// (docs/promises.md).
+// GalleryState is the durable state of a gallery: a group of jobs with a common deadline, the promised
+// date (docs/promises.md).
 type GalleryState string
 
 // The durable states of galleries. Kept, broken and withdrawn are final.
@@ -22,39 +22,39 @@
 	GalleryWithdrawn GalleryState = "withdrawn"
 )
 
-// galleryTransitions are the legal transitions. Final states have none.
+// galleryTransitions are the allowed transitions by state. Final states have none.
 var galleryTransitions = map[GalleryState][]GalleryState{
 	GalleryOpen:   {GalleryAtRisk, GalleryKept, GalleryBroken, GalleryWithdrawn},
 	GalleryAtRisk: {GalleryOpen, GalleryKept, GalleryBroken, GalleryWithdrawn},
 }
 
-// registerRecord is the newest edition of the operators' register that was acted on. Controllers with an
-// older edition must not act on it.
+// registerRecord holds the newest edition of the operators' register of galleries that was applied.
+// Controllers that have an older edition must not apply it.
 type registerRecord struct {
 	Revision int `json:"n"`
 }
 
-// Register returns the newest edition of the register that was acted on, 0 if none was.
+// Register returns the newest edition of the register that was applied, 0 if none was.
 func (l *Ledger) Register() int { return l.register.Revision }
 
-// Promise is a promised date, when it was promised, and why it was changed.
+// Promise is a promised date, when it was set, and why it was changed.
 type Promise struct {
 	At   wire.UnixMillis `json:"at"`
 	Date wire.UnixMillis `json:"date"`
 	Why  string          `json:"why,omitempty"`
 }
 
-// GalleryRecord is the record of a gallery. Promises are only added: the last one is in force. Which jobs
-// belong to the gallery is in the jobs' records, so that adding a job takes no change of this one and
-// a gallery may have any number of jobs. They stay on record until the gallery has ended.
+// GalleryRecord is the record of a gallery. Promises are only appended, and the last one is in force. The
+// jobs' records name the gallery that they belong to, so that adding a job does not change this record and
+// a gallery may have any number of jobs. The jobs stay on record until the gallery has ended.
 type GalleryRecord struct {
 	Team     wire.Team       `json:"team"`
 	Promises []Promise       `json:"dates"`
 	State    GalleryState    `json:"state,omitempty"`
-	Why      string          `json:"why,omitempty"`  // the reason of the state
-	Since    wire.UnixMillis `json:"since"`          // when it came to the state
+	Why      string          `json:"why,omitempty"`  // the reason for the state
+	Since    wire.UnixMillis `json:"since"`          // when it entered the state
 	Register int             `json:"reg"`            // the edition of the register that last changed it
-	Jobs     *GalleryCount   `json:"jobs,omitempty"` // once it has ended
+	Jobs     *GalleryCount   `json:"jobs,omitempty"` // set once it has ended
 }
 
 // GalleryCount counts the jobs of a gallery.
@@ -62,16 +62,16 @@
 	Jobs      int             `json:"n"`
 	Done      int             `json:"done,omitempty"`
 	Cancelled int             `json:"cancelled,omitempty"`
-	Ended     wire.UnixMillis `json:"last,omitempty"` // when the last one was done
+	Ended     wire.UnixMillis `json:"last,omitempty"` // when the last job was done
 }
 
-// Bounds of a gallery's record, so that it always fits a value.
+// Bounds of a gallery's record, so that it always fits the store's value size limit.
 const (
 	maxPromises    = 20
-	maxReasonBytes = 80 // of a reason as JSON
+	maxReasonBytes = 80 // of a reason encoded as JSON
 )
 
-// Gallery is a gallery as last seen, with the jobs of it that are on record.
+// Gallery is a gallery as last seen, with those of its jobs that are on record.
 type Gallery struct {
 	Name    wire.GalleryName
 	Version wire.Revision // 0: the gallery itself is not on record
@@ -80,7 +80,7 @@
 	jobs  map[wire.JobID]JobState
 }
 
-// Date returns the promised date in force.
+// Date returns the promised date that is in force.
 func (g *Gallery) Date() wire.UnixMillis { return g.Promises[len(g.Promises)-1].Date }
 
 // Ended reports whether the gallery is in a final state.
@@ -89,7 +89,7 @@
 // HasJobs reports whether any of the gallery's jobs is on record.
 func (g *Gallery) HasJobs() bool { return len(g.jobs) > 0 }
 
-// check returns the invariant of a gallery's record that is violated, nil if none is.
+// check returns an error that describes the violated invariant of a gallery's record, nil if none is.
 func (g *Gallery) check(valueBytes int) error {
 	b, err := json.Marshal(g.GalleryRecord)
 	_, open := galleryTransitions[g.State]
@@ -99,13 +99,13 @@
 	case g.Version == 0:
 		return nil // only jobs of it are on record
 	case len(g.Promises) == 0 || len(g.Promises) > maxPromises:
-		return fmt.Errorf("has %d dates", len(g.Promises))
+		return fmt.Errorf("has %d promised dates", len(g.Promises))
 	case !open && !slices.Contains([]GalleryState{GalleryKept, GalleryBroken, GalleryWithdrawn}, g.State):
-		return fmt.Errorf("state %q", g.State)
+		return fmt.Errorf("unknown state %q", g.State)
 	case open == (g.Jobs != nil):
-		return errors.New("is over without counts, or has them before it is")
+		return errors.New("job counts must be present exactly if the gallery has ended")
 	case valueBytes > 0 && len(b) > valueBytes:
-		return fmt.Errorf("takes %d bytes", len(b))
+		return fmt.Errorf("record of %d bytes exceeds the value size limit", len(b))
 	}
 	return nil
 }
--- a/internal/state/ledger/gallery_index.go
+++ b/internal/state/ledger/gallery_index.go
@@ -7,7 +7,7 @@
 	"maddermill/wire"
 )
 
-// Gallery returns a gallery, nil if it is not on record.
+// Gallery returns a gallery, or nil if it is not on record.
 func (l *Ledger) Gallery(n wire.GalleryName) *Gallery {
 	if g := l.galleries[n]; g != nil && g.Version != 0 {
 		return g
@@ -24,7 +24,8 @@
 	}
 }
 
-// galleryOpen reports whether a gallery is on record and has not ended. "" is no gallery.
+// galleryOpen reports whether a gallery is on record and has not ended. It is false for "", which stands for
+// no gallery.
 func (l *Ledger) galleryOpen(n wire.GalleryName) bool {
 	if n == "" {
 		return false
@@ -33,7 +34,7 @@
 	return g != nil && !g.Ended()
 }
 
-// gallery returns the entry of a gallery in the index, which it adds if there is none.
+// gallery returns a gallery's entry in the index, and adds it if there is none.
 func (l *Ledger) gallery(n wire.GalleryName) *Gallery {
 	g := l.galleries[n]
 	if g == nil {
@@ -61,13 +62,13 @@
 		return err
 	}
 	if len(r.Promises) == 0 {
-		return errors.New("ledger: a gallery without a date")
+		return errors.New("ledger: gallery record has no promised date")
 	}
 	g.Version, g.GalleryRecord = e.Version, r
 	return nil
 }
 
-// linkGallery adds a job to a gallery, "" for none. A job never leaves its gallery.
+// linkGallery adds a job to a gallery; "" means none. A job never leaves its gallery.
 func (l *Ledger) linkGallery(j *Job, n wire.GalleryName) {
 	if j.Gallery = n; n != "" {
 		g := l.gallery(n)
@@ -78,7 +79,7 @@
 	}
 }
 
-// updateGalleryCount updates the counts of a job's gallery to the job's state.
+// updateGalleryCount updates the counts of a job's gallery after a change of the job's state.
 func (l *Ledger) updateGalleryCount(j *Job) {
 	if j.Gallery == "" {
 		return
@@ -96,7 +97,7 @@
 	g.Count.Ended = max(g.Count.Ended, j.Ended)
 }
 
-// unlinkGallery notes that a job of a gallery is no longer on record. The counts keep it.
+// unlinkGallery removes a job that is no longer on record from its gallery. The counts still include it.
 func (l *Ledger) unlinkGallery(id wire.JobID, n wire.GalleryName) {
 	g := l.galleries[n]
 	if n == "" || g == nil {
--- a/internal/state/ledger/gallery_test.go
+++ b/internal/state/ledger/gallery_test.go
@@ -12,38 +12,38 @@
 	"maddermill/wire"
 )
 
-// galleryHistory is a random sequence of transactions by controllers whose ledgers lag behind and whose
-// editions of the register differ.
+// galleryHistory is a random sequence of transactions by controllers whose ledgers lag behind and which have
+// different editions of the register.
 type galleryHistory struct {
-	seed    uint64
-	rng     *rand.Rand
-	store   *emulator.Store
-	events  []ledger.Event
-	ledgers []*ledger.Ledger // of the controllers
-	truth   *ledger.Ledger   // sees every commit at once
-	delayed []wire.Txn       // are committed some time later
-	seen    map[string]int   // how often each kind of change was seen
+	seed      uint64
+	rng       *rand.Rand
+	store     *emulator.Store
+	events    []ledger.Event
+	ledgers   []*ledger.Ledger // one per controller
+	reference *ledger.Ledger   // sees every commit immediately
+	delayed   []wire.Txn       // to be committed later
+	seen      map[string]int   // how often each kind of change occurred
 }
 
-// galleryState is what a commit is compared with.
+// galleryState is the state before a commit, with which the state after it is compared.
 type galleryState struct {
 	galleries map[wire.GalleryName]ledger.GalleryRecord
 	jobs      map[wire.JobID]wire.GalleryName // the gallery of each active job
 	register  int
 }
 
-// newGalleryHistory returns a history with the format of galleries.
+// newGalleryHistory returns a history whose records have the gallery format.
 func newGalleryHistory(t *testing.T, seed uint64, seen map[string]int) *galleryHistory {
 	t.Helper()
 	h := &galleryHistory{
-		seed:    seed,
-		rng:     rand.New(rand.NewPCG(seed, 12)),
-		store:   emulator.NewStore(limits.TxnOps, limits.ValueBytes),
-		ledgers: []*ledger.Ledger{ledger.New(limits), ledger.New(limits), ledger.New(limits)},
-		truth:   ledger.New(limits),
-		seen:    seen,
+		seed:      seed,
+		rng:       rand.New(rand.NewPCG(seed, 12)),
+		store:     emulator.NewStore(limits.TxnOps, limits.ValueBytes),
+		ledgers:   []*ledger.Ledger{ledger.New(limits), ledger.New(limits), ledger.New(limits)},
+		reference: ledger.New(limits),
+		seen:      seen,
 	}
-	txn := h.truth.NewTransaction()
+	txn := h.reference.NewTransaction()
 	if err := txn.UpgradeFormat(ledger.GalleryFormat, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	return h
 }
 
-// run adds a number of steps.
+// run appends a number of random steps to the history.
 func (h *galleryHistory) run(t *testing.T, steps int) {
 	t.Helper()
 	for step := range steps {
@@ -65,7 +65,7 @@
 		now := wire.UnixMillis(1000 + step)
 		txn := l.NewTransaction()
 		txn.SetTime(now)
-		h.transition(txn, l, now, step/80+controller%2) // they have different editions
+		h.transition(txn, l, now, step/80+controller%2) // controllers have different editions
 		request, err := txn.Request()
 		if err != nil || len(request.Then) == 0 {
 			continue
@@ -82,7 +82,7 @@
 	}
 }
 
-// transition adds a random transition, or none. Refusals are part of the history.
+// transition adds a random transition to the transaction, or none. Refused transitions are expected.
 func (h *galleryHistory) transition(txn *ledger.Transaction, l *ledger.Ledger, now wire.UnixMillis, register int) {
 	name := wire.GalleryName(fmt.Sprint("g-", h.rng.IntN(5)))
 	id := wire.JobID(fmt.Sprintf("wk-%06d", h.rng.IntN(12)))
@@ -111,7 +111,7 @@
 	}
 }
 
-// moveGallery moves a gallery to a random state, now and then.
+// moveGallery occasionally moves a gallery to a random state.
 func (h *galleryHistory) moveGallery(
 	txn *ledger.Transaction, g *ledger.Gallery, now wire.UnixMillis, register int,
 ) {
@@ -126,19 +126,19 @@
 	}
 }
 
-// state returns the state of all records.
+// state returns the current state of the reference ledger.
 func (h *galleryHistory) state() galleryState {
 	s := galleryState{
 		galleries: map[wire.GalleryName]ledger.GalleryRecord{},
 		jobs:      map[wire.JobID]wire.GalleryName{},
-		register:  h.truth.Register(),
+		register:  h.reference.Register(),
 	}
-	h.truth.EachGallery(func(g *ledger.Gallery) { s.galleries[g.Name] = g.GalleryRecord })
-	h.truth.EachActive(func(j *ledger.Job) { s.jobs[j.ID] = j.Gallery })
+	h.reference.EachGallery(func(g *ledger.Gallery) { s.galleries[g.Name] = g.GalleryRecord })
+	h.reference.EachActive(func(j *ledger.Job) { s.jobs[j.ID] = j.Gallery })
 	return s
 }
 
-// commit commits a request, if the store takes it, and checks the records after it against those before.
+// commit commits a request if the store accepts it, and checks the resulting records against those before it.
 func (h *galleryHistory) commit(t *testing.T, request wire.Txn) {
 	t.Helper()
 	before := h.state()
@@ -150,57 +150,57 @@
 	for _, c := range request.Then {
 		e := ledger.Event{Key: c.Put, Value: c.Value, Version: revision}
 		h.events = append(h.events, e)
-		h.truth.Apply(e)
+		h.reference.Apply(e)
 	}
-	h.truth.EachActive(func(j *ledger.Job) { h.checkJob(t, before, j) })
-	h.truth.EachGallery(func(g *ledger.Gallery) { h.checkGallery(t, before, g) })
+	h.reference.EachActive(func(j *ledger.Job) { h.checkJob(t, before, j) })
+	h.reference.EachGallery(func(g *ledger.Gallery) { h.checkGallery(t, before, g) })
 }
 
-// checkJob checks that a job is added to a gallery once, and to one that had not ended.
+// checkJob checks that a job is added to at most one gallery, which had not ended.
 func (h *galleryHistory) checkJob(t *testing.T, before galleryState, j *ledger.Job) {
 	t.Helper()
 	old, known := before.jobs[j.ID]
 	if old != "" && old != j.Gallery {
-		t.Fatalf("seed %d: %s goes from %q to %q", h.seed, j.ID, old, j.Gallery)
+		t.Fatalf("seed %d: %s moved from gallery %q to %q", h.seed, j.ID, old, j.Gallery)
 	}
 	if j.Gallery == "" || old != "" {
 		return
 	}
-	h.seen["tie"]++
+	h.seen["assign"]++
 	r, open := before.galleries[j.Gallery]
 	if !open || r.State == ledger.GalleryKept || r.State == ledger.GalleryBroken || r.State == ledger.GalleryWithdrawn {
-		t.Fatalf("seed %d: %s (known %v) is added to %q, which is %q", h.seed, j.ID, known, j.Gallery, r.State)
+		t.Fatalf("seed %d: %s (known %v) was added to gallery %q in state %q", h.seed, j.ID, known, j.Gallery, r.State)
 	}
 }
 
-// checkGallery checks that promises are only added, by the edition in force, and that a gallery that has
-// ended stays as it is.
+// checkGallery checks that galleries and promises are only added by the edition in force, that promises are never
+// changed, and that a gallery that has ended does not change.
 func (h *galleryHistory) checkGallery(t *testing.T, before galleryState, g *ledger.Gallery) {
 	t.Helper()
 	old, known := before.galleries[g.Name]
 	if !known {
 		if h.seen["open"]++; g.Register != before.register {
-			t.Fatalf("seed %d: edition %d opens %s under %d", h.seed, g.Register, g.Name, before.register)
+			t.Fatalf("seed %d: edition %d opened %s while edition %d was in force", h.seed, g.Register, g.Name, before.register)
 		}
 		return
 	}
 	if len(g.Promises) < len(old.Promises) || !slices.Equal(g.Promises[:len(old.Promises)], old.Promises) {
-		t.Fatalf("seed %d: dates of %s from %v to %v", h.seed, g.Name, old.Promises, g.Promises)
+		t.Fatalf("seed %d: promises of %s changed from %v to %v", h.seed, g.Name, old.Promises, g.Promises)
 	}
 	if len(g.Promises) > len(old.Promises) {
 		if h.seen["date"]++; g.Register != before.register {
-			t.Fatalf("seed %d: edition %d changes a date under %d", h.seed, g.Register, before.register)
+			t.Fatalf("seed %d: edition %d changed a date while edition %d was in force", h.seed, g.Register, before.register)
 		}
 	}
 	if old.Jobs != nil && (g.State != old.State || g.Jobs == nil || *g.Jobs != *old.Jobs) {
-		t.Fatalf("seed %d: %s was %q and is %q", h.seed, g.Name, old.State, g.State)
+		t.Fatalf("seed %d: ended gallery %s changed from state %q to %q", h.seed, g.Name, old.State, g.State)
 	}
 	if old.Jobs == nil && g.Jobs != nil {
 		h.seen[string(g.State)]++
 	}
 }
 
-// verify checks the records in the store, and that the counts that were kept up are those of the records.
+// verify checks the records in the store, and that the incrementally updated counts match them.
 func (h *galleryHistory) verify(t *testing.T) {
 	t.Helper()
 	if len(h.store.Problems) > 0 {
@@ -210,21 +210,22 @@
 	for _, it := range h.store.Items() {
 		records[it.Key] = ledger.Event{Key: it.Key, Value: it.Value, Version: it.Version}
 	}
-	again, problems := ledger.Verify(records, limits)
+	reloaded, problems := ledger.Verify(records, limits)
 	if len(problems) > 0 {
 		t.Fatalf("seed %d: %v", h.seed, problems)
 	}
-	h.truth.EachGallery(func(g *ledger.Gallery) {
-		if o := again.Gallery(g.Name); o == nil || o.Count != g.Count {
-			t.Fatalf("seed %d: %s counts %+v, read again %+v", h.seed, g.Name, g.Count, o)
+	h.reference.EachGallery(func(g *ledger.Gallery) {
+		if o := reloaded.Gallery(g.Name); o == nil || o.Count != g.Count {
+			t.Fatalf("seed %d: %s has counts %+v, but reloaded from the store %+v", h.seed, g.Name, g.Count, o)
 		}
 	})
 }
 
-// TestGalleriesUnderStaleControllers: three controllers that lag behind, with different editions of the
-// register, open galleries, change dates, add jobs and end galleries; transactions are committed late.
-// A job is added once and to a gallery that has not ended, dates are only ever added, an older edition
-// changes nothing, a gallery that has ended stays as it is, and counts agree with the jobs.
+// TestGalleriesUnderStaleControllers guards against transitions that are decided from stale records. Three
+// controllers that lag behind, with different editions of the register, open galleries, change dates, add jobs
+// and end galleries, and some transactions are committed late. A job must be added at most once and only to a
+// gallery that has not ended, promises must only be appended, an older edition must change nothing, an ended
+// gallery must not change, and counts must match the jobs.
 func TestGalleriesUnderStaleControllers(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(60) {
@@ -232,16 +233,16 @@
 		h.run(t, 260)
 		h.verify(t)
 	}
-	for _, kind := range []string{"conflict", "tie", "open", "date", "kept", "broken", "withdrawn"} {
+	for _, kind := range []string{"conflict", "assign", "open", "date", "kept", "broken", "withdrawn"} {
 		if seen[kind] < 10 {
-			t.Errorf("got %q %d times, want at least 10: the histories show little", kind, seen[kind])
+			t.Errorf("got %q %d times, want at least 10: the histories cover too little", kind, seen[kind])
 		}
 	}
 	t.Log(seen)
 }
 
-// FuzzGalleryRecord: whatever a record has, it is applied as a whole or not at all, and what is applied can
-// be read.
+// FuzzGalleryRecord: any value is either applied as a gallery's record as a whole or reported as a problem, and
+// an applied record can be read without a panic.
 func FuzzGalleryRecord(f *testing.F) {
 	f.Add(`{"team":"free","dates":[{"at":1,"date":2,"why":"x"}],"state":"at risk","since":3,"reg":1}`)
 	f.Add(`{"dates":[]}`)
@@ -255,13 +256,14 @@
 		if g := l.Gallery("g"); g != nil {
 			_, _ = g.Date(), g.Ended()
 		} else if len(problems) == 0 {
-			t.Errorf("%q is neither applied nor a problem", value)
+			t.Errorf("%q was neither applied nor reported as a problem", value)
 		}
 	})
 }
 
-// TestGalleryFitsItsRecord: however often a date is changed and however long the reasons are, the
-// record fits a value, and the date that can't be added is refused with its reason.
+// TestGalleryFitsItsRecord guards against records that exceed the value size limit. However often a date is
+// changed and however long the reasons are, the record must fit, and a date for which there is no room must be
+// refused with ErrDateLimit.
 func TestGalleryFitsItsRecord(t *testing.T) {
 	small := limits
 	small.ValueBytes = 4096
@@ -279,7 +281,7 @@
 		}
 		return err
 	}
-	long := string(make([]byte, 300))
+	why := string(make([]byte, 300))
 	if err := run(func(txn *ledger.Transaction) error { return txn.UpgradeFormat(ledger.GalleryFormat, 0) }); err != nil {
 		t.Fatal(err)
 	}
@@ -288,14 +290,14 @@
 	}
 	name := wire.GalleryName("a-name-of-64-bytes-a-name-of-64-bytes-a-name-of-64-bytes-aaaaaaa")
 	if err := run(func(txn *ledger.Transaction) error {
-		return txn.OpenGallery(name, "free", ledger.Promise{At: 1e12, Date: 2e12, Why: long}, 1)
+		return txn.OpenGallery(name, "free", ledger.Promise{At: 1e12, Date: 2e12, Why: why}, 1)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	var err error
 	for i := 0; err == nil && i < 100; i++ {
 		err = run(func(txn *ledger.Transaction) error {
-			return txn.ChangeDate(l.Gallery(name), ledger.Promise{At: 1e12, Date: wire.UnixMillis(2e12 + i + 1), Why: long}, 1)
+			return txn.ChangeDate(l.Gallery(name), ledger.Promise{At: 1e12, Date: wire.UnixMillis(2e12 + i + 1), Why: why}, 1)
 		})
 	}
 	if !errors.Is(err, ledger.ErrManyDates) || len(l.Gallery(name).Promises) < 10 {
--- a/internal/state/ledger/golden_test.go
+++ b/internal/state/ledger/golden_test.go
@@ -6,8 +6,8 @@
 	"maddermill/internal/testing/golden"
 )
 
-// TestSerializedFormsStay: each durable record is byte for byte what the sources before the renaming
-// of 2026 wrote. Old and new versions read each other's records.
+// TestSerializedFormsStay guards the stored format: each record is encoded to the same bytes as before the
+// identifiers were renamed in 2026, so that old and new versions read each other's records.
 func TestSerializedFormsStay(t *testing.T) {
 	golden.CheckForms(t, []golden.Form{
 		{Name: "job", Value: golden.Fill[jobRecord]()},
--- a/internal/state/ledger/helpers_test.go
+++ b/internal/state/ledger/helpers_test.go
@@ -14,7 +14,7 @@
 	"maddermill/wire"
 )
 
-// limits are those of a small store, with one limited team.
+// limits are those of a small store, with one team that has a quota.
 var limits = ledger.Limits{
 	ValueBytes: 2048,
 	TxnOps:     8,
@@ -22,7 +22,7 @@
 	TeamMax:    map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)},
 }
 
-// target returns a machine by number, as the holder of a token knows it.
+// target returns the claim target for a machine by number, under a token.
 func target(machine int, token wire.FencingToken) ledger.ClaimTarget {
 	return ledger.ClaimTarget{
 		Machine: wire.MachineID(fmt.Sprintf("host-%d", machine)),
@@ -47,7 +47,7 @@
 	}
 }
 
-// readPage reads the page of the filter that a job is on from the store.
+// readPage reads the filter page of a job from the store.
 func readPage(store *emulator.Store, id wire.JobID) (*archive.Page, wire.Revision) {
 	for _, it := range store.Items() {
 		if strings.HasPrefix(it.Key, ledger.FilterPrefix) && it.Key > ledger.FilterKey(archive.Position(string(id))) {
@@ -61,7 +61,7 @@
 	return archive.FirstPage(), 0
 }
 
-// readPages adds the pages of the filter that jobs are on to a ledger, where they are not known.
+// readPages loads the filter pages of jobs into a ledger, unless they are already loaded.
 func readPages(l *ledger.Ledger, store *emulator.Store, ids ...wire.JobID) {
 	for _, id := range ids {
 		if !l.FilterPageKnown(string(id)) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// catchUp applies the first events, up to some number, to a ledger as a watch that lags would: those of one
-// revision come together.
+// catchUp applies the first upTo events to a ledger as a lagging watch would: all events of a revision are
+// applied together.
 func catchUp(l *ledger.Ledger, events []ledger.Event, upTo int) {
 	for upTo > 0 && upTo < len(events) && events[upTo].Version == events[upTo-1].Version {
 		upTo++
@@ -86,11 +86,11 @@
 	}
 }
 
-// fixture is a store and a ledger that sees each commit at once.
+// fixture is a store with a ledger that sees each commit immediately.
 type fixture struct {
 	store   *emulator.Store
 	ledger  *ledger.Ledger
-	changes int // committed
+	changes int // number of committed changes
 }
 
 // newFixture returns an empty fixture.
@@ -123,7 +123,7 @@
 	}
 }
 
-// run commits a transaction with one transition, both of which must succeed.
+// run adds one transition to a transaction and commits it; both must succeed.
 func (f *fixture) run(t *testing.T, transition func(*ledger.Transaction) error) {
 	t.Helper()
 	txn := f.ledger.NewTransaction()
@@ -133,14 +133,14 @@
 	f.commit(t, txn)
 }
 
-// submit commits a job and returns it.
+// submit commits the submission of a job and returns the job.
 func (f *fixture) submit(t *testing.T, spec *wire.JobSpec) *ledger.Job {
 	t.Helper()
 	f.run(t, func(txn *ledger.Transaction) error { return txn.Submit(spec, 1) })
 	return f.ledger.Job(spec.ID)
 }
 
-// claimAll claims all tasks of a job on a machine, up to count in a transaction.
+// claimAll claims all tasks of a job on a machine, up to count per transaction.
 func (f *fixture) claimAll(t *testing.T, j *ledger.Job, target ledger.ClaimTarget, count int) {
 	t.Helper()
 	for j.Pending() > 0 {
--- a/internal/state/ledger/job.go
+++ b/internal/state/ledger/job.go
@@ -6,42 +6,42 @@
 	"maddermill/wire"
 )
 
-// Job is a job as last seen. Callers read it and must not change it.
+// Job is a job as last seen. Callers must not change it.
 type Job struct {
 	ID       wire.JobID
 	Spec     *wire.JobSpec
-	Need     Resources // of one task
+	Need     Resources // that one task requires
 	Accepted wire.UnixMillis
 	State    JobState
-	Stop     wire.Attempt     // of a gang: its attempts up to this one are to stop (preemption)
+	Stop     wire.Attempt     // of a gang: attempts up to and including this one are preempted
 	Done     int              // tasks done
 	Claimed  int              // tasks claimed
 	Gallery  wire.GalleryName // that it belongs to, "" if none
-	Ended    wire.UnixMillis  // when it was done, if that is on record
+	Ended    wire.UnixMillis  // when it was done; 0 if that is not on record
 	Workflow wire.WorkflowID  // that it is a step of, "" if none
-	// Cancelling says that the job will be cancelled: its workflow is, or the job is by the ledger of
-	// another controller. Nothing of it starts any more.
+	// Cancelling means that the job's workflow is cancelled, or that the job itself is cancelled in the
+	// ledger of another controller. None of its tasks is started any more; its own record is to follow.
 	Cancelling bool
-	// AncestorCancelled says that a job which it needs, directly or through others, is cancelled, and so it
-	// is, too. Its own record is to follow.
+	// AncestorCancelled means that a direct or transitive dependency of the job is cancelled, and the job
+	// with it. Its own record is to follow.
 	AncestorCancelled bool
 
-	waitingFor map[wire.JobID]struct{} // dependencies that are not done on record
-	readyAt    wire.UnixMillis         // when the last dependency was done, as far as it is on record
-	urgency    urgency                 // its own and that of the jobs that need it; empty if it is not active
+	waitingFor map[wire.JobID]struct{} // dependencies that are not done according to the records
+	readyAt    wire.UnixMillis         // when the last dependency was done, as far as that is on record
+	urgency    urgency                 // combined with that of its dependents; zero if the job is not active
 
 	version       wire.Revision      // of its own record
-	ranges        map[int]*TaskRange // the ranges on record by number; range 0 is always there
-	tasksPerRange int                // tasks of a range
+	ranges        map[int]*TaskRange // the ranges on record by index; range 0 is always present
+	tasksPerRange int                // tasks in a range
 	storedRange   int                // tasks that share a record; more than tasksPerRange in a divided job
 	long          bool               // a range may have more tasks than its record has room for claims
-	// storedVersions are the versions of the records of the stored ranges of a divided job, by number.
+	// storedVersions are the record versions of the stored ranges of a divided job, by index.
 	storedVersions map[int]wire.Revision
-	finalDone      int // tasks done of a finished job whose ranges are being deleted
+	finalDone      int // done tasks of a finished job whose ranges are being deleted
 }
 
-// Pending returns the number of tasks that may be claimed: neither done nor claimed, 0 if the job is over
-// or cancelling, or waits for others.
+// Pending returns the number of tasks that may be claimed, which are neither done nor claimed. It is 0 if the
+// job has ended, is being cancelled, or waits for dependencies.
 func (j *Job) Pending() int {
 	if j.State != Active || j.Cancelling || !j.Ready() {
 		return 0
@@ -57,29 +57,29 @@
 	return j.Spec.Tasks - j.Done
 }
 
-// AllClaimedOrDone reports whether every task is claimed or done. Of a gang it says that the current
-// attempt has all of its tasks.
+// AllClaimedOrDone reports whether every task is claimed or done. For a gang this means that the current
+// attempt is complete.
 func (j *Job) AllClaimedOrDone() bool { return j.Done+j.Claimed == j.Spec.Tasks }
 
-// BestEffort reports whether a job only uses the capacity that others leave: of machines, and of the
-// budget of changes to the store.
+// BestEffort reports whether the job may only use capacity that others leave unused, both of machines and of
+// the store's write budget.
 func (j *Job) BestEffort() bool { return j.Priority() == wire.BestEffort }
 
-// TaskDone reports whether a task is on record as done.
+// TaskDone reports whether a task is recorded as done.
 func (j *Job) TaskDone(t wire.TaskIndex) bool {
 	n := j.rangeOf(t)
 	r := j.ranges[n]
 	return r != nil && r.isDone(int(t)-j.rangeBounds(n).first)
 }
 
-// DoneTasks returns how many of the job's tasks are done, also while its ranges are being deleted.
+// DoneTasks returns the number of done tasks, which stays available while the job's ranges are being deleted.
 func (j *Job) DoneTasks() int { return max(j.Done, j.finalDone) }
 
-// Attempt returns the last attempt number given out in the job's first range; for a gang it is that of
-// all tasks.
+// Attempt returns the last attempt number assigned in the job's first range, which for a gang is that of all
+// tasks.
 func (j *Job) Attempt() wire.Attempt { return j.ranges[0].Attempt }
 
-// Claims calls f for every claim, in no order, until it returns false.
+// Claims calls f for every claim, in no particular order, until f returns false.
 func (j *Job) Claims(f func(Claim) bool) {
 	for _, r := range j.ranges {
 		for _, cl := range r.Claims {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Status returns the status that the API shows.
+// Status returns the status that the API reports.
 func (j *Job) Status() wire.Status {
 	switch {
 	case j.State == Cancelled || j.State == Active && j.AncestorCancelled:
@@ -110,10 +110,10 @@
 	})
 }
 
-// TaskRange is a range of a job's tasks, which share a record, as last seen.
+// TaskRange is a range of a job's tasks as last seen. They share a record.
 type TaskRange struct {
-	Version wire.Revision // of the record that it is in
-	hasPart bool          // that is a part, see division.go
+	Version wire.Revision // of the record that holds it
+	hasPart bool          // that record is a part, see division.go
 	taskRangeRecord
 	doneTasks    int
 	claimedTasks int
@@ -132,7 +132,7 @@
 	r.Done[i/8] |= 1 << (i % 8)
 }
 
-// countDone returns how many tasks are done.
+// countDone returns the number of done tasks.
 func (r *taskRangeRecord) countDone() int {
 	n := 0
 	for _, b := range r.Done {
@@ -141,7 +141,7 @@
 	return n
 }
 
-// countClaimed returns how many tasks are claimed.
+// countClaimed returns the number of claimed tasks.
 func (r *taskRangeRecord) countClaimed() int {
 	n := 0
 	for i := range r.Claims {
@@ -150,12 +150,12 @@
 	return n
 }
 
-// HeldClaim is a claim as indexed by its machine.
+// HeldClaim is a claim with its job, as indexed by machine.
 type HeldClaim struct {
 	Job *Job
 	Claim
 	rangeIndex int
 }
 
-// Range returns the number of the task range that the claim is in.
+// Range returns the index of the task range that holds the claim.
 func (h *HeldClaim) Range() int { return h.rangeIndex }
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -6,29 +6,29 @@
 	"maddermill/wire"
 )
 
-// Ledger is the in-memory copy of the replicated records, with the indices that are read from it. It is
-// not safe for concurrent use.
+// Ledger is the in-memory copy of the replicated records, with the indices built from them. It is not safe
+// for concurrent use.
 type Ledger struct {
 	limits   Limits
-	revision wire.Revision // that all changes are applied up to
+	revision wire.Revision // up to which all changes are applied
 
-	jobs            map[wire.JobID]*Job // on record, but for those in archived.finished
-	active          map[wire.JobID]*Job // of jobs, neither done nor cancelled
+	jobs            map[wire.JobID]*Job // on record, except those in archived.finished
+	active          map[wire.JobID]*Job // the subset of jobs that are neither done nor cancelled
 	orphanRanges    map[string]Event    // task ranges that arrived before their job, by key
 	claimsByMachine map[wire.MachineID][]HeldClaim
 	archived        archiveIndex
 	dependencies    dependencyIndex
 
 	teamUsage    map[wire.Team]Resources     // the sum of the claims
-	teamVersions map[wire.Team]wire.Revision // of the record that starts of a limited team rewrite
+	teamVersions map[wire.Team]wire.Revision // of the record that starts of a team with a quota rewrite
 
 	phases          map[wire.MachineID]MachinePhase // of machines with a record of their own
 	phaseVersions   map[wire.MachineID]wire.Revision
-	terminating     map[wire.MachineID]string   // terminating and not yet terminated, with the reason
-	changedMachines map[wire.MachineID]struct{} // whose claims or phase changed; see DrainChangedMachines
+	terminating     map[wire.MachineID]string   // not yet terminated, with the reason
+	changedMachines map[wire.MachineID]struct{} // with changed claims or phase; see DrainChangedMachines
 	machineTypes    map[wire.MachineTypeName]wire.MachineType
 
-	galleries       map[wire.GalleryName]*Gallery // also those of which only jobs are on record, at version 0
+	galleries       map[wire.GalleryName]*Gallery // version 0: only jobs of it are on record
 	register        registerRecord
 	registerVersion wire.Revision
 
@@ -37,7 +37,7 @@
 	policyVersion wire.Revision
 	modules       map[wire.ModuleHash]ModuleRecord
 
-	lastCancel    wire.Revision // at or above that of the newest cancellation
+	lastCancel    wire.Revision // at or above the newest cancellation
 	recentCancels cancellationLog
 
 	members         map[wire.MemberID]json.RawMessage
@@ -52,7 +52,7 @@
 // Event is the state of one key after a change.
 type Event struct {
 	Key     string
-	Value   json.RawMessage // nil: it was deleted
+	Value   json.RawMessage // nil if the key was deleted
 	Version wire.Revision
 }
 
@@ -83,10 +83,10 @@
 // Revision returns the revision up to which all changes are applied.
 func (l *Ledger) Revision() wire.Revision { return l.revision }
 
-// AdvanceRevision notes that all changes up to r have been applied.
+// AdvanceRevision records that all changes up to r have been applied.
 func (l *Ledger) AdvanceRevision(r wire.Revision) { l.revision = max(l.revision, r) }
 
-// Job returns a job, nil if it is not on record. Of a finished job ArchivedState may be all that there is.
+// Job returns a job, or nil if it is not on record. For a finished job it may be nil, too; see FinalRecordOf.
 func (l *Ledger) Job(id wire.JobID) *Job { return l.jobs[id] }
 
 // EachActive calls f for every job that is neither done nor cancelled.
@@ -96,7 +96,7 @@
 	}
 }
 
-// Counts returns the number of jobs on record and of those active.
+// Counts returns the number of jobs on record and how many of them are active.
 func (l *Ledger) Counts() (known, active int) {
 	return len(l.jobs) + len(l.archived.finished), len(l.active)
 }
@@ -104,30 +104,30 @@
 // ClaimsOn returns the claims on a machine. The slice is valid until the next change of the ledger.
 func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.claimsByMachine[m] }
 
-// EachHolder calls f for every machine with claims.
+// EachHolder calls f for every machine that has claims.
 func (l *Ledger) EachHolder(f func(wire.MachineID, []HeldClaim)) {
 	for m, h := range l.claimsByMachine {
 		f(m, h)
 	}
 }
 
-// Used returns the sum of a team's claims.
+// Used returns the resources that a team's claims take in total.
 func (l *Ledger) Used(t wire.Team) Resources { return l.teamUsage[t] }
 
-// Member returns the status that a controller last published, nil if none.
+// Member returns the last status that a controller published, or nil if there is none.
 func (l *Ledger) Member(m wire.MemberID) json.RawMessage { return l.members[m] }
 
 // LastCancel returns a revision at or above that of every cancellation in the ledger. A controller
-// confirms a cancellation to a user only once it is in its ledger (DESIGN, "Safety", 1).
+// confirms a cancellation to a user only once its own ledger contains it (DESIGN, "Safety", 1).
 func (l *Ledger) LastCancel() wire.Revision { return l.lastCancel }
 
-// ScaleOutIntents returns the recent scale-out requests, and the version of their record.
+// ScaleOutIntents returns the recent scale-out requests and the version of their record.
 func (l *Ledger) ScaleOutIntents() ([]ScaleOutIntent, wire.Revision) {
 	return l.scaleOut.Recent, l.scaleOutVersion
 }
 
-// Token returns the token counter and its version.
+// Token returns the record of fencing tokens and its version.
 func (l *Ledger) Token() (TokenRecord, wire.Revision) { return l.token, l.tokenVersion }
 
-// Leader returns the leader's record and its version, 0 if there is no leader.
+// Leader returns the leader's record and its version. The version is 0 if there is no leader.
 func (l *Ledger) Leader() (LeaderRecord, wire.Revision) { return l.leader, l.leaderVersion }
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -2,26 +2,26 @@
 
 import "maddermill/wire"
 
-// ModuleRecord is the listing of a module.
+// ModuleRecord lists a policy module that was loaded.
 type ModuleRecord struct {
 	Name      string          `json:"name"`
 	Bytes     int             `json:"bytes"` // of its code
-	Pieces    int             `json:"n"`     // of its code, see CodeKey
+	Pieces    int             `json:"n"`     // chunks of its code, see CodeKey
 	At        wire.UnixMillis `json:"at"`    // when it was loaded
 	Signature []byte          `json:"sig,omitempty"`
 }
 
-// PolicyRecord says which policy module all controllers use. Its methods return the record after a change.
+// PolicyRecord selects the policy module that all controllers use. Its methods return the changed record.
 type PolicyRecord struct {
-	Use  wire.ModuleHash `json:"use,omitempty"`  // "": the built-in one
-	Last wire.ModuleHash `json:"last,omitempty"` // the one before, for a rollback
-	Next wire.ModuleHash `json:"next,omitempty"` // to be used once every controller has it
-	At   wire.UnixMillis `json:"at,omitempty"`   // when Next was asked for, or the last change
-	Why  string          `json:"why,omitempty"`  // the reason why the last swap was not completed
+	Use  wire.ModuleHash `json:"use,omitempty"`  // "" is the built-in policy
+	Last wire.ModuleHash `json:"last,omitempty"` // the previous one, for a rollback
+	Next wire.ModuleHash `json:"next,omitempty"` // pending: used once every controller has loaded it
+	At   wire.UnixMillis `json:"at,omitempty"`   // when Next was requested, or the time of the last change
+	Why  string          `json:"why,omitempty"`  // why the last swap was not completed
 }
 
-// RequestSwap starts a swap to a module, or returns to the built-in policy ("") at once. It returns
-// ErrSwapping if another swap is not complete.
+// RequestSwap starts a swap to a module, or switches to the built-in policy ("") immediately. It returns
+// ErrSwapInProgress if another swap to a module is in progress.
 func (r PolicyRecord) RequestSwap(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
 	switch {
 	case h == "":
@@ -30,14 +30,14 @@
 		}
 		return PolicyRecord{Last: r.Last, At: now}, nil
 	case r.Next != "":
-		return r, ErrSwapping
+		return r, ErrSwapInProgress
 	}
 	r.Next, r.At, r.Why = h, now, ""
 	return r, nil
 }
 
-// Rollback gives up the swap that is not complete, or else starts one to the policy before. It returns
-// ErrNoPreviousPolicy if there is none.
+// Rollback aborts the swap in progress, or if there is none starts a swap to the previous policy. It returns
+// ErrNoPreviousPolicy if there is no previous policy.
 func (r PolicyRecord) Rollback(now wire.UnixMillis) (PolicyRecord, error) {
 	if r.Next != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: "given up by an operator"}, nil
@@ -48,7 +48,7 @@
 	return r.RequestSwap(r.Last, now)
 }
 
-// EndSwap completes the swap, or gives it up for a reason; "" completes it.
+// EndSwap completes the swap if why is empty, and otherwise aborts it for that reason.
 func (r PolicyRecord) EndSwap(why string, now wire.UnixMillis) PolicyRecord {
 	if why != "" {
 		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: why}
@@ -56,8 +56,8 @@
 	return PolicyRecord{Use: r.Next, Last: r.Use, At: now}
 }
 
-// RemoveModule returns the record after a module is removed, to which there is no rollback any more. It
-// returns ErrInUse if the module is in use or about to be.
+// RemoveModule returns the record after a module is removed, without a rollback to it. It returns
+// ErrModuleInUse if the module is the current or the next policy.
 func (r PolicyRecord) RemoveModule(h wire.ModuleHash) (PolicyRecord, error) {
 	if h == r.Use || h == r.Next {
 		return r, ErrInUse
@@ -68,10 +68,10 @@
 	return r, nil
 }
 
-// Policy returns the policy record and its version, 0 if there is none.
+// Policy returns the policy record and its version. The version is 0 if there is no record.
 func (l *Ledger) Policy() (PolicyRecord, wire.Revision) { return l.policy, l.policyVersion }
 
-// Module returns a module's listing, false if there is none.
+// Module returns the record of a module, and whether there is one.
 func (l *Ledger) Module(h wire.ModuleHash) (ModuleRecord, bool) {
 	m, ok := l.modules[h]
 	return m, ok
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -12,38 +12,37 @@
 	"maddermill/wire"
 )
 
-// CheckArchived returns what is wrong with an archived job by itself, nil if nothing is.
+// CheckArchived returns an error if the record of an archived job is invalid by itself.
 func CheckArchived(id wire.JobID, value json.RawMessage) error {
 	var r FinalRecord
 	switch err := json.Unmarshal(value, &r); {
 	case err != nil:
 		return err
 	case !id.Valid():
-		return errors.New("is not an id of a job")
+		return errors.New("is not a valid job ID")
 	case r.State != Done && r.State != Cancelled:
 		return fmt.Errorf("state %q is not final", r.State)
 	case r.Done < 0:
-		return errors.New("has tasks done below 0")
+		return errors.New("has a negative number of done tasks")
 	}
 	return nil
 }
 
-// Problem is a violated invariant: the key of a record and what is wrong with it.
+// Problem is a violated invariant: the key of the record and a description.
 type Problem struct{ Key, What string }
 
-// String returns the key and what is wrong.
+// String returns the key and the description.
 func (p Problem) String() string { return p.Key + ": " + p.What }
 
 // verifier collects the problems of a set of records.
 type verifier struct {
-	ledger   *Ledger // that all records were applied to
+	ledger   *Ledger // to which all records were applied
 	records  map[string]Event
 	problems []Problem
 }
 
-// Verify reads all records of one revision, by key, and returns every violated invariant in the order
-// of the keys, with the ledger that the records were read into. The usage of teams is checked
-// against the limits that are given.
+// Verify checks all records of one revision, given by key. It returns the ledger that the records were applied
+// to and every violated invariant, ordered by key. The usage of teams is checked against the given limits.
 func Verify(records map[string]Event, limits Limits) (*Ledger, []Problem) {
 	v := &verifier{ledger: New(limits), records: records}
 	v.applyAll()
@@ -58,7 +57,7 @@
 	}
 	for m, phase := range v.ledger.phases {
 		if phase != Terminating && phase != Terminated {
-			v.report(machineKey(m), "mark %q", phase)
+			v.report(machineKey(m), "unknown machine phase %q", phase)
 		}
 	}
 	v.checkSeries()
@@ -68,12 +67,12 @@
 	return v.ledger, v.problems
 }
 
-// report adds a problem of a record.
+// report adds a problem with a record.
 func (v *verifier) report(key, format string, a ...any) {
 	v.problems = append(v.problems, Problem{key, fmt.Sprintf(format, a...)})
 }
 
-// applyAll reads the records in the order of their keys.
+// applyAll applies the records to the ledger in the order of their keys.
 func (v *verifier) applyAll() {
 	for _, key := range slices.Sorted(maps.Keys(v.records)) {
 		if RecordKind(key) == "" {
@@ -87,8 +86,8 @@
 	}
 }
 
-// checkFinished checks the jobs that the ledger keeps in the short form, of which only the end is left
-// to be wrong.
+// checkFinished checks the jobs that the ledger keeps in the compact form, for which only the number of done
+// tasks is left to check.
 func (v *verifier) checkFinished() {
 	for id, finished := range v.ledger.archived.finished {
 		var r jobRecord
@@ -101,7 +100,7 @@
 	}
 }
 
-// checkSeries checks that the heads of series agree with their parts.
+// checkSeries checks that the heads of the series of terminated machines agree with their parts.
 func (v *verifier) checkSeries() {
 	index := &v.ledger.archived
 	inParts := map[archive.Series]int{}
@@ -109,7 +108,7 @@
 		n, whole := index.terminated.Part(id)
 		inParts[id.Series] += n
 		if whole {
-			v.report(seriesPartPrefix+id.String(), "is also in its series as a whole")
+			v.report(seriesPartPrefix+id.String(), "its series already counts it as entirely terminated")
 		}
 		if index.headVersions[id.Series] == 0 {
 			v.report(seriesPartPrefix+id.String(), "its series has no head")
@@ -118,12 +117,12 @@
 	for s := range index.headVersions {
 		h := index.terminated.Head(s)
 		if n := inParts[s] + h.Whole.Len()*archive.Span; n != h.Gone {
-			v.report(seriesHeadPrefix+s.String(), "%d machines, and its parts have %d", h.Gone, n)
+			v.report(seriesHeadPrefix+s.String(), "counts %d terminated machines, but its parts have %d", h.Gone, n)
 		}
 	}
 }
 
-// checkTeams checks that no team uses more than its limit.
+// checkTeams checks that no team uses more than its quota.
 func (v *verifier) checkTeams() {
 	for team, limit := range v.ledger.limits.TeamMax {
 		used := v.ledger.teamUsage[team]
@@ -138,20 +137,20 @@
 	}
 }
 
-// jobClaims is what the claims of all ranges of a job come to.
+// jobClaims summarizes the claims of all ranges of a job.
 type jobClaims struct {
 	claimed  []bool // by task
 	attempts map[wire.Attempt]bool
-	zones    map[wire.Zone]int // claimed tasks
+	zones    map[wire.Zone]int // number of claimed tasks
 }
 
-// checkJob checks a job that the ledger keeps whole.
+// checkJob checks a job that the ledger does not keep in the compact form.
 func (v *verifier) checkJob(key string, j *Job) {
 	ranges := j.rangeCount()
 	all := &jobClaims{make([]bool, j.Spec.Tasks), map[wire.Attempt]bool{}, map[wire.Zone]int{}}
 	for n, r := range j.ranges {
 		if n >= ranges {
-			v.report(taskRangeKey(j.ID, n), "range %d of %d", n, ranges)
+			v.report(taskRangeKey(j.ID, n), "range %d is out of bounds: the job has %d ranges", n, ranges)
 			continue
 		}
 		v.checkRange(j, n, r, all)
@@ -163,41 +162,41 @@
 	}
 }
 
-// checkJobState checks a job's own record against its ranges.
+// checkJobState checks that a job's own record agrees with its ranges.
 func (v *verifier) checkJobState(key string, j *Job) {
 	switch {
 	case j.State != Active && j.State != Done && j.State != Cancelled:
-		v.report(key, "state %q", j.State)
+		v.report(key, "unknown state %q", j.State)
 	case j.State == Done && j.DoneTasks() != j.Spec.Tasks:
 		v.report(key, "is done with %d of %d tasks", j.DoneTasks(), j.Spec.Tasks)
 	case j.Stop > j.Attempt():
-		v.report(key, "is to stop at attempt %d, and %d is the last", j.Stop, j.Attempt())
+		v.report(key, "attempts up to %d are preempted, but the last one is %d", j.Stop, j.Attempt())
 	}
 }
 
-// checkJobClaims checks the rules that hold for all claims of a job together.
+// checkJobClaims checks the invariants for all claims of a job together.
 func (v *verifier) checkJobClaims(key string, j *Job, all *jobClaims) {
 	if j.Spec.Shape == wire.Gang && len(all.attempts) > 1 {
-		v.report(key, "a gang with claims of %d attempts", len(all.attempts))
+		v.report(key, "gang has claims of %d attempts", len(all.attempts))
 	}
 	if j.Spec.OneZone && len(all.zones) > 1 {
-		v.report(key, "must be in one zone and is in %d", len(all.zones))
+		v.report(key, "must run in one zone but has claims in %d", len(all.zones))
 	}
 	for z, n := range all.zones {
 		if j.Spec.Spread && n > (j.Spec.Tasks+1)/2 {
-			v.report(key, "%d of %d tasks are in zone %s", n, j.Spec.Tasks, z)
+			v.report(key, "has %d of its %d tasks in zone %s, which is more than half", n, j.Spec.Tasks, z)
 		}
 	}
 }
 
-// checkRange checks a range of a job's tasks and adds its claims to those of the job.
+// checkRange checks a range of a job's tasks and adds its claims to all.
 func (v *verifier) checkRange(j *Job, n int, r *TaskRange, all *jobClaims) {
 	key := taskRangeKey(j.ID, n)
 	bounds := j.rangeBounds(n)
 	first, end := bounds.first, bounds.first+bounds.length
 	for i := end - first; i < 8*len(r.Done); i++ {
 		if r.isDone(i) {
-			v.report(key, "task %d is done, and there is none", first+i)
+			v.report(key, "task %d is done but does not exist", first+i)
 		}
 	}
 	for _, c := range r.Claims {
@@ -210,10 +209,10 @@
 		all.attempts[c.Attempt] = true
 		all.zones[c.Zone] += c.Count
 		if c.Attempt > r.Attempt {
-			v.report(key, "claim on %s is of attempt %d, and %d is the last", c.Machine, c.Attempt, r.Attempt)
+			v.report(key, "claim on %s is of attempt %d, but the last one is %d", c.Machine, c.Attempt, r.Attempt)
 		}
 		if c.Token > v.ledger.token.Last {
-			v.report(key, "claim on %s is under token %d, and %d is the last", c.Machine, c.Token, v.ledger.token.Last)
+			v.report(key, "claim on %s is under token %d, but the last one is %d", c.Machine, c.Token, v.ledger.token.Last)
 		}
 		for i := range c.Count {
 			task := int(c.First) + i
--- a/internal/state/ledger/verify_dependencies.go
+++ b/internal/state/ledger/verify_dependencies.go
@@ -2,17 +2,17 @@
 
 import "maddermill/wire"
 
-// Colours of jobs in the search for cycles.
+// visit is the state of a job in the depth-first search for dependency cycles.
 type visit uint8
 
 const (
 	unvisited visit = iota
-	onPath          // of the search
+	onPath          // on the current search path
 	visited
 )
 
-// checkDependencies checks that no active job needs itself through others, since users can only name jobs that
-// were accepted before, and that what it names is on record or may be archived.
+// checkDependencies checks that the dependencies of active jobs have no cycle, which can't come about since a job
+// can only depend on jobs that were accepted before, and that they are on record or may be archived.
 func (v *verifier) checkDependencies() {
 	visits := map[wire.JobID]visit{}
 	for id := range v.ledger.active {
@@ -21,17 +21,17 @@
 	for id := range v.ledger.dependencies.missing {
 		if may, known := v.ledger.MayBeArchived(id); known && !may {
 			for dependent := range v.ledger.dependencies.dependents[id] {
-				v.report(jobKey(dependent), "awaits %s, which is neither on record nor archived", id)
+				v.report(jobKey(dependent), "depends on %s, which is neither on record nor archived", id)
 			}
 		}
 	}
 }
 
-// visitDependencies follows what an active job names, depth first.
+// visitDependencies searches the dependencies of an active job for cycles, depth first.
 func (v *verifier) visitDependencies(from wire.JobID, visits map[wire.JobID]visit) {
 	type frame struct {
 		id   wire.JobID
-		next int // of its dependencies
+		next int // index of the next dependency to visit
 	}
 	if visits[from] != unvisited {
 		return
@@ -49,7 +49,7 @@
 		top.next++
 		switch visits[id] {
 		case onPath:
-			v.report(jobKey(top.id), "awaits %s, which needs it itself", id)
+			v.report(jobKey(top.id), "dependency cycle: depends on %s, which depends on this job", id)
 		case unvisited:
 			visits[id] = onPath
 			path = append(path, frame{id: id})
--- a/internal/state/ledger/workflow.go
+++ b/internal/state/ledger/workflow.go
@@ -9,8 +9,8 @@
 // WorkflowState is the durable state of a workflow.
 type WorkflowState string
 
-// The durable states of workflows. Done and cancelled are final; a failed workflow becomes active again
-// when it is resumed.
+// The durable states of workflows. Done and cancelled are final; resuming a failed workflow makes it active
+// again.
 const (
 	WorkflowActive    WorkflowState = ""
 	WorkflowFailed    WorkflowState = "failed"
@@ -18,17 +18,17 @@
 	WorkflowCancelled WorkflowState = "cancelled"
 )
 
-// WorkflowRecord is the record of a workflow. Which of its steps are done follows from their jobs, whose ids
-// follow from those of the workflow and the step.
+// WorkflowRecord is the record of a workflow. Which of its steps are done is derived from their jobs, whose IDs
+// are derived from those of the workflow and the step.
 type WorkflowRecord struct {
 	Spec     *wire.WorkflowSpec `json:"spec"` // without documents and inputs
-	Hash     string             `json:"doc"`  // of documents and inputs: the name of their pieces
-	Pieces   int                `json:"n"`    // of documents, see DocumentKey
+	Hash     string             `json:"doc"`  // of documents and inputs; their chunks are stored under it
+	Pieces   int                `json:"n"`    // chunks of the documents, see DocumentKey
 	Accepted wire.UnixMillis    `json:"at"`
 	State    WorkflowState      `json:"state,omitempty"`
-	Why      string             `json:"why,omitempty"`     // the reason of the state
-	Resumed  int                `json:"resumed,omitempty"` // times
-	Swept    bool               `json:"swept,omitempty"`   // cancelled, and none of its steps' jobs is active
+	Why      string             `json:"why,omitempty"`     // the reason for the state
+	Resumed  int                `json:"resumed,omitempty"` // how many times
+	Swept    bool               `json:"swept,omitempty"`   // it is cancelled, and no job of its steps is active
 }
 
 // Workflow is a workflow as last seen.
@@ -38,7 +38,7 @@
 	WorkflowRecord
 }
 
-// Workflow returns a workflow, nil if it is not on record.
+// Workflow returns a workflow, or nil if it is not on record.
 func (l *Ledger) Workflow(id wire.WorkflowID) *Workflow { return l.workflows[id] }
 
 // EachWorkflow calls f for every workflow on record.
@@ -64,8 +64,8 @@
 		return err
 	}
 	if w.State == WorkflowCancelled {
-		// As with a job's cancellation, no task of its steps starts from now on and all are stopped,
-		// before the records of their jobs say so.
+		// As with the cancellation of a job, from now on no task of its steps is started and running ones
+		// are stopped, even before the records of their jobs are updated.
 		l.lastCancel = max(l.lastCancel, e.Version)
 		l.recentCancels.add(cancellation{revision: e.Version, workflow: id})
 		for _, j := range l.active {
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// Ended reports whether the workflow and all of its jobs are over for good.
+// Ended reports whether the workflow and all of its jobs have ended for good.
 func (w *Workflow) Ended() bool {
 	return w.State == WorkflowDone || w.State == WorkflowCancelled && w.Swept
 }
 
-// workflowTransitions are the legal transitions. Final states have none.
+// workflowTransitions are the allowed transitions by state. Final states have none.
 var workflowTransitions = map[WorkflowState][]WorkflowState{
 	WorkflowActive: {WorkflowDone, WorkflowFailed, WorkflowCancelled},
 	WorkflowFailed: {WorkflowActive, WorkflowCancelled},
