--- a/internal/scheduler/crashloop_test.go
+++ b/internal/scheduler/crashloop_test.go
@@ -16,33 +16,33 @@
 	"maddermill/wire"
 )
 
-// crashLoopCase is a job that fails on every machine beside a machine that fails every job.
+// crashLoopCase contains a job that fails on every machine and a machine that fails every job.
 type crashLoopCase struct {
-	t        *testing.T
-	parts    *controllertest.Parts
-	records  *ledger.Ledger
-	now      time.Time
-	mistaken *ledger.Job // an array of 20 tasks that fail everywhere
+	t          *testing.T
+	parts      *controllertest.Parts
+	records    *ledger.Ledger
+	now        time.Time
+	failingJob *ledger.Job // an array of 20 tasks that fail on every machine
 }
 
-// The machines of the case.
+// Machines of the test case.
 const (
-	badMachine   = wire.MachineID("host-bad")
-	goodMachine  = wire.MachineID("host-good")
-	otherMachine = wire.MachineID("host-other")
+	faultyMachine  = wire.MachineID("host-bad")
+	healthyMachine = wire.MachineID("host-good")
+	otherMachine   = wire.MachineID("host-other")
 )
 
-// newCrashLoopCase returns the case without any failure.
+// newCrashLoopCase returns the test case before any failure.
 func newCrashLoopCase(t *testing.T) *crashLoopCase {
 	t.Helper()
 	p := controllertest.New(t, 0)
 	c := &crashLoopCase{t: t, parts: p, records: p.Cache.Records(), now: time.Now()}
 	watchcache.SetStateForTest(t, p.Cache, 0, c.now)
-	c.mistaken = c.addJob(1, 20)
+	c.failingJob = c.addJob(1, 20)
 	return c
 }
 
-// addJob adds an array of so many tasks.
+// addJob adds an array with the given number of tasks.
 func (c *crashLoopCase) addJob(n, tasks int) *ledger.Job {
 	return controllertest.AddJob(c.records, n, wire.Array, tasks)
 }
@@ -52,12 +52,12 @@
 	c.records.Apply(ledger.Event{Key: "mm1/j/" + string(id), Version: version, Value: []byte(record)})
 }
 
-// fail has a task of a job fail.
+// fail records the failure of a task.
 func (c *crashLoopCase) fail(j *ledger.Job, m wire.MachineID, task wire.TaskIndex, at time.Time) {
 	c.parts.Failures.Failed(j, task, m, "", at)
 }
 
-// faulty reports whether a machine is judged faulty.
+// faulty reports whether a machine is considered faulty.
 func (c *crashLoopCase) faulty(m wire.MachineID) bool {
 	return c.parts.Failures.Faulty(c.records, m, c.now)
 }
@@ -68,28 +68,29 @@
 	return c.parts.Scheduler.Snapshot(at).Queue
 }
 
-// entry returns the entry of the mistaken job in a new snapshot.
+// entry returns the entry of failingJob in a new snapshot.
 func (c *crashLoopCase) entry(at time.Time) *placement.Entry {
 	c.t.Helper()
 	queue := c.queue(at)
-	i := slices.IndexFunc(queue, func(e placement.Entry) bool { return e.Job.ID == c.mistaken.ID })
+	i := slices.IndexFunc(queue, func(e placement.Entry) bool { return e.Job.ID == c.failingJob.ID })
 	if i < 0 {
-		c.t.Fatalf("%s is not in the queue", c.mistaken.ID)
+		c.t.Fatalf("%s is not in the queue", c.failingJob.ID)
 	}
 	return &queue[i]
 }
 
-// TestMistakenJobBesideBadMachine: failures of one job on several machines, whichever controllers
-// saw them, are evidence against the job; those of several jobs on one machine, against the machine.
-// When each controller knew only of its own machines, and cancelled jobs counted as evidence, a day
-// with mistaken jobs had nineteen good machines returned.
-func TestMistakenJobBesideBadMachine(t *testing.T) {
+// TestCrashLoopingJobBesideFaultyMachine verifies that failures of one job on several machines,
+// whichever controllers observed them, count against the job, and failures of several jobs on one
+// machine count against the machine. When each controller considered only its own machines, and
+// failures of cancelled jobs counted, nineteen healthy machines were returned in one day because of
+// jobs that always fail.
+func TestCrashLoopingJobBesideFaultyMachine(t *testing.T) {
 	c := newCrashLoopCase(t)
 	c.checkEvidence()
 	last := c.checkBackoff()
 	c.checkNothingRented(last)
 	c.checkTriedWithOneTask(last)
-	// A task of it completes: it is as good as any other.
+	// Once one of its tasks completes, the job is no longer treated as crash-looping.
 	c.putJob("wk-000001", 10,
 		`{"spec":{"id":"wk-000001","pieces":20,"shape":"array","owner":"free","cores":1},"at":1,"a":1,"d":"BAA="}`)
 	if c.entry(last).CrashLooping {
@@ -97,52 +98,52 @@
 	}
 }
 
-// checkEvidence has jobs fail and checks what is held against the job and against machines.
+// checkEvidence makes jobs fail and checks which jobs and machines the failures count against.
 func (c *crashLoopCase) checkEvidence() {
 	c.t.Helper()
 	cancelled, one, two := c.addJob(2, 1), c.addJob(3, 1), c.addJob(4, 1)
-	c.fail(c.mistaken, goodMachine, 0, c.now)
-	c.fail(cancelled, goodMachine, 0, c.now)
-	if !c.faulty(goodMachine) {
-		c.t.Error("two jobs failed there, neither known to fail elsewhere: not held against the machine")
+	c.fail(c.failingJob, healthyMachine, 0, c.now)
+	c.fail(cancelled, healthyMachine, 0, c.now)
+	if !c.faulty(healthyMachine) {
+		c.t.Error("healthy machine not marked faulty after failures of two jobs that are not known to fail elsewhere")
 	}
-	// A peer saw one of them fail elsewhere; the other's user gives up.
-	suspects := []peer.Suspect{{Job: c.mistaken.ID, Machines: []wire.MachineID{"host-far"}}}
+	// A peer reports that one job also failed elsewhere; the other job is cancelled by its user.
+	suspects := []peer.Suspect{{Job: c.failingJob.ID, Machines: []wire.MachineID{"host-far"}}}
 	c.parts.Failures.MergeSuspects(c.records, suspects, c.now)
-	if _, looping := c.parts.Failures.CrashLooping(c.mistaken.ID); !looping || c.faulty(goodMachine) {
+	if _, looping := c.parts.Failures.CrashLooping(c.failingJob.ID); !looping || c.faulty(healthyMachine) {
 		c.t.Errorf("crash-looping %v, machine faulty %v after a peer reported a second machine; want true, false",
-			looping, c.faulty(goodMachine))
+			looping, c.faulty(healthyMachine))
 	}
 	c.putJob("wk-000002", 9, `{"spec":{"id":"wk-000002","pieces":1,"shape":"array"},"at":1,"state":"cancelled"}`)
-	c.fail(one, badMachine, 0, c.now)
-	c.fail(c.mistaken, badMachine, 1, c.now)
-	if c.faulty(badMachine) {
-		c.t.Error("one job's failure and a crash-looping job's are held against a machine")
+	c.fail(one, faultyMachine, 0, c.now)
+	c.fail(c.failingJob, faultyMachine, 1, c.now)
+	if c.faulty(faultyMachine) {
+		c.t.Error("machine marked faulty after failures of one job and of a crash-looping job")
 	}
-	c.fail(two, badMachine, 0, c.now)
-	if !c.faulty(badMachine) || c.faulty(goodMachine) || c.faulty(otherMachine) {
-		c.t.Errorf("faulty: %v %v %v, want only the first",
-			c.faulty(badMachine), c.faulty(goodMachine), c.faulty(otherMachine))
+	c.fail(two, faultyMachine, 0, c.now)
+	if !c.faulty(faultyMachine) || c.faulty(healthyMachine) || c.faulty(otherMachine) {
+		c.t.Errorf("faulty machines: %v %v %v, want true false false",
+			c.faulty(faultyMachine), c.faulty(healthyMachine), c.faulty(otherMachine))
 	}
 }
 
-// checkBackoff has the crash-looping job fail again and again, and checks that it is backed off for
-// longer each time and comes after all others. It returns when the job may be tried next.
+// checkBackoff makes the crash-looping job fail repeatedly, and checks that its back-off increases
+// each time and that it is ordered after all other jobs. It returns the earliest next retry.
 func (c *crashLoopCase) checkBackoff() time.Time {
 	c.t.Helper()
 	backoff, last := time.Duration(0), c.now
 	for range 4 {
 		e := c.entry(last)
 		if !e.CrashLooping || e.Retry.Sub(last) <= backoff {
-			c.t.Fatalf("crash-looping %v, backed off for %v after %v", e.CrashLooping, e.Retry.Sub(last), backoff)
+			c.t.Fatalf("crash-looping %v, back-off %v, previously %v", e.CrashLooping, e.Retry.Sub(last), backoff)
 		}
 		backoff = e.Retry.Sub(last)
 		last = e.Retry
-		c.fail(c.mistaken, otherMachine, 0, last)
+		c.fail(c.failingJob, otherMachine, 0, last)
 	}
 	queue := c.queue(c.now)
-	if got := queue[len(queue)-1].Job.ID; got != c.mistaken.ID {
-		c.t.Errorf("%s comes last, want the crash-looping %s", got, c.mistaken.ID)
+	if got := queue[len(queue)-1].Job.ID; got != c.failingJob.ID {
+		c.t.Errorf("last in the queue is %s, want the crash-looping %s", got, c.failingJob.ID)
 	}
 	return last
 }
@@ -160,12 +161,12 @@
 		OutOfCapacity:      func(autoscale.MachineOption) bool { return false },
 	})
 	if len(plan.ScaleOut) > 0 {
-		c.t.Errorf("rents %v for a crash-looping job", plan.ScaleOut)
+		c.t.Errorf("plan rents machines for a crash-looping job: %v", plan.ScaleOut)
 	}
 }
 
-// checkTriedWithOneTask checks that one task of the crash-looping job is started where there is room
-// for more.
+// checkTriedWithOneTask checks that only one task of the crash-looping job starts where several
+// would fit.
 func (c *crashLoopCase) checkTriedWithOneTask(last time.Time) {
 	c.t.Helper()
 	m := &placement.Machine{
@@ -184,13 +185,13 @@
 		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
 	}
 	if s := placement.PlaceOnMachine(v, m); len(s) != 1 || s[0].Count != 1 {
-		c.t.Errorf("a crash-looping job of 20 tasks is tried with %v, want one task", s)
+		c.t.Errorf("starts of a crash-looping job with 20 tasks: %v, want one task", s)
 	}
 }
 
-// TestBadTaskOfAGoodArray: a task that fails everywhere is backed off while the array's other tasks go
-// on.
-func TestBadTaskOfAGoodArray(t *testing.T) {
+// TestFailingTaskOfHealthyArrayIsBackedOff verifies that a task that fails on every machine is
+// backed off while the other tasks of its array continue.
+func TestFailingTaskOfHealthyArrayIsBackedOff(t *testing.T) {
 	c := controllertest.New(t, 0)
 	records := c.Cache.Records()
 	now := time.Now()
@@ -207,12 +208,12 @@
 	})
 	queue := c.Scheduler.Snapshot(now).Queue
 	if len(queue) != 1 || queue[0].CrashLooping || queue[0].BackedOff != 1 {
-		t.Fatalf("%+v, want one job that is not crash-looping with one task backed off", queue)
+		t.Fatalf("queue %+v, want one job that is not crash-looping and has one task backed off", queue)
 	}
-	site := ledger.ClaimTarget{Machine: "host-9", Zone: "a", Epoch: 1, Token: 1}
-	got, err := records.NewTransaction().Claim(j, site, 8, c.Failures.BackedOff(j.ID))
+	target := ledger.ClaimTarget{Machine: "host-9", Zone: "a", Epoch: 1, Token: 1}
+	got, err := records.NewTransaction().Claim(j, target, 8, c.Failures.BackedOff(j.ID))
 	if got != 6 || err != nil {
-		t.Errorf("%d tasks claimed (%v), want 6: all but the one done and the one backed off", got, err)
+		t.Errorf("%d tasks claimed (%v), want 6: all except the completed one and the one backed off", got, err)
 	}
 	backedOff := func(after time.Duration) int { return c.Failures.RetryState(j, now.Add(after)).BackedOff }
 	if backedOff(time.Second) != 1 || backedOff(10*time.Second) != 0 {
--- a/internal/scheduler/deadlines_test.go
+++ b/internal/scheduler/deadlines_test.go
@@ -15,20 +15,21 @@
 	"maddermill/wire"
 )
 
-// deadlineCase is twelve jobs and four empty machines, with or without a register of galleries, and
-// with or without two jobs that are tied to its gallery.
-type deadlineCase struct{ register, tied bool }
+// deadlineCase describes a cluster with twelve jobs and four empty machines. register adds a
+// register of galleries (groups of jobs with a promised date); inGallery assigns the first two jobs
+// to its gallery.
+type deadlineCase struct{ register, inGallery bool }
 
-// decisions are what the scheduler derives and placement decides in a case.
+// decisions are the latest starts computed by the scheduler and all decisions of placement.
 type decisions struct {
-	latest map[wire.JobID]time.Time // starts
+	latest map[wire.JobID]time.Time // latest starts
 	all    []string
 }
 
-// machineName returns the name of a machine of the case.
+// machineName returns the name of a machine.
 func (deadlineCase) machineName(i int) wire.MachineID { return wire.MachineID(fmt.Sprint("host-", i)) }
 
-// parts returns the parts of a controller in the state of the case.
+// parts returns the components of a controller in the state of the test case.
 func (c deadlineCase) parts(t *testing.T, now time.Time) *controllertest.Parts {
 	t.Helper()
 	p := controllertest.New(t, 0)
@@ -69,23 +70,23 @@
 	return p
 }
 
-// job returns the record of a job, the n-th of the case.
+// job returns the record of the n-th job.
 func (c deadlineCase) job(n int, now time.Time) []byte {
-	shape, tasks, tie := "array", 1+n%3, ""
+	shape, tasks, gallery := "array", 1+n%3, ""
 	if n%4 == 0 {
 		shape, tasks = "gang", 2
 	}
-	if c.tied && n < 2 {
-		tie = `,"g":"g"`
+	if c.inGallery && n < 2 {
+		gallery = `,"g":"g"`
 	}
 	spec := fmt.Sprintf(
 		`{"id":"wk-%06d","workclass":"c","pieces":%d,"shape":%q,"urgency":"normal","owner":"free",`+
 			`"cores":2,"bundle":"i%d","pull_gb":2,"expect_s":%d}`,
 		n, tasks, shape, n%2, 20+20*n)
-	return fmt.Appendf(nil, `{"spec":%s,"at":%d%s}`, spec, now.UnixMilli()-int64(n), tie)
+	return fmt.Appendf(nil, `{"spec":%s,"at":%d%s}`, spec, now.UnixMilli()-int64(n), gallery)
 }
 
-// decide returns what is derived and decided in the case.
+// decide returns the decisions for the test case.
 func (c deadlineCase) decide(t *testing.T, now time.Time) decisions {
 	t.Helper()
 	v := c.parts(t, now).Scheduler.Snapshot(now)
@@ -107,27 +108,28 @@
 	return d
 }
 
-// TestOnlyTiesChangeDecisions: with a register that names none of the jobs all decisions are as
-// without one, job by job and machine by machine; jobs that are tied to a gallery must start as
-// early as its longest one, and no others change.
-func TestOnlyTiesChangeDecisions(t *testing.T) {
+// TestOnlyGalleryJobsChangeDecisions verifies that a register that refers to none of the jobs
+// leaves every decision unchanged, and that jobs of a gallery must start as early as its longest
+// one while the decisions for other jobs do not change.
+func TestOnlyGalleryJobsChangeDecisions(t *testing.T) {
 	now := time.Now()
 	without := deadlineCase{}.decide(t, now)
 	with := deadlineCase{register: true}.decide(t, now)
 	if !slices.Equal(without.all, with.all) || len(without.all) < 14 {
-		t.Errorf("decided %v, with a register %v", without.all, with.all)
+		t.Errorf("decisions without a register: %v, with one: %v", without.all, with.all)
 	}
 	before := deadlineCase{}.decide(t, now).latest
-	after := deadlineCase{register: true, tied: true}.decide(t, now).latest
+	after := deadlineCase{register: true, inGallery: true}.decide(t, now).latest
 	for id, latest := range after {
-		switch tied := id < "wk-000002"; {
-		case tied && !latest.Equal(after["wk-000000"]):
-			t.Errorf("%s must start by %v, its gallery's others by %v", id, latest, after["wk-000000"])
-		case tied && !latest.Before(before[id]), !tied && !latest.Equal(before[id]):
-			t.Errorf("%s must start by %v, without ties by %v", id, latest.Sub(now), before[id].Sub(now))
+		switch inGallery := id < "wk-000002"; {
+		case inGallery && !latest.Equal(after["wk-000000"]):
+			t.Errorf("%s must start by %v, another job of its gallery by %v", id, latest, after["wk-000000"])
+		case inGallery && !latest.Before(before[id]), !inGallery && !latest.Equal(before[id]):
+			t.Errorf("%s must start by %v, without a gallery by %v", id, latest.Sub(now), before[id].Sub(now))
 		}
 	}
-	// The longest is estimated at 40 s, with a margin of a quarter, and 2 s to fetch its image.
+	// The expected run time of the longest job is 40 s; 50 s with the margin of a quarter. The
+	// image fetch takes 2 s.
 	if got := after["wk-000000"].Sub(now).Round(time.Second); got != 48*time.Second {
 		t.Errorf("the gallery's jobs must start within %v, want 48s", got)
 	}
--- a/internal/scheduler/placement/accelerators_test.go
+++ b/internal/scheduler/placement/accelerators_test.go
@@ -9,9 +9,10 @@
 	"maddermill/wire"
 )
 
-// TestWorkWithoutAcceleratorsLeavesReserve: work that needs no accelerator leaves idle machines with some to
-// gangs, takes those beyond the reserve, and may use them all where there are no others. Without the
-// reserve such tasks take every machine that a gang could use.
+// TestWorkWithoutAcceleratorsLeavesReserve verifies that jobs that need no accelerator keep a
+// reserve of idle accelerator machines free, use those beyond the reserve, and may use all of them
+// if there is no other machine type. Without the reserve, such jobs take every machine that a gang
+// could use.
 func TestWorkWithoutAcceleratorsLeavesReserve(t *testing.T) {
 	machineTypes := map[wire.MachineTypeName]wire.MachineType{
 		"gpu": {Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 32, Zones: []wire.Zone{"a"}},
@@ -28,13 +29,13 @@
 	)
 	j := l.Job(spec.ID)
 	if RunsWithoutAccelerator(j, machineTypes) {
-		t.Fatal("a job with no other machine type leaves accelerators to others")
+		t.Fatal("a job that fits no other machine type must not be kept off accelerators")
 	}
 	machineTypes["cpu"] = wire.MachineType{Name: "cpu", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a"}}
 	for _, tc := range []struct {
-		without  bool // the work needs no accelerator
-		idle     int  // machines with accelerators
-		given    int  // machines
+		without  bool // the job needs no accelerator
+		idle     int  // idle machines with accelerators
+		given    int  // machines that get tasks
 		all, cpu int  // machines with accelerators, and without
 	}{{true, 12, 9, 12, 0}, {true, 3, 0, 12, 0}, {false, 12, 12, 12, 0}, {true, 3, 2, 12, 2}} {
 		v := &Snapshot{
@@ -72,7 +73,7 @@
 			}
 		}
 		if given != tc.given {
-			t.Errorf("%+v: %d machines are given work, want %d", tc, given, tc.given)
+			t.Errorf("%+v: %d machines get tasks, want %d", tc, given, tc.given)
 		}
 	}
 }
--- a/internal/scheduler/placement/cost_test.go
+++ b/internal/scheduler/placement/cost_test.go
@@ -11,8 +11,8 @@
 	"maddermill/wire"
 )
 
-// fullCluster returns a snapshot where all machines but one in a hundred are full and every job waits,
-// and its records.
+// fullCluster returns a snapshot, and its records, in which all machines but one in a hundred are
+// full and every job is pending.
 func fullCluster(t *testing.T, machines, waiting int) (*placement.Snapshot, *ledger.Ledger) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(5, 6))
@@ -66,11 +66,12 @@
 	return v, l
 }
 
-// TestCostFollowsWhatChanges: at a thousand machines and as many jobs, the heartbeat of a full machine
-// examines nothing, one of a machine with room only what may take the room, and the leader's passes
-// examine the machines with room and not all of them for each job. Counts are compared, not times.
-// Examining every machine for each heartbeat, or for each job, took a controller's whole quota.
-func TestCostFollowsWhatChanges(t *testing.T) {
+// TestDecisionsExamineOnlyWhatTheyAffect verifies that, with a thousand machines and as many jobs,
+// the heartbeat of a full machine examines nothing, a heartbeat with free capacity examines only
+// jobs that may use it, and the leader's passes examine the machines with free capacity and not all
+// machines for each job. It compares counts, not times. Examining every machine for each heartbeat
+// or for each job used up a controller's whole CPU quota.
+func TestDecisionsExamineOnlyWhatTheyAffect(t *testing.T) {
 	const machines, waiting = 1000, 1000
 	v, l := fullCluster(t, machines, waiting)
 	examined := func(f func()) int {
@@ -90,13 +91,14 @@
 		}
 	}
 	if full != 0 {
-		t.Errorf("heartbeats of full machines examined %d entries and machines", full)
+		t.Errorf("heartbeats of full machines examined %d entries and machines, want 0", full)
 	}
 	if most := machines / 100 * 4 * waiting; roomy == 0 || roomy > most {
-		t.Errorf("%d heartbeats with room examined %d, more than %d", machines/100, roomy, most)
+		t.Errorf("%d heartbeats with free capacity examined %d entries and machines, want 1 to %d",
+			machines/100, roomy, most)
 	}
 	if n := examined(func() { placement.PlaceGangs(v) }); n > waiting+machines+waiting*machines/100 {
-		t.Errorf("placing gangs examined %d", n)
+		t.Errorf("placing gangs examined %d entries and machines", n)
 	}
 	in := &autoscale.Input{
 		Now:                start,
@@ -116,6 +118,6 @@
 	}
 	autoscale.ComputePlan(in)
 	if most := waiting * machines / 100; in.MachinesExamined == 0 || in.MachinesExamined > most {
-		t.Errorf("a plan examined %d machines, more than %d", in.MachinesExamined, most)
+		t.Errorf("computing a scaling plan examined %d machines, want 1 to %d", in.MachinesExamined, most)
 	}
 }
--- a/internal/scheduler/placement/gangs_test.go
+++ b/internal/scheduler/placement/gangs_test.go
@@ -10,8 +10,9 @@
 	"maddermill/wire"
 )
 
-// TestGangIsWhole: a gang is placed whole, within every rule, or not at all.
-func TestGangIsWhole(t *testing.T) {
+// TestGangIsPlacedWholeOrNotAtAll verifies that a gang is placed as a whole, within all
+// constraints, or not at all.
+func TestGangIsPlacedWholeOrNotAtAll(t *testing.T) {
 	placed := 0
 	for seed := uint64(1); seed <= 2000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -47,7 +48,7 @@
 		parts := starts[0].Parts
 		placed++
 		if err := l.NewTransaction().ClaimGang(j, parts); err != nil {
-			t.Fatalf("seed %d: %+v is refused: %v", seed, parts, err)
+			t.Fatalf("seed %d: claim of %+v rejected: %v", seed, parts, err)
 		}
 		for _, p := range parts {
 			if free[p.Target.Machine].Times(j.Need, 100) < p.Count {
@@ -60,8 +61,9 @@
 	}
 }
 
-// TestGangsAvoidOverdueMachines: a gang takes machines whose heartbeat is overdue, though they cache
-// its image, only where others do not do. One that has stopped would cost the whole gang its start.
+// TestGangsAvoidOverdueMachines verifies that a gang uses machines with an overdue heartbeat, even
+// if they have its image cached, only if there are not enough others. A gang cannot start if one of
+// its machines has failed.
 func TestGangsAvoidOverdueMachines(t *testing.T) {
 	for _, others := range []int{1, 2, 3} {
 		l := newLedger()
@@ -97,7 +99,7 @@
 		}
 		starts := placement.PlaceGangs(v)
 		if len(starts) != 1 {
-			t.Fatalf("%d others: %d gangs placed", others, len(starts))
+			t.Fatalf("%d other machines: %d gangs placed, want 1", others, len(starts))
 		}
 		overdue := 0
 		for _, p := range starts[0].Parts {
@@ -106,7 +108,7 @@
 			}
 		}
 		if want := max(0, 2-others); overdue != want {
-			t.Errorf("%d others: %d machines are overdue, want %d", others, overdue, want)
+			t.Errorf("%d other machines: gang placed on %d overdue machines, want %d", others, overdue, want)
 		}
 	}
 }
--- a/internal/scheduler/placement/helpers_test.go
+++ b/internal/scheduler/placement/helpers_test.go
@@ -11,7 +11,7 @@
 	"maddermill/wire"
 )
 
-// start is the time of snapshots.
+// start is the time at which snapshots are taken.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // jobs returns a queue of n random jobs.
@@ -92,7 +92,7 @@
 	return submitAt(tb, l, s, 1)
 }
 
-// submitAt adds a job that was accepted at a time to the records.
+// submitAt adds a job with the given time of acceptance to the records.
 func submitAt(tb testing.TB, l *ledger.Ledger, s *wire.JobSpec, accepted wire.UnixMillis) *ledger.Job {
 	tb.Helper()
 	d := l.NewTransaction()
@@ -105,10 +105,10 @@
 	return l.Job(s.ID)
 }
 
-// newLedger returns empty records with small limits and no limits of teams.
+// newLedger returns empty records with small size limits and no team quotas.
 func newLedger() *ledger.Ledger {
 	return ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000})
 }
 
-// unlimited is a Snapshot.TeamRoom without limits of teams.
+// unlimited is a Snapshot.RemainingTeamQuota without team quotas.
 func unlimited(_ *ledger.Job, _ ledger.Resources, most int) int { return most }
--- a/internal/scheduler/placement/images_test.go
+++ b/internal/scheduler/placement/images_test.go
@@ -7,22 +7,22 @@
 	"maddermill/internal/scheduler/placement"
 )
 
-// TestImagesForgetTheLeastRecentlyUsed: a full cache drops the image that was not used for longest,
-// and a fetch counts until its age is reached.
-func TestImagesForgetTheLeastRecentlyUsed(t *testing.T) {
+// TestImageCacheEvictsLeastRecentlyUsed verifies that a full cache evicts the least recently used
+// image, and that a fetch is counted until it exceeds the maximum age.
+func TestImageCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	images := placement.NewImages(10)
 	images.Use("a", 4)
 	images.Use("b", 4)
 	images.Use("a", 4)
 	images.Use("c", 4)
 	if images.Has("b") || !images.Has("a") || !images.Has("c") {
-		t.Errorf("cached: %v", images.Names())
+		t.Errorf("cached images: %v, want a and c", images.Names())
 	}
 	images.StartFetch("d", start)
 	if n := images.Fetches(start.Add(time.Minute), time.Minute); n != 1 {
-		t.Errorf("%d fetches at their greatest age, want 1", n)
+		t.Errorf("%d fetches at the maximum age, want 1", n)
 	}
 	if n := images.Fetches(start.Add(61*time.Second), time.Minute); n != 0 {
-		t.Errorf("%d fetches past their greatest age, want 0", n)
+		t.Errorf("%d fetches beyond the maximum age, want 0", n)
 	}
 }
--- a/internal/scheduler/placement/overdue_reservations.go
+++ b/internal/scheduler/placement/overdue_reservations.go
@@ -124,8 +124,8 @@
 	return p.reserved
 }
 
-// needsReservation reports whether an entry is a gang that has waited for Limits.ReserveAfter and
-// does not fit at present.
+// needsReservation reports whether an entry is a gang, not best-effort, that has waited for
+// Limits.ReserveAfter and does not fit at present.
 func (s *Snapshot) needsReservation(e *Entry) bool {
 	return e.reservable(s.Now) && e.Waiting >= s.Limits.ReserveAfter && !e.Job.BestEffort() &&
 		!s.placeableGangs[e.Job.ID]
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -11,28 +11,28 @@
 	"maddermill/wire"
 )
 
-// simulation is a cluster that never grows: each second all machines report and the leader places
-// gangs, and tasks end after their run time.
+// simulation is a cluster of fixed size. Each second, all machines send a heartbeat and the leader
+// places gangs. Tasks end after their run time.
 type simulation struct {
 	t        *testing.T
 	l        *ledger.Ledger
-	bound    time.Duration // on waiting; 0: none
+	bound    time.Duration // waiting bound; 0: none
 	now      time.Time
 	machines []*placement.Machine
-	started  map[string]time.Time // when attempts were first seen to run
+	started  map[string]time.Time // when attempts were first seen running
 	queue    []*simulatedJob
 	version  wire.Revision
-	next     int                            // the number of the next job
-	waits    map[wire.Class][]time.Duration // of the jobs all of whose tasks have begun
+	next     int                            // number of the next job
+	waits    map[wire.Class][]time.Duration // waiting times of the jobs that have started all tasks
 }
 
-// simulatedJob is a job and how long its tasks run.
+// simulatedJob is a job and the run time of its tasks.
 type simulatedJob struct {
 	id  wire.JobID
 	run time.Duration
 }
 
-// newSimulation returns a cluster of so many empty machines in two zones.
+// newSimulation returns a cluster with the given number of empty machines in two zones.
 func newSimulation(t *testing.T, machines int, bound time.Duration) *simulation {
 	t.Helper()
 	s := &simulation{
@@ -82,7 +82,7 @@
 	s.l.Apply(e)
 }
 
-// commit applies a transaction, and reports whether prepare accepted it.
+// commit applies a transaction and reports whether prepare accepted it.
 func (s *simulation) commit(prepare func(d *ledger.Transaction) error) bool {
 	d := s.l.NewTransaction()
 	if prepare(d) != nil {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// submit adds a job whose tasks run so long.
+// submit adds a job whose tasks have the given run time.
 func (s *simulation) submit(spec wire.JobSpec, run time.Duration) {
 	spec.ID = wire.JobID(fmt.Sprintf("wk-%06d", s.next))
 	spec.Priority, spec.Image, spec.ImageGB = wire.Normal, "i", 5
@@ -111,7 +111,7 @@
 	s.queue = append(s.queue, &simulatedJob{spec.ID, run})
 }
 
-// step lets a second pass.
+// step advances the simulation by one second.
 func (s *simulation) step() {
 	s.now = s.now.Add(time.Second)
 	s.endTasks()
@@ -125,7 +125,7 @@
 		v.GangReservations = placement.ReserveForOverdueGangs(v)
 		v.ReserveTeamQuota()
 	}
-	for _, m := range s.machines { // heartbeats come before the leader's pass
+	for _, m := range s.machines { // heartbeats precede the leader's pass
 		for _, st := range placement.PlaceOnMachine(v, m) {
 			s.start(st, m)
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-// endTasks releases the claims whose run time is over.
+// endTasks releases the claims whose run time has elapsed.
 func (s *simulation) endTasks() {
 	var ended []ledger.HeldClaim
 	for _, m := range s.machines {
@@ -157,7 +157,7 @@
 	}
 }
 
-// pending drops the jobs that have ended and returns entries for those with pending tasks.
+// pending removes ended jobs and returns entries for the jobs with pending tasks.
 func (s *simulation) pending() []placement.Entry {
 	var entries []placement.Entry
 	left := s.queue[:0]
@@ -175,7 +175,7 @@
 	return entries
 }
 
-// entry returns the entry of a job with an objective of a minute's wait.
+// entry returns the entry of a job whose objective is to start within a minute.
 func (s *simulation) entry(j *ledger.Job, run time.Duration) placement.Entry {
 	e := placement.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), Expected: run}
 	if objective := j.Accepted.Time().Add(60 * time.Second); objective.After(s.now) {
@@ -190,7 +190,7 @@
 	return e
 }
 
-// updateMachines sets the machines' room by the records.
+// updateMachines updates the machines' free resources and expected releases from the records.
 func (s *simulation) updateMachines() {
 	for _, m := range s.machines {
 		m.Free, m.Busy = s.l.Free(m.ClaimTarget()), nil
@@ -218,7 +218,7 @@
 	m.Free = s.l.Free(m.ClaimTarget())
 }
 
-// since returns when a claim was first seen.
+// since returns when a claim was first seen running.
 func (s *simulation) since(h ledger.HeldClaim) time.Time {
 	k := fmt.Sprint(h.Job.ID, h.Attempt)
 	if _, ok := s.started[k]; !ok {
@@ -227,7 +227,7 @@
 	return s.started[k]
 }
 
-// runOf returns how long a job's tasks run.
+// runOf returns the run time of a job's tasks.
 func (s *simulation) runOf(id wire.JobID) time.Duration {
 	for _, q := range s.queue {
 		if q.id == id {
@@ -237,35 +237,35 @@
 	return 0
 }
 
-// recordWait records how long a job waited once the last of its tasks begins.
+// recordWait records the waiting time of a job once its last task has started.
 func (s *simulation) recordWait(j *ledger.Job) {
 	if j.Pending() == 0 {
 		s.waits[j.Spec.Class] = append(s.waits[j.Spec.Class], s.now.Sub(j.Accepted.Time()))
 	}
 }
 
-// largeJobsCase is large work under smaller work of the same priority.
+// largeJobsCase is a mix of large and small jobs of the same priority.
 type largeJobsCase struct {
 	name         string
 	large, small wire.JobSpec
-	starves      bool // without the bound on waiting
+	starves      bool // without the waiting bound, large jobs wait longer than the bound
 }
 
-// largeWaits is how long the large jobs of a case waited.
+// largeWaits summarizes the waiting times of the large jobs.
 type largeWaits struct {
-	longest time.Duration
-	unbegun int // jobs that have not begun in the end
+	longest    time.Duration
+	notStarted int // jobs that have not started by the end
 }
 
-// exceeds reports whether a job waited longer than the bound.
-func (w largeWaits) exceeds(bound time.Duration) bool { return w.unbegun > 0 || w.longest > bound }
+// exceeds reports whether a job waited longer than the bound or did not start.
+func (w largeWaits) exceeds(bound time.Duration) bool { return w.notStarted > 0 || w.longest > bound }
 
-// run simulates the case for 700 seconds with two large jobs and a bound on waiting, if it is not 0.
+// run simulates 700 seconds with two large jobs and the given waiting bound; 0: none.
 func (tc *largeJobsCase) run(t *testing.T, bound time.Duration) largeWaits {
 	t.Helper()
 	s := newSimulation(t, 20, bound)
 	rng := rand.New(rand.NewPCG(3, 9))
-	// Small work comes for a tenth more than there is room for.
+	// Small jobs arrive at a rate that exceeds the capacity by a tenth.
 	room := 20.0 * 2 / tc.small.GPUs / 40
 	if tc.small.Team == "capped" {
 		room = 20 / tc.small.GPUs / 40
@@ -285,19 +285,19 @@
 		}
 		s.step()
 	}
-	w := largeWaits{unbegun: 2 - len(s.waits["large"])}
+	w := largeWaits{notStarted: 2 - len(s.waits["large"])}
 	for _, d := range s.waits["large"] {
 		w.longest = max(w.longest, d)
 	}
 	return w
 }
 
-// TestTheLargestBeginsWithinTheBound: under smaller work of the same priority that alone would
-// fill the cluster, the largest jobs begin within the bound on waiting: gangs of eight whole
-// machines, gangs in one zone, arrays that would take half of the cluster, a gang of a team whose
-// other jobs alone use all of its limit. Without the bound each kind waits far longer or for ever,
-// as once their objectives are missed they come behind every newcomer.
-func TestTheLargestBeginsWithinTheBound(t *testing.T) {
+// TestLargeJobsStartWithinWaitingBound verifies that the largest jobs start within the waiting
+// bound although smaller jobs of the same priority could fill the cluster: gangs of eight whole
+// machines, gangs in one zone, arrays that need half of the cluster, and a gang of a team whose
+// other jobs could use its whole quota. Without the bound, each kind waits far longer or forever,
+// because jobs that have missed their objectives are ordered after every newly submitted job.
+func TestLargeJobsStartWithinWaitingBound(t *testing.T) {
 	const bound = 240 * time.Second
 	for _, tc := range []largeJobsCase{
 		{
@@ -319,7 +319,7 @@
 			starves: true,
 		},
 		{
-			name:    "a team at its limit",
+			name:    "a team at its quota",
 			large:   wire.JobSpec{Shape: wire.Gang, Tasks: 8, GPUs: 2, Team: "capped"},
 			small:   wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2, Team: "capped"},
 			starves: true,
@@ -327,13 +327,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			with, without := tc.run(t, bound), tc.run(t, 0)
-			t.Logf("the large wait %v at the most with the bound (%d not begun), %v without (%d not begun after 500 s)",
-				with.longest, with.unbegun, without.longest, without.unbegun)
+			t.Logf("large jobs wait at most %v with the bound (%d not started), %v without (%d not started after 500 s)",
+				with.longest, with.notStarted, without.longest, without.notStarted)
 			if with.exceeds(bound) {
-				t.Errorf("waited %v, %d not begun; want at most %v", with.longest, with.unbegun, bound)
+				t.Errorf("large jobs waited up to %v, %d not started; want at most %v", with.longest, with.notStarted, bound)
 			}
 			if without.exceeds(bound) != tc.starves {
-				t.Errorf("without the bound %v, %d not begun: the case shows nothing", without.longest, without.unbegun)
+				t.Errorf("without the bound, large jobs waited up to %v, %d not started: the case does not exercise the bound",
+					without.longest, without.notStarted)
 			}
 		})
 	}
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -13,10 +13,10 @@
 	"maddermill/wire"
 )
 
-// victimsByMachine are what may be preempted on machines.
+// victimsByMachine lists the claims that may be preempted, by machine.
 type victimsByMachine map[wire.MachineID][]placement.Victim
 
-// newJob returns a job of its own records.
+// newJob returns a job in records of its own.
 func newJob(t *testing.T, spec wire.JobSpec) *ledger.Job {
 	t.Helper()
 	spec.Class, spec.Image, spec.Save = "c", "i", 2
@@ -26,7 +26,7 @@
 	return submit(t, newLedger(), &spec)
 }
 
-// gpuMachine returns a machine of four GPUs, some of them free.
+// gpuMachine returns a machine with four GPUs, of which the given number is free.
 func gpuMachine(id wire.MachineID, zone wire.Zone, free float64) *placement.Machine {
 	return &placement.Machine{
 		ID:     id,
@@ -39,15 +39,16 @@
 	}
 }
 
-// caching returns the machine with the image of newJob in its cache.
+// caching adds the image of newJob to the cache of a machine.
 func caching(m *placement.Machine) *placement.Machine {
 	m.Images.Use("i", 1)
 	return m
 }
 
-// TestEvict: lower work is preempted only when that truly makes room, the machine that caches the
-// image is chosen, and work of the same priority is not preempted.
-func TestEvict(t *testing.T) {
+// TestPlanEvictions verifies that claims of lower priority are preempted only if the job then fits,
+// that a machine with the image cached is preferred, and that claims of the same priority are not
+// preempted.
+func TestPlanEvictions(t *testing.T) {
 	high := newJob(t, wire.JobSpec{ID: "wk-000001", Shape: wire.Array, Priority: wire.High, Tasks: 1, GPUs: 4})
 	victim := func(p wire.Priority, saves bool) placement.Victim {
 		j := newJob(t, wire.JobSpec{ID: "wk-000002", Shape: wire.Array, Priority: p, Tasks: 1, GPUs: 2})
@@ -64,27 +65,27 @@
 		name      string
 		machines  machines
 		victims   victimsByMachine
-		emptied   map[wire.MachineID]wire.JobID // already, for jobs
+		reserved  map[wire.MachineID]wire.JobID // already being freed, for the given jobs
 		want      wire.MachineID
 		preempted int
 	}{
-		{"two lower tasks make room", machines{machine("m1", 0)},
+		{"two lower tasks are preempted", machines{machine("m1", 0)},
 			victimsByMachine{"m1": {normal(), normal()}}, nil, "m1", 2},
 		{"one is enough", machines{machine("m1", 2)},
 			victimsByMachine{"m1": {normal(), normal()}}, nil, "m1", 1},
-		{"it would not be enough", machines{machine("m1", 0)},
+		{"preemption would not free enough", machines{machine("m1", 0)},
 			victimsByMachine{"m1": {normal()}}, nil, "", 0},
 		{"the same priority", machines{machine("m1", 2)},
 			victimsByMachine{"m1": {victim(wire.High, true)}}, nil, "", 0},
-		{"much unsaved work", machines{machine("m1", 2)},
+		{"too much unsaved work", machines{machine("m1", 2)},
 			victimsByMachine{"m1": {victim(wire.Normal, false)}}, nil, "", 0},
 		{"the machine that caches the image", machines{machine("m1", 2), caching(machine("m2", 0))},
 			victimsByMachine{"m1": {normal()}, "m2": {normal(), normal()}}, nil, "m2", 2},
-		{"room and image elsewhere", machines{caching(machine("m1", 2)), caching(machine("m2", 4))},
+		{"fits on another machine with the image", machines{caching(machine("m1", 2)), caching(machine("m2", 4))},
 			victimsByMachine{"m1": {normal()}}, nil, "", 0},
-		{"room without the image elsewhere: only a machine that caches it", machines{machine("m1", 2), machine("m2", 4)},
+		{"fits elsewhere without the image: only machines with it may do", machines{machine("m1", 2), machine("m2", 4)},
 			victimsByMachine{"m1": {normal()}}, nil, "", 0},
-		{"one is being emptied already", machines{caching(machine("m1", 2)), caching(machine("m2", 2))},
+		{"a machine is already being freed", machines{caching(machine("m1", 2)), caching(machine("m2", 2))},
 			victimsByMachine{"m1": {normal()}}, map[wire.MachineID]wire.JobID{"m2": "wk-000001"}, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -92,25 +93,27 @@
 				Now:              start,
 				Queue:            []placement.Entry{{Job: high}},
 				Machines:         tc.machines,
-				HeadReservations: tc.emptied,
+				HeadReservations: tc.reserved,
 				TeamRoom:         unlimited,
 				Victims:          func(m *placement.Machine) []placement.Victim { return tc.victims[m.ID] },
 			})
 			switch {
 			case len(list) == 0 && tc.want != "":
-				t.Errorf("nothing is preempted, want %d on %s", tc.preempted, tc.want)
+				t.Errorf("nothing preempted, want %d on %s", tc.preempted, tc.want)
 			case len(list) > 0 && (list[0].Machine.ID != tc.want || len(list[0].Victims) != tc.preempted):
-				t.Errorf("%d preempted on %s, want %d on %q", len(list[0].Victims), list[0].Machine.ID, tc.preempted, tc.want)
+				t.Errorf("preempted %d claims on %s, want %d on %q",
+					len(list[0].Victims), list[0].Machine.ID, tc.preempted, tc.want)
 			}
 		})
 	}
 }
 
-// TestMakeRoom: machines are emptied for a gang only if that makes room for all of it, where the
-// least is lost, in one zone if it must be; not while room is being made for it, nor of work of its
-// own priority. With best-effort work on most machines gangs would otherwise find no room until
-// many machines happened to be free at once.
-func TestMakeRoom(t *testing.T) {
+// TestPlanPreemption verifies that claims are preempted for a gang only if the whole gang then
+// fits, on the machines with the least lost work, in one zone if required, and not while preemption
+// for the gang is in progress. Claims of the same priority are not preempted. If best-effort jobs
+// occupy most machines, a gang would otherwise not fit until many machines happen to be free at
+// once.
+func TestPlanPreemption(t *testing.T) {
 	victim := func(id wire.JobID, p wire.Priority) placement.Victim {
 		j := newJob(t, wire.JobSpec{ID: id, Shape: wire.Array, Priority: p, Tasks: 1, GPUs: 2})
 		return placement.Victim{Held: ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}}, Saves: true}
@@ -120,17 +123,17 @@
 	victims := victimsByMachine{"m1": {lower, lower}, "m2": {lower}, "m3": {same, lower}}
 	type counts map[wire.MachineID]int
 	for _, tc := range []struct {
-		name    string
-		tasks   int
-		oneZone bool
-		emptied map[wire.MachineID]wire.JobID // already, for jobs
-		want    counts
+		name     string
+		tasks    int
+		oneZone  bool
+		reserved map[wire.MachineID]wire.JobID // already being freed, for the given jobs
+		want     counts
 	}{
-		{"all of it has room, the least loss first", 3, false, nil, counts{"m2": 1, "m3": 2}},
-		{"more than can be made", 6, false, nil, nil},
+		{"the whole gang fits, least loss first", 3, false, nil, counts{"m2": 1, "m3": 2}},
+		{"more than preemption can free", 6, false, nil, nil},
 		{"in one zone", 3, true, nil, counts{"m2": 1, "m3": 2}},
-		{"more than one zone has", 4, true, nil, nil},
-		{"room is being made", 3, false, map[wire.MachineID]wire.JobID{"m1": "wk-000001"}, nil},
+		{"more than preemption can free in one zone", 4, true, nil, nil},
+		{"preemption is in progress", 3, false, map[wire.MachineID]wire.JobID{"m1": "wk-000001"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			gang := newJob(t, wire.JobSpec{
@@ -146,27 +149,27 @@
 				Now:              start,
 				Queue:            []placement.Entry{{Job: gang}},
 				Machines:         full,
-				HeadReservations: tc.emptied,
+				HeadReservations: tc.reserved,
 				TeamRoom:         unlimited,
 				Victims:          func(m *placement.Machine) []placement.Victim { return victims[m.ID] },
 			}) {
 				got[x.Machine.ID] = x.Tasks
 			}
 			if !maps.Equal(got, tc.want) {
-				t.Errorf("empties %v, want %v", got, tc.want)
+				t.Errorf("planned preemption %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// preemptionCase is a random queue beside machines on which lower work runs.
+// preemptionCase is a random queue, and machines that run claims of various priorities.
 type preemptionCase struct {
 	queue    []placement.Entry
 	machines []*placement.Machine
 	victims  victimsByMachine
 }
 
-// newPreemptionCase returns the case of a seed.
+// newPreemptionCase returns the test case for a seed.
 func newPreemptionCase(t *testing.T, seed uint64) preemptionCase {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -223,7 +226,8 @@
 	return c
 }
 
-// evict returns what Evict chooses: with shared, once for all jobs that are alike.
+// evict returns the evictions chosen by PlanEvictions. If shared is false, equivalent jobs do not
+// share evictions.
 func (c *preemptionCase) evict(shared bool) (out []string) {
 	s := &placement.Snapshot{
 		Now:              start,
@@ -234,7 +238,7 @@
 		Victims:          func(m *placement.Machine) []placement.Victim { return c.victims[m.ID] },
 	}
 	if !shared {
-		for i := range s.Queue { // an entry with machines to avoid shares nothing
+		for i := range s.Queue { // entries with machines to avoid share no evictions
 			s.Queue[i].Avoid = func(wire.MachineID) bool { return false }
 		}
 	}
@@ -244,14 +248,14 @@
 	return out
 }
 
-// TestAlikeJobsShareEvictions: what is chosen for a job does not depend on whether jobs that are
-// alike share the choice. Without sharing, a pass over 500 urgent jobs and 4,000 machines held up
-// all heartbeats for a second.
-func TestAlikeJobsShareEvictions(t *testing.T) {
+// TestEquivalentJobsShareEvictions verifies that sharing evictions between equivalent jobs does not
+// change the result. Without sharing, a pass over 500 urgent jobs and 4,000 machines delayed all
+// heartbeats by a second.
+func TestEquivalentJobsShareEvictions(t *testing.T) {
 	for seed := range uint64(300) {
 		c := newPreemptionCase(t, seed)
 		if got, want := c.evict(true), c.evict(false); !slices.Equal(got, want) {
-			t.Fatalf("seed %d: %v, each by itself %v", seed, got, want)
+			t.Fatalf("seed %d: evictions %v, without sharing %v", seed, got, want)
 		}
 	}
 }
--- a/internal/scheduler/placement/queue_order_test.go
+++ b/internal/scheduler/placement/queue_order_test.go
@@ -11,8 +11,9 @@
 	"maddermill/wire"
 )
 
-// TestOrderIsThePolicy compares Order with a sort by the criteria of the design, on random queues.
-func TestOrderIsThePolicy(t *testing.T) {
+// TestOrderMatchesPolicy compares Order with a sort by the criteria of the design, on random
+// queues.
+func TestOrderMatchesPolicy(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	now := time.Unix(1_800_000_000, 0)
 	less := func(a, b placement.Entry) bool {
@@ -50,13 +51,13 @@
 		placement.Order(queue)
 		for i := 1; i < len(queue); i++ {
 			if less(queue[i], queue[i-1]) {
-				t.Fatalf("%+v comes after %+v", queue[i], queue[i-1])
+				t.Fatalf("%+v is ordered after %+v", queue[i], queue[i-1])
 			}
 		}
 	}
 }
 
-// startMillis returns an entry's latest start, and a time after all others if it has none.
+// startMillis returns an entry's latest start, or a time after all others if it has none.
 func startMillis(e placement.Entry) int64 {
 	if e.LatestStart.IsZero() {
 		return 1 << 60
--- a/internal/scheduler/placement/single_tasks_test.go
+++ b/internal/scheduler/placement/single_tasks_test.go
@@ -12,9 +12,9 @@
 	"maddermill/wire"
 )
 
-// TestPathAgainstModel compares PlaceOnMachine with the model, which places task by task without
-// indexes, on random queues and machines.
-func TestPathAgainstModel(t *testing.T) {
+// TestPlaceOnMachineMatchesModel compares PlaceOnMachine with the reference model, which places
+// task by task without indexes, on random queues and machines.
+func TestPlaceOnMachineMatchesModel(t *testing.T) {
 	nonEmpty, reserved := 0, 0
 	for seed := uint64(1); seed <= 3000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -49,13 +49,13 @@
 			got[s.Job.ID] += s.Count
 		}
 		if !maps.Equal(got, want) {
-			t.Fatalf("seed %d: placed %v, the model %v", seed, got, want)
+			t.Fatalf("seed %d: placed %v, model placed %v", seed, got, want)
 		}
 		if len(got) > 0 {
 			nonEmpty++
 		}
 	}
 	if nonEmpty < 500 || reserved < 200 {
-		t.Errorf("only %d of 3000 cases place anything, %d reserve", nonEmpty, reserved)
+		t.Errorf("of 3000 cases, only %d place tasks and %d reserve capacity", nonEmpty, reserved)
 	}
 }
--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -15,7 +15,7 @@
 	"maddermill/wire"
 )
 
-// racks returns a topology of two zones with two switches of two racks each, and its racks.
+// racks returns a topology with two zones of two switches with two racks each, and the racks.
 func racks(tb testing.TB, settings string) (*topology.Tree, []topology.Block) {
 	tb.Helper()
 	var b strings.Builder
@@ -43,12 +43,12 @@
 	return tree, out
 }
 
-// largeLedger returns empty records with limits that large gangs fit in.
+// largeLedger returns empty records with size limits that are sufficient for large gangs.
 func largeLedger() *ledger.Ledger {
 	return ledger.New(ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: 64 << 10})
 }
 
-// gangSpec returns the description of a gang of so many tasks.
+// gangSpec returns the description of a gang with the given number of tasks.
 func gangSpec(id, tasks int) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID:       wire.JobID(fmt.Sprintf("wk-%06d", id)),
@@ -63,8 +63,8 @@
 	}
 }
 
-// rackSnapshot returns a snapshot of machines, eight a rack, with room for two tasks each. The part
-// full of them is used in part or in full.
+// rackSnapshot returns a snapshot with eight machines per rack, each with capacity for two tasks.
+// The fraction full of the machines is partly or fully used.
 func rackSnapshot(
 	tree *topology.Tree,
 	l *ledger.Ledger,
@@ -101,7 +101,7 @@
 	return v
 }
 
-// costOf returns what a gang costs where it was placed.
+// costOf returns the topology cost of a placed gang.
 func costOf(v *placement.Snapshot, g placement.GangStart) topology.Cost {
 	var on []topology.Block
 	var counts []int
@@ -111,9 +111,9 @@
 	return v.Tree.CostOf(on, counts)
 }
 
-// TestGangsSitClose: with a topology gangs cost a fraction of what they do without, on
-// machines that are partly full at random. The ratio is measured, and must be clear.
-func TestGangsSitClose(t *testing.T) {
+// TestTopologyPacksGangsClosely verifies that gangs placed with a topology cost at most half of
+// what they cost without one, on randomly filled machines.
+func TestTopologyPacksGangsClosely(t *testing.T) {
 	tree, blocks := racks(t, "closer_wait_s: 0")
 	rng := rand.New(rand.NewPCG(4, 4))
 	var near, without topology.Cost
@@ -142,15 +142,16 @@
 			}
 		}
 	}
-	t.Logf("%d gangs placed with a topology, %d without; cost %.3f of theirs",
+	t.Logf("%d gangs placed with a topology, %d without; cost ratio %.3f",
 		placed[0], placed[1], float64(near)/float64(without))
 	if placed[0] < placed[1] || near*2 > without {
-		t.Errorf("%d gangs at a cost of %d, without topology %d at %d", placed[0], near, placed[1], without)
+		t.Errorf("placed %d gangs at a cost of %d, without topology %d at a cost of %d", placed[0], near, placed[1], without)
 	}
 }
 
-// TestImageOrClosenessFirst: with images first a gang goes where its image is, however far
-// apart, and with closeness first where it sits close; either way it is placed.
+// TestImageOrClosenessFirst verifies that a gang goes to machines with its image if the topology
+// puts images first, however far apart they are, and to machines close together if it puts
+// closeness first. It is placed in both cases.
 func TestImageOrClosenessFirst(t *testing.T) {
 	for setting, close := range map[string]bool{
 		"first: IMAGE closer_wait_s: 0":     false,
@@ -161,28 +162,28 @@
 		v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 		for i, m := range v.Machines {
 			if i%8 == 0 {
-				m.Images.Use("i", 1) // one a rack
+				m.Images.Use("i", 1) // one per rack
 			}
 		}
 		v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
 		gangs := placement.PlaceGangs(v)
 		if len(gangs) != 1 {
-			t.Fatalf("%s: not placed", setting)
+			t.Fatalf("%s: gang not placed", setting)
 		}
 		near := true
 		for _, p := range gangs[0].Parts {
 			near = near && v.Machine(p.Target.Machine).Block == v.Machine(gangs[0].Parts[0].Target.Machine).Block
 		}
 		if near != close {
-			t.Errorf("%s: in one rack %v, at %v", setting, near, gangs[0].Parts)
+			t.Errorf("%s: all tasks in one rack: %v; placed at %v", setting, near, gangs[0].Parts)
 		}
 	}
 }
 
-// TestWaitForCloserIsBounded: a gang that would have to be split waits while a closer place
-// could come free, and then starts as close as it can; one for which no closer place
-// could ever be starts at once.
-func TestWaitForCloserIsBounded(t *testing.T) {
+// TestWaitForCloserPlacementIsBounded verifies that a gang that would have to be split waits while
+// a closer placement could become available, and then starts as close as possible. A gang for which
+// no closer placement can exist starts at once.
+func TestWaitForCloserPlacementIsBounded(t *testing.T) {
 	tree, blocks := racks(t, "closer_wait_s: 5")
 	for _, tc := range []struct {
 		tasks   int
@@ -194,7 +195,7 @@
 		if tc.tasks < 128 {
 			for i, m := range v.Machines {
 				if i%4 > 0 {
-					m.Free = ledger.Resources{} // two machines a rack are left, each with room for one
+					m.Free = ledger.Resources{} // two machines per rack have free capacity, each for one task
 				} else {
 					m.Free = ledger.NewResources(4, 0, 16)
 				}
@@ -204,7 +205,7 @@
 		if got := len(placement.PlaceGangs(v)) == 1; got != tc.placed {
 			t.Errorf("%d tasks after %v: placed %v", tc.tasks, tc.waiting, got)
 		}
-		// Nothing is stopped for a gang that has room and only waits for a closer place.
+		// No claims are preempted for a gang that fits and only waits for a closer placement.
 		low := gangSpec(2, 1)
 		low.Shape, low.Priority, low.Checkpoint = wire.Array, wire.BestEffort, 5
 		lower := submit(t, l, low)
@@ -212,20 +213,20 @@
 			return []placement.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2}}, Saves: true}}
 		}
 		if list := placement.PlanPreemption(v); !tc.placed && len(list) > 0 {
-			t.Errorf("%d tasks after %v: %d machines are emptied", tc.tasks, tc.waiting, len(list))
+			t.Errorf("%d tasks after %v: preemption planned on %d machines, want none", tc.tasks, tc.waiting, len(list))
 		}
 	}
 }
 
-// TestSingleTasksLeaveEmptyRacksToGangs: an empty machine among empty ones is left to gangs while a
-// partly used one will do, but not for long, not if none will do, and not if the others
-// of its rack are full.
+// TestSingleTasksLeaveEmptyRacksToGangs verifies that an empty machine among empty ones is kept for
+// gangs while a partly used one is suitable, but only for a limited time, only if one is suitable,
+// and only if other machines of its rack are empty.
 func TestSingleTasksLeaveEmptyRacksToGangs(t *testing.T) {
 	tree, blocks := racks(t, "")
 	for _, tc := range []struct {
 		name    string
 		partly  bool // one machine is partly used
-		alone   bool // the others of the rack are full
+		alone   bool // all other machines of the rack are full
 		waiting time.Duration
 		starts  int
 	}{
@@ -248,18 +249,18 @@
 		s.Shape = wire.Array
 		v.Queue = []placement.Entry{{Job: submit(t, l, s), Waiting: tc.waiting}}
 		if got := placement.PlaceOnMachine(v, v.Machines[0]); len(got) != tc.starts {
-			t.Errorf("%s: %d starts on an empty machine", tc.name, len(got))
+			t.Errorf("%s: %d starts on the empty machine", tc.name, len(got))
 		}
 		if tc.partly {
 			if got := placement.PlaceOnMachine(v, v.Machines[60]); len(got) != 1 {
-				t.Errorf("%s: %d starts on the used machine", tc.name, len(got))
+				t.Errorf("%s: %d starts on the partly used machine", tc.name, len(got))
 			}
 		}
 	}
 }
 
-// TestPreemptionPacksGangsClosely: machines are emptied for a gang where its tasks are closest
-// together, among machines that cost no more to empty than those chosen without a topology.
+// TestPreemptionPacksGangsClosely verifies that preemption for a gang chooses the machines closest
+// together among those whose loss does not exceed that of the machines chosen without a topology.
 func TestPreemptionPacksGangsClosely(t *testing.T) {
 	tree, blocks := racks(t, "")
 	l := largeLedger()
@@ -270,7 +271,7 @@
 	for i, m := range v.Machines {
 		m.Free = ledger.Resources{}
 		if i%3 != 0 && i/8 != 5 {
-			m.Usable = false // but for one rack that is whole, a third of the machines can be emptied
+			m.Usable = false // claims can be preempted on a third of the machines, and on all machines of one rack
 		}
 	}
 	v.Victims = func(m *placement.Machine) []placement.Victim {
@@ -284,17 +285,17 @@
 	for _, x := range list {
 		tasks += x.Tasks
 		if x.Machine.Block != blocks[5] {
-			t.Errorf("room is made on %s, apart from the rest", x.Machine.ID)
+			t.Errorf("preemption planned on %s, outside the rack that can hold the gang", x.Machine.ID)
 		}
 	}
 	if tasks != 16 {
-		t.Errorf("room for %d of 16 tasks", tasks)
+		t.Errorf("preemption planned for %d of 16 tasks", tasks)
 	}
 }
 
-// TestPolicyRanksMachines: among machines that are equally near to its image a gang goes where a
-// policy says, with a topology or without, and never further from its image for that. A policy
-// that says nothing changes nothing.
+// TestPolicyRanksMachines verifies that, among machines with the same rank of its image, a gang
+// goes where a policy prefers, with or without a topology, and never to a machine with a higher
+// image rank. A policy that returns no ranks changes nothing.
 func TestPolicyRanksMachines(t *testing.T) {
 	tree, blocks := racks(t, "closer_wait_s: 0 first: IMAGE")
 	for _, with := range []*topology.Tree{nil, tree} {
@@ -313,7 +314,7 @@
 			slices.Sort(out)
 			return strings.Join(out, " ")
 		}
-		byName := func(m *policy.Machines) []uint32 { // the last first
+		byName := func(m *policy.Machines) []uint32 { // the last name first
 			out := make([]uint32, len(m.List))
 			for i, x := range m.List {
 				out[i] = uint32('9' - m.Names[x.Name][len(m.Names[x.Name])-1])
@@ -321,11 +322,11 @@
 			return out
 		}
 		if got := on(byName); got != "host-0-5 host-0-6" {
-			t.Errorf("topology %v: on %s", with != nil, got)
+			t.Errorf("topology %v: placed on %s", with != nil, got)
 		}
-		silent := on(func(*policy.Machines) []uint32 { return nil })
-		if without := on(nil); silent != without || without != "host-0-2 host-0-3" {
-			t.Errorf("topology %v: on %s, without a policy on %s", with != nil, silent, without)
+		unranked := on(func(*policy.Machines) []uint32 { return nil })
+		if without := on(nil); unranked != without || without != "host-0-2 host-0-3" {
+			t.Errorf("topology %v: placed on %s, without a policy on %s", with != nil, unranked, without)
 		}
 	}
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -11,10 +11,10 @@
 	"maddermill/wire"
 )
 
-// TestEmptyingIsAskedOfTheHolder: the controller that a machine reports to empties it, once, when the
-// leader asks, and reserves the room; a request of another controller, or one that was made before a
-// process pause, is ignored.
-func TestEmptyingIsAskedOfTheHolder(t *testing.T) {
+// TestOnlyLeaderRequestsPreemption verifies that the controller that a machine reports to reserves
+// it and preempts on it, once, when the leader requests this. A request from another controller, or
+// one made before the process was paused, is ignored.
+func TestOnlyLeaderRequestsPreemption(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
 		name     string
@@ -31,7 +31,7 @@
 		p.Cache.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
 		p.Registry.Register(&wire.Heartbeat{Machine: "host-1"}, now)
 		j := controllertest.AddJob(p.Cache.Records(), 2, wire.Gang, 4)
-		ask := peer.Answer{
+		answer := peer.Answer{
 			AsOf: tc.asked,
 			Status: peer.Status{
 				Member: tc.from,
@@ -43,15 +43,15 @@
 		}
 		for range 2 {
 			p.Scheduler.ObservePreemptionReservations(
-				ask.Status.Member,
-				ask.Status.PreemptionReservations,
-				ask.AsOf,
+				answer.Status.Member,
+				answer.Status.PreemptionReservations,
+				answer.AsOf,
 				time.Now(),
 			)
 		}
 		reserved := p.Scheduler.Snapshot(time.Now()).HeadReservations
 		if job, ok := reserved["host-1"]; ok != tc.reserved || ok && job != j.ID || len(reserved) > 1 {
-			t.Errorf("%s: reserved %v for %q, want %v for %q", tc.name, ok, job, tc.reserved, j.ID)
+			t.Errorf("%s: machine reserved %v for %q, want %v for %q", tc.name, ok, job, tc.reserved, j.ID)
 		}
 	}
 }
--- a/internal/scheduler/quarantine_test.go
+++ b/internal/scheduler/quarantine_test.go
@@ -13,9 +13,9 @@
 	"maddermill/wire"
 )
 
-// TestQuarantineIsLimited: a machine that is judged faulty gets no work; when more of a type's machines
-// in a zone are judged so than the settings allow, all of them do, as then the judgement is more
-// likely wrong than the machines.
+// TestQuarantineIsLimited verifies that a machine considered faulty gets no tasks, unless more of a
+// type's machines in a zone are considered faulty than the settings allow. Then all of them get
+// tasks, because the detection is more likely to be wrong than the machines.
 func TestQuarantineIsLimited(t *testing.T) {
 	for _, faulty := range []int{1, 2, 3} {
 		p := controllertest.New(t, 0)
@@ -37,7 +37,7 @@
 			p.Registry.Register(r, now).Reconcile(r, nil, 1, now)
 		}
 		at := now.Add(-time.Hour)
-		for n := range 200 { // each job fails on the faulty machines and is done elsewhere
+		for n := range 200 { // each job fails on the faulty machines and completes elsewhere
 			j := controllertest.AddJob(records, n, wire.Array, 1)
 			at = at.Add(10 * time.Second)
 			for i := range faulty {
@@ -61,7 +61,7 @@
 			want = 20
 		}
 		if usable != want {
-			t.Errorf("%d judged faulty: %d machines of 20 get work, want %d", faulty, usable, want)
+			t.Errorf("%d faulty machines: %d of 20 usable, want %d", faulty, usable, want)
 		}
 	}
 }
--- a/internal/scheduler/snapshot_test.go
+++ b/internal/scheduler/snapshot_test.go
@@ -7,9 +7,9 @@
 	"maddermill/internal/testing/controllertest"
 )
 
-// TestSnapshotIntervalFollowsQuota: a snapshot that takes long to take is taken less often, so that
-// it uses no more than its part of the controller's share of a processor, but never too rarely for
-// placement; one of usual duration is taken each second.
+// TestSnapshotIntervalFollowsQuota verifies that snapshots that take long are taken less often, so
+// that they use no more than their part of the controller's CPU quota, but at least every five
+// seconds, and that a snapshot of typical duration is taken every second.
 func TestSnapshotIntervalFollowsQuota(t *testing.T) {
 	for _, tc := range []struct {
 		share      float64
@@ -23,7 +23,7 @@
 		p := controllertest.New(t, 0)
 		p.Set.Cluster.Quota.CPUShare = tc.share
 		if got := p.Scheduler.SnapshotInterval(tc.took).Truncate(time.Millisecond); got != tc.want {
-			t.Errorf("share %v, %v to take: the next after %v, want %v", tc.share, tc.took, got, tc.want)
+			t.Errorf("CPU share %v, snapshot duration %v: interval %v, want %v", tc.share, tc.took, got, tc.want)
 		}
 	}
 }
