--- a/internal/scheduler/placement/head_reservation.go
+++ b/internal/scheduler/placement/head_reservation.go
@@ -15,7 +15,8 @@
 func ReserveForHead(s *Snapshot, previous map[wire.MachineID]wire.JobID) map[wire.MachineID]wire.JobID {
 	for i := range s.Queue {
 		e := &s.Queue[i]
-		if need := e.Job.GangSize(); s.needsHeadReservation(e) && s.TeamRoom(e.Job, ledger.Resources{}, need) >= need {
+		if need := e.Job.GangSize(); s.needsHeadReservation(e) &&
+			s.TeamRoom(e.Job, ledger.Resources{}, need) >= need {
 			return s.headMachines(e, previous)
 		}
 	}
--- a/internal/scheduler/placement/helpers_test.go
+++ b/internal/scheduler/placement/helpers_test.go
@@ -71,7 +71,9 @@
 	}
 	m.Free = ledger.NewResources(float64(rng.IntN(9)), float64(rng.IntN(5)), 16)
 	if used := (ledger.Resources{CPU: m.Total.CPU - m.Free.CPU, GPU: m.Total.GPU - m.Free.GPU}); rng.IntN(2) == 0 {
-		m.Busy = []placement.ExpectedRelease{{Until: start.Add(time.Duration(rng.IntN(20)) * time.Second), Room: used}}
+		m.Busy = []placement.ExpectedRelease{
+			{Until: start.Add(time.Duration(rng.IntN(20)) * time.Second), Room: used},
+		}
 	}
 	for i := range 4 {
 		switch rng.IntN(4) {
--- a/internal/scheduler/placement/overdue_reservations.go
+++ b/internal/scheduler/placement/overdue_reservations.go
@@ -251,7 +251,10 @@
 		return out
 	}
 	// Sorting is cheap: a machine has few claims.
-	ends := slices.SortedFunc(slices.Values(m.Busy), func(a, b ExpectedRelease) int { return a.Until.Compare(b.Until) })
+	ends := slices.SortedFunc(
+		slices.Values(m.Busy),
+		func(a, b ExpectedRelease) int { return a.Until.Compare(b.Until) },
+	)
 	for _, b := range ends {
 		free = free.Add(b.Room, 1)
 		if at := b.Until; at.After(now) {
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -115,8 +115,9 @@
 func (s *simulation) step() {
 	s.now = s.now.Add(time.Second)
 	s.endTasks()
-	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.RemainingTeamQuota, Queue: s.pending(), Machines: s.machines,
-		Limits: placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
+	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.RemainingTeamQuota, Queue: s.pending(),
+		Machines: s.machines,
+		Limits:   placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
 	placement.Order(v.Queue)
 	s.updateMachines()
 	v.HeadReservations = placement.ReserveForHead(v, nil)
--- a/internal/scheduler/placement/single_tasks_test.go
+++ b/internal/scheduler/placement/single_tasks_test.go
@@ -21,11 +21,15 @@
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000,
 			TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(5, 3, 0)}})
 		v := &placement.Snapshot{
-			Now:              start,
-			Queue:            jobs(t, rng, l, 1+rng.IntN(8)),
-			TeamRoom:         l.RemainingTeamQuota,
-			FetchesInFlight:  rng.IntN(3),
-			Limits:           placement.Limits{ColdStarts: 2, FetchAssumed: time.Minute, DeferCold: 9 * time.Second},
+			Now:             start,
+			Queue:           jobs(t, rng, l, 1+rng.IntN(8)),
+			TeamRoom:        l.RemainingTeamQuota,
+			FetchesInFlight: rng.IntN(3),
+			Limits: placement.Limits{
+				ColdStarts:   2,
+				FetchAssumed: time.Minute,
+				DeferCold:    9 * time.Second,
+			},
 			HeadReservations: map[wire.MachineID]wire.JobID{},
 		}
 		for i := range 3 {
--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -76,7 +76,11 @@
 		Now:      start,
 		TeamRoom: l.RemainingTeamQuota,
 		Tree:     tree,
-		Limits:   placement.Limits{FetchAssumed: time.Minute, ColdStarts: 99, DeferCold: 9 * time.Second},
+		Limits: placement.Limits{
+			FetchAssumed: time.Minute,
+			ColdStarts:   99,
+			DeferCold:    9 * time.Second,
+		},
 	}
 	for i, b := range blocks {
 		for k := range 8 {
