--- a/cmd/maddermill/plugin.go
+++ b/cmd/maddermill/plugin.go
@@ -177,7 +177,7 @@
 			return err
 		}
 		printLine(w, policyInUse(record))
-		if record.Use != hash {
+		if record.Current != hash {
 			return errors.New("the change was not completed")
 		}
 		return nil
@@ -264,12 +264,12 @@
 		}
 		return hash.Short()
 	}
-	text := name(record.Use) + " is used"
+	text := name(record.Current) + " is used"
 	if record.Next != "" {
 		text += ", and " + name(record.Next) + " once every controller has it"
 	}
-	if record.Why != "" {
-		text += "; the last change was given up: " + record.Why
+	if record.Reason != "" {
+		text += "; the last change was given up: " + record.Reason
 	}
 	return text
 }
--- a/cmd/maddermill/promises.go
+++ b/cmd/maddermill/promises.go
@@ -112,12 +112,12 @@
 		format(gallery.Promises[len(gallery.Promises)-1].Date),
 		state,
 		format(gallery.Since),
-		gallery.Why,
+		gallery.Reason,
 	)
 	if !dates {
 		return
 	}
 	for _, p := range gallery.Promises {
-		printf(w, "  on %s\t\t%s\t\t\t%s\n", format(p.At), format(p.Date), p.Why)
+		printf(w, "  on %s\t\t%s\t\t\t%s\n", format(p.At), format(p.Date), p.Reason)
 	}
 }
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -184,17 +184,17 @@
 // newServer returns the server of users' and workers' requests.
 func newServer(core *controller.Controller, set *settings.Settings, log *slog.Logger, sockets int) *api.Server {
 	return &api.Server{
-		Jobs:       core.Jobs,
-		Heartbeats: core.Heartbeats,
-		Workflows:  core.Workflows,
-		Inspector:  core,
-		Duties:     core.Components.Status,
-		Metrics:    core.Stats.Text,
-		RetryAfter: set.Operators.RetryAfter,
-		Log:        log,
-		Shed:       func(kind string) { core.Stats.Add("shed_"+kind+"_total", 1) },
-		MaxUsers:   int(userShare * float64(sockets)),
-		MaxBusy:    max(32, sockets/8),
+		Jobs:            core.Jobs,
+		Heartbeats:      core.Heartbeats,
+		Workflows:       core.Workflows,
+		Inspector:       core,
+		ComponentStatus: core.Components.Status,
+		Metrics:         core.Stats.Text,
+		RetryAfter:      set.Operators.RetryAfter,
+		Log:             log,
+		OnShed:          func(kind string) { core.Stats.Add("shed_"+kind+"_total", 1) },
+		MaxUserConns:    int(userShare * float64(sockets)),
+		MaxUserRequests: max(32, sockets/8),
 	}
 }
 
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -13,22 +13,22 @@
 )
 
 var (
-	_ archiver.Host       = host{}
-	_ policymanager.Host  = host{}
+	_ archiver.Host       = hostAdapter{}
+	_ policymanager.Host  = hostAdapter{}
 	_ watchcache.Follower = cacheFollower{}
 )
 
-// host implements the Host interfaces of the archiver and the policy manager, which declare what they
+// hostAdapter implements the Host interfaces of the archiver and the policy manager, which declare what they
 // need from the controller. Read takes the cache's lock: a component must not call Read while it holds a
 // lock of its own that it also takes inside Read.
-type host struct{ c *Controller }
+type hostAdapter struct{ c *Controller }
 
 // Read calls f with the cached records while holding the cache's lock.
-func (h host) Read(f func(*ledger.Ledger)) { h.c.cache.Read(f) }
+func (h hostAdapter) Read(f func(*ledger.Ledger)) { h.c.cache.Read(f) }
 
 // Term returns the version of the leader record under which this controller is the leader, and false if
 // it is not the leader or has not synced with the state service within settings.StartContact.
-func (h host) Term() (term wire.Revision, leads bool) {
+func (h hostAdapter) Term() (term wire.Revision, leads bool) {
 	c := h.c
 	c.cache.Read(func(l *ledger.Ledger) {
 		var leader ledger.LeaderRecord
@@ -39,13 +39,13 @@
 }
 
 // Leading reports whether this controller is the leader; see Term.
-func (h host) Leading() bool {
+func (h hostAdapter) Leading() bool {
 	_, leads := h.Term()
 	return leads
 }
 
 // Others returns the policy modules that each of the other controllers has loaded.
-func (h host) Others() (others []policymanager.Controller) {
+func (h hostAdapter) Others() (others []policymanager.Controller) {
 	for _, o := range h.c.membership.Others(time.Now()) {
 		other := policymanager.Controller{Member: o.Member, Reachable: o.Peer != nil}
 		if o.Peer != nil {
@@ -58,7 +58,7 @@
 
 // AllRead reports whether every controller of the deployment runs a version that supports a format of the
 // records, according to the fencing token record, which each controller updates when it starts.
-func (h host) AllRead(format int) (all bool) {
+func (h hostAdapter) AllRead(format int) (all bool) {
 	members := []wire.MemberID{h.c.set.Member}
 	for _, p := range h.c.set.Peers {
 		members = append(members, p.Member)
@@ -71,10 +71,10 @@
 }
 
 // SpareCapacity returns how many changes a best-effort transaction may contain now.
-func (h host) SpareCapacity() int { return h.c.committer.SpareCapacity() }
+func (h hostAdapter) SpareCapacity() int { return h.c.committer.SpareCapacity() }
 
 // Commit executes a transaction and waits until the cache reflects its outcome.
-func (h host) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
+func (h hostAdapter) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	return h.c.committer.Commit(ctx, t)
 }
 
--- a/internal/controller/archive_fixtures_test.go
+++ b/internal/controller/archive_fixtures_test.go
@@ -27,7 +27,7 @@
 		}
 		items = append(items, wire.Item{Key: key, Value: b, Version: 1})
 	}
-	put(ledger.FormatKey, ledger.FormatRecord{Format: ledger.ArchiveFormat, Fresh: true})
+	put(ledger.FormatKey, ledger.FormatRecord{Format: ledger.ArchiveFormat, NoOlderWriters: true})
 	if archived == 0 {
 		return items
 	}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -239,7 +239,7 @@
 				t.Errorf("one controller doesn't support the format: got %+v and %d jobs archived, want format 0 and 0", f, n)
 			}
 			replace(2, newest)
-			if f, n := cluster.format(ctx), archived(); f.Format != ledger.NewestFormat || f.Fresh || n != 0 {
+			if f, n := cluster.format(ctx), archived(); f.Format != ledger.NewestFormat || f.NoOlderWriters || n != 0 {
 				t.Errorf(
 					"all support the format: got %+v and %d jobs archived, want format %d, not fresh, and 0",
 					f,
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -224,7 +224,7 @@
 	if cluster.archiving {
 		options := archiverOptions(c.set)
 		options.KeptJobs, options.SweepAfter, options.Settle = 0, 1, settlePeriod
-		c.archiver = archiver.New(host{c}, c.store, options, c.Stats, c.log)
+		c.archiver = archiver.New(hostAdapter{c}, c.store, options, c.Stats, c.log)
 	}
 	if cluster.stepData != nil {
 		c.Workflows.Set(cluster.stepData)
@@ -273,7 +273,7 @@
 	asked := time.Now()
 	wait.For(ctx, 3*time.Millisecond)
 	//nolint:contextcheck // as in the product, a merge has no context
-	c.mergeAnswer(peer.Answer{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
+	c.mergePeerStatus(peer.Answer{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
 }
 
 // restart starts a controller unless it is up.
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -49,7 +49,7 @@
 		Name: "peer " + string(p.Member),
 		Run: func(ctx context.Context) error {
 			probe := func() peer.Status { return c.probe(p.Member) }
-			peer.Ask(ctx, dialer, p.Addr, probe, probeInterval, c.mergeAnswer)
+			peer.Ask(ctx, dialer, p.Addr, probe, probeInterval, c.mergePeerStatus)
 			return ctx.Err()
 		},
 		HealthProblem: func(now time.Time) string {
@@ -77,7 +77,7 @@
 		supervise.Component{Name: "completions", Run: c.completionRecorder.Run},
 		supervise.Component{Name: "sweeper", Run: c.Heartbeats.CompleteFinishedJobs},
 		supervise.Component{Name: "dependencies", Run: func(ctx context.Context) error {
-			return c.Jobs.FollowDependencies(ctx, host{c}.Leading)
+			return c.Jobs.MaintainDependencies(ctx, hostAdapter{c}.Leading)
 		}},
 		supervise.Component{Name: "publisher", Run: func(ctx context.Context) error {
 			return c.membership.Publish(ctx, c.store, c.publishedStatus)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -70,10 +70,10 @@
 	TopologyTracker *topologytracker.Tracker
 	Deadlines       *deadlinetracker.Tracker
 
-	set   *settings.Settings
-	store kvstore.Store
-	log   *slog.Logger
-	boot  time.Time // when the process started
+	set       *settings.Settings
+	store     kvstore.Store
+	log       *slog.Logger
+	startedAt time.Time // when the process started
 
 	// State.
 	cache     *watchcache.Cache
@@ -99,7 +99,7 @@
 
 // New returns a controller. It reads no records and runs no components before Run.
 func New(set *settings.Settings, store kvstore.Store, log *slog.Logger) *Controller {
-	c := &Controller{set: set, store: store, log: log, Stats: metrics.New(), boot: time.Now()}
+	c := &Controller{set: set, store: store, log: log, Stats: metrics.New(), startedAt: time.Now()}
 	c.newState()
 	c.newMembership()
 	c.newFailureTracking()
@@ -157,15 +157,15 @@
 // workers that report to this controller, and the recorder that commits their completions.
 func (c *Controller) newCompletions() {
 	c.completions = completion.New(completion.Capacity(c.set.MemoryBytes() / completionMemoryDivisor))
-	c.completionExchange = completion.NewExchange(c.completions, c.boot, membershipOptions(c.set).Others)
+	c.completionExchange = completion.NewExchange(c.completions, c.startedAt, membershipOptions(c.set).Others)
 	c.registry = reconcile.NewRegistry(c.membership, c.completions)
 	c.completionRecorder = reconcile.NewRecorder(c.completions, c.cache, c.committer, Limits(c.set), c.Stats, c.log)
 }
 
 // newPoliciesAndArchiver creates the manager of policy modules and the archiver of finished jobs.
 func (c *Controller) newPoliciesAndArchiver() {
-	c.policies = policymanager.New(host{c}, c.store, c.set.Member, c.Stats, c.log)
-	c.archiver = archiver.New(host{c}, c.store, archiverOptions(c.set), c.Stats, c.log)
+	c.policies = policymanager.New(hostAdapter{c}, c.store, c.set.Member, c.Stats, c.log)
+	c.archiver = archiver.New(hostAdapter{c}, c.store, archiverOptions(c.set), c.Stats, c.log)
 }
 
 // newScheduling creates the topology tracker, the deadline tracker and the scheduler.
@@ -194,7 +194,7 @@
 	)
 	c.scheduler = scheduler.New(
 		c.set,
-		scheduler.Parts{
+		scheduler.Dependencies{
 			Cache:        c.cache,
 			Membership:   c.membership,
 			Registry:     c.registry,
@@ -214,7 +214,7 @@
 func (c *Controller) newServers() {
 	c.Heartbeats = server.NewHeartbeatServer(
 		c.set,
-		server.HeartbeatServerParts{
+		server.HeartbeatServerDeps{
 			Cache:       c.cache,
 			Committer:   c.committer,
 			Membership:  c.membership,
@@ -230,7 +230,7 @@
 	)
 	c.Jobs = server.NewJobServer(
 		c.set,
-		server.JobServerParts{
+		server.JobServerDeps{
 			Cache:     c.cache,
 			Committer: c.committer,
 			Policies:  c.policies,
@@ -287,12 +287,12 @@
 func Limits(set *settings.Settings) ledger.Limits {
 	state := set.StateLimits()
 	limits := ledger.Limits{
-		ValueBytes:      state.ValueBytes,
-		UsualValueBytes: set.CurrentStateLimits().ValueBytes,
-		TxnOps:          state.TxnOps,
-		TxnBytes:        kvstore.TxnBytes,
-		TeamMax:         map[wire.Team]ledger.Resources{},
-		ControllerCount: 1 + len(set.Peers),
+		ValueBytes:        state.ValueBytes,
+		CurrentValueBytes: set.CurrentStateLimits().ValueBytes,
+		TxnOps:            state.TxnOps,
+		TxnBytes:          kvstore.TxnBytes,
+		TeamMax:           map[wire.Team]ledger.Resources{},
+		ControllerCount:   1 + len(set.Peers),
 	}
 	for _, peer := range set.Peers {
 		if peer.Member < set.Member {
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -147,7 +147,7 @@
 	b.Helper()
 	c, fleet := newTestController(b), controllertest.NewFleet(machines)
 	fleet.Join(b, c.cache, c.membership, c.registry)
-	c.boot = time.Now().Add(-time.Hour)
+	c.startedAt = time.Now().Add(-time.Hour)
 	return &growthBench{c, fleet}
 }
 
@@ -207,7 +207,7 @@
 	snapshot := g.scheduler.Snapshot(time.Now())
 	b.ResetTimer()
 	for range b.N {
-		snapshot.Reserve()
+		snapshot.ReserveForPlaceableGangs()
 		placement.PlanPreemption(snapshot)
 	}
 }
@@ -285,7 +285,7 @@
 		})
 	}
 	for _, status := range fleet.Peers {
-		every(time.Second, 0, func() { c.mergeAnswer(peer.Answer{Status: status, AsOf: time.Now()}) })
+		every(time.Second, 0, func() { c.mergePeerStatus(peer.Answer{Status: status, AsOf: time.Now()}) })
 		every(time.Second, 500*time.Millisecond, func() { _, _ = cbor.Marshal(c.answerProbe(status)) })
 	}
 	for ready := false; !ready; {
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -173,7 +173,7 @@
 	}
 	g.checkBindings()
 	capped := l.Gallery("of-capped")
-	if capped == nil || len(capped.Promises) < 1 || capped.Promises[0].Why != "" {
+	if capped == nil || len(capped.Promises) < 1 || capped.Promises[0].Reason != "" {
 		g.t.Fatalf("seed %d: gallery of-capped: got %+v, want its first promise as it was made", g.seed, capped)
 	}
 	l.EachGallery(g.checkGallery)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -34,7 +34,7 @@
 	if c.membership.PeersReachStore(now) {
 		return false
 	}
-	lastContact := c.boot
+	lastContact := c.startedAt
 	for _, at := range []time.Time{syncedAt, c.membership.LastStatusAt()} {
 		if at.After(lastContact) {
 			lastContact = at
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -78,7 +78,7 @@
 			watchcache.SetStateForTest(t, c.cache, 0, own)
 			c.cache.Records().AdvanceRevision(7)
 			for _, answer := range tc.peers {
-				c.mergeAnswer(answer)
+				c.mergePeerStatus(answer)
 			}
 			got, ok := c.membership.CancellationsConfirmedUntil(7, now)
 			if !ok {
@@ -102,7 +102,7 @@
 		jobs := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
 		answer := withCancellations(peerAnswer("m-1", time.Now(), 90, true, 0), 0, true)
 		answer.Status.CancelledJobs, answer.Status.CancelledWorkflows = jobs[:2], []wire.WorkflowID{"wf-000001"}
-		c.mergeAnswer(answer)
+		c.mergePeerStatus(answer)
 		ctx := t.Context()
 		add := func(id wire.JobID, fields string) {
 			value := fmt.Appendf(nil, `{"spec":{"id":"%s","pieces":1},"at":1%s}`, id, fields)
@@ -144,16 +144,16 @@
 	// Controllers that crashed three times within seconds were removed by the balancer for up to a
 	// minute, since each failed a health check while it loaded the records.
 	check("while loading the records, no peer known to be better off", true)
-	c.mergeAnswer(peerAnswer("m-1", now, 0, true, 100*time.Millisecond))
+	c.mergePeerStatus(peerAnswer("m-1", now, 0, true, 100*time.Millisecond))
 	check("while loading the records, a peer is in sync", false)
 	watchcache.SetStateForTest(t, c.cache, 0, now)
 	check("in sync without a fencing token, which users don't need", true)
 	watchcache.SetStateForTest(t, c.cache, 1, now)
 	check("in sync", true)
 	watchcache.SetStateForTest(t, c.cache, c.cache.Token(), now.Add(-10*time.Second))
-	c.mergeAnswer(peerAnswer("m-1", now, 0, true, 10*time.Second))
+	c.mergePeerStatus(peerAnswer("m-1", now, 0, true, 10*time.Second))
 	check("in an outage for all", true)
-	c.mergeAnswer(peerAnswer("m-2", now, 0, true, 100*time.Millisecond))
+	c.mergePeerStatus(peerAnswer("m-2", now, 0, true, 100*time.Millisecond))
 	check("in an outage for this controller alone", false)
 }
 
@@ -181,7 +181,7 @@
 	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
 		t.Errorf("with no peer in sync: got %d, want 200", got.Status)
 	}
-	c.mergeAnswer(peerAnswer("m-1", time.Now(), 0, true, 100*time.Millisecond))
+	c.mergePeerStatus(peerAnswer("m-1", time.Now(), 0, true, 100*time.Millisecond))
 	heartbeat.Sequence = 2
 	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 421 || got.Redirect.ReportTo != "m-1" {
 		t.Errorf("with a peer in sync: got %d to %q, want 421 to m-1", got.Status, got.Redirect.ReportTo)
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -276,7 +276,7 @@
 		}
 		cluster.advance(90 * time.Second)
 		cluster.controller(0).cache.Read(func(l *ledger.Ledger) {
-			if _, onRecord := l.ArchivedState(jobID(0)); onRecord {
+			if _, onRecord := l.FinalRecordOf(jobID(0)); onRecord {
 				t.Error("got the first job still on record, want it archived")
 			}
 		})
@@ -310,7 +310,7 @@
 	for i := range cluster.size {
 		if c := cluster.controller(i); c != nil {
 			c.cache.Read(func(l *ledger.Ledger) {
-				final, over := l.ArchivedState(id)
+				final, over := l.FinalRecordOf(id)
 				done = done || over && final.State == ledger.Done
 			})
 			if _, archived := c.archiver.CachedFinal(id); archived {
--- a/internal/controller/policy_modules_test.go
+++ b/internal/controller/policy_modules_test.go
@@ -86,7 +86,7 @@
 		switch {
 		case err != nil:
 			continue
-		case record.Use == hash:
+		case record.Current == hash:
 			r.used++
 		default:
 			r.givenUp++
@@ -194,7 +194,7 @@
 func (o *policyOperator) mustUse(what string, hash wire.ModuleHash) ledger.PolicyRecord {
 	o.t.Helper()
 	record := o.use(hash)
-	if record.Use != hash {
+	if record.Current != hash {
 		o.t.Errorf("%s: got policy %+v, want it to use %q", what, record, hash)
 	}
 	return record
@@ -225,27 +225,27 @@
 		wait.For(ctx, 10*time.Second)
 		o := &policyOperator{t, ctx, cluster, cluster.catalog()}
 		one, two := o.load(plugintest.Identity, "one"), o.load(plugintest.Identity, "two")
-		if r := o.use(one); r.Use != "" || r.Why == "" {
+		if r := o.use(one); r.Current != "" || r.Reason == "" {
 			t.Errorf("a controller has plug-ins switched off: got policy %+v, want none and a reason", r)
 		}
 		cluster.crash(2)
 		wait.For(ctx, 5*time.Second)
-		if r := o.use(one); r.Use != "" || r.Why != "m-2 was not heard" {
+		if r := o.use(one); r.Current != "" || r.Reason != "m-2 was not heard" {
 			t.Errorf(`a controller is down: got policy %+v, want none, "m-2 was not heard"`, r)
 		}
 		withoutPlugins = ""
 		cluster.startController(ctx, 2)
 		wait.For(ctx, 5*time.Second)
 		o.mustUse("all controllers have it", one)
-		if r := o.mustUse("second module", two); r.Last != one {
-			t.Errorf("second module: got previous %q, want %q", r.Last, one)
+		if r := o.mustUse("second module", two); r.Previous != one {
+			t.Errorf("second module: got previous %q, want %q", r.Previous, one)
 		}
 		o.checkRollbackAndRemoval(one, two)
 		o.checkRefuser()
 		o.checkSignatures()
 		// The previous module may be removed, too; then there is none to roll back to.
 		o.mustRemove("the previous module", one)
-		if r, err := o.catalog.Wait(ctx); err != nil || r.Last != "" {
+		if r, err := o.catalog.Wait(ctx); err != nil || r.Previous != "" {
 			t.Errorf("previous module removed: got policy %+v, error %v; want no previous one", r, err)
 		}
 		if err := o.catalog.Rollback(ctx); !errors.Is(err, ledger.ErrNoPreviousPolicy) {
@@ -258,18 +258,18 @@
 // checkRollbackAndRemoval rolls back from the second module to the first, and removes the second.
 func (o *policyOperator) checkRollbackAndRemoval(one, two wire.ModuleHash) {
 	o.t.Helper()
-	if err := o.catalog.Remove(o.ctx, two); !errors.Is(err, ledger.ErrInUse) {
-		o.t.Errorf("remove the module in use: got error %v, want %v", err, ledger.ErrInUse)
+	if err := o.catalog.Remove(o.ctx, two); !errors.Is(err, ledger.ErrModuleInUse) {
+		o.t.Errorf("remove the module in use: got error %v, want %v", err, ledger.ErrModuleInUse)
 	}
 	if err := o.catalog.Rollback(o.ctx); err != nil {
 		o.t.Fatal(err)
 	}
-	if r, err := o.catalog.Wait(o.ctx); err != nil || r.Use != one {
+	if r, err := o.catalog.Wait(o.ctx); err != nil || r.Current != one {
 		o.t.Errorf("rollback: got policy %+v, error %v; want it to use %q", r, err, one)
 	}
 	o.mustUse("the built-in policy", "")
-	if r, _ := o.catalog.Wait(o.ctx); r.Last != one {
-		o.t.Errorf("the built-in policy: got previous %q, want %q", r.Last, one)
+	if r, _ := o.catalog.Wait(o.ctx); r.Previous != one {
+		o.t.Errorf("the built-in policy: got previous %q, want %q", r.Previous, one)
 	}
 	o.mustRemove("the second module", two)
 	if all, _, err := o.catalog.List(o.ctx); err != nil || len(all) != 1 || all[0].Hash != one || all[0].Name != "one" {
@@ -325,7 +325,7 @@
 		c.SetPlugins([]ed25519.PublicKey{public}, patientBounds, maxStarvation, policymanager.Initial{})
 	}
 	wait.For(o.ctx, 5*time.Second)
-	if r := o.use(o.load(plugintest.Identity, "unsigned")); r.Use != "" || !strings.Contains(r.Why, "not signed") {
+	if r := o.use(o.load(plugintest.Identity, "unsigned")); r.Current != "" || !strings.Contains(r.Reason, "not signed") {
 		o.t.Errorf(`unsigned module: got policy %+v, want none, "not signed"`, r)
 	}
 	code := plugintest.Module(plugintest.Identity, "signed")
@@ -342,7 +342,7 @@
 func (cluster *testCluster) waitForLeader(ctx context.Context) int {
 	for {
 		for i := range cluster.size {
-			if (host{cluster.controller(i)}).Leading() {
+			if (hostAdapter{cluster.controller(i)}).Leading() {
 				return i
 			}
 		}
@@ -378,12 +378,12 @@
 		}
 		// One controller is down for so long that the change is given up; it is begun again.
 		wait.For(ctx, 100*time.Second)
-		if r, err := catalog.Wait(ctx); err != nil || r.Use != "" || r.Why == "" {
+		if r, err := catalog.Wait(ctx); err != nil || r.Current != "" || r.Reason == "" {
 			t.Errorf("while a controller is down: got policy %+v, error %v; want none and a reason", r, err)
 		}
 		cluster.startController(ctx, leader)
 		wait.For(ctx, 6*time.Minute)
-		if r, err := catalog.Wait(ctx); err != nil || r.Use != plugin.HashOf(code) {
+		if r, err := catalog.Wait(ctx); err != nil || r.Current != plugin.HashOf(code) {
 			t.Errorf("after all are up: got policy %+v, error %v; want the initial module", r, err)
 		}
 		if err := catalog.Use(ctx, ""); err != nil {
@@ -394,7 +394,7 @@
 			cluster.startController(ctx, i)
 		}
 		wait.For(ctx, time.Minute)
-		if r, err := catalog.Wait(ctx); err != nil || r.Use != "" {
+		if r, err := catalog.Wait(ctx); err != nil || r.Current != "" {
 			t.Errorf("after operators chose the built-in policy: got policy %+v, error %v; want it to stay", r, err)
 		}
 		cluster.shutDown(cancel)
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -81,7 +81,7 @@
 	cluster.t.Helper()
 	l, archived := cluster.loadRecords()
 	for _, id := range archived {
-		_, known := l.ArchivedState(id)
+		_, known := l.FinalRecordOf(id)
 		onRecord, found := l.Job(id) != nil, cluster.filterPasses(l, id)
 		if known || onRecord || !found {
 			cluster.t.Errorf(
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -86,7 +86,7 @@
 	status := peer.Status{
 		Version:   peer.Version,
 		Member:    c.set.Member,
-		Boot:      c.boot.UnixMilli(),
+		Boot:      c.startedAt.UnixMilli(),
 		Revision:  records.Revision(),
 		Cancelled: records.LastCancel(),
 		ContactMS: math.MaxInt32,
@@ -136,7 +136,7 @@
 		machine.ReclaimMS = max(1, w.ReclaimAt.Sub(now).Milliseconds())
 	}
 	if images := c.registry.KnownImages(w); images != nil {
-		images.Fetches(now, c.set.Operators.FetchMark)
+		images.ActiveFetches(now, c.set.Operators.FetchMark)
 		machine.Images, machine.Fetching = images.Names(), images.ListFetching()
 	}
 	return machine
@@ -147,15 +147,15 @@
 	return ledger.Cancellations{Jobs: status.CancelledJobs, Workflows: status.CancelledWorkflows}
 }
 
-// mergeAnswer passes a peer's response to a probe to the components that use it.
-func (c *Controller) mergeAnswer(answer peer.Answer) {
+// mergePeerStatus passes a peer's response to a probe to the components that use it.
+func (c *Controller) mergePeerStatus(answer peer.Answer) {
 	status, asOf := &answer.Status, answer.AsOf
 	c.cache.Read(func(l *ledger.Ledger) {
 		l.MarkCancelling(cancellations(status))
 		now := time.Now()
 		c.completionExchange.Merge(
 			status,
-			c.Heartbeats.CompletionUnrecorded,
+			c.Heartbeats.MayLackCompletion,
 			!c.cache.SyncedWithin(now, settings.StartContact),
 			now,
 		)
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -207,7 +207,7 @@
 			status.Machines = append(status.Machines, machine)
 		}
 	})
-	c.mergeAnswer(peer.Answer{Status: status, AsOf: now})
+	c.mergePeerStatus(peer.Answer{Status: status, AsOf: now})
 	downAfter := func(seconds int) bool {
 		for range seconds {
 			now = now.Add(time.Second)
--- a/internal/controller/workflow_steps_test.go
+++ b/internal/controller/workflow_steps_test.go
@@ -273,8 +273,8 @@
 	add(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
 	victims := c.scheduler.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
-	if len(victims) != 2 || victims[0].Saves != victims[1].Saves || victims[0].Beyond != victims[1].Beyond ||
-		victims[0].Ran != victims[1].Ran {
+	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress || victims[0].OverGuarantee != victims[1].OverGuarantee ||
+		victims[0].RunTime != victims[1].RunTime {
 		t.Fatalf("victims: got %+v, want two alike", victims)
 	}
 	for priority, want := range map[wire.Priority]int{wire.High: 2, wire.Normal: 0} {
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -333,7 +333,7 @@
 		t.Fatal(err)
 	}
 	r.mustCommit(t, func(txn *ledger.Transaction) error {
-		_, err := txn.MoveWorkflow(r.Workflow(spec.ID), ledger.WorkflowCancelled, "")
+		_, err := txn.SetWorkflowState(r.Workflow(spec.ID), ledger.WorkflowCancelled, "")
 		return err
 	})
 	job := r.Job(workflow.JobOf(spec.ID, "s0", 0))
@@ -349,7 +349,7 @@
 	// A final state stays: no change makes a cancelled workflow active, done or failed.
 	for _, to := range []ledger.WorkflowState{ledger.WorkflowActive, ledger.WorkflowDone, ledger.WorkflowFailed} {
 		txn := r.NewTransaction()
-		got, err := txn.MoveWorkflow(r.Workflow(spec.ID), to, "")
+		got, err := txn.SetWorkflowState(r.Workflow(spec.ID), to, "")
 		if got != ledger.WorkflowCancelled || err != nil {
 			t.Errorf("cancelled workflow to %q: got %q, error %v; want %q, none", to, got, err, ledger.WorkflowCancelled)
 		}
--- a/internal/leader/autoscale/idle.go
+++ b/internal/leader/autoscale/idle.go
@@ -26,7 +26,7 @@
 		}
 	}
 	for option, machines := range reserves {
-		reserves[option] = placement.IdleReserve(machines)
+		reserves[option] = placement.IdleAcceleratorReserve(machines)
 	}
 	return reserves
 }
@@ -54,7 +54,7 @@
 	for _, b := range p.bins {
 		switch {
 		case b.machine.option() != option:
-		case b.hasTasks || len(b.machine.Busy) > 0:
+		case b.hasTasks || len(b.machine.ExpectedReleases) > 0:
 			inUse++
 		default:
 			idle++
--- a/internal/leader/autoscale/job_packing.go
+++ b/internal/leader/autoscale/job_packing.go
@@ -52,7 +52,7 @@
 	if boot := p.input.shortestBoot(entry.Job); entry.LatestStart.After(job.neededBy.Add(2 * boot)) {
 		job.neededBy, job.urgent = job.neededBy.Add(boot), false
 	}
-	job.releasedAt = job.neededBy.Add(entry.Expected)
+	job.releasedAt = job.neededBy.Add(entry.ExpectedRunTime)
 	return job
 }
 
@@ -81,7 +81,7 @@
 	if job.urgent && !m.caches(j.Spec.Image) && m.Fetching != "" && m.Fetching != j.Spec.Image {
 		return 0
 	}
-	tasks := m.freeAt(job.neededBy).Times(j.Need, job.unplaced)
+	tasks := m.freeAt(job.neededBy).CountFitting(j.Need, job.unplaced)
 	if j.Spec.Spread {
 		tasks = max(0, min(tasks, j.ZoneRoom(m.Zone)-job.placedPerZone[m.Zone]))
 	}
@@ -91,11 +91,11 @@
 // isEligible reports whether the job may run on a machine.
 func (job *jobPacking) isEligible(m *Machine) bool {
 	switch {
-	case !ledger.Allowed(job.entry.Job.Spec, m.Type, m.Zone, m.Spot):
+	case !ledger.PlacementAllowed(job.entry.Job.Spec, m.Type, m.Zone, m.Spot):
 		return false
 	case job.entry.AvoidSpot && m.Spot:
 		return false
-	case job.entry.Plain && m.Total.GPU > 0:
+	case job.entry.NeedsNoAccelerator && m.Total.GPU > 0:
 		return false
 	}
 	return job.zone == "" || m.Zone == job.zone
@@ -196,8 +196,8 @@
 // cheapestOfType is like cheapest, restricted to one machine type.
 func (job *jobPacking) cheapestOfType(machineType *wire.MachineType, zone wire.Zone) (best offer, found bool) {
 	j, in := job.entry.Job, job.input
-	tasks := resourcesOf(machineType).Times(j.Need, j.Spec.Tasks)
-	if tasks == 0 || job.entry.Plain && machineType.GPUs > 0 {
+	tasks := resourcesOf(machineType).CountFitting(j.Need, j.Spec.Tasks)
+	if tasks == 0 || job.entry.NeedsNoAccelerator && machineType.GPUs > 0 {
 		return offer{}, false
 	}
 	spotAllowed := in.Spot && machineType.SpotPrice > 0 && !job.entry.AvoidSpot
@@ -226,7 +226,7 @@
 	if j.Spec.Spread && j.ZoneRoom(option.Zone) <= job.placedPerZone[option.Zone] {
 		return false // without this check, a spread job waited forever for a second zone
 	}
-	return ledger.Allowed(j.Spec, option.Type, option.Zone, option.Spot) && !job.input.OutOfCapacity(option)
+	return ledger.PlacementAllowed(j.Spec, option.Type, option.Zone, option.Spot) && !job.input.OutOfCapacity(option)
 }
 
 // compareOffers compares two offers; the better one sorts first.
--- a/internal/leader/autoscale/packing.go
+++ b/internal/leader/autoscale/packing.go
@@ -111,7 +111,7 @@
 	j := entry.Job
 	placed := p.placedPerTeam[j.Spec.Team]
 	tasks := p.input.RemainingTeamQuota(j, placed, j.Pending())
-	if tasks <= 0 || p.input.Now.Before(entry.Retry) {
+	if tasks <= 0 || p.input.Now.Before(entry.RetryAt) {
 		return
 	}
 	p.placedPerTeam[j.Spec.Team] = placed.Add(j.Need, tasks)
--- a/internal/leader/autoscale/plan.go
+++ b/internal/leader/autoscale/plan.go
@@ -22,25 +22,25 @@
 
 // Machine is a machine of the cluster, in the leader's view.
 type Machine struct {
-	ID        wire.MachineID
-	Type      wire.MachineTypeName
-	Zone      wire.Zone
-	Spot      bool
-	Booting   bool // no heartbeat received yet
-	Usable    bool // it accepts tasks, or will once it is up
-	Total     ledger.Resources
-	Busy      []placement.ExpectedRelease // resources used by its tasks, and the expected time of their release
-	Caches    func(wire.Image) bool       // reports whether an image is cached; nil: none is known to be
-	Fetching  wire.Image                  // the image being fetched; "" means none
-	IdleSince time.Time                   // zero while it has claims
+	ID               wire.MachineID
+	Type             wire.MachineTypeName
+	Zone             wire.Zone
+	Spot             bool
+	Booting          bool // no heartbeat received yet
+	Usable           bool // it accepts tasks, or will once it is up
+	Total            ledger.Resources
+	ExpectedReleases []placement.ExpectedRelease // resources used by its tasks, and the expected time of their release
+	Caches           func(wire.Image) bool       // reports whether an image is cached; nil: none is known to be
+	Fetching         wire.Image                  // the image being fetched; "" means none
+	IdleSince        time.Time                   // zero while it has claims
 }
 
 // freeAt returns the resources that are expected to be free at a given time.
 func (m *Machine) freeAt(at time.Time) ledger.Resources {
 	free := m.Total
-	for _, release := range m.Busy {
-		if release.Until.After(at) {
-			free = free.Add(release.Room, -1)
+	for _, release := range m.ExpectedReleases {
+		if release.At.After(at) {
+			free = free.Add(release.Resources, -1)
 		}
 	}
 	return free
@@ -51,9 +51,9 @@
 
 // claim reserves resources for a number of tasks until their expected end.
 func (m *Machine) claim(need ledger.Resources, tasks int, until time.Time) {
-	m.Busy = append(m.Busy, placement.ExpectedRelease{
-		Until: until,
-		Room:  ledger.Resources{}.Add(need, tasks),
+	m.ExpectedReleases = append(m.ExpectedReleases, placement.ExpectedRelease{
+		At:        until,
+		Resources: ledger.Resources{}.Add(need, tasks),
 	})
 }
 
--- a/internal/leader/autoscale/plan_test.go
+++ b/internal/leader/autoscale/plan_test.go
@@ -300,7 +300,7 @@
 				}
 				switch {
 				case i < tc.busy:
-					m.Busy = []placement.ExpectedRelease{{Until: now.Add(time.Minute), Room: m.Total}}
+					m.ExpectedReleases = []placement.ExpectedRelease{{At: now.Add(time.Minute), Resources: m.Total}}
 				case i < tc.busy+tc.idle:
 					m.IdleSince = now
 				default:
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -40,7 +40,7 @@
 	}
 	for id, start := range t.gangStarts {
 		if !start.change.Pending() {
-			l.Scheduler.CountStarted(id, -start.tasks)
+			l.Scheduler.AdjustPlannedStarts(id, -start.tasks)
 			delete(t.gangStarts, id)
 		}
 	}
@@ -80,7 +80,7 @@
 			return txn.ClaimGang(job, parts)
 		},
 	}
-	l.Scheduler.CountStarted(id, tasks)
+	l.Scheduler.AdjustPlannedStarts(id, tasks)
 	t.gangStarts[id] = gangStart{change: change, tasks: tasks}
 	l.Committer.Enqueue(change)
 }
@@ -88,9 +88,9 @@
 // hasCapacity reports whether the chosen machines still have capacity for all parts of a gang: the
 // controllers that the machines report to may have placed other tasks there since. The caller holds the
 // cache's lock.
-func (l *Leader) hasCapacity(job *ledger.Job, parts []ledger.GangPart) bool {
+func (l *Leader) hasCapacity(job *ledger.Job, parts []ledger.GangAllocation) bool {
 	for _, part := range parts {
-		if l.records().Free(part.Target).Times(job.Need, part.Count) < part.Count {
+		if l.records().FreeResources(part.Target).CountFitting(job.Need, part.Count) < part.Count {
 			return false
 		}
 	}
@@ -114,6 +114,6 @@
 	t.leader.Cache.Lock()
 	defer t.leader.Cache.Unlock()
 	for id, start := range t.gangStarts {
-		t.leader.Scheduler.CountStarted(id, -start.tasks)
+		t.leader.Scheduler.AdjustPlannedStarts(id, -start.tasks)
 	}
 }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -93,7 +93,7 @@
 			t.observeHeartbeat(status, p.HeartbeatAt(status), p.Status.Member)
 		}
 	}
-	l.records().EachHolder(func(id wire.MachineID, held []ledger.HeldClaim) {
+	l.records().EachClaimedMachine(func(id wire.MachineID, held []ledger.HeldClaim) {
 		if t.machines[id] == nil {
 			// The machine has claims but has not sent a heartbeat to any controller in this term.
 			t.machines[id] = &machine{
--- a/internal/leader/scale_in.go
+++ b/internal/leader/scale_in.go
@@ -25,7 +25,7 @@
 	maps.DeleteFunc(t.claimReleases, func(_ wire.MachineID, changes []*committer.Change) bool {
 		return !slices.ContainsFunc(changes, (*committer.Change).Pending)
 	})
-	l.records().EachHolder(func(id wire.MachineID, held []ledger.HeldClaim) {
+	l.records().EachClaimedMachine(func(id wire.MachineID, held []ledger.HeldClaim) {
 		if t.terminationConfirmed(id) {
 			t.releaseClaims(id, held)
 		}
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -92,15 +92,15 @@
 			continue // can't be included in the plan while its resources are unknown
 		}
 		planned := autoscale.Machine{
-			ID:        id,
-			Type:      m.Type,
-			Zone:      m.Zone,
-			Spot:      m.Spot,
-			Booting:   m.booting(),
-			Usable:    t.isUsable(m, overdue, now),
-			Total:     ledger.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB),
-			Busy:      l.Scheduler.ExpectedReleases(id, now),
-			IdleSince: m.idleSince,
+			ID:               id,
+			Type:             m.Type,
+			Zone:             m.Zone,
+			Spot:             m.Spot,
+			Booting:          m.booting(),
+			Usable:           t.isUsable(m, overdue, now),
+			Total:            ledger.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB),
+			ExpectedReleases: l.Scheduler.ExpectedReleases(id, now),
+			IdleSince:        m.idleSince,
 		}
 		addImages(&planned, snapshot.Machine(id))
 		in.Machines = append(in.Machines, planned)
@@ -137,7 +137,7 @@
 }
 
 // maxIntents returns how many intents fit in the record of recent intents.
-func (t *term) maxIntents() int { return t.leader.set.StateLimits().ValueBytes / ledger.HireBytes }
+func (t *term) maxIntents() int { return t.leader.set.StateLimits().ValueBytes / ledger.IntentBytes }
 
 // pruneIntents removes the intents whose machines must be in the cloud's list by now, and the oldest ones if
 // there are more than fit in the record.
--- a/internal/plugin/catalog.go
+++ b/internal/plugin/catalog.go
@@ -132,7 +132,7 @@
 // Open reports whether no policy was ever chosen: there was no change, or the only one was given
 // up at least a time ago.
 func Open(r ledger.PolicyRecord, now time.Time, since time.Duration) bool {
-	givenUp := r.Use == "" && r.Last == "" && r.Next == "" && r.Why != ""
+	givenUp := r.Current == "" && r.Previous == "" && r.Next == "" && r.Reason != ""
 	return r == (ledger.PolicyRecord{}) || givenUp && now.Sub(r.At.Time()) >= since
 }
 
--- a/internal/plugin/policymanager/manager.go
+++ b/internal/plugin/policymanager/manager.go
@@ -156,7 +156,7 @@
 
 // inUse returns the module in use; nil if it is not loaded. It is called with m.mu held.
 func (m *Manager) inUse(record ledger.PolicyRecord) *plugin.Supervisor {
-	if loaded := m.modules[record.Use]; loaded != nil {
+	if loaded := m.modules[record.Current]; loaded != nil {
 		return loaded.supervisor
 	}
 	return nil
@@ -212,7 +212,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	supervisor := m.inUse(record)
-	return record.Use != "" && (supervisor == nil || supervisor.Suspended(now))
+	return record.Current != "" && (supervisor == nil || supervisor.Suspended(now))
 }
 
 // Modules lists the modules loaded here, to be shared with peers. It is called under the watch cache's lock.
@@ -236,12 +236,12 @@
 		wait.For(ctx, interval)
 		var record ledger.PolicyRecord
 		m.host.Read(func(records *ledger.Ledger) { record, _ = records.Policy() })
-		for _, hash := range []wire.ModuleHash{record.Use, record.Next} {
+		for _, hash := range []wire.ModuleHash{record.Current, record.Next} {
 			if m.mustLoad(hash, time.Now()) {
 				m.load(ctx, hash)
 			}
 		}
-		m.unloadExcept(ctx, func(hash wire.ModuleHash) bool { return hash == record.Use || hash == record.Next })
+		m.unloadExcept(ctx, func(hash wire.ModuleHash) bool { return hash == record.Current || hash == record.Next })
 		m.completeSwap(ctx, time.Now())
 		m.chooseInitial(ctx)
 	}
--- a/internal/scheduler/crashloop_test.go
+++ b/internal/scheduler/crashloop_test.go
@@ -134,11 +134,11 @@
 	backoff, last := time.Duration(0), c.now
 	for range 4 {
 		e := c.entry(last)
-		if !e.CrashLooping || e.Retry.Sub(last) <= backoff {
-			c.t.Fatalf("crash-looping %v, back-off %v, previously %v", e.CrashLooping, e.Retry.Sub(last), backoff)
+		if !e.CrashLooping || e.RetryAt.Sub(last) <= backoff {
+			c.t.Fatalf("crash-looping %v, back-off %v, previously %v", e.CrashLooping, e.RetryAt.Sub(last), backoff)
 		}
-		backoff = e.Retry.Sub(last)
-		last = e.Retry
+		backoff = e.RetryAt.Sub(last)
+		last = e.RetryAt
 		c.fail(c.failingJob, otherMachine, 0, last)
 	}
 	queue := c.queue(c.now)
@@ -175,14 +175,14 @@
 		Usable: true,
 		Total:  ledger.NewResources(8, 0, 0),
 		Free:   ledger.NewResources(8, 0, 0),
-		Images: placement.NewImages(10),
+		Images: placement.NewImageCache(10),
 	}
 	v := &placement.Snapshot{
-		Now:      last.Add(time.Hour),
-		Queue:    []placement.Entry{*c.entry(last)},
-		Limits:   placement.Limits{ColdStarts: 9},
-		Machines: []*placement.Machine{m},
-		TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+		Now:                last.Add(time.Hour),
+		Queue:              []placement.Entry{*c.entry(last)},
+		Limits:             placement.Limits{MaxColdStarts: 9},
+		Machines:           []*placement.Machine{m},
+		RemainingTeamQuota: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
 	}
 	if s := placement.PlaceOnMachine(v, m); len(s) != 1 || s[0].Count != 1 {
 		c.t.Errorf("starts of a crash-looping job with 20 tasks: %v, want one task", s)
--- a/internal/scheduler/deadlinetracker/keeper.go
+++ b/internal/scheduler/deadlinetracker/keeper.go
@@ -157,7 +157,7 @@
 
 // promise returns the promise of an entry as it is recorded now.
 func (p *pass) promise(entry *deadline.Entry) ledger.Promise {
-	return ledger.Promise{At: wire.UnixMillis(p.now.UnixMilli()), Date: dateOf(entry), Why: entry.Why}
+	return ledger.Promise{At: wire.UnixMillis(p.now.UnixMilli()), Date: dateOf(entry), Reason: entry.Why}
 }
 
 // openGallery records a gallery of the register.
@@ -183,8 +183,8 @@
 		if g == nil {
 			return ledger.ErrPreconditionFailed
 		}
-		err := txn.ChangeDate(g, promise, revision)
-		if errors.Is(err, ledger.ErrManyDates) && p.rejected[entry.Name] != revision {
+		err := txn.AddPromise(g, promise, revision)
+		if errors.Is(err, ledger.ErrDateLimit) && p.rejected[entry.Name] != revision {
 			p.rejected[entry.Name] = revision
 			p.log.Warn("date not changed", "gallery", entry.Name, "err", err)
 		}
@@ -266,7 +266,7 @@
 		if state == ledger.GalleryWithdrawn {
 			return txn.WithdrawGallery(g, why, at, revision)
 		}
-		return txn.MoveGallery(g, state, why, at)
+		return txn.SetGalleryState(g, state, why, at)
 	})
 }
 
--- a/internal/scheduler/deadlinetracker/tracker.go
+++ b/internal/scheduler/deadlinetracker/tracker.go
@@ -160,7 +160,7 @@
 		work.longest = max(work.longest, duration)
 		work.hasPending = work.hasPending || pending > 0
 		total := ledger.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
-		if perMachine := total.Times(j.Need, maxTasksPerMachine); perMachine > 0 {
+		if perMachine := total.CountFitting(j.Need, maxTasksPerMachine); perMachine > 0 {
 			work.machineSeconds += float64(pending+j.Claimed) / float64(perMachine) * duration.Seconds()
 		}
 		t.remaining[j.Gallery] = work
--- a/internal/scheduler/latest_start.go
+++ b/internal/scheduler/latest_start.go
@@ -22,7 +22,7 @@
 // startUrgency returns how urgently a job must start, as of now.
 func (s *Scheduler) startUrgency(e *placement.Entry, now time.Time) startUrgency {
 	j := e.Job
-	latest := s.latestStartForObjectives(j, e.OverGuarantee, e.Expected, now)
+	latest := s.latestStartForObjectives(j, e.OverGuarantee, e.ExpectedRunTime, now)
 	// A deadline that can no longer be met makes the job no more urgent.
 	if date, ok := s.deadlines.LatestStart(j); ok && date.After(now) && (latest.IsZero() || date.Before(latest)) {
 		latest = date
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -17,7 +17,7 @@
 // task.
 func (s *Scheduler) Usable(w *reconcile.Worker, now time.Time) bool {
 	_, known := s.records().MachineType(w.Type)
-	return known && w.Fresh && !w.Unreachable() && w.ReclaimAt.IsZero() && s.records().MachinePhase(w.ID) == "" &&
+	return known && w.TokenAccepted && !w.Unreachable() && w.ReclaimAt.IsZero() && s.records().MachinePhase(w.ID) == "" &&
 		!now.Before(w.CordonedUntil) &&
 		(s.quarantineSuspended[estimate.Kind{Type: w.Type, Zone: w.Zone}] || !s.failures.Faulty(s.records(), w.ID, now))
 }
@@ -56,13 +56,13 @@
 		Epoch:  o.Epoch,
 		Token:  o.Token,
 		Block:  block,
-		Images: placement.NewImages(machineType.CacheGB),
+		Images: placement.NewImageCache(machineType.CacheGB),
 		Usable: up && o.Usable,
 		Slow:   o.Slow,
 		Faulty: o.Faulty,
 	}
 	for _, name := range o.Images {
-		m.Images.Use(name, 0)
+		m.Images.RecordUse(name, 0)
 	}
 	for _, name := range o.Fetching {
 		m.Images.StartFetch(name, heartbeatAt)
@@ -75,9 +75,9 @@
 // records.
 func (s *Scheduler) refreshResources(m *placement.Machine, now time.Time) {
 	machineType, _ := s.records().MachineType(m.Type)
-	m.FetchGB, m.Busy = machineType.FetchGBps, s.ExpectedReleases(m.ID, now)
-	m.Total = s.records().Total(m.Type)
-	m.Free = s.records().Free(m.ClaimTarget())
+	m.FetchGBps, m.ExpectedReleases = machineType.FetchGBps, s.ExpectedReleases(m.ID, now)
+	m.Total = s.records().MachineTypeResources(m.Type)
+	m.Free = s.records().FreeResources(m.ClaimTarget())
 }
 
 // ExpectedReleases returns the resources held by the claims on a machine and when each is expected
@@ -86,8 +86,8 @@
 	var out []placement.ExpectedRelease
 	for _, h := range s.records().ClaimsOn(id) {
 		out = append(out, placement.ExpectedRelease{
-			Until: s.runTimes.Until(h, now),
-			Room:  ledger.Resources{}.Add(h.Job.Need, h.Count),
+			At:        s.runTimes.Until(h, now),
+			Resources: ledger.Resources{}.Add(h.Job.Need, h.Count),
 		})
 	}
 	return out
--- a/internal/scheduler/placement/accelerators.go
+++ b/internal/scheduler/placement/accelerators.go
@@ -18,9 +18,9 @@
 	minIdleReserve     = 2
 )
 
-// IdleReserve returns how many of the given number of machines with accelerators, of one type in
+// IdleAcceleratorReserve returns how many of the given number of machines with accelerators, of one type in
 // one zone, are kept idle for jobs that need accelerators.
-func IdleReserve(all int) int { return max(minIdleReserve, all/idleReserveDivisor) }
+func IdleAcceleratorReserve(all int) int { return max(minIdleReserve, all/idleReserveDivisor) }
 
 // RunsWithoutAccelerator reports whether a job needs no accelerator and may run on at least one
 // machine type without accelerators.
@@ -30,7 +30,7 @@
 	}
 	for _, t := range machineTypes {
 		if t.GPUs == 0 && ledger.NewResources(t.CPUs, t.GPUs, t.MemoryGB).Fits(j.Need) &&
-			ledger.Allowed(j.Spec, t.Name, "", false) {
+			ledger.PlacementAllowed(j.Spec, t.Name, "", false) {
 			return true
 		}
 	}
@@ -50,7 +50,7 @@
 // keepIdleForAccelerators reports whether an idle machine must be kept for jobs that need
 // accelerators, and not be given to an entry that needs none.
 func (s *Snapshot) keepIdleForAccelerators(e *Entry, m *Machine) bool {
-	return e.Plain && m.Total.GPU > 0 && m.Free == m.Total && s.idleSurplus()[typeInZone{m.Type, m.Zone}] <= 0
+	return e.NeedsNoAccelerator && m.Total.GPU > 0 && m.Free == m.Total && s.idleSurplus()[typeInZone{m.Type, m.Zone}] <= 0
 }
 
 // idleSurplus returns the surplus of idle machines with accelerators. The first call counts them;
@@ -72,7 +72,7 @@
 		}
 	}
 	for k, n := range all {
-		s.surplus[k] -= IdleReserve(n)
+		s.surplus[k] -= IdleAcceleratorReserve(n)
 	}
 	return s.surplus
 }
--- a/internal/scheduler/placement/accelerators_test.go
+++ b/internal/scheduler/placement/accelerators_test.go
@@ -39,10 +39,10 @@
 		all, cpu int  // machines with accelerators, and without
 	}{{true, 12, 9, 12, 0}, {true, 3, 0, 12, 0}, {false, 12, 12, 12, 0}, {true, 3, 2, 12, 2}} {
 		v := &Snapshot{
-			Now:      time.Now(),
-			Queue:    []Entry{{Job: j, Plain: tc.without && RunsWithoutAccelerator(j, machineTypes)}},
-			Limits:   Limits{MaxJobs: 48, ColdStarts: 100, FetchAssumed: time.Minute},
-			TeamRoom: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
+			Now:                time.Now(),
+			Queue:              []Entry{{Job: j, NeedsNoAccelerator: tc.without && RunsWithoutAccelerator(j, machineTypes)}},
+			Limits:             Limits{MaxJobs: 48, MaxColdStarts: 100, AssumedFetchTime: time.Minute},
+			RemainingTeamQuota: func(_ *ledger.Job, _ ledger.Resources, most int) int { return most },
 		}
 		machine := func(i int, typ wire.MachineTypeName, busy bool) {
 			f := machineTypes[typ]
@@ -51,10 +51,10 @@
 				Type:   typ,
 				Zone:   "a",
 				Usable: true,
-				Images: NewImages(100),
+				Images: NewImageCache(100),
 				Total:  ledger.NewResources(f.CPUs, f.GPUs, f.MemoryGB),
 			}
-			m.Images.Use("img", 1)
+			m.Images.RecordUse("img", 1)
 			if m.Free = m.Total; busy {
 				m.Free = ledger.Resources{}
 			}
--- a/internal/scheduler/placement/cost_test.go
+++ b/internal/scheduler/placement/cost_test.go
@@ -18,10 +18,10 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := newLedger()
 	v := &placement.Snapshot{
-		Now:      start,
-		TeamRoom: l.RemainingTeamQuota,
-		Limits:   placement.Limits{ColdStarts: 1 << 20, FetchAssumed: 60e9, DeferCold: 9e9},
-		Victims:  func(*placement.Machine) []placement.Victim { return nil },
+		Now:                start,
+		RemainingTeamQuota: l.RemainingTeamQuota,
+		Limits:             placement.Limits{MaxColdStarts: 1 << 20, AssumedFetchTime: 60e9, MaxColdStartDelay: 9e9},
+		Victims:            func(*placement.Machine) []placement.Victim { return nil },
 	}
 	for i := range waiting {
 		s := &wire.JobSpec{
@@ -46,17 +46,17 @@
 	placement.Order(v.Queue)
 	for i := range machines {
 		m := &placement.Machine{
-			ID:      wire.MachineID(fmt.Sprintf("host-%06d", i)),
-			Type:    "g",
-			Zone:    []wire.Zone{"a", "b", "c"}[i%3],
-			Usable:  true,
-			Total:   ledger.NewResources(8, 2, 16),
-			Images:  placement.NewImages(100),
-			FetchGB: 1,
-			Spot:    i%2 == 0,
+			ID:        wire.MachineID(fmt.Sprintf("host-%06d", i)),
+			Type:      "g",
+			Zone:      []wire.Zone{"a", "b", "c"}[i%3],
+			Usable:    true,
+			Total:     ledger.NewResources(8, 2, 16),
+			Images:    placement.NewImageCache(100),
+			FetchGBps: 1,
+			Spot:      i%2 == 0,
 		}
 		for range 6 {
-			m.Images.Use(wire.Image(fmt.Sprint("i", rng.IntN(40))), 5)
+			m.Images.RecordUse(wire.Image(fmt.Sprint("i", rng.IntN(40))), 5)
 		}
 		if i%100 == 0 {
 			m.Free = m.Total
@@ -112,7 +112,7 @@
 	for i, m := range v.Machines {
 		u := autoscale.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Usable: true, Total: m.Total}
 		if i%100 != 0 {
-			u.Busy = []placement.ExpectedRelease{{Until: start.Add(3600e9), Room: m.Total}}
+			u.ExpectedReleases = []placement.ExpectedRelease{{At: start.Add(3600e9), Resources: m.Total}}
 		}
 		in.Machines = append(in.Machines, u)
 	}
--- a/internal/scheduler/placement/eligibility.go
+++ b/internal/scheduler/placement/eligibility.go
@@ -33,7 +33,7 @@
 	if m.Spot && e.AvoidSpot {
 		return false
 	}
-	return e.pending() > 0 && !now.Before(e.Retry) && ledger.Allowed(j.Spec, m.Type, m.Zone, m.Spot) &&
+	return e.pending() > 0 && !now.Before(e.RetryAt) && ledger.PlacementAllowed(j.Spec, m.Type, m.Zone, m.Spot) &&
 		(e.Avoid == nil || !e.Avoid(m.ID))
 }
 
@@ -41,6 +41,6 @@
 func (s *Snapshot) WantedByGang(m *Machine) bool {
 	return slices.ContainsFunc(s.Queue, func(e Entry) bool {
 		return e.Job.GangSize() > 1 && e.pending() > 0 && m.Total.Fits(e.Job.Need) &&
-			ledger.Allowed(e.Job.Spec, m.Type, m.Zone, m.Spot)
+			ledger.PlacementAllowed(e.Job.Spec, m.Type, m.Zone, m.Spot)
 	})
 }
--- a/internal/scheduler/placement/entry.go
+++ b/internal/scheduler/placement/entry.go
@@ -10,26 +10,26 @@
 
 // Entry is a job with pending tasks in the queue.
 type Entry struct {
-	Job           *ledger.Job
-	OverGuarantee bool                      // the job exceeds its team's guarantee
-	Retry         time.Time                 // no task starts earlier, because of previous failures
-	Avoid         func(wire.MachineID) bool // machines on which the job has failed; nil: none
-	Waiting       time.Duration             // how long tasks have been pending
-	StartsPlanned *int                      // tasks decided to start but not yet recorded; nil: 0
-	BackedOff     int                       // pending tasks that are currently in back-off
-	CrashLooping  bool                      // the job fails on every machine, as far as is known
-	Overdue       bool                      // the job must start now to start within the waiting bound
-	AlmostOverdue bool                      // the job is overdue, was never started and has little time left
-	AvoidSpot     bool                      // the job allows spot machines but should not use them now
-	Plain         bool                      // the job needs no accelerator and may run on machines without any
+	Job                *ledger.Job
+	OverGuarantee      bool                      // the job exceeds its team's guarantee
+	RetryAt            time.Time                 // no task starts earlier, because of previous failures
+	Avoid              func(wire.MachineID) bool // machines on which the job has failed; nil: none
+	Waiting            time.Duration             // how long tasks have been pending
+	StartsPlanned      *int                      // tasks decided to start but not yet recorded; nil: 0
+	BackedOff          int                       // pending tasks that are currently in back-off
+	CrashLooping       bool                      // the job fails on every machine, as far as is known
+	Overdue            bool                      // the job must start now to start within the waiting bound
+	AlmostOverdue      bool                      // the job is overdue, was never started and has little time left
+	AvoidSpot          bool                      // the job allows spot machines but should not use them now
+	NeedsNoAccelerator bool                      // the job needs no accelerator and may run on machines without any
 
-	// Ahead is the part of the team's quota that is reserved for the team's overdue gangs earlier
+	// ReservedQuota is the part of the team's quota that is reserved for the team's overdue gangs earlier
 	// in the queue (ReserveTeamQuota).
-	Ahead         ledger.Resources
+	ReservedQuota ledger.Resources
 	reservesQuota bool // the job is included in ReservedQuota of the entries after it
 
-	Expected    time.Duration // expected run time of a task
-	LatestStart time.Time     // the latest start that meets the job's objectives; zero: none
+	ExpectedRunTime time.Duration // expected run time of a task
+	LatestStart     time.Time     // the latest start that meets the job's objectives; zero: none
 }
 
 // pending returns the number of tasks to place.
--- a/internal/scheduler/placement/gangs.go
+++ b/internal/scheduler/placement/gangs.go
@@ -11,7 +11,7 @@
 // GangStart is a decision to start a whole gang.
 type GangStart struct {
 	Entry *Entry
-	Parts []ledger.GangPart
+	Parts []ledger.GangAllocation
 }
 
 // gangPass is the state of one call of PlaceGangs.
@@ -57,7 +57,7 @@
 // returns false only if placing the gang requires machines of a higher rank.
 func (p *gangPass) tryStart(e *Entry, worst int) bool {
 	s, j := p.s, e.Job
-	if need := j.GangSize(); s.TeamRoom(j, p.teamUsage[j.Spec.Team].Add(e.Ahead, 1), need) < need {
+	if need := j.GangSize(); s.RemainingTeamQuota(j, p.teamUsage[j.Spec.Team].Add(e.ReservedQuota, 1), need) < need {
 		return true // blocked by the team's quota, not by machine capacity
 	}
 	if p.candidates == nil {
@@ -87,24 +87,24 @@
 
 // startableGang reports whether an entry is a gang of several tasks that could start now.
 func (e *Entry) startableGang(now time.Time) bool {
-	return e.Job.GangSize() > 1 && allTasksPending(e) && !now.Before(e.Retry)
+	return e.Job.GangSize() > 1 && allTasksPending(e) && !now.Before(e.RetryAt)
 }
 
-// Reserve records in PlannedGangTasks the placements of the gangs that fit now, until PlaceGangs
+// ReserveForPlaceableGangs records in PlannedGangTasks the placements of the gangs that fit now, until PlaceGangs
 // starts them. Without this, jobs of lower precedence would take the capacity task by task as
 // heartbeats arrive, and a gang would have to wait until enough machines happen to be free at once.
-func (s *Snapshot) Reserve() {
+func (s *Snapshot) ReserveForPlaceableGangs() {
 	placed := make(map[wire.MachineID]ledger.Resources, len(s.Machines))
-	s.Reserved, s.placeableGangs = map[wire.MachineID]map[wire.JobID]int{}, map[wire.JobID]bool{}
+	s.PlannedGangTasks, s.placeableGangs = map[wire.MachineID]map[wire.JobID]int{}, map[wire.JobID]bool{}
 	for _, g := range PlaceGangs(s) {
 		s.placeableGangs[g.Entry.Job.ID] = true
 		for _, p := range g.Parts {
 			m := s.Machine(p.Target.Machine)
 			placed[m.ID] = placed[m.ID].Add(g.Entry.Job.Need, p.Count)
-			if s.Reserved[m.ID] == nil {
-				s.Reserved[m.ID] = map[wire.JobID]int{}
+			if s.PlannedGangTasks[m.ID] == nil {
+				s.PlannedGangTasks[m.ID] = map[wire.JobID]int{}
 			}
-			s.Reserved[m.ID][g.Entry.Job.ID] += p.Count
+			s.PlannedGangTasks[m.ID][g.Entry.Job.ID] += p.Count
 		}
 	}
 	for id, r := range placed { // the resources stay free until the gangs start
@@ -126,7 +126,7 @@
 	for _, m := range s.Machines {
 		s.Examined++
 		if m.Usable && m.Free.Fits(least) {
-			m.Images.Fetches(s.Now, s.Limits.FetchAssumed)
+			m.Images.ActiveFetches(s.Now, s.Limits.AssumedFetchTime)
 			candidates = append(candidates, m)
 		}
 	}
@@ -174,7 +174,7 @@
 
 // gangPlacement assigns all tasks of a gang to machines.
 type gangPlacement struct {
-	parts []ledger.GangPart // nil: the gang does not fit
+	parts []ledger.GangAllocation // nil: the gang does not fit
 	// rank is the highest image rank among the machines: the slowest machine determines when the
 	// gang runs.
 	rank int
@@ -191,7 +191,7 @@
 	total := 0
 	for _, m := range candidates {
 		s.Examined++
-		room := m.Free.Times(j.Need, need)
+		room := m.Free.CountFitting(j.Need, need)
 		if room == 0 || !s.available(e, m) {
 			continue
 		}
@@ -244,7 +244,7 @@
 	for _, o := range options {
 		if n := tasks.assign(o.m.Zone, o.room); n > 0 {
 			p.rank = max(p.rank, o.rank)
-			p.parts = append(p.parts, ledger.GangPart{Target: o.m.ClaimTarget(), Count: n})
+			p.parts = append(p.parts, ledger.GangAllocation{Target: o.m.ClaimTarget(), Count: n})
 		}
 	}
 	if tasks.unassigned > 0 {
--- a/internal/scheduler/placement/gangs_test.go
+++ b/internal/scheduler/placement/gangs_test.go
@@ -33,7 +33,7 @@
 			Spread:   rng.IntN(3) == 0,
 		}
 		j := submit(t, l, s)
-		v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Queue: []placement.Entry{{Job: j}}}
+		v := &placement.Snapshot{Now: start, RemainingTeamQuota: l.RemainingTeamQuota, Queue: []placement.Entry{{Job: j}}}
 		for i := range 5 {
 			v.Machines = append(v.Machines, machine(rng, i))
 		}
@@ -51,7 +51,7 @@
 			t.Fatalf("seed %d: claim of %+v rejected: %v", seed, parts, err)
 		}
 		for _, p := range parts {
-			if free[p.Target.Machine].Times(j.Need, 100) < p.Count {
+			if free[p.Target.Machine].CountFitting(j.Need, 100) < p.Count {
 				t.Fatalf("seed %d: %d tasks do not fit on %s", seed, p.Count, p.Target.Machine)
 			}
 		}
@@ -79,21 +79,21 @@
 			Image:    "i1",
 		}
 		j := submit(t, l, s)
-		v := &placement.Snapshot{Now: start, TeamRoom: l.RemainingTeamQuota, Queue: []placement.Entry{{Job: j}}}
+		v := &placement.Snapshot{Now: start, RemainingTeamQuota: l.RemainingTeamQuota, Queue: []placement.Entry{{Job: j}}}
 		for i := range 2 + others {
 			m := &placement.Machine{
-				ID:      wire.MachineID(fmt.Sprint("host-", i)),
-				Type:    "g",
-				Zone:    "a",
-				Total:   ledger.NewResources(8, 4, 16),
-				Free:    ledger.NewResources(8, 4, 16),
-				Images:  placement.NewImages(100),
-				Usable:  true,
-				FetchGB: 1,
-				Overdue: i < 2,
+				ID:        wire.MachineID(fmt.Sprint("host-", i)),
+				Type:      "g",
+				Zone:      "a",
+				Total:     ledger.NewResources(8, 4, 16),
+				Free:      ledger.NewResources(8, 4, 16),
+				Images:    placement.NewImageCache(100),
+				Usable:    true,
+				FetchGBps: 1,
+				Overdue:   i < 2,
 			}
 			if m.Overdue {
-				m.Images.Use("i1", 5)
+				m.Images.RecordUse("i1", 5)
 			}
 			v.Machines = append(v.Machines, m)
 		}
--- a/internal/scheduler/placement/head_reservation.go
+++ b/internal/scheduler/placement/head_reservation.go
@@ -16,7 +16,7 @@
 	for i := range s.Queue {
 		e := &s.Queue[i]
 		if need := e.Job.GangSize(); s.needsHeadReservation(e) &&
-			s.TeamRoom(e.Job, ledger.Resources{}, need) >= need {
+			s.RemainingTeamQuota(e.Job, ledger.Resources{}, need) >= need {
 			return s.headMachines(e, previous)
 		}
 	}
@@ -27,7 +27,7 @@
 // machines reserved for it at the head of the queue.
 func (s *Snapshot) needsHeadReservation(e *Entry) bool {
 	return e.Job.Spec.Shape == wire.Gang && e.Job.Pending() > 0 && !e.CrashLooping &&
-		e.Waiting >= s.Limits.ReserveAfter && !s.Now.Before(e.Retry)
+		e.Waiting >= s.Limits.ReserveAfter && !s.Now.Before(e.RetryAt)
 }
 
 // headMachines chooses machines that could hold a gang, least used first.
@@ -56,7 +56,7 @@
 			break
 		}
 		out[m.ID] = j.ID
-		need -= m.Total.Times(j.Need, need)
+		need -= m.Total.CountFitting(j.Need, need)
 	}
 	return out
 }
--- a/internal/scheduler/placement/helpers_test.go
+++ b/internal/scheduler/placement/helpers_test.go
@@ -48,7 +48,7 @@
 				StartsPlanned: &planned,
 				Waiting:       time.Duration(rng.IntN(20)) * time.Second,
 				LatestStart:   start.Add(time.Duration(rng.IntN(30)) * time.Second),
-				Retry:         start.Add(time.Duration(rng.IntN(8)-6) * time.Second),
+				RetryAt:       start.Add(time.Duration(rng.IntN(8)-6) * time.Second),
 				Overdue:       rng.IntN(4) == 0,
 			},
 		)
@@ -60,25 +60,25 @@
 // machine returns a random machine.
 func machine(rng *rand.Rand, id int) *placement.Machine {
 	m := &placement.Machine{
-		ID:      wire.MachineID(fmt.Sprint("host-", id)),
-		Type:    "g",
-		Zone:    []wire.Zone{"a", "b"}[rng.IntN(2)],
-		Spot:    rng.IntN(2) == 0,
-		Total:   ledger.NewResources(8, 4, 16),
-		Images:  placement.NewImages(100),
-		Usable:  rng.IntN(5) > 0,
-		FetchGB: 1,
+		ID:        wire.MachineID(fmt.Sprint("host-", id)),
+		Type:      "g",
+		Zone:      []wire.Zone{"a", "b"}[rng.IntN(2)],
+		Spot:      rng.IntN(2) == 0,
+		Total:     ledger.NewResources(8, 4, 16),
+		Images:    placement.NewImageCache(100),
+		Usable:    rng.IntN(5) > 0,
+		FetchGBps: 1,
 	}
 	m.Free = ledger.NewResources(float64(rng.IntN(9)), float64(rng.IntN(5)), 16)
 	if used := (ledger.Resources{CPU: m.Total.CPU - m.Free.CPU, GPU: m.Total.GPU - m.Free.GPU}); rng.IntN(2) == 0 {
-		m.Busy = []placement.ExpectedRelease{
-			{Until: start.Add(time.Duration(rng.IntN(20)) * time.Second), Room: used},
+		m.ExpectedReleases = []placement.ExpectedRelease{
+			{At: start.Add(time.Duration(rng.IntN(20)) * time.Second), Resources: used},
 		}
 	}
 	for i := range 4 {
 		switch rng.IntN(4) {
 		case 0:
-			m.Images.Use(wire.Image(fmt.Sprint("i", i)), 5)
+			m.Images.RecordUse(wire.Image(fmt.Sprint("i", i)), 5)
 		case 1:
 			if rng.IntN(3) == 0 {
 				m.Images.StartFetch(wire.Image(fmt.Sprint("i", i)), start.Add(-time.Duration(rng.IntN(90))*time.Second))
--- a/internal/scheduler/placement/images.go
+++ b/internal/scheduler/placement/images.go
@@ -8,8 +8,8 @@
 	"maddermill/wire"
 )
 
-// Images is an estimate of one machine's image cache and of the image fetches in progress there.
-type Images struct {
+// ImageCache is an estimate of one machine's image cache and of the image fetches in progress there.
+type ImageCache struct {
 	capacity float64                  // GB
 	cached   []cachedImage            // least recently used first
 	fetching map[wire.Image]time.Time // when each fetch was last known to be in progress
@@ -21,20 +21,20 @@
 	gb   float64
 }
 
-// NewImages returns an empty cache with the given capacity.
-func NewImages(capacityGB float64) *Images {
-	return &Images{capacity: capacityGB, fetching: map[wire.Image]time.Time{}}
+// NewImageCache returns an empty cache with the given capacity.
+func NewImageCache(capacityGB float64) *ImageCache {
+	return &ImageCache{capacity: capacityGB, fetching: map[wire.Image]time.Time{}}
 }
 
 // Has reports whether the image is cached, as far as is known.
-func (i *Images) Has(name wire.Image) bool {
+func (i *ImageCache) Has(name wire.Image) bool {
 	return slices.ContainsFunc(i.cached, func(c cachedImage) bool { return c.name == name })
 }
 
-// Use records that a task has finished fetching an image of gb gigabytes. The image becomes the
+// RecordUse records that a task has finished fetching an image of gb gigabytes. The image becomes the
 // most recently used one, and the least recently used images are evicted while the cache exceeds
 // its capacity.
-func (i *Images) Use(name wire.Image, gb float64) {
+func (i *ImageCache) RecordUse(name wire.Image, gb float64) {
 	delete(i.fetching, name)
 	i.cached = slices.DeleteFunc(i.cached, func(c cachedImage) bool { return c.name == name })
 	i.cached = append(i.cached, cachedImage{name, gb})
@@ -49,16 +49,16 @@
 }
 
 // StartFetch records that the image is being fetched.
-func (i *Images) StartFetch(name wire.Image, now time.Time) { i.fetching[name] = now }
+func (i *ImageCache) StartFetch(name wire.Image, now time.Time) { i.fetching[name] = now }
 
 // IsFetching reports whether the image is being fetched, as far as is known.
-func (i *Images) IsFetching(name wire.Image) bool {
+func (i *ImageCache) IsFetching(name wire.Image) bool {
 	_, ok := i.fetching[name]
 	return ok
 }
 
 // ListFetching lists the images being fetched.
-func (i *Images) ListFetching() []wire.Image { return slices.Sorted(maps.Keys(i.fetching)) }
+func (i *ImageCache) ListFetching() []wire.Image { return slices.Sorted(maps.Keys(i.fetching)) }
 
 // Ranks of an image on a machine. The lower the rank, the sooner a task with the image can run.
 const (
@@ -69,7 +69,7 @@
 )
 
 // rank returns the rank of an image: rankCached, rankFetching or rankAbsent.
-func (i *Images) rank(name wire.Image) int {
+func (i *ImageCache) rank(name wire.Image) int {
 	switch {
 	case i.Has(name):
 		return rankCached
@@ -79,9 +79,9 @@
 	return rankAbsent
 }
 
-// Fetches discards fetches that were last known to be in progress more than age ago, and returns
+// ActiveFetches discards fetches that were last known to be in progress more than age ago, and returns
 // the number of the others.
-func (i *Images) Fetches(now time.Time, age time.Duration) int {
+func (i *ImageCache) ActiveFetches(now time.Time, age time.Duration) int {
 	for name, since := range i.fetching {
 		if now.Sub(since) > age {
 			delete(i.fetching, name)
@@ -91,7 +91,7 @@
 }
 
 // Names lists the cached images, least recently used first.
-func (i *Images) Names() []wire.Image {
+func (i *ImageCache) Names() []wire.Image {
 	names := make([]wire.Image, len(i.cached))
 	for k, c := range i.cached {
 		names[k] = c.name
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -10,11 +10,11 @@
 
 // Limits are limits of placement, derived from the settings.
 type Limits struct {
-	ColdStarts   int           // maximum image fetches in progress on one controller's machines
-	FetchAssumed time.Duration // how long a start counts as fetching without confirmation by a heartbeat
-	ReserveAfter time.Duration // how long a gang waits before capacity is reserved for it
-	MaxJobs      int           // maximum jobs that one call of PlaceOnMachine starts tasks of; 0: unlimited
-	DeferCold    time.Duration // how long a task waits for a machine that has its image cached
+	MaxColdStarts     int           // maximum image fetches in progress on one controller's machines
+	AssumedFetchTime  time.Duration // how long a start counts as fetching without confirmation by a heartbeat
+	ReserveAfter      time.Duration // how long a gang waits before capacity is reserved for it
+	MaxJobs           int           // maximum jobs that one call of PlaceOnMachine starts tasks of; 0: unlimited
+	MaxColdStartDelay time.Duration // how long a task waits for a machine that has its image cached
 }
 
 // Machine is the state of a machine in a snapshot.
@@ -27,11 +27,11 @@
 	Epoch wire.AgentEpoch
 	Token wire.FencingToken // of the controller that the machine reports to
 
-	Total   ledger.Resources
-	Free    ledger.Resources
-	Busy    []ExpectedRelease // resources held by its claims
-	Images  *Images
-	FetchGB float64 // image fetch rate in GB/s; 0: unknown
+	Total            ledger.Resources
+	Free             ledger.Resources
+	ExpectedReleases []ExpectedRelease // resources held by its claims
+	Images           *ImageCache
+	FetchGBps        float64 // image fetch rate in GB/s; 0: unknown
 
 	Usable  bool // may be assigned tasks
 	Owned   bool // reports to this controller
@@ -43,8 +43,8 @@
 // ExpectedRelease describes resources held by claimed tasks and when they are expected to be
 // released.
 type ExpectedRelease struct {
-	Until time.Time
-	Room  ledger.Resources
+	At        time.Time
+	Resources ledger.Resources
 }
 
 // ClaimTarget identifies the machine in claims.
--- a/internal/scheduler/placement/machine_ranks.go
+++ b/internal/scheduler/placement/machine_ranks.go
@@ -57,7 +57,7 @@
 			Block:    uint32(m.Block),
 			Images:   uint32(len(m.Images.cached)),
 			Fetching: uint32(len(m.Images.fetching)),
-			Claims:   uint32(len(m.Busy)),
+			Claims:   uint32(len(m.ExpectedReleases)),
 			FreeCPU:  m.Free.CPU,
 			FreeGPU:  m.Free.GPU,
 			FreeRAM:  m.Free.Memory,
@@ -69,9 +69,9 @@
 			x.Spot = 1
 		}
 		var until time.Time
-		for i := range m.Busy {
-			if m.Busy[i].Until.After(until) {
-				until = m.Busy[i].Until
+		for i := range m.ExpectedReleases {
+			if m.ExpectedReleases[i].At.After(until) {
+				until = m.ExpectedReleases[i].At
 			}
 		}
 		if !until.IsZero() {
--- a/internal/scheduler/placement/overdue.go
+++ b/internal/scheduler/placement/overdue.go
@@ -53,7 +53,7 @@
 	if len(machines) == 0 {
 		return
 	}
-	onDemand, rate := map[wire.MachineTypeName]int{}, machines[0].FetchGB
+	onDemand, rate := map[wire.MachineTypeName]int{}, machines[0].FetchGBps
 	for _, m := range machines {
 		if m.Usable && !m.Spot {
 			onDemand[m.Type]++
@@ -76,7 +76,7 @@
 		if e.Overdue || e.Job.Attempt() > 0 {
 			limit = maxReclaimsRestarted
 		}
-		hours := (FetchTime(spec.ImageGB, rate) + e.Expected).Hours()
+		hours := (FetchTime(spec.ImageGB, rate) + e.ExpectedRunTime).Hours()
 		e.AvoidSpot = usable >= minOnDemandPerTask*tasks && float64(tasks)*reclaimsPerHour*hours > limit
 	}
 }
--- a/internal/scheduler/placement/overdue_reservations.go
+++ b/internal/scheduler/placement/overdue_reservations.go
@@ -66,9 +66,9 @@
 	for i := range s.Queue {
 		e := &s.Queue[i]
 		team, need := e.Job.Spec.Team, e.Job.GangSize()
-		e.Ahead = sum[team]
+		e.ReservedQuota = sum[team]
 		e.reservesQuota = e.Overdue && e.reservable(s.Now) && count[team] < maxTeamReservations &&
-			(hasMachines[e.Job.ID] || s.placeableGangs[e.Job.ID] || s.TeamRoom(e.Job, e.Ahead, need) < need)
+			(hasMachines[e.Job.ID] || s.placeableGangs[e.Job.ID] || s.RemainingTeamQuota(e.Job, e.ReservedQuota, need) < need)
 		if e.reservesQuota {
 			count[team]++
 			sum[team] = sum[team].Add(e.Job.Need, need)
@@ -103,7 +103,7 @@
 		if gangs++; gangs > maxGangs {
 			break
 		}
-		if need := e.Job.GangSize(); s.TeamRoom(e.Job, e.Ahead, need) < need {
+		if need := e.Job.GangSize(); s.RemainingTeamQuota(e.Job, e.ReservedQuota, need) < need {
 			continue
 		}
 		room := p.earliestCapacity(e)
@@ -157,7 +157,7 @@
 	byZone := zoneOptions[slot]{perZone: need, compare: compareSlots}
 	for _, m := range p.s.Machines {
 		p.s.Examined++
-		if _, reserved := p.reserved[m.ID]; reserved || len(p.s.Reserved[m.ID]) > 0 || !p.s.available(e, m) ||
+		if _, reserved := p.reserved[m.ID]; reserved || len(p.s.PlannedGangTasks[m.ID]) > 0 || !p.s.available(e, m) ||
 			!m.Total.Fits(j.Need) {
 			continue
 		}
@@ -207,7 +207,7 @@
 func (p *reservationPass) startDelay(j *ledger.Job, m *Machine) time.Duration {
 	delay := time.Duration(0)
 	if m.Images.rank(j.Spec.Image) != rankCached {
-		delay = FetchTime(j.Spec.ImageGB, m.FetchGB)
+		delay = FetchTime(j.Spec.ImageGB, m.FetchGBps)
 	}
 	if p.previous[m.ID].Job == j.ID {
 		delay -= reservationHysteresis
@@ -242,22 +242,22 @@
 func (m *Machine) capacityForecast(need ledger.Resources, limit int, now time.Time) (out []time.Time) {
 	free := m.Free
 	add := func(at time.Time) {
-		for n := free.Times(need, limit); len(out) < n; {
+		for n := free.CountFitting(need, limit); len(out) < n; {
 			out = append(out, at)
 		}
 	}
 	add(now)
-	if len(out) >= limit || len(m.Busy) == 0 {
+	if len(out) >= limit || len(m.ExpectedReleases) == 0 {
 		return out
 	}
 	// Sorting is cheap: a machine has few claims.
 	ends := slices.SortedFunc(
-		slices.Values(m.Busy),
-		func(a, b ExpectedRelease) int { return a.Until.Compare(b.Until) },
+		slices.Values(m.ExpectedReleases),
+		func(a, b ExpectedRelease) int { return a.At.Compare(b.At) },
 	)
 	for _, b := range ends {
-		free = free.Add(b.Room, 1)
-		if at := b.Until; at.After(now) {
+		free = free.Add(b.Resources, 1)
+		if at := b.At; at.After(now) {
 			add(at)
 		} else {
 			add(now)
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -58,18 +58,18 @@
 	)
 	for i := range machines {
 		m := &placement.Machine{
-			ID:      wire.MachineID(fmt.Sprintf("host-%03d", i)),
-			Type:    "g",
-			Zone:    []wire.Zone{"a", "b"}[i%2],
-			Epoch:   1,
-			Token:   1,
-			Usable:  true,
-			Owned:   true,
-			Total:   ledger.NewResources(8, 2, 32),
-			Images:  placement.NewImages(100),
-			FetchGB: 0.25,
+			ID:        wire.MachineID(fmt.Sprintf("host-%03d", i)),
+			Type:      "g",
+			Zone:      []wire.Zone{"a", "b"}[i%2],
+			Epoch:     1,
+			Token:     1,
+			Usable:    true,
+			Owned:     true,
+			Total:     ledger.NewResources(8, 2, 32),
+			Images:    placement.NewImageCache(100),
+			FetchGBps: 0.25,
 		}
-		m.Images.Use("i", 5)
+		m.Images.RecordUse("i", 5)
 		s.machines = append(s.machines, m)
 	}
 	return s
@@ -115,13 +115,13 @@
 func (s *simulation) step() {
 	s.now = s.now.Add(time.Second)
 	s.endTasks()
-	v := &placement.Snapshot{Now: s.now, TeamRoom: s.l.RemainingTeamQuota, Queue: s.pending(),
+	v := &placement.Snapshot{Now: s.now, RemainingTeamQuota: s.l.RemainingTeamQuota, Queue: s.pending(),
 		Machines: s.machines,
-		Limits:   placement.Limits{ColdStarts: 1 << 20, FetchAssumed: time.Minute, ReserveAfter: 5 * time.Second}}
+		Limits:   placement.Limits{MaxColdStarts: 1 << 20, AssumedFetchTime: time.Minute, ReserveAfter: 5 * time.Second}}
 	placement.Order(v.Queue)
 	s.updateMachines()
 	v.HeadReservations = placement.ReserveForHead(v, nil)
-	v.Reserve()
+	v.ReserveForPlaceableGangs()
 	if s.bound > 0 {
 		v.GangReservations = placement.ReserveForOverdueGangs(v)
 		v.ReserveTeamQuota()
@@ -178,7 +178,7 @@
 
 // entry returns the entry of a job whose objective is to start within a minute.
 func (s *simulation) entry(j *ledger.Job, run time.Duration) placement.Entry {
-	e := placement.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), Expected: run}
+	e := placement.Entry{Job: j, Waiting: s.now.Sub(j.Accepted.Time()), ExpectedRunTime: run}
 	if objective := j.Accepted.Time().Add(60 * time.Second); objective.After(s.now) {
 		e.LatestStart = objective
 	}
@@ -194,11 +194,11 @@
 // updateMachines updates the machines' free resources and expected releases from the records.
 func (s *simulation) updateMachines() {
 	for _, m := range s.machines {
-		m.Free, m.Busy = s.l.Free(m.ClaimTarget()), nil
+		m.Free, m.ExpectedReleases = s.l.FreeResources(m.ClaimTarget()), nil
 		for _, h := range s.l.ClaimsOn(m.ID) {
-			m.Busy = append(m.Busy, placement.ExpectedRelease{
-				Until: s.since(h).Add(s.runOf(h.Job.ID)),
-				Room:  ledger.Resources{}.Add(h.Job.Need, h.Count),
+			m.ExpectedReleases = append(m.ExpectedReleases, placement.ExpectedRelease{
+				At:        s.since(h).Add(s.runOf(h.Job.ID)),
+				Resources: ledger.Resources{}.Add(h.Job.Need, h.Count),
 			})
 		}
 	}
@@ -206,17 +206,17 @@
 
 // start claims tasks on a machine.
 func (s *simulation) start(st placement.Start, m *placement.Machine) {
-	p := ledger.GangPart{Target: m.ClaimTarget(), Count: st.Count}
+	p := ledger.GangAllocation{Target: m.ClaimTarget(), Count: st.Count}
 	if s.commit(func(d *ledger.Transaction) error {
 		if st.Job.Spec.Shape == wire.Gang {
-			return d.ClaimGang(st.Job, []ledger.GangPart{p})
+			return d.ClaimGang(st.Job, []ledger.GangAllocation{p})
 		}
 		_, err := d.Claim(st.Job, p.Target, p.Count, nil)
 		return err
 	}) {
 		s.recordWait(st.Job)
 	}
-	m.Free = s.l.Free(m.ClaimTarget())
+	m.Free = s.l.FreeResources(m.ClaimTarget())
 }
 
 // since returns when a claim was first seen running.
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -14,11 +14,11 @@
 type Victim struct {
 	// Protected is set if the claim's own start is an objective, or if its job could meet no
 	// objective after a restart. Protected claims are preempted only for almost overdue jobs.
-	Protected bool
-	Held      ledger.HeldClaim
-	Beyond    bool          // the job exceeds its team's guarantee
-	Saves     bool          // the job saves its progress when it is stopped
-	Ran       time.Duration // how long it has been running
+	Protected     bool
+	Held          ledger.HeldClaim
+	OverGuarantee bool          // the job exceeds its team's guarantee
+	SavesProgress bool          // the job saves its progress when it is stopped
+	RunTime       time.Duration // how long it has been running
 }
 
 // mayPreempt reports whether the preemption rules allow a victim to be stopped for a job: the
@@ -32,21 +32,21 @@
 	if victim.Priority().Rank() > job.Priority().Rank() {
 		return true
 	}
-	return job.Spec.Team != victim.Spec.Team && x.Beyond && !e.OverGuarantee
+	return job.Spec.Team != victim.Spec.Team && x.OverGuarantee && !e.OverGuarantee
 }
 
 // maxUnsavedWork is the maximum amount of unsaved work that one preempted claim may lose.
 const maxUnsavedWork = 10 * time.Second
 
 // lossTooHigh reports whether preempting the victim would lose more than maxUnsavedWork.
-func (x *Victim) lossTooHigh() bool { return !x.Saves && x.Ran > maxUnsavedWork }
+func (x *Victim) lossTooHigh() bool { return !x.SavesProgress && x.RunTime > maxUnsavedWork }
 
 // loss returns the run time lost by preempting the victim, over all of its tasks.
 func (x *Victim) loss() time.Duration {
-	if x.Saves {
+	if x.SavesProgress {
 		return x.Held.Job.Spec.Save.Duration() * time.Duration(x.Held.Count)
 	}
-	return x.Ran * time.Duration(x.Held.Count)
+	return x.RunTime * time.Duration(x.Held.Count)
 }
 
 // totalLoss returns the run time lost by preempting all of the victims.
@@ -90,7 +90,7 @@
 // add includes a claim in the summary.
 func (w *workSummary) add(x *Victim) {
 	w.lowestRank = max(w.lowestRank, x.Held.Job.Priority().Rank())
-	w.overGuarantee = w.overGuarantee || x.Beyond
+	w.overGuarantee = w.overGuarantee || x.OverGuarantee
 }
 
 // maxEvictions limits the jobs for which claims are preempted in one pass.
@@ -212,8 +212,8 @@
 // for it.
 func (s *Snapshot) mayEvictFor(e *Entry) bool {
 	j := e.Job
-	if s.Victims == nil || e.CrashLooping || j.GangSize() > 1 || e.pending() == 0 || s.Now.Before(e.Retry) ||
-		s.TeamRoom(j, e.Ahead, 1) < 1 {
+	if s.Victims == nil || e.CrashLooping || j.GangSize() > 1 || e.pending() == 0 || s.Now.Before(e.RetryAt) ||
+		s.RemainingTeamQuota(j, e.ReservedQuota, 1) < 1 {
 		return false
 	}
 	if s.preemption.preemptable == nil {
@@ -323,13 +323,13 @@
 func SelectVictims(e *Entry, free ledger.Resources, limit int, all []Victim) (victims []Victim, room int) {
 	need := e.Job.Need
 	if len(all) == 0 {
-		return nil, free.Times(need, limit)
+		return nil, free.CountFitting(need, limit)
 	}
 	list := slices.DeleteFunc(slices.Clone(all), func(x Victim) bool {
 		return !mayPreempt(e, &x) || x.lossTooHigh()
 	})
 	slices.SortStableFunc(list, func(a, b Victim) int { return cmp.Compare(a.loss(), b.loss()) })
-	room = free.Times(need, limit)
+	room = free.CountFitting(need, limit)
 	useful := 0
 	for k := range list {
 		if room >= limit {
@@ -337,7 +337,7 @@
 		}
 		free = free.Add(list[k].Held.Job.Need, list[k].Held.Count)
 		victims = append(victims, list[k])
-		if n := free.Times(need, limit); n > room {
+		if n := free.CountFitting(need, limit); n > room {
 			room, useful = n, len(victims)
 		}
 	}
--- a/internal/scheduler/placement/preempt_gangs.go
+++ b/internal/scheduler/placement/preempt_gangs.go
@@ -45,7 +45,7 @@
 		if reserved[j.ID] || s.packing.waitingForCloser[j.ID] {
 			continue // it waits for preemption in progress or for a closer placement
 		}
-		if need := j.GangSize(); s.TeamRoom(j, e.Ahead, need) < need {
+		if need := j.GangSize(); s.RemainingTeamQuota(j, e.ReservedQuota, need) < need {
 			continue
 		}
 		for _, x := range s.preemptForGang(e, taken) {
@@ -83,7 +83,7 @@
 	byZone := zoneOptions[preemptionOption]{perZone: j.GangSize(), compare: comparePreemptionOptions}
 	for _, m := range s.Machines {
 		s.Examined++
-		if taken[m.ID] || len(s.Reserved[m.ID]) > 0 || !s.available(e, m) || !m.Total.Fits(j.Need) {
+		if taken[m.ID] || len(s.PlannedGangTasks[m.ID]) > 0 || !s.available(e, m) || !m.Total.Fits(j.Need) {
 			continue
 		}
 		victims, room := SelectVictims(e, m.Free, j.GangSize(), s.victimsOn(m))
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -35,13 +35,13 @@
 		Usable: true,
 		Total:  ledger.NewResources(0, 4, 0),
 		Free:   ledger.NewResources(0, free, 0),
-		Images: placement.NewImages(10),
+		Images: placement.NewImageCache(10),
 	}
 }
 
 // caching adds the image of newJob to the cache of a machine.
 func caching(m *placement.Machine) *placement.Machine {
-	m.Images.Use("i", 1)
+	m.Images.RecordUse("i", 1)
 	return m
 }
 
@@ -53,9 +53,9 @@
 	victim := func(p wire.Priority, saves bool) placement.Victim {
 		j := newJob(t, wire.JobSpec{ID: "wk-000002", Shape: wire.Array, Priority: p, Tasks: 1, GPUs: 2})
 		return placement.Victim{
-			Held:  ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}},
-			Saves: saves,
-			Ran:   30e9,
+			Held:          ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}},
+			SavesProgress: saves,
+			RunTime:       30e9,
 		}
 	}
 	normal := func() placement.Victim { return victim(wire.Normal, true) }
@@ -90,12 +90,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			list := placement.PlanEvictions(&placement.Snapshot{
-				Now:              start,
-				Queue:            []placement.Entry{{Job: high}},
-				Machines:         tc.machines,
-				HeadReservations: tc.reserved,
-				TeamRoom:         unlimited,
-				Victims:          func(m *placement.Machine) []placement.Victim { return tc.victims[m.ID] },
+				Now:                start,
+				Queue:              []placement.Entry{{Job: high}},
+				Machines:           tc.machines,
+				HeadReservations:   tc.reserved,
+				RemainingTeamQuota: unlimited,
+				Victims:            func(m *placement.Machine) []placement.Victim { return tc.victims[m.ID] },
 			})
 			switch {
 			case len(list) == 0 && tc.want != "":
@@ -116,7 +116,7 @@
 func TestPlanPreemption(t *testing.T) {
 	victim := func(id wire.JobID, p wire.Priority) placement.Victim {
 		j := newJob(t, wire.JobSpec{ID: id, Shape: wire.Array, Priority: p, Tasks: 1, GPUs: 2})
-		return placement.Victim{Held: ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}}, Saves: true}
+		return placement.Victim{Held: ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}}, SavesProgress: true}
 	}
 	lower, same := victim("wk-000009", wire.BestEffort), victim("wk-000008", wire.High)
 	full := []*placement.Machine{gpuMachine("m1", "a", 0), gpuMachine("m2", "b", 0), gpuMachine("m3", "b", 2)}
@@ -146,12 +146,12 @@
 			})
 			got := counts{}
 			for _, x := range placement.PlanPreemption(&placement.Snapshot{
-				Now:              start,
-				Queue:            []placement.Entry{{Job: gang}},
-				Machines:         full,
-				HeadReservations: tc.reserved,
-				TeamRoom:         unlimited,
-				Victims:          func(m *placement.Machine) []placement.Victim { return victims[m.ID] },
+				Now:                start,
+				Queue:              []placement.Entry{{Job: gang}},
+				Machines:           full,
+				HeadReservations:   tc.reserved,
+				RemainingTeamQuota: unlimited,
+				Victims:            func(m *placement.Machine) []placement.Victim { return victims[m.ID] },
 			}) {
 				got[x.Machine.ID] = x.Tasks
 			}
@@ -203,19 +203,19 @@
 			Usable: true,
 			Total:  ledger.NewResources(0, 4, 0),
 			Free:   ledger.NewResources(0, float64(rng.IntN(5)/4), 0),
-			Images: placement.NewImages(10),
+			Images: placement.NewImageCache(10),
 		}
 		if rng.IntN(3) == 0 {
-			m.Images.Use(wire.Image(fmt.Sprint("i", rng.IntN(2))), 1)
+			m.Images.RecordUse(wire.Image(fmt.Sprint("i", rng.IntN(2))), 1)
 		}
 		c.machines = append(c.machines, m)
 		for range rng.IntN(3) {
 			j := job("wk-000099", priorities[rng.IntN(3)])
 			c.victims[m.ID] = append(c.victims[m.ID], placement.Victim{
-				Held:   ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}},
-				Saves:  rng.IntN(3) > 0,
-				Beyond: rng.IntN(3) == 0,
-				Ran:    time.Duration(rng.IntN(20)) * time.Second,
+				Held:          ledger.HeldClaim{Job: j, Claim: ledger.Claim{Count: 1}},
+				SavesProgress: rng.IntN(3) > 0,
+				OverGuarantee: rng.IntN(3) == 0,
+				RunTime:       time.Duration(rng.IntN(20)) * time.Second,
 			})
 		}
 	}
@@ -230,12 +230,12 @@
 // share evictions.
 func (c *preemptionCase) evict(shared bool) (out []string) {
 	s := &placement.Snapshot{
-		Now:              start,
-		Queue:            slices.Clone(c.queue),
-		Machines:         c.machines,
-		HeadReservations: map[wire.MachineID]wire.JobID{"m3": "wk-000002"},
-		TeamRoom:         unlimited,
-		Victims:          func(m *placement.Machine) []placement.Victim { return c.victims[m.ID] },
+		Now:                start,
+		Queue:              slices.Clone(c.queue),
+		Machines:           c.machines,
+		HeadReservations:   map[wire.MachineID]wire.JobID{"m3": "wk-000002"},
+		RemainingTeamQuota: unlimited,
+		Victims:            func(m *placement.Machine) []placement.Victim { return c.victims[m.ID] },
 	}
 	if !shared {
 		for i := range s.Queue { // entries with machines to avoid share no evictions
--- a/internal/scheduler/placement/queue_order.go
+++ b/internal/scheduler/placement/queue_order.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// JobOf converts a job's description to policy input.
-func JobOf(s *wire.JobSpec, need ledger.Resources, accepted wire.UnixMillis) policy.Job {
+// PolicyJob converts a job's description to policy input.
+func PolicyJob(s *wire.JobSpec, need ledger.Resources, accepted wire.UnixMillis) policy.Job {
 	j := policy.Job{
 		Due:      policy.Never,
 		Accepted: int64(accepted),
@@ -62,9 +62,9 @@
 	for i := range entries {
 		e := &entries[i]
 		s := e.Job.Spec
-		j := JobOf(s, e.Job.Need, e.Job.EligibleSince())
+		j := PolicyJob(s, e.Job.Need, e.Job.EligibleSince())
 		j.Group = e.group()
-		j.Waiting, j.Expected = e.Waiting.Milliseconds(), e.Expected.Milliseconds()
+		j.Waiting, j.Expected = e.Waiting.Milliseconds(), e.ExpectedRunTime.Milliseconds()
 		j.Pending, j.Running = uint32(e.pending()), uint32(e.Job.Claimed)
 		j.Together = uint32(max(0, e.Job.GangSize()))
 		j.Team = names.Number(string(s.Team)) // numbers are assigned in the order of these calls
--- a/internal/scheduler/placement/single_tasks.go
+++ b/internal/scheduler/placement/single_tasks.go
@@ -53,7 +53,7 @@
 		s:          s,
 		m:          m,
 		free:       m.Free,
-		fetches:    m.Images.Fetches(s.Now, s.Limits.FetchAssumed),
+		fetches:    m.Images.ActiveFetches(s.Now, s.Limits.AssumedFetchTime),
 		coldStarts: s.FetchesInFlight,
 	}
 	totals := passTotals{teamUsage: map[wire.Team]ledger.Resources{}, deferredColdStarts: map[wire.Image]int{}}
@@ -98,7 +98,7 @@
 // deductGangReservation deducts the capacity planned for a gang on this machine from its free
 // resources.
 func (p *machinePass) deductGangReservation(e *Entry) {
-	if n := p.s.Reserved[p.m.ID][e.Job.ID]; n > 0 && allTasksPending(e) {
+	if n := p.s.PlannedGangTasks[p.m.ID][e.Job.ID]; n > 0 && allTasksPending(e) {
 		p.free = p.free.Add(e.Job.Need, -n)
 	}
 }
@@ -130,7 +130,7 @@
 		return
 	}
 	image := e.Job.Spec.Image
-	if p.fetches == 0 && p.coldStarts < p.s.Limits.ColdStarts &&
+	if p.fetches == 0 && p.coldStarts < p.s.Limits.MaxColdStarts &&
 		!p.s.deferToCachedMachine(e, p.m) && !p.s.deferToPreemption(e) &&
 		p.s.cachedCapacityInTime(e, p.m) <= totals.deferredColdStarts[image] {
 		p.fetches++
@@ -145,17 +145,17 @@
 // quota allow.
 func (p *machinePass) startableTasks(totals *passTotals, e *Entry) int {
 	j := e.Job
-	n := min(p.free.Times(j.Need, e.pending()), j.ZoneRoom(p.m.Zone))
+	n := min(p.free.CountFitting(j.Need, e.pending()), j.ZoneRoom(p.m.Zone))
 	if n <= 0 {
 		return 0
 	}
-	return p.s.TeamRoom(j, totals.teamUsage[j.Spec.Team].Add(e.Ahead, 1), n)
+	return p.s.RemainingTeamQuota(j, totals.teamUsage[j.Spec.Team].Add(e.ReservedQuota, 1), n)
 }
 
 // startTasks adds a start of n tasks of an entry on the machine.
 func (p *machinePass) startTasks(totals *passTotals, e *Entry, n int, source ImageSource) {
 	j := e.Job
-	if e.Plain && p.m.Total.GPU > 0 && p.free == p.m.Total {
+	if e.NeedsNoAccelerator && p.m.Total.GPU > 0 && p.free == p.m.Total {
 		p.s.idleSurplus()[typeInZone{p.m.Type, p.m.Zone}]-- // the machine is no longer idle
 	}
 	p.free = p.free.Add(j.Need, -n)
@@ -166,7 +166,7 @@
 // deferToCachedMachine reports whether another machine with the image cached has free capacity.
 // That machine takes the task without a fetch at its next heartbeat.
 func (s *Snapshot) deferToCachedMachine(e *Entry, here *Machine) bool {
-	if e.Waiting > s.Limits.DeferCold {
+	if e.Waiting > s.Limits.MaxColdStartDelay {
 		return false
 	}
 	for _, m := range s.machinesCaching(e.Job.Spec.Image) {
@@ -180,7 +180,7 @@
 // deferToPreemption reports whether preemption is about to free a machine for the job, which is
 // faster than an image fetch.
 func (s *Snapshot) deferToPreemption(e *Entry) bool {
-	return e.Waiting <= s.Limits.DeferCold/2 && s.evictionFor(e) != nil
+	return e.Waiting <= s.Limits.MaxColdStartDelay/2 && s.evictionFor(e) != nil
 }
 
 // cachedCapacityInTime returns how many of the job's tasks will fit, before the job's latest start,
@@ -188,10 +188,10 @@
 // cold start would then certainly miss the objective. It returns 0 if a fetch would be in time, if
 // there is no latest start, and for overdue jobs, which must not be delayed further for a forecast.
 func (s *Snapshot) cachedCapacityInTime(e *Entry, here *Machine) int {
-	if here.FetchGB <= 0 || e.LatestStart.IsZero() || e.Overdue {
+	if here.FetchGBps <= 0 || e.LatestStart.IsZero() || e.Overdue {
 		return 0
 	}
-	if fetch := FetchTime(e.Job.Spec.ImageGB, here.FetchGB); !s.Now.Add(fetch).After(e.LatestStart) {
+	if fetch := FetchTime(e.Job.Spec.ImageGB, here.FetchGBps); !s.Now.Add(fetch).After(e.LatestStart) {
 		return 0
 	}
 	room := 0
@@ -200,12 +200,12 @@
 			continue
 		}
 		free := m.Free
-		for _, b := range m.Busy {
-			if b.Until.Before(e.LatestStart) {
-				free = free.Add(b.Room, 1)
+		for _, b := range m.ExpectedReleases {
+			if b.At.Before(e.LatestStart) {
+				free = free.Add(b.Resources, 1)
 			}
 		}
-		room += min(free.Times(e.Job.Need, e.pending()), e.Job.ZoneRoom(m.Zone))
+		room += min(free.CountFitting(e.Job.Need, e.pending()), e.Job.ZoneRoom(m.Zone))
 	}
 	return room
 }
--- a/internal/scheduler/placement/single_tasks_test.go
+++ b/internal/scheduler/placement/single_tasks_test.go
@@ -21,14 +21,14 @@
 		l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 60000,
 			TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(5, 3, 0)}})
 		v := &placement.Snapshot{
-			Now:             start,
-			Queue:           jobs(t, rng, l, 1+rng.IntN(8)),
-			TeamRoom:        l.RemainingTeamQuota,
-			FetchesInFlight: rng.IntN(3),
+			Now:                start,
+			Queue:              jobs(t, rng, l, 1+rng.IntN(8)),
+			RemainingTeamQuota: l.RemainingTeamQuota,
+			FetchesInFlight:    rng.IntN(3),
 			Limits: placement.Limits{
-				ColdStarts:   2,
-				FetchAssumed: time.Minute,
-				DeferCold:    9 * time.Second,
+				MaxColdStarts:     2,
+				AssumedFetchTime:  time.Minute,
+				MaxColdStartDelay: 9 * time.Second,
 			},
 			HeadReservations: map[wire.MachineID]wire.JobID{},
 		}
@@ -38,8 +38,8 @@
 		if rng.IntN(3) == 0 {
 			v.HeadReservations[v.Machines[rng.IntN(3)].ID] = v.Queue[0].Job.ID
 		}
-		v.Reserve()
-		if len(v.Reserved) > 0 {
+		v.ReserveForPlaceableGangs()
+		if len(v.PlannedGangTasks) > 0 {
 			reserved++
 		}
 		v.ReserveTeamQuota()
--- a/internal/scheduler/placement/snapshot.go
+++ b/internal/scheduler/placement/snapshot.go
@@ -55,9 +55,9 @@
 	Limits   Limits
 	Queue    []Entry    // entries in policy order
 	Machines []*Machine // machines of all controllers
-	// TeamRoom returns how many tasks of a job, up to most, the team's quota allows if the team
+	// RemainingTeamQuota returns how many tasks of a job, up to most, the team's quota allows if the team
 	// uses extra resources beyond the recorded ones.
-	TeamRoom func(j *ledger.Job, extra ledger.Resources, most int) int
+	RemainingTeamQuota func(j *ledger.Job, extra ledger.Resources, most int) int
 	// Victims lists the claims on a machine that may be preempted. If nil, preemption is disabled.
 	Victims func(*Machine) []Victim
 	// Prefer calls a policy to rank the machines that have capacity for gangs. If it is nil, or its
@@ -73,9 +73,9 @@
 	// queue (ReserveForHead), or a job that claims are being preempted for (PlanEvictions,
 	// PlanPreemption).
 	HeadReservations map[wire.MachineID]wire.JobID
-	// Reserved counts, per machine, the tasks of gangs that are about to start there
+	// PlannedGangTasks counts, per machine, the tasks of gangs that are about to start there
 	// (ReserveForPlaceableGangs).
-	Reserved map[wire.MachineID]map[wire.JobID]int
+	PlannedGangTasks map[wire.MachineID]map[wire.JobID]int
 	// GangReservations maps machines to the gang that they are reserved for until all of the gang's
 	// capacity is free (ReserveForOverdueGangs).
 	GangReservations map[wire.MachineID]Reservation
--- a/internal/scheduler/placement/topology_packing.go
+++ b/internal/scheduler/placement/topology_packing.go
@@ -102,7 +102,7 @@
 	for i, n := range counts {
 		if n > 0 {
 			p.rank = max(p.rank, options[i].rank)
-			p.parts = append(p.parts, ledger.GangPart{Target: options[i].m.ClaimTarget(), Count: n})
+			p.parts = append(p.parts, ledger.GangAllocation{Target: options[i].m.ClaimTarget(), Count: n})
 		}
 	}
 	return p
@@ -122,7 +122,7 @@
 	var in []topology.MachineOption
 	for _, m := range s.Machines {
 		s.Examined++
-		if n := m.Total.Times(j.Need, g.Tasks); n > 0 && m.Usable && ledger.Allowed(j.Spec, m.Type, m.Zone, m.Spot) {
+		if n := m.Total.CountFitting(j.Need, g.Tasks); n > 0 && m.Usable && ledger.PlacementAllowed(j.Spec, m.Type, m.Zone, m.Spot) {
 			in = append(in, topology.MachineOption{Machine: m.ID, Block: m.Block, Room: n})
 		}
 	}
@@ -141,7 +141,7 @@
 // others of its block are empty, and a partly used machine elsewhere is equally suitable for a task
 // of the entry. Like other waits for a better machine, this is limited to Limits.MaxColdStartDelay.
 func (s *Snapshot) keepEmptyForGangs(e *Entry, m *Machine) bool {
-	if s.Tree == nil || m.Free != m.Total || e.Waiting > s.Limits.DeferCold {
+	if s.Tree == nil || m.Free != m.Total || e.Waiting > s.Limits.MaxColdStartDelay {
 		return false
 	}
 	if s.packing.idlePerBlock == nil {
--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -73,27 +73,27 @@
 	full float64,
 ) *placement.Snapshot {
 	v := &placement.Snapshot{
-		Now:      start,
-		TeamRoom: l.RemainingTeamQuota,
-		Tree:     tree,
+		Now:                start,
+		RemainingTeamQuota: l.RemainingTeamQuota,
+		Tree:               tree,
 		Limits: placement.Limits{
-			FetchAssumed: time.Minute,
-			ColdStarts:   99,
-			DeferCold:    9 * time.Second,
+			AssumedFetchTime:  time.Minute,
+			MaxColdStarts:     99,
+			MaxColdStartDelay: 9 * time.Second,
 		},
 	}
 	for i, b := range blocks {
 		for k := range 8 {
 			m := &placement.Machine{
-				ID:      wire.MachineID(fmt.Sprintf("host-%d-%d", i, k)),
-				Type:    "g",
-				Zone:    wire.Zone(tree.Path(b)[:1]),
-				Usable:  true,
-				Spot:    true,
-				Block:   b,
-				Total:   ledger.NewResources(8, 0, 16),
-				Images:  placement.NewImages(100),
-				FetchGB: 1,
+				ID:        wire.MachineID(fmt.Sprintf("host-%d-%d", i, k)),
+				Type:      "g",
+				Zone:      wire.Zone(tree.Path(b)[:1]),
+				Usable:    true,
+				Spot:      true,
+				Block:     b,
+				Total:     ledger.NewResources(8, 0, 16),
+				Images:    placement.NewImageCache(100),
+				FetchGBps: 1,
 			}
 			m.Free = m.Total
 			if rng.Float64() < full {
@@ -166,7 +166,7 @@
 		v := rackSnapshot(tree, l, blocks, rand.New(rand.NewPCG(1, 1)), 0)
 		for i, m := range v.Machines {
 			if i%8 == 0 {
-				m.Images.Use("i", 1) // one per rack
+				m.Images.RecordUse("i", 1) // one per rack
 			}
 		}
 		v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
@@ -214,7 +214,7 @@
 		low.Shape, low.Priority, low.Checkpoint = wire.Array, wire.BestEffort, 5
 		lower := submit(t, l, low)
 		v.Victims = func(*placement.Machine) []placement.Victim {
-			return []placement.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2}}, Saves: true}}
+			return []placement.Victim{{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2}}, SavesProgress: true}}
 		}
 		if list := placement.PlanPreemption(v); !tc.placed && len(list) > 0 {
 			t.Errorf("%d tasks after %v: preemption planned on %d machines, want none", tc.tasks, tc.waiting, len(list))
@@ -280,7 +280,7 @@
 	}
 	v.Victims = func(m *placement.Machine) []placement.Victim {
 		return []placement.Victim{
-			{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2, Machine: m.ID}}, Saves: true},
+			{Held: ledger.HeldClaim{Job: lower, Claim: ledger.Claim{Count: 2, Machine: m.ID}}, SavesProgress: true},
 		}
 	}
 	v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 16))}}
@@ -308,7 +308,7 @@
 			v := rackSnapshot(tree, l, blocks[:1], rand.New(rand.NewPCG(1, 1)), 0)
 			v.Tree, v.Prefer = with, prefer
 			for _, i := range []int{2, 3, 5, 6} {
-				v.Machines[i].Images.Use("i", 1)
+				v.Machines[i].Images.RecordUse("i", 1)
 			}
 			v.Queue = []placement.Entry{{Job: submit(t, l, gangSpec(1, 4))}}
 			var out []string
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -59,7 +59,7 @@
 func (s *Scheduler) stopVictims(w *reconcile.Worker, victims []placement.Victim, job wire.JobID) {
 	for _, victim := range victims {
 		h := victim.Held
-		w.Stop(h)
+		w.RequestStop(h)
 		s.log.Info("tasks preempted",
 			"job", h.Job.ID, "task", h.First, "tasks", h.Count, "attempt", h.Attempt, "machine", w.ID, "for", job)
 		s.stats.Add("preemptions_total", 1)
@@ -154,13 +154,13 @@
 			continue
 		}
 		t := s.set.FindTeam(spec.Team)
-		used := s.records().Used(spec.Team)
+		used := s.records().TeamUsage(spec.Team)
 		out = append(out, placement.Victim{
-			Held:      h,
-			Protected: !s.canRestart(h.Job, now),
-			Saves:     spec.Checkpoint > 0,
-			Ran:       now.Sub(s.runTimes.ClaimedSince(h, now)),
-			Beyond:    t == nil || OverGuarantee(t, used),
+			Held:          h,
+			Protected:     !s.canRestart(h.Job, now),
+			SavesProgress: spec.Checkpoint > 0,
+			RunTime:       now.Sub(s.runTimes.ClaimedSince(h, now)),
+			OverGuarantee: t == nil || OverGuarantee(t, used),
 		})
 	}
 	return out
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -18,10 +18,10 @@
 	s.markOverGuarantee(entries)
 	for i := range entries {
 		e := &entries[i]
-		e.Expected = s.runTimes.Expected(e.Job)
+		e.ExpectedRunTime = s.runTimes.Expected(e.Job)
 		start := s.startUrgency(e, now)
 		e.LatestStart, e.Overdue, e.AlmostOverdue = start.latestStart, start.overdue, start.almostOverdue
-		e.Plain = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.records().MachineTypes())
+		e.NeedsNoAccelerator = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.records().MachineTypes())
 	}
 	placement.OrderBy(entries, now, s.policies.Decide(s.records(), now))
 	return entries
@@ -42,7 +42,7 @@
 		}
 		entries = append(entries, placement.Entry{
 			Job:           j,
-			Retry:         retry.Retry,
+			RetryAt:       retry.Retry,
 			Waiting:       now.Sub(state.pendingSince),
 			StartsPlanned: &state.startsPlanned,
 			BackedOff:     retry.BackedOff,
@@ -62,7 +62,7 @@
 	}
 	s.failures.Prune(s.records(), now)
 	s.runTimes.Prune(s.records())
-	for _, id := range s.registry.Forget(s.records(), now) {
+	for _, id := range s.registry.RemoveInactive(s.records(), now) {
 		s.failures.ForgetMachine(id)
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,8 +36,8 @@
 	"maddermill/wire"
 )
 
-// Parts are the components of a controller that a scheduler reads from.
-type Parts struct {
+// Dependencies are the components of a controller that a scheduler reads from.
+type Dependencies struct {
 	Cache        *watchcache.Cache
 	Membership   *membership.Membership
 	Registry     *reconcile.Registry
@@ -92,7 +92,7 @@
 }
 
 // New returns a scheduler without a snapshot.
-func New(set *settings.Settings, p Parts, stats *metrics.Set, log *slog.Logger) *Scheduler {
+func New(set *settings.Settings, p Dependencies, stats *metrics.Set, log *slog.Logger) *Scheduler {
 	return &Scheduler{
 		set:                  set,
 		cache:                p.Cache,
@@ -127,9 +127,9 @@
 	return j
 }
 
-// CountStarted adds tasks to the number of planned starts of a job, so that other decisions do not
+// AdjustPlannedStarts adds tasks to the number of planned starts of a job, so that other decisions do not
 // start the same tasks. Once the starts are recorded or abandoned, callers pass a negative number.
-func (s *Scheduler) CountStarted(id wire.JobID, tasks int) { s.job(id).startsPlanned += tasks }
+func (s *Scheduler) AdjustPlannedStarts(id wire.JobID, tasks int) { s.job(id).startsPlanned += tasks }
 
 // ForgetJob discards the state of a job that is no longer in the records.
 func (s *Scheduler) ForgetJob(id wire.JobID) { delete(s.jobs, id) }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -58,17 +58,17 @@
 func (s *Scheduler) takeSnapshot(now time.Time) *placement.Snapshot {
 	s.records().DrainChangedMachines(func(wire.MachineID) {}) // the new snapshot reads all machines
 	v := &placement.Snapshot{
-		Now:      now,
-		Queue:    s.queue(now),
-		TeamRoom: s.records().RemainingTeamQuota,
-		Machines: s.machines(now),
-		Tree:     s.topology.Tree(),
+		Now:                now,
+		Queue:              s.queue(now),
+		RemainingTeamQuota: s.records().RemainingTeamQuota,
+		Machines:           s.machines(now),
+		Tree:               s.topology.Tree(),
 		Limits: placement.Limits{
-			MaxJobs:      s.set.StateLimits().TxnOps,
-			ColdStarts:   s.set.Operators.ColdStarts,
-			FetchAssumed: s.set.Operators.FetchMark,
-			ReserveAfter: s.set.Operators.WithholdAfter,
-			DeferCold:    deferColdHeartbeats * s.set.Cluster.Workers.Report.Duration(),
+			MaxJobs:           s.set.StateLimits().TxnOps,
+			MaxColdStarts:     s.set.Operators.ColdStarts,
+			AssumedFetchTime:  s.set.Operators.FetchMark,
+			ReserveAfter:      s.set.Operators.WithholdAfter,
+			MaxColdStartDelay: deferColdHeartbeats * s.set.Cluster.Workers.Report.Duration(),
 		},
 	}
 	if s.set.Operators.Preempt {
@@ -79,7 +79,7 @@
 	}
 	for _, m := range v.Machines {
 		if m.Owned {
-			v.FetchesInFlight += m.Images.Fetches(now, s.set.Operators.FetchMark)
+			v.FetchesInFlight += m.Images.ActiveFetches(now, s.set.Operators.FetchMark)
 		}
 	}
 	s.limitQuarantine(v.Machines)
@@ -87,7 +87,7 @@
 	s.headReservations = placement.ReserveForHead(v, s.headReservations)
 	v.HeadReservations = s.reservedMachines(now)
 	s.applyGangReservations(v, now)
-	v.Reserve()
+	v.ReserveForPlaceableGangs()
 	v.ReserveTeamQuota()
 	s.snapshotsTaken++
 	return v
--- a/internal/server/api/api_test.go
+++ b/internal/server/api/api_test.go
@@ -112,17 +112,17 @@
 	s := &testServer{addr: freeAddr(t), shed: make(chan string, 100), blockPolls: make(chan struct{})}
 	services := service{blockPolls: s.blockPolls}
 	apiServer := &api.Server{
-		Jobs:       services,
-		Heartbeats: services,
-		Workflows:  workflows{},
-		Inspector:  services,
-		Duties:     new(supervise.Group).Status,
-		Metrics:    func() []byte { return []byte("x 1\n") },
-		RetryAfter: time.Second,
-		MaxUsers:   100,
-		MaxBusy:    10,
-		Shed:       func(kind string) { s.shed <- kind },
-		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Jobs:            services,
+		Heartbeats:      services,
+		Workflows:       workflows{},
+		Inspector:       services,
+		ComponentStatus: new(supervise.Group).Status,
+		Metrics:         func() []byte { return []byte("x 1\n") },
+		RetryAfter:      time.Second,
+		MaxUserConns:    100,
+		MaxUserRequests: 10,
+		OnShed:          func(kind string) { s.shed <- kind },
+		Log:             slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 	ctx, cancel := context.WithCancel(context.Background()) // t.Context() ends before the cleanup
 	served := make(chan error, 1)
--- a/internal/server/api/events.go
+++ b/internal/server/api/events.go
@@ -32,7 +32,7 @@
 // streamTimeout has passed, or the client has disconnected. The connection cannot be reused.
 func (s *Server) streamEvents(ctx context.Context, conn *transport.Conn, id wire.WorkflowID) {
 	defer s.streams.Add(-1)
-	if s.streams.Add(1) > int64(max(1, s.MaxBusy/4)) {
+	if s.streams.Add(1) > int64(max(1, s.MaxUserRequests/4)) {
 		s.writeLast(conn, s.shed("stream"))
 		return
 	}
--- a/internal/server/api/jobs.go
+++ b/internal/server/api/jobs.go
@@ -42,7 +42,7 @@
 	}
 	// Polls use at most half of MaxUserRequests; the rest is reserved for submissions and cancellations.
 	defer s.polls.Add(-1)
-	if s.polls.Add(1) > int64(max(1, s.MaxBusy/2)) {
+	if s.polls.Add(1) > int64(max(1, s.MaxUserRequests/2)) {
 		return s.shed("poll")
 	}
 	return s.runLimited("poll", func() *http1.Response { return s.jobStatus(ctx, wire.JobID(rest)) })
--- a/internal/server/api/routes.go
+++ b/internal/server/api/routes.go
@@ -72,7 +72,7 @@
 
 // componentStatus returns the state of the controller's components.
 func (s *Server) componentStatus(context.Context, *http1.Request) *http1.Response {
-	return jsonResponse(200, s.Duties(time.Now()))
+	return jsonResponse(200, s.ComponentStatus(time.Now()))
 }
 
 // topology returns the declared topology as JSON lines.
--- a/internal/server/api/server.go
+++ b/internal/server/api/server.go
@@ -45,17 +45,17 @@
 
 // Server handles the requests of connections. Its exported fields must be set before the first call of Serve.
 type Server struct {
-	Jobs       Jobs
-	Heartbeats Heartbeats
-	Workflows  Workflows
-	Inspector  Inspector
-	Metrics    func() []byte // in the text format of Prometheus
-	Duties     func(time.Time) []supervise.Status
-	RetryAfter time.Duration     // how long clients should wait after a request was shed
-	MaxUsers   int               // maximum of users' connections; the rest is reserved for workers
-	MaxBusy    int               // maximum of users' concurrent requests, at most half of them polls
-	Shed       func(kind string) // called for each shed request, if not nil
-	Log        *slog.Logger
+	Jobs            Jobs
+	Heartbeats      Heartbeats
+	Workflows       Workflows
+	Inspector       Inspector
+	Metrics         func() []byte // in the text format of Prometheus
+	ComponentStatus func(time.Time) []supervise.Status
+	RetryAfter      time.Duration     // how long clients should wait after a request was shed
+	MaxUserConns    int               // maximum of users' connections; the rest is reserved for workers
+	MaxUserRequests int               // maximum of users' concurrent requests, at most half of them polls
+	OnShed          func(kind string) // called for each shed request, if not nil
+	Log             *slog.Logger
 
 	// Numbers of connections, requests and streams in progress.
 	userConns    atomic.Int64 // connections of users
@@ -92,7 +92,7 @@
 		}
 		if !isUser && strings.HasPrefix(request.Path, "/api/") {
 			isUser = true
-			if s.userConns.Add(1) > int64(s.MaxUsers) {
+			if s.userConns.Add(1) > int64(s.MaxUserConns) {
 				s.writeLast(conn, s.shed("connection"))
 				return
 			}
@@ -140,7 +140,7 @@
 // runLimited runs a user's request, or sheds it if too many are in progress.
 func (s *Server) runLimited(kind string, run func() *http1.Response) *http1.Response {
 	defer s.userRequests.Add(-1)
-	if s.userRequests.Add(1) > int64(s.MaxBusy) {
+	if s.userRequests.Add(1) > int64(s.MaxUserRequests) {
 		return s.shed(kind)
 	}
 	return run()
@@ -148,8 +148,8 @@
 
 // shed counts a request that is rejected because too many are in progress, and returns the response to it.
 func (s *Server) shed(kind string) *http1.Response {
-	if s.Shed != nil {
-		s.Shed(kind)
+	if s.OnShed != nil {
+		s.OnShed(kind)
 	}
 	return s.retryLater()
 }
--- a/internal/server/cascade.go
+++ b/internal/server/cascade.go
@@ -20,11 +20,11 @@
 	maxResolvedPerRound = 16
 )
 
-// FollowDependencies runs the background work that dependencies require until ctx ends, and returns ctx's
+// MaintainDependencies runs the background work that dependencies require until ctx ends, and returns ctx's
 // error. Every controller derives from the records whether a job is ready or cancelled with an ancestor. The
 // leader also writes such a cancellation to the job's own record, so that the archive keeps it. Dependencies
 // that were archived before their dependents were loaded are read back from the archive.
-func (s *JobServer) FollowDependencies(ctx context.Context, leading func() bool) error {
+func (s *JobServer) MaintainDependencies(ctx context.Context, leading func() bool) error {
 	cascades := map[wire.JobID]*committer.Change{}
 	for ctx.Err() == nil {
 		wait.For(ctx, dependenciesInterval)
@@ -41,7 +41,7 @@
 // set.
 func (s *JobServer) logReleased(log bool) {
 	var released []wire.JobID
-	s.Cache.Read(func(l *ledger.Ledger) { released = l.DrainReleased() })
+	s.Cache.Read(func(l *ledger.Ledger) { released = l.DrainNewlyReady() })
 	s.stats.Add("jobs_released_total", int64(len(released)))
 	for _, id := range released {
 		if log {
@@ -109,7 +109,7 @@
 		}
 	})
 	for _, id := range missing {
-		status, err := s.Archived(ctx, id)
+		status, err := s.ArchivedStatus(ctx, id)
 		switch {
 		case errors.Is(err, ErrNoSuchJob):
 			s.log.Error("a job waits for one that is neither on record nor archived", "awaits", id)
--- a/internal/server/completions.go
+++ b/internal/server/completions.go
@@ -35,16 +35,16 @@
 			Machine: hb.Machine,
 			Epoch:   hb.Epoch,
 		}
-		if s.CompletionUnrecorded(done) {
+		if s.MayLackCompletion(done) {
 			s.Completions.Add(done, !s.Cache.SyncedWithin(now, settings.StartContact), now)
 		}
 	}
 }
 
-// CompletionUnrecorded reports whether the records may lack a completion: they hold the claim that it
+// MayLackCompletion reports whether the records may lack a completion: they hold the claim that it
 // completes, or they are not loaded, or they may be too old to contain that claim. The caller must hold the
 // cache lock.
-func (s *HeartbeatServer) CompletionUnrecorded(done peer.Completion) bool {
+func (s *HeartbeatServer) MayLackCompletion(done peer.Completion) bool {
 	return !s.Cache.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(s.records(), done)
 }
 
@@ -61,7 +61,7 @@
 		case wire.CauseDone:
 			s.Failures.Completed(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.RunTime, now)
 			if exit.Held.Epoch == w.Epoch {
-				images.Use(job.Spec.Image, job.Spec.ImageGB)
+				images.RecordUse(job.Spec.Image, job.Spec.ImageGB)
 			} else {
 				s.stats.Add("completions_recalled_total", 1)
 			}
--- a/internal/server/dependencies.go
+++ b/internal/server/dependencies.go
@@ -42,7 +42,7 @@
 	}
 	known.archived = map[wire.JobID]ledger.FinalRecord{}
 	for _, id := range known.missing {
-		status, err := s.Archived(ctx, id)
+		status, err := s.ArchivedStatus(ctx, id)
 		switch {
 		case errors.Is(err, ErrNoSuchJob):
 			return known, errors.Join(ErrUnschedulable, fmt.Errorf("%w: %s", errUnknownDependency, id))
@@ -71,7 +71,7 @@
 		return known, errors.Join(kvstore.ErrUnreachable, ledger.ErrOlderFormat)
 	}
 	for _, id := range spec.Dependencies {
-		if _, over := s.records().ArchivedState(id); over {
+		if _, over := s.records().FinalRecordOf(id); over {
 			continue
 		}
 		job := s.records().Job(id)
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -64,8 +64,8 @@
 // unavailable is the answer of a controller that may not command the worker now.
 var unavailable = HeartbeatAnswer{Status: statusUnavailable}
 
-// HeartbeatServerParts are the components that a HeartbeatServer uses.
-type HeartbeatServerParts struct {
+// HeartbeatServerDeps are the components that a HeartbeatServer uses.
+type HeartbeatServerDeps struct {
 	Cache       *watchcache.Cache
 	Committer   *committer.Committer
 	Membership  *membership.Membership
@@ -80,7 +80,7 @@
 // HeartbeatServer answers the heartbeats of workers.
 type HeartbeatServer struct {
 	set *settings.Settings
-	HeartbeatServerParts
+	HeartbeatServerDeps
 	stats *metrics.Set
 	log   *slog.Logger
 
@@ -92,11 +92,11 @@
 // NewHeartbeatServer returns a server for workers' heartbeats.
 func NewHeartbeatServer(
 	set *settings.Settings,
-	p HeartbeatServerParts,
+	p HeartbeatServerDeps,
 	stats *metrics.Set,
 	log *slog.Logger,
 ) *HeartbeatServer {
-	return &HeartbeatServer{set: set, HeartbeatServerParts: p, stats: stats, log: log}
+	return &HeartbeatServer{set: set, HeartbeatServerDeps: p, stats: stats, log: log}
 }
 
 // records returns the replicated records. The caller must hold the cache lock while using them.
@@ -276,7 +276,7 @@
 	now := time.Now()
 	mayStart := now.Sub(s.Cache.SyncedAt()) < settings.StartContact &&
 		s.records().MachinePhase(hb.Machine) != ledger.Terminating
-	commands := w.Commands(hb, s.records().ClaimsOn(hb.Machine), s.records().Total(w.Type), mayStart)
+	commands := w.Commands(hb, s.records().ClaimsOn(hb.Machine), s.records().MachineTypeResources(w.Type), mayStart)
 	for _, command := range commands {
 		if command.Op != wire.OpForget {
 			s.log.Info("command",
--- a/internal/server/images.go
+++ b/internal/server/images.go
@@ -16,7 +16,7 @@
 		if task.State == wire.TaskFetching {
 			images.StartFetch(spec.Image, now)
 		} else {
-			images.Use(spec.Image, spec.ImageGB)
+			images.RecordUse(spec.Image, spec.ImageGB)
 		}
 	}
 }
--- a/internal/server/jobadmission.go
+++ b/internal/server/jobadmission.go
@@ -46,7 +46,7 @@
 	admission := policy.Admission{
 		Now:   now.UnixMilli(),
 		Names: []string{string(spec.Team), string(spec.Class), string(spec.Image)},
-		Job:   placement.JobOf(spec, need, wire.UnixMillis(now.UnixMilli())),
+		Job:   placement.PolicyJob(spec, need, wire.UnixMillis(now.UnixMilli())),
 	}
 	admission.Job.Class, admission.Job.Image = admissionClassName, admissionImageName
 	teamSum := ledger.Resources{}.Add(need, spec.Tasks) // resources of the team's jobs, including this one
@@ -97,7 +97,7 @@
 			continue
 		}
 		for _, zone := range machineType.Zones {
-			if ledger.Allowed(spec, machineType.Name, zone, false) {
+			if ledger.PlacementAllowed(spec, machineType.Name, zone, false) {
 				return nil
 			}
 		}
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -30,8 +30,8 @@
 // loadWait is how long a submission waits for a controller that has just started to load its records.
 const loadWait = time.Second
 
-// JobServerParts are the components that a JobServer uses.
-type JobServerParts struct {
+// JobServerDeps are the components that a JobServer uses.
+type JobServerDeps struct {
 	Cache     *watchcache.Cache
 	Committer *committer.Committer
 	Policies  *policymanager.Manager
@@ -44,14 +44,14 @@
 // and the user should retry.
 type JobServer struct {
 	set *settings.Settings
-	JobServerParts
+	JobServerDeps
 	stats *metrics.Set
 	log   *slog.Logger
 }
 
 // NewJobServer returns a server for users' requests.
-func NewJobServer(set *settings.Settings, p JobServerParts, stats *metrics.Set, log *slog.Logger) *JobServer {
-	return &JobServer{set: set, JobServerParts: p, stats: stats, log: log}
+func NewJobServer(set *settings.Settings, p JobServerDeps, stats *metrics.Set, log *slog.Logger) *JobServer {
+	return &JobServer{set: set, JobServerDeps: p, stats: stats, log: log}
 }
 
 // records returns the replicated records. The caller must hold the cache lock while using them.
@@ -119,7 +119,7 @@
 func (s *JobServer) checkSubmission(spec *wire.JobSpec) (known bool, refusal error) {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
-	_, archived := s.records().ArchivedState(spec.ID)
+	_, archived := s.records().FinalRecordOf(spec.ID)
 	if archived || s.records().Job(spec.ID) != nil {
 		return true, nil
 	}
@@ -159,7 +159,7 @@
 func (s *JobServer) acceptedStatus(id wire.JobID) wire.JobStatus {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
-	if final, ok := s.records().ArchivedState(id); ok {
+	if final, ok := s.records().FinalRecordOf(id); ok {
 		return final.Status(id)
 	}
 	if job := s.records().Job(id); job != nil {
@@ -173,7 +173,7 @@
 // the job is not known.
 func (s *JobServer) Status(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	s.Cache.Lock()
-	final, archived := s.records().ArchivedState(id)
+	final, archived := s.records().FinalRecordOf(id)
 	archived = archived && s.Cache.Loaded()
 	s.Cache.Unlock()
 	if archived {
@@ -190,14 +190,14 @@
 	}
 	// The records are of a revision after the call, so the job either was archived, and the archive's filter
 	// contains it, or is unknown.
-	return s.Archived(ctx, id)
+	return s.ArchivedStatus(ctx, id)
 }
 
 // recordedStatus returns the status of a job by the records, if they contain it.
 func (s *JobServer) recordedStatus(id wire.JobID) (wire.JobStatus, bool) {
 	s.Cache.Lock()
 	defer s.Cache.Unlock()
-	if final, ok := s.records().ArchivedState(id); ok {
+	if final, ok := s.records().FinalRecordOf(id); ok {
 		return final.Status(id), true
 	}
 	job := s.records().Job(id)
@@ -267,9 +267,9 @@
 // isFinal reports whether a job's status can no longer change.
 func isFinal(status wire.Status) bool { return status == wire.Done || status == wire.Cancelled }
 
-// Archived returns the final status of a job that is not in the records, which must be up to date. The error is
+// ArchivedStatus returns the final status of a job that is not in the records, which must be up to date. The error is
 // ErrNoSuchJob if the archive does not contain it either; other errors wrap kvstore.ErrUnreachable.
-func (s *JobServer) Archived(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
+func (s *JobServer) ArchivedStatus(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	st, err := s.Archiver.Final(ctx, id)
 	switch {
 	case errors.Is(err, archiver.ErrUnknown):
--- a/internal/server/reconcile/claims.go
+++ b/internal/server/reconcile/claims.go
@@ -26,7 +26,7 @@
 // shown by a heartbeat sent after the worker accepted this controller's token, so that no other controller's
 // command can have superseded it. In a gang that lacks a task it would wait forever.
 func (w *Worker) canRejoin(claim *ledger.HeldClaim, status *wire.TaskStatus) bool {
-	return gangWaitTimedOut(status) && w.Fresh && shouldRun(claim) && claim.Job.AllClaimedOrDone()
+	return gangWaitTimedOut(status) && w.TokenAccepted && shouldRun(claim) && claim.Job.AllClaimedOrDone()
 }
 
 // shouldRejoin reports whether a task that timed out waiting for its gang should resume waiting under the same
@@ -47,7 +47,7 @@
 // on the machine, and will not send it any more.
 func (w *Worker) startWithdrawn(claim *ledger.HeldClaim, task *trackedTask) bool {
 	if claim.Token == w.CommandToken &&
-		(w.Fresh && !shouldRun(claim) || task.startWithheldBefore || w.reachability.unreachable) {
+		(w.TokenAccepted && !shouldRun(claim) || task.startWithheldBefore || w.reachability.unreachable) {
 		return true
 	}
 	return slices.Contains(w.oldTokens, claim.Token)
--- a/internal/server/reconcile/commands.go
+++ b/internal/server/reconcile/commands.go
@@ -67,11 +67,11 @@
 		// Without a claim the exit is already recorded, provided that the records are at least as recent as
 		// this controller's token. A newer claim by another controller is ruled out only if the worker has
 		// accepted the token.
-		if claim == nil && w.Fresh {
+		if claim == nil && w.TokenAccepted {
 			return append(commands, newCommand(wire.OpForget, key))
 		}
 	case claim == nil:
-		if w.Fresh {
+		if w.TokenAccepted {
 			return append(commands, newStopCommand(key, 0))
 		}
 	case claim.Job.State == ledger.Cancelled || claim.Job.Cancelling:
--- a/internal/server/reconcile/commands_test.go
+++ b/internal/server/reconcile/commands_test.go
@@ -69,7 +69,7 @@
 	hb := heartbeat(1, 9, ownToken, status(wire.TaskRunning, testAttempt))
 	claims := claimOf(1, ownToken, "")
 	w := NewWorker(hb, nil, time.Time{})
-	w.Stop(claims[0])
+	w.RequestStop(claims[0])
 	w.Epoch = hb.Epoch // as a new epoch would clear the mark
 	w.Reconcile(hb, claims, ownToken, time.Time{})
 	commands := w.Commands(hb, claims, ledger.Resources{}, true)
--- a/internal/server/reconcile/exits.go
+++ b/internal/server/reconcile/exits.go
@@ -89,7 +89,7 @@
 		}
 		// Otherwise record task by task: the whole gang may not fit into the transaction.
 	}
-	if _, err := txn.ReleaseTasks(job, group.claim, tasks, ledger.TaskEnd(group.done)); err != nil {
+	if _, err := txn.ReleaseTasks(job, group.claim, tasks, ledger.TaskOutcome(group.done)); err != nil {
 		return err
 	}
 	if !group.done && inGang && job.State == ledger.Active {
--- a/internal/server/reconcile/reconciliation.go
+++ b/internal/server/reconcile/reconciliation.go
@@ -140,7 +140,7 @@
 	case w.ReclaimAt.IsZero() && claim.Token < w.CommandToken && w.canRejoin(claim, status):
 		r.addReported(claim, index, status.State)
 		r.addTakeOver(claim)
-	case gangWaitTimedOut(status) && (!w.Fresh || claim.Token > w.CommandToken):
+	case gangWaitTimedOut(status) && (!w.TokenAccepted || claim.Token > w.CommandToken):
 		// The controller that commands the machine may let the task resume waiting under the same attempt, so
 		// an old heartbeat that shows the timeout, processed by another controller, proves nothing. Once the
 		// worker has accepted this controller's token no other controller can do that.
@@ -160,11 +160,11 @@
 func (w *Worker) reconcileAbsent(r *Reconciliation, claim *ledger.HeldClaim, key taskKey, task *trackedTask) {
 	index := key.task.Index
 	switch {
-	case w.Fresh && claim.Token < w.CommandToken && w.canStart(claim):
+	case w.TokenAccepted && claim.Token < w.CommandToken && w.canStart(claim):
 		// Its controller failed before it sent the start, or the response was lost. Releasing the task would
 		// make the whole gang start over.
 		r.Unsent = append(r.Unsent, TaskExit{Held: *claim, Task: index})
-	case w.Fresh && claim.Token < w.CommandToken:
+	case w.TokenAccepted && claim.Token < w.CommandToken:
 		r.addExit(claim, index)
 	case w.startWithdrawn(claim, task):
 		if task.startWithheldBefore || w.reachability.unreachable {
--- a/internal/server/reconcile/registry.go
+++ b/internal/server/reconcile/registry.go
@@ -28,7 +28,7 @@
 // machineImages holds the images known to be on a machine in an agent epoch.
 type machineImages struct {
 	epoch  wire.AgentEpoch
-	images *placement.Images
+	images *placement.ImageCache
 }
 
 // NewRegistry returns an empty registry. The peers in the membership supply the images of machines that
@@ -64,13 +64,13 @@
 
 // Images returns the images known to be on a machine, for the caller to update. A new agent epoch starts
 // without images.
-func (r *Registry) Images(records *ledger.Ledger, w *Worker) *placement.Images {
+func (r *Registry) Images(records *ledger.Ledger, w *Worker) *placement.ImageCache {
 	known := r.images[w.ID]
 	if known != nil && known.epoch == w.Epoch {
 		return known.images
 	}
 	machineType, _ := records.MachineType(w.Type)
-	images := placement.NewImages(machineType.CacheGB)
+	images := placement.NewImageCache(machineType.CacheGB)
 	if known == nil {
 		// The worker may have reported to another controller in this epoch.
 		r.addPeerImages(images, w)
@@ -80,7 +80,7 @@
 }
 
 // addPeerImages adds the images that peers know to be on a machine in its current epoch.
-func (r *Registry) addPeerImages(images *placement.Images, w *Worker) {
+func (r *Registry) addPeerImages(images *placement.ImageCache, w *Worker) {
 	for _, peer := range r.membership.Peers() {
 		for i := range peer.Status.Machines {
 			m := &peer.Status.Machines[i]
@@ -88,23 +88,23 @@
 				continue
 			}
 			for _, name := range m.Images {
-				images.Use(name, 0)
+				images.RecordUse(name, 0)
 			}
 		}
 	}
 }
 
 // KnownImages returns the images known to be on a machine, or nil if nothing is known about them yet.
-func (r *Registry) KnownImages(w *Worker) *placement.Images {
+func (r *Registry) KnownImages(w *Worker) *placement.ImageCache {
 	if known := r.images[w.ID]; known != nil {
 		return known.images
 	}
 	return nil
 }
 
-// Forget removes and returns the workers that have been silent for silentRetention, or for terminatedRetention
+// RemoveInactive removes and returns the workers that have been silent for silentRetention, or for terminatedRetention
 // if their machines are terminated.
-func (r *Registry) Forget(records *ledger.Ledger, now time.Time) (forgotten []wire.MachineID) {
+func (r *Registry) RemoveInactive(records *ledger.Ledger, now time.Time) (forgotten []wire.MachineID) {
 	for id, w := range r.workers {
 		silence := now.Sub(w.LastHeartbeat)
 		terminated := silence > terminatedRetention && records.MachinePhase(id) == ledger.Terminated
--- a/internal/server/reconcile/tasks.go
+++ b/internal/server/reconcile/tasks.go
@@ -69,7 +69,7 @@
 	}
 	w.Epoch, w.Sequence, w.LastHeartbeat, w.CommandToken = hb.Epoch, hb.Sequence, now, token
 	w.Addr, w.Type, w.Zone, w.Spot = hb.Addr, hb.Type, hb.Zone, hb.Spot
-	w.Fresh = hb.FencingToken == token
+	w.TokenAccepted = hb.FencingToken == token
 	w.ReclaimAt = time.Time{}
 	if hb.ReclaimNotice != nil {
 		w.ReclaimAt = now.Add(hb.ReclaimNotice.Duration())
--- a/internal/server/reconcile/worker.go
+++ b/internal/server/reconcile/worker.go
@@ -36,7 +36,7 @@
 	// The latest heartbeat.
 	Epoch         wire.AgentEpoch
 	Sequence      wire.HeartbeatSequence
-	Fresh         bool      // it was sent after the worker had accepted CommandToken
+	TokenAccepted bool      // it was sent after the worker had accepted CommandToken
 	LastHeartbeat time.Time // when it arrived
 	ReclaimAt     time.Time // when the cloud provider reclaims the machine, zero if unknown
 
@@ -72,9 +72,9 @@
 	return hb.Epoch < w.Epoch || hb.Epoch == w.Epoch && hb.Sequence <= w.Sequence
 }
 
-// Stop marks a claim's tasks to be stopped, after saving a checkpoint if they can. The commands are sent with
+// RequestStop marks a claim's tasks to be stopped, after saving a checkpoint if they can. The commands are sent with
 // the next response.
-func (w *Worker) Stop(claim ledger.HeldClaim) {
+func (w *Worker) RequestStop(claim ledger.HeldClaim) {
 	for i := range claim.Count {
 		w.track(keyOf(&claim, i)).stopRequested = true
 	}
--- a/internal/server/reconcile/worker_test.go
+++ b/internal/server/reconcile/worker_test.go
@@ -86,7 +86,7 @@
 			t.Fatalf("commands %+v, want a start", commands)
 		}
 		w.Reconcile(heartbeat(1, 2, ownToken, running), claims, ownToken, at(1))
-		w.Stop(claims[0])
+		w.RequestStop(claims[0])
 		return w, claims
 	}
 	t.Run("reported", func(t *testing.T) {
--- a/internal/server/starts.go
+++ b/internal/server/starts.go
@@ -45,7 +45,7 @@
 	var regular, bestEffort []placement.Start
 	for _, start := range starts {
 		// Concurrent heartbeats of other machines must not be offered the same tasks.
-		s.Scheduler.CountStarted(start.Job.ID, start.Count)
+		s.Scheduler.AdjustPlannedStarts(start.Job.ID, start.Count)
 		if start.Job.BestEffort() {
 			bestEffort = append(bestEffort, start)
 		} else {
@@ -68,7 +68,7 @@
 // caller must hold the cache lock.
 func (s *HeartbeatServer) uncountStarts(starts []placement.Start) {
 	for _, start := range starts {
-		s.Scheduler.CountStarted(start.Job.ID, -start.Count)
+		s.Scheduler.AdjustPlannedStarts(start.Job.ID, -start.Count)
 	}
 }
 
@@ -117,11 +117,11 @@
 ) (claimed []placement.Start, err error) {
 	// A gang may have been placed on the machine in the meantime. The worker would refuse tasks that no longer
 	// fit.
-	free := s.records().Free(target)
+	free := s.records().FreeResources(target)
 	err = ledger.ErrPreconditionFailed
 	for _, start := range starts {
 		job := s.records().Job(start.Job.ID)
-		if job == nil || free.Times(job.Need, start.Count) < start.Count {
+		if job == nil || free.CountFitting(job.Need, start.Count) < start.Count {
 			continue
 		}
 		free = free.Add(job.Need, -start.Count)
@@ -144,7 +144,7 @@
 	count int,
 ) error {
 	if job.Spec.Shape == wire.Gang {
-		return txn.ClaimGang(job, []ledger.GangPart{{Target: target, Count: count}})
+		return txn.ClaimGang(job, []ledger.GangAllocation{{Target: target, Count: count}})
 	}
 	_, err := txn.Claim(job, target, count, s.Failures.BackedOff(job.ID))
 	return err
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -154,7 +154,7 @@
 // settled reports whether the format was upgraded long enough ago: what a controller without the
 // archive has sent may be applied late, and is not conditioned on the archive.
 func (a *Archiver) settled(format ledger.FormatRecord) bool {
-	return format.Fresh || !time.Now().Before(time.UnixMilli(int64(format.At)).Add(a.opt.Settle))
+	return format.NoOlderWriters || !time.Now().Before(time.UnixMilli(int64(format.At)).Add(a.opt.Settle))
 }
 
 // moveAll moves transaction after transaction, at the pace of archiveShare, until nothing is left
--- a/internal/state/archiver/backlog.go
+++ b/internal/state/archiver/backlog.go
@@ -66,12 +66,12 @@
 // archiveJobs archives jobs of one page of the filter and returns how many. A job that has too many
 // task ranges for a transaction first loses some of them.
 func (b *backlog) archiveJobs(l *ledger.Ledger, txn *ledger.Transaction) int {
-	ids, end := b.jobsOfPage(l, txn.RemainingChanges())
+	ids, end := b.jobsOfPage(l, txn.MaxChanges())
 	if len(ids) == 0 {
 		b.jobs = b.jobs[end:]
 		return 0
 	}
-	n, err := txn.Archive(ids)
+	n, err := txn.ArchiveJobs(ids)
 	if err == nil {
 		b.dropJobsTo(ids[n-1])
 		return n
@@ -112,7 +112,7 @@
 		group := b.machines[0]
 		part, _ := archive.PartOfMachine(string(group[0]))
 		// Two changes are the part's and its series' head.
-		for n := min(len(group), max(1, txn.RemainingChanges()-2)); n > 0; n-- {
+		for n := min(len(group), max(1, txn.MaxChanges()-2)); n > 0; n-- {
 			if txn.CompactTerminated(part, group[:n]) != nil {
 				continue
 			}
@@ -157,7 +157,7 @@
 		return
 	}
 	var all []finished[wire.JobID]
-	l.EachFinished(func(id wire.JobID, revision wire.Revision) {
+	l.EachArchivable(func(id wire.JobID, revision wire.Revision) {
 		all = append(all, finished[wire.JobID]{id, revision})
 	})
 	if len(all) <= b.kept {
--- a/internal/state/archiver/mover.go
+++ b/internal/state/archiver/mover.go
@@ -58,7 +58,7 @@
 	var request wire.Txn
 	var err error
 	m.host.Read(func(l *ledger.Ledger) {
-		records, txn = l, l.NewTransactionOf(spare)
+		records, txn = l, l.NewLimitedTransaction(spare)
 		filled = m.backlog.fill(l, txn)
 		request, err = txn.Request()
 	})
--- a/internal/state/backup/backup_test.go
+++ b/internal/state/backup/backup_test.go
@@ -117,7 +117,7 @@
 			var archived *ledger.Transaction
 			f.commit(func(txn *ledger.Transaction) error {
 				archived = txn
-				_, err := txn.Archive([]wire.JobID{id})
+				_, err := txn.ArchiveJobs([]wire.JobID{id})
 				return err
 			})
 			archived.Committed(f.revision)
--- a/internal/state/committer/batch.go
+++ b/internal/state/committer/batch.go
@@ -67,13 +67,13 @@
 // draft fails, and those that have expired, get their outcome. It reorders the queue.
 func (c *Committer) draftBatch(queue []*Change, size int) (b batch, err error) {
 	c.records.Read(func(l *ledger.Ledger) {
-		txn := timed(l.NewTransactionOf(size))
+		txn := timed(l.NewLimitedTransaction(size))
 		now := time.Now()
 		limited := false // best-effort changes have begun
 		for i, ch := range order(queue, now) {
 			if !limited && ch.yields(now) {
 				limited = true
-				txn.Limit(c.bestEffortLimit(size))
+				txn.LimitChanges(c.bestEffortLimit(size))
 			}
 			switch {
 			case ch.expired(now):
--- a/internal/state/ledger/apply_job.go
+++ b/internal/state/ledger/apply_job.go
@@ -82,7 +82,7 @@
 		return false
 	}
 	l.unlinkGallery(id, finished.gallery)
-	l.noteArchived(id, finished.final())
+	l.addArchived(id, finished.finalRecord())
 	return true
 }
 
@@ -110,8 +110,8 @@
 	}
 	j.tasksPerRange = j.storedRange
 	if !l.mayDivide(j) {
-		j.long = l.isLong(j.Spec, j.storedRange)
-	} else if l.crowded(j.Spec, j.storedRange) {
+		j.long = l.isLongRange(j.Spec, j.storedRange)
+	} else if l.rangeMayOverflow(j.Spec, j.storedRange) {
 		l.divide(j)
 	}
 	l.linkGallery(j, r.Gallery)
@@ -243,8 +243,8 @@
 // removeArchivedJob removes an archived job from the ledger.
 func (l *Ledger) removeArchivedJob(j *Job) {
 	l.unlinkGallery(j.ID, j.Gallery)
-	if r, finished := l.ArchivedState(j.ID); finished {
-		l.noteArchived(j.ID, r)
+	if r, finished := l.FinalRecordOf(j.ID); finished {
+		l.addArchived(j.ID, r)
 	}
 	for n := range j.ranges {
 		l.replaceRange(j, n, &TaskRange{})
--- a/internal/state/ledger/archive.go
+++ b/internal/state/ledger/archive.go
@@ -46,8 +46,8 @@
 	ended     wire.UnixMillis // when it was done; 0 if that is not on record
 }
 
-// final returns the record that the archive keeps of the job.
-func (j finishedJob) final() FinalRecord {
+// finalRecord returns the record that the archive keeps of the job.
+func (j finishedJob) finalRecord() FinalRecord {
 	if j.cancelled {
 		return FinalRecord{State: Cancelled, Done: int(j.done)}
 	}
@@ -66,19 +66,19 @@
 	}
 }
 
-// ArchivedJobs calls f for every job whose archiving was observed since the last call.
-func (l *Ledger) ArchivedJobs(f func(wire.JobID, FinalRecord)) {
+// DrainArchivedJobs calls f for every job whose archiving was observed since the last call.
+func (l *Ledger) DrainArchivedJobs(f func(wire.JobID, FinalRecord)) {
 	for id, r := range l.archived.newlyArchived {
 		f(id, r)
 	}
 	clear(l.archived.newlyArchived)
 }
 
-// ArchivedState returns the final record that a finished job which is still on record will get in the
+// FinalRecordOf returns the final record that a finished job which is still on record will get in the
 // archive; ok is false for any other job.
-func (l *Ledger) ArchivedState(id wire.JobID) (r FinalRecord, ok bool) {
+func (l *Ledger) FinalRecordOf(id wire.JobID) (r FinalRecord, ok bool) {
 	if finished, ok := l.archived.finished[id]; ok {
-		return finished.final(), true
+		return finished.finalRecord(), true
 	}
 	if j := l.jobs[id]; j != nil && j.State != Active {
 		return FinalRecord{j.State, j.DoneTasks()}, true
@@ -104,8 +104,8 @@
 	return w == nil || w.Ended()
 }
 
-// EachFinished calls f for every archivable job with the revision of its last change.
-func (l *Ledger) EachFinished(f func(wire.JobID, wire.Revision)) {
+// EachArchivable calls f for every archivable job with the revision of its last change.
+func (l *Ledger) EachArchivable(f func(wire.JobID, wire.Revision)) {
 	for id, finished := range l.archived.finished {
 		if l.Archivable(id) {
 			f(id, finished.version)
@@ -128,8 +128,8 @@
 	}
 }
 
-// noteArchived records that a job was archived, and adds it to its filter page if that is loaded.
-func (l *Ledger) noteArchived(id wire.JobID, r FinalRecord) {
+// addArchived records that a job was archived, and adds it to its filter page if that is loaded.
+func (l *Ledger) addArchived(id wire.JobID, r FinalRecord) {
 	l.archived.newlyArchived[id] = r
 	l.archived.filter.Add(string(id))
 }
--- a/internal/state/ledger/archive_test.go
+++ b/internal/state/ledger/archive_test.go
@@ -141,7 +141,7 @@
 			continue
 		}
 		txn := l.NewTransaction()
-		if _, err := txn.Archive(group); err != nil {
+		if _, err := txn.ArchiveJobs(group); err != nil {
 			t.Fatal(err)
 		}
 		request, err := txn.Request()
--- a/internal/state/ledger/claims_test.go
+++ b/internal/state/ledger/claims_test.go
@@ -185,7 +185,7 @@
 	for key, tasks := range ended {
 		txn := f.ledger.NewTransaction()
 		if n, err := txn.ReleaseTasks(
-			j, key.claim, tasks, ledger.TaskEnd(rng.IntN(20) > 0),
+			j, key.claim, tasks, ledger.TaskOutcome(rng.IntN(20) > 0),
 		); err != nil || n != len(tasks) {
 			t.Fatalf("got %d of %d tasks released: %v", n, len(tasks), err)
 		}
--- a/internal/state/ledger/dependencies.go
+++ b/internal/state/ledger/dependencies.go
@@ -131,7 +131,7 @@
 // cancelled ancestor counts as cancelled. known is false if the job is not in the ledger.
 func (l *Ledger) dependencyState(id wire.JobID) (state JobState, ended wire.UnixMillis, known bool) {
 	if finished, ok := l.archived.finished[id]; ok {
-		return finished.final().State, finished.ended, true
+		return finished.finalRecord().State, finished.ended, true
 	}
 	j := l.jobs[id]
 	switch {
@@ -231,9 +231,9 @@
 	}
 }
 
-// DrainReleased returns the jobs that became ready since the previous call because their last dependency became
+// DrainNewlyReady returns the jobs that became ready since the previous call because their last dependency became
 // done.
-func (l *Ledger) DrainReleased() []wire.JobID {
+func (l *Ledger) DrainNewlyReady() []wire.JobID {
 	ready := l.dependencies.newlyReady
 	l.dependencies.newlyReady = nil
 	return ready
--- a/internal/state/ledger/dependencies_test.go
+++ b/internal/state/ledger/dependencies_test.go
@@ -132,7 +132,7 @@
 
 // statusOf returns the status of a job in the ledger, "" if it is not there.
 func statusOf(l *ledger.Ledger, id wire.JobID) wire.Status {
-	if final, finished := l.ArchivedState(id); finished {
+	if final, finished := l.FinalRecordOf(id); finished {
 		return final.Status(id).Status
 	}
 	if j := l.Job(id); j != nil {
@@ -408,7 +408,7 @@
 				apply(2, second, "")
 				apply(3, first, "done")
 				apply(3, second, "cancelled")
-				l.DrainReleased()
+				l.DrainNewlyReady()
 			}
 		})
 	}
--- a/internal/state/ledger/division.go
+++ b/internal/state/ledger/division.go
@@ -95,16 +95,16 @@
 // mayDivide reports whether a job must be divided if its ranges are crowded: parts may be written, a record of
 // the usual length may exceed the value limit, and the stored ranges are longer than those of a divided job.
 func (l *Ledger) mayDivide(j *Job) bool {
-	return l.writesParts() && l.lowered() && j.storedRange > dividedRangeTasks
+	return l.partsEnabled() && l.lowered() && j.storedRange > dividedRangeTasks
 }
 
-// writesParts reports whether parts may be written, which requires that all controllers can read them.
-func (l *Ledger) writesParts() bool { return l.archived.format.Format >= PipelineFormat }
+// partsEnabled reports whether parts may be written, which requires that all controllers can read them.
+func (l *Ledger) partsEnabled() bool { return l.archived.format.Format >= PipelineFormat }
 
 // divideOversizedJobs divides the jobs whose records may be too large. It does nothing until parts may be written.
 func (l *Ledger) divideOversizedJobs() {
 	for _, j := range l.jobs {
-		if l.mayDivide(j) && l.crowded(j.Spec, j.storedRange) {
+		if l.mayDivide(j) && l.rangeMayOverflow(j.Spec, j.storedRange) {
 			l.divide(j)
 		}
 	}
--- a/internal/state/ledger/division_test.go
+++ b/internal/state/ledger/division_test.go
@@ -19,7 +19,7 @@
 var (
 	usualLimits   = ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: kvstore.TxnBytes}
 	loweredLimits = ledger.Limits{
-		ValueBytes: 2048, UsualValueBytes: 32 << 10, TxnOps: 4, TxnBytes: kvstore.TxnBytes,
+		ValueBytes: 2048, CurrentValueBytes: 32 << 10, TxnOps: 4, TxnBytes: kvstore.TxnBytes,
 	}
 )
 
@@ -57,7 +57,7 @@
 }
 
 // releaseOneTask releases a random claimed task of a job, and reports whether there was one.
-func (f *fixture) releaseOneTask(t *testing.T, j *ledger.Job, rng *rand.Rand, end ledger.TaskEnd) bool {
+func (f *fixture) releaseOneTask(t *testing.T, j *ledger.Job, rng *rand.Rand, end ledger.TaskOutcome) bool {
 	t.Helper()
 	var claims []ledger.Claim
 	j.Claims(func(c ledger.Claim) bool { claims = append(claims, c); return true })
@@ -103,7 +103,7 @@
 				compareWithReloaded(t, seed, f, j)
 			}
 		}
-		if final, ended := f.ledger.ArchivedState("wk-000001"); !ended || final.State != ledger.Done || final.Done != tasks {
+		if final, ended := f.ledger.FinalRecordOf("wk-000001"); !ended || final.State != ledger.Done || final.Done != tasks {
 			t.Fatalf("seed %d: got %+v, finished %v, want done with %d tasks", seed, final, ended, tasks)
 		}
 		if len(f.store.Problems) > 0 {
@@ -163,7 +163,7 @@
 	readPages(f.ledger, f.store, "wk-000001")
 	for range 200 {
 		txn := f.ledger.NewTransaction()
-		if _, err := txn.Archive([]wire.JobID{"wk-000001"}); err == nil {
+		if _, err := txn.ArchiveJobs([]wire.JobID{"wk-000001"}); err == nil {
 			f.commit(t, txn)
 			break
 		}
--- a/internal/state/ledger/errors.go
+++ b/internal/state/ledger/errors.go
@@ -13,8 +13,8 @@
 	ErrPreconditionFailed = errors.New("ledger: precondition failed")
 	// ErrTooLarge means that a record, or a change by itself, would exceed the store's limits.
 	ErrTooLarge = errors.New("ledger: record too large")
-	// ErrNoPage means that a page of the archive's filter must be read first; see PutFilterPage.
-	ErrNoPage = errors.New("ledger: filter page not loaded")
+	// ErrFilterPageNotLoaded means that a page of the archive's filter must be read first; see PutFilterPage.
+	ErrFilterPageNotLoaded = errors.New("ledger: filter page not loaded")
 	// ErrUnknownDependency means that a job depends on one that is neither on record nor known to be
 	// archived.
 	ErrUnknownDependency = errors.New("ledger: dependency is not on record")
@@ -23,8 +23,8 @@
 	// ErrTooManyDependencies means that a job has more dependencies than its record has room for. The
 	// text is part of an API response.
 	ErrTooManyDependencies = errors.New("names more jobs than can be kept")
-	// ErrManyDates means that a gallery's record has no room for another change of its date.
-	ErrManyDates = errors.New("ledger: too many date changes of a gallery")
+	// ErrDateLimit means that a gallery's record has no room for another change of its date.
+	ErrDateLimit = errors.New("ledger: too many date changes of a gallery")
 )
 
 // Errors of records that this version must not serve from.
@@ -37,8 +37,8 @@
 
 // Errors of policy changes. Their text is shown to operators.
 var (
-	// ErrInUse means that a module can't be removed because it is the current or the next policy.
-	ErrInUse = errors.New("the module is the current or the next policy")
+	// ErrModuleInUse means that a module can't be removed because it is the current or the next policy.
+	ErrModuleInUse = errors.New("the module is the current or the next policy")
 	// ErrNoPreviousPolicy means that there is no policy to roll back to.
 	ErrNoPreviousPolicy = errors.New("nothing to go back to")
 	// ErrSwapInProgress means that another policy swap is not complete.
@@ -60,7 +60,7 @@
 // Is reports whether target is ErrPreconditionFailed.
 func (e *PreconditionError) Is(target error) bool { return target == ErrPreconditionFailed }
 
-// refuse returns the error for a transition that a record does not allow.
-func refuse[Name ~string](operation string, record Name) error {
+// newPreconditionError returns the error for a transition that a record does not allow.
+func newPreconditionError[Name ~string](operation string, record Name) error {
 	return &PreconditionError{Operation: operation, Record: string(record)}
 }
--- a/internal/state/ledger/filter.go
+++ b/internal/state/ledger/filter.go
@@ -65,7 +65,7 @@
 func (txn *Transaction) addToFilter(names ...string) error {
 	page, version := txn.ledger.archived.filter.Page(names[0])
 	if page == nil {
-		return ErrNoPage
+		return ErrFilterPageNotLoaded
 	}
 	pages, same := page.With(names, txn.ledger.limits.ValueBytes)
 	txn.conditions[pageKey(page)] = wire.Revision(version)
--- a/internal/state/ledger/format.go
+++ b/internal/state/ledger/format.go
@@ -22,9 +22,9 @@
 type FormatRecord struct {
 	Format int             `json:"n"`
 	At     wire.UnixMillis `json:"at"` // when the format was upgraded to one with an archive
-	// Fresh means that every controller that ever served these records reads the format, so that there
+	// NoOlderWriters means that every controller that ever served these records reads the format, so that there
 	// is no need to wait for a late transaction of an older version.
-	Fresh bool `json:"fresh,omitempty"`
+	NoOlderWriters bool `json:"fresh,omitempty"`
 	// Range is the default number of tasks that share a record, for jobs whose record does not have one.
 	// It is set from PipelineFormat on.
 	Range int `json:"range,omitempty"`
@@ -57,19 +57,19 @@
 func (txn *Transaction) UpgradeFormat(to int, at wire.UnixMillis) error {
 	current, version := txn.ledger.Format()
 	if to <= current.Format || to > NewestFormat {
-		return refuse("upgrade format", strconv.Itoa(to))
+		return newPreconditionError("upgrade format", strconv.Itoa(to))
 	}
 	return txn.atomically(func() error {
 		txn.conditions[FormatKey] = version
 		txn.conditions[TokenKey] = txn.ledger.tokenVersion
-		r := FormatRecord{Format: to, At: at, Fresh: txn.ledger.token.Reads >= to, Era: current.Era}
+		r := FormatRecord{Format: to, At: at, NoOlderWriters: txn.ledger.token.CommonFormat >= to, Era: current.Era}
 		if to >= PipelineFormat {
 			r.Range = txn.ledger.usualRange()
 		}
 		if current.Format >= ArchiveFormat {
 			// A version that knows the archive but not galleries puts conditions on the records that it
 			// writes, so a late transaction of it does no harm: archiving need not wait again.
-			r.At, r.Fresh = current.At, current.Fresh
+			r.At, r.NoOlderWriters = current.At, current.NoOlderWriters
 		}
 		txn.put(FormatKey, r)
 		return nil
--- a/internal/state/ledger/gallery.go
+++ b/internal/state/ledger/gallery.go
@@ -39,9 +39,9 @@
 
 // Promise is a promised date, when it was set, and why it was changed.
 type Promise struct {
-	At   wire.UnixMillis `json:"at"`
-	Date wire.UnixMillis `json:"date"`
-	Why  string          `json:"why,omitempty"`
+	At     wire.UnixMillis `json:"at"`
+	Date   wire.UnixMillis `json:"date"`
+	Reason string          `json:"why,omitempty"`
 }
 
 // GalleryRecord is the record of a gallery. Promises are only appended, and the last one is in force. The
@@ -51,7 +51,7 @@
 	Team     wire.Team       `json:"team"`
 	Promises []Promise       `json:"dates"`
 	State    GalleryState    `json:"state,omitempty"`
-	Why      string          `json:"why,omitempty"`  // the reason for the state
+	Reason   string          `json:"why,omitempty"`  // the reason for the state
 	Since    wire.UnixMillis `json:"since"`          // when it entered the state
 	Register int             `json:"reg"`            // the edition of the register that last changed it
 	Jobs     *GalleryCount   `json:"jobs,omitempty"` // set once it has ended
--- a/internal/state/ledger/gallery_test.go
+++ b/internal/state/ledger/gallery_test.go
@@ -103,7 +103,7 @@
 		}
 	case g == nil:
 	case kind == 2:
-		_ = txn.ChangeDate(g, ledger.Promise{At: now, Date: wire.UnixMillis(2000 + h.rng.IntN(9))}, register)
+		_ = txn.AddPromise(g, ledger.Promise{At: now, Date: wire.UnixMillis(2000 + h.rng.IntN(9))}, register)
 	case kind == 5 && j != nil:
 		_ = txn.AssignGallery(j, g)
 	case kind == 6:
@@ -119,7 +119,7 @@
 		ledger.GalleryAtRisk, ledger.GalleryOpen, ledger.GalleryKept, ledger.GalleryBroken,
 	}
 	if h.rng.IntN(4) == 0 {
-		_ = txn.MoveGallery(g, states[h.rng.IntN(4)], "why", now)
+		_ = txn.SetGalleryState(g, states[h.rng.IntN(4)], "why", now)
 	}
 	if h.rng.IntN(12) == 0 {
 		_ = txn.WithdrawGallery(g, "gone", now, register)
@@ -290,17 +290,17 @@
 	}
 	name := wire.GalleryName("a-name-of-64-bytes-a-name-of-64-bytes-a-name-of-64-bytes-aaaaaaa")
 	if err := run(func(txn *ledger.Transaction) error {
-		return txn.OpenGallery(name, "free", ledger.Promise{At: 1e12, Date: 2e12, Why: why}, 1)
+		return txn.OpenGallery(name, "free", ledger.Promise{At: 1e12, Date: 2e12, Reason: why}, 1)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	var err error
 	for i := 0; err == nil && i < 100; i++ {
 		err = run(func(txn *ledger.Transaction) error {
-			return txn.ChangeDate(l.Gallery(name), ledger.Promise{At: 1e12, Date: wire.UnixMillis(2e12 + i + 1), Why: why}, 1)
+			return txn.AddPromise(l.Gallery(name), ledger.Promise{At: 1e12, Date: wire.UnixMillis(2e12 + i + 1), Reason: why}, 1)
 		})
 	}
-	if !errors.Is(err, ledger.ErrManyDates) || len(l.Gallery(name).Promises) < 10 {
-		t.Errorf("got %v after %d dates, want %v after 10 or more", err, len(l.Gallery(name).Promises), ledger.ErrManyDates)
+	if !errors.Is(err, ledger.ErrDateLimit) || len(l.Gallery(name).Promises) < 10 {
+		t.Errorf("got %v after %d dates, want %v after 10 or more", err, len(l.Gallery(name).Promises), ledger.ErrDateLimit)
 	}
 }
--- a/internal/state/ledger/history_test.go
+++ b/internal/state/ledger/history_test.go
@@ -244,7 +244,7 @@
 // possible.
 func (h *history) archive(txn *ledger.Transaction, l *ledger.Ledger) *ledger.Transaction {
 	var finished []wire.JobID
-	l.EachFinished(func(id wire.JobID, _ wire.Revision) { finished = append(finished, id) })
+	l.EachArchivable(func(id wire.JobID, _ wire.Revision) { finished = append(finished, id) })
 	slices.Sort(finished)
 	if h.rng.IntN(3) == 0 { // as a controller does after a conflict, to read the page again
 		for _, id := range finished {
@@ -260,7 +260,7 @@
 		return separate
 	}
 	if l.FilterPage(finished[0]) == l.FilterPage(finished[len(finished)-1]) {
-		if _, err := separate.Archive(finished[:1+h.rng.IntN(len(finished))]); err == nil {
+		if _, err := separate.ArchiveJobs(finished[:1+h.rng.IntN(len(finished))]); err == nil {
 			return separate
 		}
 	}
@@ -273,10 +273,10 @@
 		_, _ = txn.Claim(j, target(machine, token), 1+h.rng.IntN(5), nil)
 		return
 	}
-	var parts []ledger.GangPart
+	var parts []ledger.GangAllocation
 	for left := j.Pending(); left > 0; {
 		n := 1 + h.rng.IntN(left)
-		parts = append(parts, ledger.GangPart{Target: target(h.rng.IntN(6), token), Count: n})
+		parts = append(parts, ledger.GangAllocation{Target: target(h.rng.IntN(6), token), Count: n})
 		left -= n
 	}
 	if parts != nil {
@@ -301,7 +301,7 @@
 func (h *history) release(txn *ledger.Transaction, j *ledger.Job) {
 	j.Claims(func(c ledger.Claim) bool {
 		task := c.First + wire.TaskIndex(h.rng.IntN(c.Count))
-		if _, err := txn.ReleaseTasks(j, c, []wire.TaskIndex{task}, ledger.TaskEnd(h.rng.IntN(2) == 0)); err == nil {
+		if _, err := txn.ReleaseTasks(j, c, []wire.TaskIndex{task}, ledger.TaskOutcome(h.rng.IntN(2) == 0)); err == nil {
 			h.prove(j, c, task)
 		}
 		return h.rng.IntN(2) == 0
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -104,15 +104,15 @@
 // ClaimsOn returns the claims on a machine. The slice is valid until the next change of the ledger.
 func (l *Ledger) ClaimsOn(m wire.MachineID) []HeldClaim { return l.claimsByMachine[m] }
 
-// EachHolder calls f for every machine that has claims.
-func (l *Ledger) EachHolder(f func(wire.MachineID, []HeldClaim)) {
+// EachClaimedMachine calls f for every machine that has claims.
+func (l *Ledger) EachClaimedMachine(f func(wire.MachineID, []HeldClaim)) {
 	for m, h := range l.claimsByMachine {
 		f(m, h)
 	}
 }
 
-// Used returns the resources that a team's claims take in total.
-func (l *Ledger) Used(t wire.Team) Resources { return l.teamUsage[t] }
+// TeamUsage returns the resources that a team's claims take in total.
+func (l *Ledger) TeamUsage(t wire.Team) Resources { return l.teamUsage[t] }
 
 // Member returns the last status that a controller published, or nil if there is none.
 func (l *Ledger) Member(m wire.MemberID) json.RawMessage { return l.members[m] }
--- a/internal/state/ledger/limits.go
+++ b/internal/state/ledger/limits.go
@@ -12,20 +12,20 @@
 // Limits are the limits of the key-value store, the quotas of teams, and this controller's index.
 type Limits struct {
 	ValueBytes int // the largest value that is written
-	// UsualValueBytes is the store's value size limit until it is lowered to ValueBytes. Versions that do
+	// CurrentValueBytes is the store's value size limit until it is lowered to ValueBytes. Versions that do
 	// not know the lower limit write values up to this size, and the default number of tasks per range is
 	// computed from it; 0 means ValueBytes.
-	UsualValueBytes int
-	TxnOps          int                     // the maximum number of changes in a transaction
-	TxnBytes        int                     // the maximum size of a transaction
-	TeamMax         map[wire.Team]Resources // quotas, by team; an amount of 0 is unlimited
+	CurrentValueBytes int
+	TxnOps            int                     // the maximum number of changes in a transaction
+	TxnBytes          int                     // the maximum size of a transaction
+	TeamMax           map[wire.Team]Resources // quotas, by team; an amount of 0 is unlimited
 
 	ControllerIndex int // 0 to ControllerCount-1
 	ControllerCount int // 0 means that there is only this one
 }
 
-// caps reports whether a team's quota limits a resource that a task needs.
-func (limits *Limits) caps(t wire.Team, need Resources) bool {
+// constrains reports whether a team's quota limits a resource that a task needs.
+func (limits *Limits) constrains(t wire.Team, need Resources) bool {
 	limit := limits.TeamMax[t]
 	return limit.CPU > 0 && need.CPU > 0 || limit.GPU > 0 && need.GPU > 0
 }
@@ -55,7 +55,7 @@
 // TasksPerRange returns how many tasks share a record by default. In the worst case each task has its own
 // claim, and all claims must fit into the record together with the job's specification.
 func (limits *Limits) TasksPerRange() int {
-	return rangeSize(max(limits.ValueBytes, limits.UsualValueBytes), maxSpecBytes)
+	return rangeSize(max(limits.ValueBytes, limits.CurrentValueBytes), maxSpecBytes)
 }
 
 // rangeSize returns how many tasks may share a record of valueBytes that holds otherBytes of other data.
@@ -82,28 +82,28 @@
 // valueLimit returns the maximum size of a value. Until the format supports the division of ranges, records are
 // written up to the limit of earlier versions.
 func (l *Ledger) valueLimit() int {
-	if l.writesParts() {
+	if l.partsEnabled() {
 		return l.limits.ValueBytes
 	}
-	return max(l.limits.ValueBytes, l.limits.UsualValueBytes)
+	return max(l.limits.ValueBytes, l.limits.CurrentValueBytes)
 }
 
-// isLong reports whether a range has more tasks than its record has room for if each has its own claim.
-func (l *Ledger) isLong(s *wire.JobSpec, tasksPerRange int) bool {
+// isLongRange reports whether a range has more tasks than its record has room for if each has its own claim.
+func (l *Ledger) isLongRange(s *wire.JobSpec, tasksPerRange int) bool {
 	if tasksPerRange == l.usualRange() {
 		return false // it fits within the current limit, and is divided once the limit is lowered
 	}
-	return l.crowded(s, tasksPerRange)
+	return l.rangeMayOverflow(s, tasksPerRange)
 }
 
-// crowded reports whether a range of tasksPerRange tasks has more of them than a record within the value size
+// rangeMayOverflow reports whether a range of tasksPerRange tasks has more of them than a record within the value size
 // limit has room for if each has its own claim.
-func (l *Ledger) crowded(s *wire.JobSpec, tasksPerRange int) bool {
+func (l *Ledger) rangeMayOverflow(s *wire.JobSpec, tasksPerRange int) bool {
 	return min(s.Tasks, tasksPerRange) > l.limits.shortRangeSize(s)
 }
 
-// newRange returns how many tasks of a new job share a record.
-func (l *Ledger) newRange(s *wire.JobSpec) int {
+// newRangeSize returns how many tasks of a new job share a record.
+func (l *Ledger) newRangeSize(s *wire.JobSpec) int {
 	if long := l.longRangeSize(s); long > 0 {
 		return long
 	}
@@ -125,7 +125,7 @@
 	// its tasks are pending and machines of that type are idle. So the smallest type decides.
 	need, each := NewResources(s.CPUs, s.GPUs, s.MemoryGB), 0
 	for _, t := range l.machineTypes {
-		k := NewResources(t.CPUs, t.GPUs, t.MemoryGB).Times(need, s.Tasks)
+		k := NewResources(t.CPUs, t.GPUs, t.MemoryGB).CountFitting(need, s.Tasks)
 		if k > 0 && (each == 0 || k < each) && (s.Types == nil || slices.Contains(s.Types, t.Name)) {
 			each = k
 		}
@@ -138,9 +138,9 @@
 	return n
 }
 
-// firstRange returns the range of a job in which this controller starts to claim tasks. It differs between
+// startingRange returns the range of a job in which this controller starts to claim tasks. It differs between
 // controllers, so that they seldom write the same record.
-func (limits *Limits) firstRange(id wire.JobID, ranges int) int {
+func (limits *Limits) startingRange(id wire.JobID, ranges int) int {
 	if ranges == 1 {
 		return 0
 	}
--- a/internal/state/ledger/machines.go
+++ b/internal/state/ledger/machines.go
@@ -51,16 +51,16 @@
 // CountTerminated returns the number of terminated machines that were compacted into their series.
 func (l *Ledger) CountTerminated() int { return l.archived.terminated.Count() }
 
-// Total returns the resources of a machine of a type, or zero if the type is unknown.
-func (l *Ledger) Total(t wire.MachineTypeName) Resources {
+// MachineTypeResources returns the resources of a machine of a type, or zero if the type is unknown.
+func (l *Ledger) MachineTypeResources(t wire.MachineTypeName) Resources {
 	machineType := l.machineTypes[t]
 	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// Free returns the unclaimed resources of a machine. Claims of earlier agent epochs are ignored: their tasks
+// FreeResources returns the unclaimed resources of a machine. Claims of earlier agent epochs are ignored: their tasks
 // ended with the epoch.
-func (l *Ledger) Free(target ClaimTarget) Resources {
-	free := l.Total(target.Type)
+func (l *Ledger) FreeResources(target ClaimTarget) Resources {
+	free := l.MachineTypeResources(target.Type)
 	for _, held := range l.ClaimsOn(target.Machine) {
 		if held.Epoch >= target.Epoch {
 			free = free.Add(held.Job.Need, -held.Count)
--- a/internal/state/ledger/policy.go
+++ b/internal/state/ledger/policy.go
@@ -13,11 +13,11 @@
 
 // PolicyRecord selects the policy module that all controllers use. Its methods return the changed record.
 type PolicyRecord struct {
-	Use  wire.ModuleHash `json:"use,omitempty"`  // "" is the built-in policy
-	Last wire.ModuleHash `json:"last,omitempty"` // the previous one, for a rollback
-	Next wire.ModuleHash `json:"next,omitempty"` // pending: used once every controller has loaded it
-	At   wire.UnixMillis `json:"at,omitempty"`   // when Next was requested, or the time of the last change
-	Why  string          `json:"why,omitempty"`  // why the last swap was not completed
+	Current  wire.ModuleHash `json:"use,omitempty"`  // "" is the built-in policy
+	Previous wire.ModuleHash `json:"last,omitempty"` // the previous one, for a rollback
+	Next     wire.ModuleHash `json:"next,omitempty"` // pending: used once every controller has loaded it
+	At       wire.UnixMillis `json:"at,omitempty"`   // when Next was requested, or the time of the last change
+	Reason   string          `json:"why,omitempty"`  // why the last swap was not completed
 }
 
 // RequestSwap starts a swap to a module, or switches to the built-in policy ("") immediately. It returns
@@ -25,14 +25,14 @@
 func (r PolicyRecord) RequestSwap(h wire.ModuleHash, now wire.UnixMillis) (PolicyRecord, error) {
 	switch {
 	case h == "":
-		if r.Use != "" {
-			r.Last = r.Use
+		if r.Current != "" {
+			r.Previous = r.Current
 		}
-		return PolicyRecord{Last: r.Last, At: now}, nil
+		return PolicyRecord{Previous: r.Previous, At: now}, nil
 	case r.Next != "":
 		return r, ErrSwapInProgress
 	}
-	r.Next, r.At, r.Why = h, now, ""
+	r.Next, r.At, r.Reason = h, now, ""
 	return r, nil
 }
 
@@ -40,30 +40,30 @@
 // ErrNoPreviousPolicy if there is no previous policy.
 func (r PolicyRecord) Rollback(now wire.UnixMillis) (PolicyRecord, error) {
 	if r.Next != "" {
-		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: "given up by an operator"}, nil
+		return PolicyRecord{Current: r.Current, Previous: r.Previous, At: now, Reason: "given up by an operator"}, nil
 	}
-	if r.Use == "" && r.Last == "" {
+	if r.Current == "" && r.Previous == "" {
 		return r, ErrNoPreviousPolicy
 	}
-	return r.RequestSwap(r.Last, now)
+	return r.RequestSwap(r.Previous, now)
 }
 
 // EndSwap completes the swap if why is empty, and otherwise aborts it for that reason.
 func (r PolicyRecord) EndSwap(why string, now wire.UnixMillis) PolicyRecord {
 	if why != "" {
-		return PolicyRecord{Use: r.Use, Last: r.Last, At: now, Why: why}
+		return PolicyRecord{Current: r.Current, Previous: r.Previous, At: now, Reason: why}
 	}
-	return PolicyRecord{Use: r.Next, Last: r.Use, At: now}
+	return PolicyRecord{Current: r.Next, Previous: r.Current, At: now}
 }
 
 // RemoveModule returns the record after a module is removed, without a rollback to it. It returns
 // ErrModuleInUse if the module is the current or the next policy.
 func (r PolicyRecord) RemoveModule(h wire.ModuleHash) (PolicyRecord, error) {
-	if h == r.Use || h == r.Next {
-		return r, ErrInUse
+	if h == r.Current || h == r.Next {
+		return r, ErrModuleInUse
 	}
-	if h == r.Last {
-		r.Last = ""
+	if h == r.Previous {
+		r.Previous = ""
 	}
 	return r, nil
 }
--- a/internal/state/ledger/records.go
+++ b/internal/state/ledger/records.go
@@ -64,34 +64,34 @@
 type TokenRecord struct {
 	Last wire.FencingToken `json:"n"`
 	By   wire.MemberID     `json:"by"` // that acquired it
-	// Reads is the newest format that all controllers read which ever acquired a token. Versions that
+	// CommonFormat is the newest format that all controllers read which ever acquired a token. Versions that
 	// know only one format omit it.
-	Reads int `json:"r,omitempty"`
-	// Readers holds the newest format that each controller reads. Versions before PipelineFormat omit it,
+	CommonFormat int `json:"r,omitempty"`
+	// FormatByMember holds the newest format that each controller reads. Versions before PipelineFormat omit it,
 	// and every controller acquires a token when it starts. So a controller that is listed runs a version
 	// that knows the list, and so does every controller that has started since (DESIGN, "Two versions at
 	// once").
-	Readers map[wire.MemberID]int `json:"v,omitempty"`
+	FormatByMember map[wire.MemberID]int `json:"v,omitempty"`
 }
 
 // Next returns the record with which a controller acquires the token last. reads is the newest format that
 // the controller reads.
 func (r TokenRecord) Next(last wire.FencingToken, by wire.MemberID, reads int) TokenRecord {
-	n := TokenRecord{Last: last, By: by, Reads: min(r.Reads, reads)}
+	n := TokenRecord{Last: last, By: by, CommonFormat: min(r.CommonFormat, reads)}
 	if r.Last == 0 {
-		n.Reads = reads
+		n.CommonFormat = reads
 	}
-	n.Readers = maps.Clone(r.Readers)
-	if n.Readers == nil {
-		n.Readers = map[wire.MemberID]int{}
+	n.FormatByMember = maps.Clone(r.FormatByMember)
+	if n.FormatByMember == nil {
+		n.FormatByMember = map[wire.MemberID]int{}
 	}
-	n.Readers[by] = reads
+	n.FormatByMember[by] = reads
 	return n
 }
 
-// Declared returns the record with which a controller that has a token declares again the newest format that
+// WithDeclaredFormat returns the record with which a controller that has a token declares again the newest format that
 // it reads, after a controller of an older version started and removed that. It acquires no token.
-func (r TokenRecord) Declared(by wire.MemberID, reads int) TokenRecord {
+func (r TokenRecord) WithDeclaredFormat(by wire.MemberID, reads int) TokenRecord {
 	n := r.Next(r.Last, by, reads)
 	n.By = r.By
 	return n
@@ -99,7 +99,7 @@
 
 // AllRead reports whether all of the given members read a format.
 func (r TokenRecord) AllRead(members []wire.MemberID, format int) bool {
-	return !slices.ContainsFunc(members, func(m wire.MemberID) bool { return r.Readers[m] < format })
+	return !slices.ContainsFunc(members, func(m wire.MemberID) bool { return r.FormatByMember[m] < format })
 }
 
 // LeaderRecord holds the member that leads the fleet and the fencing token of its term.
@@ -121,5 +121,5 @@
 	Recent []ScaleOutIntent `json:"recent"`
 }
 
-// HireBytes is the approximate size of an intent in the record.
-const HireBytes = 200
+// IntentBytes is the approximate size of an intent in the record.
+const IntentBytes = 200
--- a/internal/state/ledger/resources.go
+++ b/internal/state/ledger/resources.go
@@ -22,8 +22,8 @@
 	return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Memory <= r.Memory
 }
 
-// Times returns how many times o fits into r, at most limit. It may be negative if r has negative amounts.
-func (r Resources) Times(o Resources, limit int) int {
+// CountFitting returns how many times o fits into r, at most limit. It may be negative if r has negative amounts.
+func (r Resources) CountFitting(o Resources, limit int) int {
 	n := int64(limit)
 	n = countFittingAmount(r.CPU, o.CPU, n)
 	n = countFittingAmount(r.GPU, o.GPU, n)
--- a/internal/state/ledger/transaction.go
+++ b/internal/state/ledger/transaction.go
@@ -29,10 +29,10 @@
 }
 
 // NewTransaction returns an empty transaction.
-func (l *Ledger) NewTransaction() *Transaction { return l.NewTransactionOf(l.limits.TxnOps) }
+func (l *Ledger) NewTransaction() *Transaction { return l.NewLimitedTransaction(l.limits.TxnOps) }
 
-// NewTransactionOf returns an empty transaction with a maximum number of changes.
-func (l *Ledger) NewTransactionOf(changes int) *Transaction {
+// NewLimitedTransaction returns an empty transaction with a maximum number of changes.
+func (l *Ledger) NewLimitedTransaction(changes int) *Transaction {
 	return &Transaction{
 		ledger:          l,
 		filterAdditions: l.FilterAdditions(),
@@ -46,13 +46,13 @@
 	}
 }
 
-// Limit lowers the maximum number of changes, but not below the number that the transaction already has.
-func (txn *Transaction) Limit(changes int) {
+// LimitChanges lowers the maximum number of changes, but not below the number that the transaction already has.
+func (txn *Transaction) LimitChanges(changes int) {
 	txn.maxChanges = max(len(txn.values), min(txn.maxChanges, changes))
 }
 
-// RemainingChanges returns the maximum number of changes, including those that the transaction already has.
-func (txn *Transaction) RemainingChanges() int { return txn.maxChanges }
+// MaxChanges returns the maximum number of changes, including those that the transaction already has.
+func (txn *Transaction) MaxChanges() int { return txn.maxChanges }
 
 // update returns the transaction's update of a job, which it creates if there is none.
 func (txn *Transaction) update(j *Job) *jobUpdate {
--- a/internal/state/ledger/transaction_archive.go
+++ b/internal/state/ledger/transaction_archive.go
@@ -9,14 +9,14 @@
 	"maddermill/wire"
 )
 
-// Archive moves finished jobs to the archive, starting with the first, as many as fit into the transaction, and
+// ArchiveJobs moves finished jobs to the archive, starting with the first, as many as fit into the transaction, and
 // returns how many it moved. All jobs must belong to one page of the filter; it returns ErrNoPage if that page
 // is not loaded. Their records are deleted and their final records written in one transaction, so at every
 // revision each job is either in the live records or in the archive, and the filter contains every archived
 // job.
-func (txn *Transaction) Archive(ids []wire.JobID) (int, error) {
+func (txn *Transaction) ArchiveJobs(ids []wire.JobID) (int, error) {
 	if !txn.archiveEnabled() || len(ids) == 0 {
-		return 0, refuse("archive jobs", strconv.Itoa(len(ids)))
+		return 0, newPreconditionError("archive jobs", strconv.Itoa(len(ids)))
 	}
 	maxJobs := 0
 	for changes := 1; maxJobs < len(ids); maxJobs++ {
@@ -49,13 +49,13 @@
 func (txn *Transaction) archiveJobs(ids []wire.JobID) error {
 	page := txn.ledger.FilterPage(ids[0])
 	if page == nil {
-		return ErrNoPage
+		return ErrFilterPageNotLoaded
 	}
 	var names []string
 	for _, id := range ids {
-		final, finished := txn.ledger.ArchivedState(id)
+		final, finished := txn.ledger.FinalRecordOf(id)
 		if !finished || !txn.ledger.Archivable(id) || !page.Covers(string(id)) {
-			return refuse("archive job", id)
+			return newPreconditionError("archive job", id)
 		}
 		if job, compact := txn.ledger.archived.finished[id]; compact {
 			txn.conditions[jobKey(id)] = job.version
@@ -82,7 +82,7 @@
 func (txn *Transaction) DeleteTaskRanges(id wire.JobID) error {
 	j := txn.ledger.jobs[id]
 	if !txn.archiveEnabled() || j == nil || len(j.recordVersions()) == 0 || !txn.ledger.Archivable(id) {
-		return refuse("delete task ranges", id)
+		return newPreconditionError("delete task ranges", id)
 	}
 	return txn.atomically(func() error {
 		update := txn.update(j)
@@ -104,7 +104,7 @@
 func (txn *Transaction) ArchiveWorkflow(id wire.WorkflowID) error {
 	workflow := txn.ledger.workflows[id]
 	if !txn.archiveEnabled() || workflow == nil || !workflow.Ended() {
-		return refuse("archive workflow", id)
+		return newPreconditionError("archive workflow", id)
 	}
 	return txn.atomically(func() error {
 		txn.conditions[workflowKey(id)] = workflow.Version
@@ -119,7 +119,7 @@
 // of its jobs must have been archived.
 func (txn *Transaction) ArchiveGallery(g *Gallery) error {
 	if !g.Ended() || g.HasJobs() || !txn.archiveEnabled() {
-		return refuse("archive gallery", g.Name)
+		return newPreconditionError("archive gallery", g.Name)
 	}
 	return txn.atomically(func() error {
 		txn.conditions[galleryKey(g.Name)] = g.Version
--- a/internal/state/ledger/transaction_claims.go
+++ b/internal/state/ledger/transaction_claims.go
@@ -17,9 +17,9 @@
 	Token   wire.FencingToken // under which the controller holds the machine
 }
 
-// Allowed reports whether a job's constraints allow a machine of a type in a zone. spot says whether it is a
+// PlacementAllowed reports whether a job's constraints allow a machine of a type in a zone. spot says whether it is a
 // spot machine.
-func Allowed(s *wire.JobSpec, typ wire.MachineTypeName, zone wire.Zone, spot bool) bool {
+func PlacementAllowed(s *wire.JobSpec, typ wire.MachineTypeName, zone wire.Zone, spot bool) bool {
 	return (s.Types == nil || slices.Contains(s.Types, typ)) &&
 		(s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
@@ -68,7 +68,7 @@
 		// Each controller begins at a different range of a large job. Controllers that claim its tasks
 		// concurrently then rarely conflict on a record, and the claims and releases of one controller
 		// are concentrated in few records.
-		first := txn.ledger.limits.firstRange(j.ID, ranges)
+		first := txn.ledger.limits.startingRange(j.ID, ranges)
 		for k := 0; k < ranges && claimed < count; k++ {
 			n := (first + k) % ranges
 			if update.rangeExhausted(n) {
@@ -150,8 +150,8 @@
 	return capacity
 }
 
-// GangPart is the number of a gang's tasks to claim on one machine.
-type GangPart struct {
+// GangAllocation is the number of a gang's tasks to claim on one machine.
+type GangAllocation struct {
 	Target ClaimTarget
 	Count  int
 }
@@ -159,7 +159,7 @@
 // ClaimGang claims all unfinished tasks of a gang at once, under a new attempt. It returns
 // ErrPreconditionFailed while claims of an earlier attempt are left, and if the counts of the parts don't add
 // up to exactly the unfinished tasks.
-func (txn *Transaction) ClaimGang(j *Job, parts []GangPart) error {
+func (txn *Transaction) ClaimGang(j *Job, parts []GangAllocation) error {
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if j.Spec.Shape != wire.Gang {
@@ -269,7 +269,7 @@
 // is a final state.
 func (txn *Transaction) requireTarget(update *jobUpdate, target ClaimTarget) error {
 	if update.state != Active || !update.job.Ready() ||
-		!Allowed(update.spec, target.Type, target.Zone, target.Spot) {
+		!PlacementAllowed(update.spec, target.Type, target.Zone, target.Spot) {
 		return ErrPreconditionFailed
 	}
 	if txn.ledger.MachinePhase(target.Machine) != "" || txn.phases[target.Machine] != "" {
--- a/internal/state/ledger/transaction_galleries.go
+++ b/internal/state/ledger/transaction_galleries.go
@@ -13,7 +13,7 @@
 // UpgradeRegister records that a newer revision of the operators' register is in force.
 func (txn *Transaction) UpgradeRegister(revision int) error {
 	if revision <= txn.ledger.register.Revision || txn.ledger.archived.format.Format < GalleryFormat {
-		return refuse("upgrade register", strconv.Itoa(revision))
+		return newPreconditionError("upgrade register", strconv.Itoa(revision))
 	}
 	return txn.atomically(func() error {
 		txn.conditions[RegisterKey] = txn.ledger.registerVersion
@@ -25,7 +25,7 @@
 // requireRegister adds the condition that a revision of the register is in force.
 func (txn *Transaction) requireRegister(revision int) error {
 	if txn.ledger.register.Revision != revision {
-		return refuse("require register", strconv.Itoa(revision))
+		return newPreconditionError("require register", strconv.Itoa(revision))
 	}
 	txn.conditions[RegisterKey] = txn.ledger.registerVersion
 	return nil
@@ -59,7 +59,7 @@
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if update.state != Active || !txn.assignGallery(update, g) {
-			return refuse("assign gallery", j.ID)
+			return newPreconditionError("assign gallery", j.ID)
 		}
 		txn.putJob(update)
 		return nil
@@ -70,7 +70,7 @@
 // name is never used again, even after it was archived.
 func (txn *Transaction) OpenGallery(n wire.GalleryName, team wire.Team, p Promise, register int) error {
 	if !n.Valid() || txn.ledger.Gallery(n) != nil || txn.ledger.archived.format.Format < GalleryFormat {
-		return refuse("open gallery", n)
+		return newPreconditionError("open gallery", n)
 	}
 	if err := txn.requireRegister(register); err != nil {
 		return err
@@ -84,7 +84,7 @@
 
 // truncated returns the promise with its reason cut to the maximum length.
 func (p Promise) truncated() Promise {
-	p.Why = truncateReason(p.Why)
+	p.Reason = truncateReason(p.Reason)
 	return p
 }
 
@@ -101,14 +101,14 @@
 	}
 }
 
-// ChangeDate adds a promise with a new date, as given in a revision of the register. It returns ErrManyDates if
+// AddPromise adds a promise with a new date, as given in a revision of the register. It returns ErrManyDates if
 // the gallery already has maxPromises promises.
-func (txn *Transaction) ChangeDate(g *Gallery, p Promise, register int) error {
+func (txn *Transaction) AddPromise(g *Gallery, p Promise, register int) error {
 	switch {
 	case g.Ended() || p.Date == g.Date():
-		return refuse("change promised date of gallery", g.Name)
+		return newPreconditionError("change promised date of gallery", g.Name)
 	case len(g.Promises) >= maxPromises:
-		return ErrManyDates
+		return ErrDateLimit
 	}
 	if err := txn.requireRegister(register); err != nil {
 		return err
@@ -124,17 +124,17 @@
 	if err := txn.requireRegister(register); err != nil {
 		return err
 	}
-	return txn.MoveGallery(g, GalleryWithdrawn, why, at)
+	return txn.SetGalleryState(g, GalleryWithdrawn, why, at)
 }
 
-// MoveGallery changes the state of a gallery. On entering a final state its record stores the counts of its
+// SetGalleryState changes the state of a gallery. On entering a final state its record stores the counts of its
 // jobs.
-func (txn *Transaction) MoveGallery(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
+func (txn *Transaction) SetGalleryState(g *Gallery, to GalleryState, why string, at wire.UnixMillis) error {
 	if !slices.Contains(galleryTransitions[g.State], to) {
-		return refuse("set gallery state", g.Name)
+		return newPreconditionError("set gallery state", g.Name)
 	}
 	r := g.GalleryRecord
-	r.State, r.Why, r.Since = to, truncateReason(why), at
+	r.State, r.Reason, r.Since = to, truncateReason(why), at
 	if len(galleryTransitions[to]) == 0 {
 		count := g.Count
 		r.Jobs = &count
--- a/internal/state/ledger/transaction_jobs.go
+++ b/internal/state/ledger/transaction_jobs.go
@@ -31,26 +31,26 @@
 // ErrTooManyDependencies if the record has no room for all of them.
 func (txn *Transaction) SubmitJob(s Submission) error {
 	limits := &txn.ledger.limits
-	if _, finished := txn.ledger.ArchivedState(s.Spec.ID); finished || txn.ledger.jobs[s.Spec.ID] != nil {
-		return refuse("submit job", s.Spec.ID)
+	if _, finished := txn.ledger.FinalRecordOf(s.Spec.ID); finished || txn.ledger.jobs[s.Spec.ID] != nil {
+		return newPreconditionError("submit job", s.Spec.ID)
 	}
 	spec, state, err := txn.resolveDependencies(&s)
 	if err != nil {
 		return err
 	}
 	return txn.atomically(func() error {
-		if spec.Shape == wire.Gang && spec.Tasks > (limits.TxnOps-1)*txn.ledger.newRange(spec) {
+		if spec.Shape == wire.Gang && spec.Tasks > (limits.TxnOps-1)*txn.ledger.newRangeSize(spec) {
 			return fmt.Errorf("%w: all tasks of a gang must be claimed in one transaction", ErrTooLarge)
 		}
-		j := &Job{ID: spec.ID, Spec: spec, Accepted: s.At, State: state, storedRange: txn.ledger.newRange(spec)}
+		j := &Job{ID: spec.ID, Spec: spec, Accepted: s.At, State: state, storedRange: txn.ledger.newRangeSize(spec)}
 		j.tasksPerRange = j.storedRange
 		if s.workflow != nil {
 			j.Workflow = s.workflow.ID
 		}
-		long := txn.ledger.isLong(spec, j.storedRange)
+		long := txn.ledger.isLongRange(spec, j.storedRange)
 		update := txn.update(j)
 		if s.Gallery != nil && !txn.assignGallery(update, s.Gallery) {
-			return refuse("submit job", spec.ID)
+			return newPreconditionError("submit job", spec.ID)
 		}
 		txn.putRange(update, 0)
 		txn.conditions[FinalKey(spec.ID)] = 0
@@ -127,7 +127,7 @@
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if update.state != Active || update.stop >= upTo || upTo > update.taskRange(0).Attempt {
-			return refuse("preempt gang", j.ID)
+			return newPreconditionError("preempt gang", j.ID)
 		}
 		update.stop = upTo
 		txn.putJob(update)
@@ -142,7 +142,7 @@
 	return txn.atomically(func() error {
 		update := txn.update(j)
 		if update.state != Active || !update.allDone() {
-			return refuse("complete job", j.ID)
+			return newPreconditionError("complete job", j.ID)
 		}
 		txn.completeJob(update)
 		txn.putJob(update)
--- a/internal/state/ledger/transaction_machines.go
+++ b/internal/state/ledger/transaction_machines.go
@@ -20,7 +20,7 @@
 		old := txn.ledger.MachinePhase(m)
 		advances := slices.Index(phaseOrder, phase) > slices.Index(phaseOrder, old)
 		if txn.ledger.leaderVersion != leaderVersion || !advances || phase == Terminated && old != Terminating {
-			return refuse("set machine phase "+string(phase), m)
+			return newPreconditionError("set machine phase "+string(phase), m)
 		}
 		txn.phases[m] = phase
 		txn.conditions[LeaderKey] = leaderVersion
@@ -39,14 +39,14 @@
 // conditioned on the head of the machine's series, which this transaction rewrites.
 func (txn *Transaction) CompactTerminated(id archive.PartID, names []wire.MachineID) error {
 	if !txn.archiveEnabled() || len(names) == 0 {
-		return refuse("compact terminated machines", id.String())
+		return newPreconditionError("compact terminated machines", id.String())
 	}
 	return txn.atomically(func() error {
 		index := &txn.ledger.archived
 		var machines []string
 		for _, m := range names {
 			if partID, ok := archive.PartOfMachine(string(m)); !ok || partID != id || txn.ledger.phases[m] != Terminated {
-				return refuse("compact terminated machine", m)
+				return newPreconditionError("compact terminated machine", m)
 			}
 			txn.conditions[machineKey(m)] = txn.ledger.phaseVersions[m]
 			txn.remove(machineKey(m))
--- a/internal/state/ledger/transaction_quota.go
+++ b/internal/state/ledger/transaction_quota.go
@@ -24,7 +24,7 @@
 	if quota.GPU == 0 {
 		need.GPU = 0
 	}
-	return max(0, free.Times(need, maxTasks))
+	return max(0, free.CountFitting(need, maxTasks))
 }
 
 // RemainingTeamQuota returns how many more tasks of a job, at most maxTasks, its team's quota allows in addition
@@ -44,7 +44,7 @@
 func (txn *Transaction) addTeamUsage(j *Job, n int, by wire.FencingToken) {
 	team := j.Spec.Team
 	txn.teamUsage[team] = txn.teamUsage[team].Add(j.Need, n)
-	if txn.ledger.limits.caps(team, j.Need) {
+	if txn.ledger.limits.constrains(team, j.Need) {
 		txn.conditions[teamKey(team)] = txn.ledger.teamVersions[team]
 		txn.put(teamKey(team), teamRecord{by})
 	}
--- a/internal/state/ledger/transaction_releases.go
+++ b/internal/state/ledger/transaction_releases.go
@@ -6,13 +6,13 @@
 	"maddermill/wire"
 )
 
-// TaskEnd is the outcome of tasks that no longer run.
-type TaskEnd bool
+// TaskOutcome is the outcome of tasks that no longer run.
+type TaskOutcome bool
 
 // The outcomes of tasks.
 const (
-	TaskStopped   TaskEnd = false // failed, preempted or lost: the tasks become pending again
-	TaskCompleted TaskEnd = true
+	TaskStopped   TaskOutcome = false // failed, preempted or lost: the tasks become pending again
+	TaskCompleted TaskOutcome = true
 )
 
 // ReleaseTasks removes tasks from the claim under which they were started and returns how many it removed. The
@@ -20,7 +20,7 @@
 // service, which become pending again; the job is done when its last task is. Claims of other starts are not
 // changed. All tasks must be in one range, as those of a HeldClaim are. It returns ErrPreconditionFailed,
 // unwrapped, if none of the tasks is held by the claim.
-func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, end TaskEnd) (int, error) {
+func (txn *Transaction) ReleaseTasks(j *Job, claim Claim, tasks []wire.TaskIndex, end TaskOutcome) (int, error) {
 	n := j.rangeOf(tasks[0])
 	first := j.rangeBounds(n).first
 	released := 0
--- a/internal/state/ledger/transaction_workflows.go
+++ b/internal/state/ledger/transaction_workflows.go
@@ -19,34 +19,34 @@
 // if the ledger already has the workflow. The transaction is also conditioned on it not being archived.
 func (txn *Transaction) SubmitWorkflow(id wire.WorkflowID, r WorkflowRecord) error {
 	if txn.ledger.workflows[id] != nil {
-		return refuse("submit workflow", id)
+		return newPreconditionError("submit workflow", id)
 	}
 	txn.conditions[FinalWorkflowKey(id)] = 0
 	return txn.writeWorkflow(id, 0, r)
 }
 
-// MoveWorkflow changes the state of a workflow if that is a legal transition, and returns its state afterwards.
+// SetWorkflowState changes the state of a workflow if that is a legal transition, and returns its state afterwards.
 // It counts a failed workflow that becomes active again as resumed.
-func (txn *Transaction) MoveWorkflow(workflow *Workflow, to WorkflowState, why string) (WorkflowState, error) {
+func (txn *Transaction) SetWorkflowState(workflow *Workflow, to WorkflowState, why string) (WorkflowState, error) {
 	if !slices.Contains(workflowTransitions[workflow.State], to) {
 		return workflow.State, nil
 	}
 	r := workflow.WorkflowRecord
-	r.State, r.Why = to, why
+	r.State, r.Reason = to, why
 	if to == WorkflowActive {
 		r.Resumed++
 	}
 	return to, txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
-// SweepWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow and
+// FinishCancelledWorkflow records that no job of a cancelled workflow is active any more, which ends the workflow and
 // makes it archivable.
-func (txn *Transaction) SweepWorkflow(workflow *Workflow) error {
-	if workflow.State != WorkflowCancelled || workflow.Swept {
-		return refuse("finish cancelled workflow", workflow.ID)
+func (txn *Transaction) FinishCancelledWorkflow(workflow *Workflow) error {
+	if workflow.State != WorkflowCancelled || workflow.JobsEnded {
+		return newPreconditionError("finish cancelled workflow", workflow.ID)
 	}
 	r := workflow.WorkflowRecord
-	r.Swept = true
+	r.JobsEnded = true
 	return txn.writeWorkflow(workflow.ID, workflow.Version, r)
 }
 
@@ -55,7 +55,7 @@
 // cancellation of its workflow was confirmed, however late the transaction is committed.
 func (txn *Transaction) SubmitStep(workflow *Workflow, spec *wire.JobSpec, at wire.UnixMillis, g *Gallery) error {
 	if workflow.State != WorkflowActive {
-		return refuse("submit step", spec.ID)
+		return newPreconditionError("submit step", spec.ID)
 	}
 	txn.conditions[workflowKey(workflow.ID)] = workflow.Version
 	return txn.SubmitJob(Submission{Spec: spec, At: at, Gallery: g, workflow: workflow})
--- a/internal/state/ledger/workflow.go
+++ b/internal/state/ledger/workflow.go
@@ -21,14 +21,14 @@
 // WorkflowRecord is the record of a workflow. Which of its steps are done is derived from their jobs, whose IDs
 // are derived from those of the workflow and the step.
 type WorkflowRecord struct {
-	Spec     *wire.WorkflowSpec `json:"spec"` // without documents and inputs
-	Hash     string             `json:"doc"`  // of documents and inputs; their chunks are stored under it
-	Pieces   int                `json:"n"`    // chunks of the documents, see DocumentKey
-	Accepted wire.UnixMillis    `json:"at"`
-	State    WorkflowState      `json:"state,omitempty"`
-	Why      string             `json:"why,omitempty"`     // the reason for the state
-	Resumed  int                `json:"resumed,omitempty"` // how many times
-	Swept    bool               `json:"swept,omitempty"`   // it is cancelled, and no job of its steps is active
+	Spec      *wire.WorkflowSpec `json:"spec"` // without documents and inputs
+	Hash      string             `json:"doc"`  // of documents and inputs; their chunks are stored under it
+	Pieces    int                `json:"n"`    // chunks of the documents, see DocumentKey
+	Accepted  wire.UnixMillis    `json:"at"`
+	State     WorkflowState      `json:"state,omitempty"`
+	Reason    string             `json:"why,omitempty"`     // the reason for the state
+	Resumed   int                `json:"resumed,omitempty"` // how many times
+	JobsEnded bool               `json:"swept,omitempty"`   // it is cancelled, and no job of its steps is active
 }
 
 // Workflow is a workflow as last seen.
@@ -78,7 +78,7 @@
 
 // Ended reports whether the workflow and all of its jobs have ended for good.
 func (w *Workflow) Ended() bool {
-	return w.State == WorkflowDone || w.State == WorkflowCancelled && w.Swept
+	return w.State == WorkflowDone || w.State == WorkflowCancelled && w.JobsEnded
 }
 
 // workflowTransitions are the allowed transitions by state. Final states have none.
--- a/internal/state/watchcache/tokens.go
+++ b/internal/state/watchcache/tokens.go
@@ -88,12 +88,12 @@
 	c.Lock()
 	record, version := c.records.Token()
 	c.Unlock()
-	if record.Readers[c.opt.Member] == c.opt.Reads {
+	if record.FormatByMember[c.opt.Member] == c.opt.Reads {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
-	revision, err := c.commitToken(ctx, record.Declared(c.opt.Member, c.opt.Reads), version)
+	revision, err := c.commitToken(ctx, record.WithDeclaredFormat(c.opt.Member, c.opt.Reads), version)
 	if err != nil {
 		return fmt.Errorf("watchcache: declare the format read here: %w", err)
 	}
--- a/internal/state/watchcache/watch.go
+++ b/internal/state/watchcache/watch.go
@@ -81,7 +81,7 @@
 			c.records.Apply(ledger.Event{Key: e.Put, Value: e.Value, Version: e.Version})
 		}
 	}
-	c.records.ArchivedJobs(c.follower.JobArchived)
+	c.records.DrainArchivedJobs(c.follower.JobArchived)
 	err := c.records.CheckFormat()
 	c.advance(events.Revision)
 	return err
@@ -113,7 +113,7 @@
 	if err := records.CheckFormat(); err != nil {
 		return 0, err
 	}
-	records.DrainReleased() // whoever became ready before is no news
+	records.DrainNewlyReady() // whoever became ready before is no news
 	known, active := records.Counts()
 	c.log.Info("records loaded", "jobs", known, "active", active, "revision", from)
 	c.Lock()
--- a/internal/testing/controllertest/parts.go
+++ b/internal/testing/controllertest/parts.go
@@ -110,7 +110,7 @@
 	)
 	p.Scheduler = scheduler.New(
 		set,
-		scheduler.Parts{
+		scheduler.Dependencies{
 			Cache:        p.Cache,
 			Membership:   p.Membership,
 			Registry:     p.Registry,
--- a/internal/testing/model/model.go
+++ b/internal/testing/model/model.go
@@ -45,7 +45,7 @@
 		s.Passed[id] = may && known
 		if job := l.Job(id); job != nil {
 			s.Jobs[id] = readJob(job)
-		} else if final, ok := l.ArchivedState(id); ok {
+		} else if final, ok := l.FinalRecordOf(id); ok {
 			s.Jobs[id] = Job{Spec: before.Jobs[id].Spec, State: final.State, Count: final.Done}
 		}
 	}
--- a/internal/testing/model/placement.go
+++ b/internal/testing/model/placement.go
@@ -39,7 +39,7 @@
 	if !m.Usable {
 		return p.starts
 	}
-	p.fetches = m.Images.Fetches(v.Now, v.Limits.FetchAssumed)
+	p.fetches = m.Images.ActiveFetches(v.Now, v.Limits.AssumedFetchTime)
 	for rank := range 4 {
 		for _, overGuarantee := range []bool{false, true} {
 			for _, overdue := range []bool{true, false} {
@@ -75,7 +75,7 @@
 	for i := range entries {
 		e := &entries[i]
 		if !single(e) {
-			for range p.snapshot.Reserved[p.machine.ID][e.Job.ID] {
+			for range p.snapshot.PlannedGangTasks[p.machine.ID][e.Job.ID] {
 				p.free = p.free.Add(e.Job.Need, -1)
 			}
 			continue
@@ -96,8 +96,8 @@
 		if !single(e) || p.imageHere(e) || !p.fits(e) {
 			continue
 		}
-		if p.fetches > 0 || p.allCold >= v.Limits.ColdStarts || roomInTime(v, m, e) > p.deferred[image] ||
-			e.Waiting <= v.Limits.DeferCold && roomElsewhere(v, m, e) {
+		if p.fetches > 0 || p.allCold >= v.Limits.MaxColdStarts || roomInTime(v, m, e) > p.deferred[image] ||
+			e.Waiting <= v.Limits.MaxColdStartDelay && roomElsewhere(v, m, e) {
 			p.deferred[image] += p.remaining(e)
 			continue
 		}
@@ -136,11 +136,11 @@
 func (p *roomPlan) fits(e *placement.Entry) bool {
 	v, m, j := p.snapshot, p.machine, e.Job
 	return mayUse(v, m, e) &&
-		!v.Now.Before(e.Retry) &&
+		!v.Now.Before(e.RetryAt) &&
 		p.remaining(e) > 0 &&
 		p.free.Fits(j.Need) &&
 		j.ZoneRoom(m.Zone) > p.starts[j.ID] &&
-		v.TeamRoom(j, p.teamUsage[j.Spec.Team].Add(e.Ahead, 1), 1) > 0
+		v.RemainingTeamQuota(j, p.teamUsage[j.Spec.Team].Add(e.ReservedQuota, 1), 1) > 0
 }
 
 // place starts one more task of a job on the machine.
@@ -156,7 +156,7 @@
 	head, reserved := v.HeadReservations[m.ID]
 	return (!reserved || head == e.Job.ID) &&
 		!reservedForGang(v, m, e) &&
-		ledger.Allowed(e.Job.Spec, m.Type, m.Zone, m.Spot) &&
+		ledger.PlacementAllowed(e.Job.Spec, m.Type, m.Zone, m.Spot) &&
 		(e.Avoid == nil || !e.Avoid(m.ID))
 }
 
@@ -195,7 +195,7 @@
 // roomInTime returns how many of a job's tasks will have room on other machines with the image
 // by the job's latest start, if a fetch here would end after that; 0 otherwise.
 func roomInTime(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) int {
-	fetched := v.Now.Add(time.Duration(e.Job.Spec.ImageGB / m.FetchGB * float64(time.Second)))
+	fetched := v.Now.Add(time.Duration(e.Job.Spec.ImageGB / m.FetchGBps * float64(time.Second)))
 	if e.Overdue || !fetched.After(e.LatestStart) {
 		return 0
 	}
@@ -203,9 +203,9 @@
 	n := 0
 	for _, other := range alternatives(v, m, e) {
 		free := other.Free
-		for _, b := range other.Busy {
-			if b.Until.Before(e.LatestStart) {
-				free = free.Add(b.Room, 1)
+		for _, b := range other.ExpectedReleases {
+			if b.At.Before(e.LatestStart) {
+				free = free.Add(b.Resources, 1)
 			}
 		}
 		for k := 0; free.Fits(e.Job.Need) && k < e.Job.ZoneRoom(other.Zone) && k < tasks; k++ {
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -157,7 +157,7 @@
 		}
 	}
 	r.records().EachWorkflow(func(w *ledger.Workflow) {
-		if w.State != ledger.WorkflowActive && (w.State != ledger.WorkflowCancelled || w.Swept) {
+		if w.State != ledger.WorkflowActive && (w.State != ledger.WorkflowCancelled || w.JobsEnded) {
 			delete(r.driven, w.ID)
 			return
 		}
@@ -255,7 +255,7 @@
 	}
 	err = r.Committer.CommitNow(ctx, func(transaction *ledger.Transaction) error {
 		if now := r.records().Workflow(w.ID); now != nil {
-			return transaction.SweepWorkflow(now)
+			return transaction.FinishCancelledWorkflow(now)
 		}
 		return ledger.ErrPreconditionFailed
 	})
--- a/internal/workflow/runner/status.go
+++ b/internal/workflow/runner/status.go
@@ -45,7 +45,7 @@
 			st.StepsUnknown = err.Error()
 		}
 	}
-	st.Steps, st.Reason, st.Status = steps, w.Why, statusOf(w.State)
+	st.Steps, st.Reason, st.Status = steps, w.Reason, statusOf(w.State)
 	if st.Status == wire.Done || st.Status == wire.Failed {
 		r.addOutputs(ctx, &st)
 	}
@@ -188,9 +188,9 @@
 	case snapshot.Queue[position].CrashLooping:
 		return fmt.Sprintf(
 			"failed on several machines and rests for %v",
-			max(0, snapshot.Queue[position].Retry.Sub(now)).Round(time.Second),
+			max(0, snapshot.Queue[position].RetryAt.Sub(now)).Round(time.Second),
 		)
-	case snapshot.TeamRoom(j, ledger.Resources{}, 1) < 1:
+	case snapshot.RemainingTeamQuota(j, ledger.Resources{}, 1) < 1:
 		return "its team is at its limit"
 	}
 	return fmt.Sprintf("waits for a machine, as number %d in the order", position+1)
--- a/internal/workflow/runner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -38,7 +38,7 @@
 		// Only the steps of a workflow that is over are archived.
 		ctx, cancel := context.WithTimeout(context.Background(), archiveTimeout)
 		defer cancel()
-		switch st, err := s.runner.Jobs.Archived(ctx, id); {
+		switch st, err := s.runner.Jobs.ArchivedStatus(ctx, id); {
 		case st.Status == wire.Done:
 			return workflow.Done
 		case st.Status == wire.Cancelled:
@@ -127,7 +127,7 @@
 			return ledger.ErrPreconditionFailed
 		}
 		var err error
-		got, err = d.MoveWorkflow(w, state, why)
+		got, err = d.SetWorkflowState(w, state, why)
 		return err
 	})
 	if err == nil && got == state {
