--- a/internal/state/archive/example_test.go
+++ b/internal/state/archive/example_test.go
@@ -6,13 +6,13 @@
 	"maddermill/internal/state/archive"
 )
 
-// A controller that does not have a job on record asks the filter before it reads the archive.
+// A controller that has no record of a job checks the filter before it reads the archive.
 func ExampleFilter() {
-	// The leader archives two jobs, which changes the stored page of the filter.
+	// The leader archives two jobs, which updates the stored page of the filter.
 	const valueBytes = 4096
 	pages, _ := archive.FirstPage().With([]string{"wk-000001", "wk-000002"}, valueBytes)
 
-	// Another controller reads that page; a third job is archived while it does.
+	// Another controller reads that page while a third job is archived.
 	var filter archive.Filter
 	since := filter.Added()
 	filter.Add("wk-000003")
@@ -28,7 +28,7 @@
 	// wk-000004 may be archived: false
 }
 
-// Machines are added part by part: a series of names is stored as a head and its parts.
+// Machines are added one part at a time. A series of names is stored as a head and several parts.
 func ExampleTerminatedMachines() {
 	set := archive.NewTerminatedMachines()
 	part, _ := archive.PartOfMachine("host-000007")
--- a/internal/state/archive/filter_test.go
+++ b/internal/state/archive/filter_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// stored encodes and decodes a value as it is stored, and checks that it fits.
-func stored[T any](tb testing.TB, v T, maxBytes int) T {
+// roundTrip encodes a value to its stored form and decodes it, and checks that it fits into maxBytes.
+func roundTrip[T any](tb testing.TB, v T, maxBytes int) T {
 	tb.Helper()
 	b, err := json.Marshal(v)
 	if err != nil || len(b) > maxBytes {
@@ -25,7 +25,7 @@
 // pageStore holds the pages of a filter by name, as the state service does.
 type pageStore map[string]*Page
 
-// page returns the page that an id belongs to.
+// page returns the page that covers an ID.
 func (s pageStore) page(id string) *Page {
 	best := FirstPage()
 	for name, p := range s {
@@ -36,7 +36,7 @@
 	return best
 }
 
-// fill adds ids as the archiver does: some of one page at a time.
+// fill adds IDs as the archiver does: in batches, each for a single page.
 func (s pageStore) fill(tb testing.TB, ids []string, valueBytes int) {
 	tb.Helper()
 	ids = slices.Clone(ids)
@@ -51,19 +51,19 @@
 		low := p.Low
 		for _, q := range pages {
 			if q.Low != low {
-				tb.Fatalf("pages leave out %x to %x", low, q.Low)
+				tb.Fatalf("gap between pages from %x to %x", low, q.Low)
 			}
 			low = q.High + 1
-			s[q.Name()] = stored(tb, q, valueBytes)
+			s[q.Name()] = roundTrip(tb, q, valueBytes)
 		}
 		if low != p.High+1 {
-			tb.Fatalf("pages end at %x, not %x", low, p.High)
+			tb.Fatalf("pages end at %x, want %x", low, p.High)
 		}
 		ids = ids[n:]
 	}
 }
 
-// names returns n ids in sequence.
+// names returns n consecutive IDs.
 func names(from, n int) (ids []string) {
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("wk-%09d", from+i))
@@ -71,78 +71,79 @@
 	return ids
 }
 
-// TestFilterPassesAdded: whatever was added passes, in pages that fit; of the others few pass while
-// there is room.
+// TestFilterPassesAdded checks that the filter matches every name that was added, that its pages fit into
+// values, and that few other names match while the filter has not reached its maximum size.
 func TestFilterPassesAdded(t *testing.T) {
 	for _, tc := range []struct {
-		valueBytes, ids int
-		maxShare        float64 // of unknown ids that pass
+		valueBytes, ids   int
+		maxFalsePositives float64 // as a fraction of IDs that were not added
 	}{{4096, 100, 0.001}, {4096, 20_000, 0.001}, {32768, 60_000, 0.001}} {
 		s := pageStore{}
 		s.fill(t, names(0, tc.ids/2), tc.valueBytes)
 		s.fill(t, names(tc.ids/2, tc.ids/2), tc.valueBytes)
-		// What a controller knows of it, page by page.
+		// A controller's copy, which it loads one page at a time.
 		var f Filter
-		holds := func(id string) bool {
+		contains := func(id string) bool {
 			if p, _ := f.Page(id); p == nil && !f.Put(s.page(id), 1, f.Added()) {
-				t.Fatal("a page is refused")
+				t.Fatal("Put rejected a page")
 			}
 			p, _ := f.Page(id)
 			return p.MayHold(id)
 		}
 		for _, id := range names(0, tc.ids) {
-			if !holds(id) {
-				t.Fatalf("%s of %d does not pass", id, tc.ids)
+			if !contains(id) {
+				t.Fatalf("no match for %s, one of %d added", id, tc.ids)
 			}
 		}
 		n := 0
 		for _, id := range names(800_000_000, 20_000) {
-			if holds(id) {
+			if contains(id) {
 				n++
 			}
 		}
-		if share := float64(n) / 20_000; share > tc.maxShare {
-			t.Errorf("%d ids in values of %d: %.4f of others pass, want at most %.4f", tc.ids, tc.valueBytes, share, tc.maxShare)
+		if got := float64(n) / 20_000; got > tc.maxFalsePositives {
+			t.Errorf("%d IDs in values of %d bytes: false positive rate %.4f, want at most %.4f",
+				tc.ids, tc.valueBytes, got, tc.maxFalsePositives)
 		}
 		if f.Pages() != max(1, len(s)) {
-			t.Errorf("%d pages known of %d", f.Pages(), len(s))
+			t.Errorf("%d pages cached, %d stored", f.Pages(), len(s))
 		}
 	}
 }
 
-// TestFullFilter: pages that may not be split any more stay within their size, let all that was added
-// pass, and others too.
+// TestFullFilter checks that pages that are too small to be split further stay within the size of a value
+// and still match every name that was added, at the cost of false positives.
 func TestFullFilter(t *testing.T) {
 	const valueBytes = 4096
-	small := uint32(lastPosition+1) / (maxFilterBytes / valueBytes)
-	p := &Page{0, small - 1, 0, FirstPage().taken}
-	var mine []string
-	for i := 0; len(mine) < 6000; i++ {
+	minRange := uint32(lastPosition+1) / (maxFilterBytes / valueBytes)
+	p := &Page{0, minRange - 1, 0, FirstPage().bitmap}
+	var ids []string
+	for i := 0; len(ids) < 6000; i++ {
 		if id := fmt.Sprintf("wk-%09d", i); p.Covers(id) {
-			mine = append(mine, id)
+			ids = append(ids, id)
 		}
 	}
-	for len(mine) > 0 {
-		n := min(len(mine), 300)
-		pages, same := p.With(mine[:n], valueBytes)
-		if len(pages) != 1 || same && p.Shift == 0 {
-			t.Fatalf("%d pages, unchanged %v", len(pages), same)
+	for len(ids) > 0 {
+		n := min(len(ids), 300)
+		pages, unchanged := p.With(ids[:n], valueBytes)
+		if len(pages) != 1 || unchanged && p.Shift == 0 {
+			t.Fatalf("%d pages, unchanged %v", len(pages), unchanged)
 		}
-		p = stored(t, pages[0], valueBytes)
-		for _, id := range mine[:n] {
+		p = roundTrip(t, pages[0], valueBytes)
+		for _, id := range ids[:n] {
 			if !p.MayHold(id) {
-				t.Fatalf("%s does not pass", id)
+				t.Fatalf("no match for %s, which was added", id)
 			}
 		}
-		mine = mine[n:]
+		ids = ids[n:]
 	}
 	if p.Shift == 0 {
-		t.Error("the page never became coarse")
+		t.Error("the Shift of the page was never raised")
 	}
 }
 
-// TestAddedWhileRead: ids that are added while a page is being read pass once the page is put, and a
-// page is refused when it is no longer known which ids these are.
+// TestAddedWhileRead checks that a page matches the IDs that were added while it was being read, and that
+// Put rejects the page if the filter no longer retains all of these IDs.
 func TestAddedWhileRead(t *testing.T) {
 	var f Filter
 	since := f.Added()
@@ -150,21 +151,21 @@
 		f.Add(id)
 	}
 	if !f.Put(FirstPage(), 0, since) {
-		t.Fatal("the page is refused")
+		t.Fatal("Put rejected the page")
 	}
 	for _, id := range names(0, 50) {
 		if p, _ := f.Page(id); !p.MayHold(id) {
-			t.Errorf("%s does not pass", id)
+			t.Errorf("no match for %s, which was added during the read", id)
 		}
 	}
 	since = f.Added()
-	for _, id := range names(100, 3*maxRecent) {
+	for _, id := range names(100, 3*minRecentNames) {
 		f.Add(id)
 	}
 	if f.Put(FirstPage(), 1, since) {
-		t.Error("a page is put although what was added since is forgotten")
+		t.Error("Put accepted a page although names added since its read are no longer retained")
 	}
 	if p, _ := f.Page("wk-000000149"); p == nil || !p.MayHold("wk-000000149") {
-		t.Error("the page that was known lacks what was added")
+		t.Error("the page cached before lacks a name added since")
 	}
 }
--- a/internal/state/archive/series.go
+++ b/internal/state/archive/series.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Series are the machine names that differ in their trailing number only: a prefix and a number of
-// digits. The cloud counts machines up and never reuses a name (PROTOCOL, "GET /machines"), so
-// nearly all terminated machines of a series are below some number.
+// Series identifies the machine names that differ only in their trailing number: a common prefix and a
+// number of digits. The cloud numbers machines consecutively and never reuses a name (PROTOCOL, "GET
+// /machines"), so nearly all machines of a series below some number are terminated.
 type Series struct {
 	Prefix string
-	Width  int // digits
+	Width  int // number of digits
 }
 
-// maxDigits bounds the width of a series; names with longer numbers are in none.
+// maxDigits is the maximum width of a series; names with longer numbers belong to no series.
 const maxDigits = 9
 
 // SplitName splits a name into its series and number; ok is false if it does not end in a number.
 func SplitName(name string) (s Series, number uint32, ok bool) {
-	end := len(name) // of the prefix
+	end := len(name) // end of the prefix
 	for end > 0 && name[end-1] >= '0' && name[end-1] <= '9' {
 		end--
 	}
@@ -31,7 +31,7 @@
 	return Series{name[:end], len(digits)}, uint32(n), err == nil
 }
 
-// String formats the series as it is in a key.
+// String formats the series as part of a key.
 func (s Series) String() string { return strconv.Itoa(s.Width) + "/" + s.Prefix }
 
 // ParseSeries parses the result of Series.String.
@@ -45,17 +45,18 @@
 	return s, err
 }
 
-// Span is how many numbers share a part of a series. Whichever of them are terminated, the part
-// takes little more than a kilobyte.
+// Span is the number of machine numbers in one part of a series. The bitmap of a part takes little more
+// than a kilobyte, whichever of its machines are terminated.
 const Span = 8192
 
-// PartID identifies a part of a series: the Span numbers from Span·Number on.
+// PartID identifies a part of a series: the machine numbers from Number*PartSize up to, but not
+// including, (Number+1)*PartSize.
 type PartID struct {
 	Series
 	Number uint32
 }
 
-// String formats the id as it is in a key.
+// String formats the ID as part of a key.
 func (p PartID) String() string { return fmt.Sprintf("%06d/%s", p.Number, p.Series) }
 
 // ParsePartID parses the result of PartID.String.
@@ -73,7 +74,7 @@
 	return p, err
 }
 
-// PartOfMachine returns the part that a machine belongs to; ok is false if it is in no series.
+// PartOfMachine returns the part that a machine belongs to; ok is false if its name is in no series.
 func PartOfMachine(name string) (id PartID, ok bool) {
 	s, n, ok := SplitName(name)
 	return PartID{s, n / Span}, ok
--- a/internal/state/archive/terminated.go
+++ b/internal/state/archive/terminated.go
@@ -6,11 +6,11 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// MachineNumbers is a set of numbers, stored as a serialized bitmap. It is never changed, only
-// replaced. The zero value is the empty set.
+// MachineNumbers is an immutable set of numbers, stored as a serialized bitmap. The zero value is the
+// empty set.
 type MachineNumbers struct{ numbers *roaring.Bitmap }
 
-// MarshalJSON encodes the set.
+// MarshalJSON encodes the set as a serialized bitmap.
 func (s MachineNumbers) MarshalJSON() ([]byte, error) {
 	b, err := s.bitmap().ToBytes()
 	if err != nil {
@@ -19,7 +19,7 @@
 	return json.Marshal(b)
 }
 
-// UnmarshalJSON decodes what MarshalJSON encoded.
+// UnmarshalJSON decodes the result of MarshalJSON.
 func (s *MachineNumbers) UnmarshalJSON(b []byte) error {
 	var bitmap []byte
 	if err := json.Unmarshal(b, &bitmap); err != nil {
@@ -30,7 +30,7 @@
 	return err
 }
 
-// bitmap returns the set's bitmap, which must not be changed.
+// bitmap returns the set's bitmap, which must not be modified.
 func (s MachineNumbers) bitmap() *roaring.Bitmap {
 	if s.numbers == nil {
 		return roaring.New()
@@ -38,10 +38,10 @@
 	return s.numbers
 }
 
-// Len returns how many numbers are in the set.
+// Len returns the number of elements.
 func (s MachineNumbers) Len() int { return int(s.bitmap().GetCardinality()) }
 
-// with returns the set with more numbers.
+// with returns a copy of the set with numbers added.
 func (s MachineNumbers) with(numbers ...uint32) MachineNumbers {
 	changed := s.bitmap().Clone()
 	changed.AddMany(numbers)
@@ -49,18 +49,18 @@
 	return MachineNumbers{changed}
 }
 
-// Head is what is stored of a series besides its parts. It is written whenever machines of the
-// series are added, so its version changes with each of its parts.
+// Head is the summary of a series that is stored besides its parts. It is written whenever machines of
+// the series are added, so its version changes together with that of each part.
 type Head struct {
-	Gone  int            `json:"n"` // terminated machines in all parts, complete or not
-	Whole MachineNumbers `json:"w"` // the numbers of the complete parts: all their machines are terminated
+	Gone  int            `json:"n"` // number of terminated machines in all parts, complete or not
+	Whole MachineNumbers `json:"w"` // numbers of the parts all of whose machines are terminated
 }
 
-// TerminatedMachines is the set of terminated machines, by series and part. Machines whose names are
-// in no series can't be in it.
+// TerminatedMachines is the set of terminated machines, grouped by series and part. It can't contain
+// machines whose names belong to no series.
 type TerminatedMachines struct {
 	heads map[Series]Head
-	parts map[PartID]MachineNumbers // without complete ones
+	parts map[PartID]MachineNumbers // incomplete parts only
 }
 
 // NewTerminatedMachines returns an empty set.
@@ -80,7 +80,7 @@
 	t.parts[id] = numbers
 }
 
-// Has reports whether a machine is in the set.
+// Has reports whether the set contains a machine.
 func (t *TerminatedMachines) Has(name string) bool {
 	if len(t.heads) == 0 {
 		return false
@@ -96,7 +96,7 @@
 	return ok && part.numbers.Contains(n%Span)
 }
 
-// Count returns how many machines are in the set.
+// Count returns the number of machines in the set.
 func (t *TerminatedMachines) Count() int {
 	n := 0
 	for _, h := range t.heads {
@@ -105,8 +105,9 @@
 	return n
 }
 
-// With returns what replaces a part and the head of its series when machines of that part are added;
-// the set itself stays. A part that becomes complete is empty and is listed in the head.
+// With returns the replacements for a part and the head of its series when machines of that part are
+// added. It does not modify the set. A part that becomes complete is returned as empty and listed in
+// the head's CompleteParts.
 func (t *TerminatedMachines) With(id PartID, names []string) (Head, MachineNumbers) {
 	head, part := t.heads[id.Series], t.parts[id]
 	before := part.Len()
@@ -128,8 +129,8 @@
 // Head returns the head of a series.
 func (t *TerminatedMachines) Head(s Series) Head { return t.heads[s] }
 
-// Part returns how many machines are stored in a part, and whether the part is complete, which is
-// stored in the head of its series.
-func (t *TerminatedMachines) Part(id PartID) (n int, whole bool) {
+// Part returns the number of machines stored in a part, and whether the part is complete. A complete part
+// is stored as a number in the head of its series and has no machines stored itself.
+func (t *TerminatedMachines) Part(id PartID) (n int, complete bool) {
 	return t.parts[id].Len(), t.heads[id.Series].Whole.bitmap().Contains(id.Number)
 }
--- a/internal/state/archive/terminated_test.go
+++ b/internal/state/archive/terminated_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// randomMachine returns a name of one of three series.
+// randomMachine returns a random machine name from one of several series.
 func randomMachine(rng *rand.Rand) string {
 	switch rng.IntN(3) {
 	case 0:
@@ -18,23 +18,22 @@
 	return fmt.Sprintf("spot/a-%03d", rng.IntN(900))
 }
 
-// addStored adds machines of one part, in their stored form.
+// addStored adds machines of one part, passing the part and the head through their stored form.
 func addStored(t *testing.T, set *TerminatedMachines, names ...string) {
 	t.Helper()
 	part, ok := PartOfMachine(names[0])
 	if !ok {
-		t.Fatalf("%s is of no part", names[0])
+		t.Fatalf("%s belongs to no part", names[0])
 	}
-	if again, err := ParsePartID(part.String()); err != nil || again != part {
-		t.Fatalf("got %v, %v from %q, want %v", again, err, part, part)
+	if parsed, err := ParsePartID(part.String()); err != nil || parsed != part {
+		t.Fatalf("got %v, %v from %q, want %v", parsed, err, part, part)
 	}
 	head, numbers := set.With(part, names)
-	set.SetHead(part.Series, stored(t, head, 2048))
-	set.SetPart(part, stored(t, numbers, 2048))
+	set.SetHead(part.Series, roundTrip(t, head, 2048))
+	set.SetPart(part, roundTrip(t, numbers, 2048))
 }
 
-// TestTerminatedMachines compares the set of machines with a plain one, part by part and beyond the
-// size at which a part is complete.
+// TestTerminatedMachines compares the set with a plain map, including a part that becomes complete.
 func TestTerminatedMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 9))
 	set, want := NewTerminatedMachines(), map[string]bool{}
@@ -61,14 +60,14 @@
 	if set.Count() != len(want) {
 		t.Errorf("got %d machines, want %d", set.Count(), len(want))
 	}
-	for _, odd := range []string{"", "host", "host-", "host-1234567890"} {
-		if _, ok := PartOfMachine(odd); ok || set.Has(odd) {
-			t.Errorf("%q has a part", odd)
+	for _, name := range []string{"", "host", "host-", "host-1234567890"} {
+		if _, ok := PartOfMachine(name); ok || set.Has(name) {
+			t.Errorf("%q belongs to a part or is in the set", name)
 		}
 	}
 }
 
-// FuzzRecords: no stored bytes cause a panic, and a page that was decoded can be stored again.
+// FuzzRecords checks that no stored bytes cause a panic, and that a decoded page can be encoded again.
 func FuzzRecords(f *testing.F) {
 	pages, _ := FirstPage().With(names(0, 3), 4096)
 	p, _ := json.Marshal(pages[0])
@@ -79,9 +78,9 @@
 	f.Add([]byte(`{"n":1,"w":"OjAAAAAAAAA="}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var page Page
-		if json.Unmarshal(in, &page) == nil && page.taken != nil {
+		if json.Unmarshal(in, &page) == nil && page.bitmap != nil {
 			page.MayHold("wk-000001")
-			stored(t, &page, 1<<30)
+			roundTrip(t, &page, 1<<30)
 		}
 		var h Head
 		if json.Unmarshal(in, &h) == nil {
