--- a/internal/state/committer/batch.go
+++ b/internal/state/committer/batch.go
@@ -11,31 +11,33 @@
 	"maddermill/wire"
 )
 
-// maxExamined is how many changes of a long queue are tried once a batch is full.
+// maxExamined is the index in the queue after which changes are no longer drafted once the batch has turned
+// one away.
 const maxExamined = 200
 
-// batch is what one transaction is made of.
+// batch is a drafted transaction with the changes that it commits.
 type batch struct {
-	changes []*Change // in the transaction
-	left    []*Change // for later batches
-	txn     wire.Txn
+	changes   []*Change // in the transaction
+	remaining []*Change // to be drafted again for a later batch
+	txn       wire.Txn
 }
 
-// commitBatch commits as many changes of a queue as fit and returns those left. A batch larger than
-// what the budget has left would wait for it, fail, and be drafted anew without end; one that leaves
-// nothing would keep users waiting.
+// commitBatch commits as many changes of a queue as fit into one transaction and returns the others. The
+// size of the transaction is limited to the available write budget: a larger one would wait for the budget,
+// time out, and be drafted again without end. Some of the budget is reserved for users' requests, which
+// would otherwise have to wait.
 func (c *Committer) commitBatch(ctx context.Context, queue []*Change) []*Change {
-	// The budget may never hold more than a transaction's changes.
-	enough := min(c.minBatch()+changesForUsers, c.opt.TxnOps)
+	// The budget may never accumulate more than the writes of one transaction.
+	enough := min(c.minBatchWrites()+userWriteReserve, c.opt.TxnOps)
 	for c.store.AvailableChanges() < enough && ctx.Err() == nil {
 		wait.For(ctx, c.batchInterval()/2)
 	}
-	b, err := c.draftBatch(queue, max(minTransaction, c.store.AvailableChanges()-changesForUsers))
+	b, err := c.draftBatch(queue, max(minTxnWrites, c.store.AvailableChanges()-userWriteReserve))
 	if len(b.txn.Then) == 0 {
 		for _, ch := range b.changes {
 			ch.done <- nil
 		}
-		return b.left
+		return b.remaining
 	}
 	if err == nil {
 		_, err = c.Commit(ctx, b.txn)
@@ -47,51 +49,52 @@
 			}
 			ch.done <- nil
 		}
-		return b.left
+		return b.remaining
 	}
 	c.stats.Add("transactions_failed_total", 1)
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
-		// Refused or unknown: if unknown it may still be executed, which the records then show; what is
-		// tried again is conditioned on the same versions.
+		// The transaction was rejected, or its outcome is unknown and it may still be executed. In that
+		// case either the records show it when the changes are drafted again, or the conditions of the
+		// retry fail, since they are on the same versions.
 		c.log.Debug("batch failed", "changes", len(b.txn.Then), "err", err)
 		wait.For(ctx, retryDelay)
 	}
-	// After a conflict all of the batch is drafted anew over newer records: what no longer holds is
-	// refused there, and the rest is not lost to another change of the batch. Starts of a team with a
-	// limit conflict with each other all the time.
-	return append(b.changes, b.left...)
+	// After a conflict, the whole batch is drafted again from newer records. A change that is no longer
+	// valid fails in its draft, so that it does not take the rest of the batch with it. Conflicts are
+	// frequent: starts of a team with a limit conflict with each other all the time.
+	return append(b.changes, b.remaining...)
 }
 
-// draftBatch drafts a transaction of as much of a queue as fits into a number of changes. Changes whose
-// draft fails, and those that have expired, get their outcome. It reorders the queue.
-func (c *Committer) draftBatch(queue []*Change, size int) (b batch, err error) {
+// draftBatch drafts a transaction of at most maxWrites writes from as many changes of a queue as fit. It
+// completes changes that have expired or whose draft fails. It reorders the queue.
+func (c *Committer) draftBatch(queue []*Change, maxWrites int) (b batch, err error) {
 	c.records.Read(func(l *ledger.Ledger) {
-		txn := timed(l.NewLimitedTransaction(size))
+		txn := stampTime(l.NewLimitedTransaction(maxWrites))
 		now := time.Now()
-		limited := false // best-effort changes have begun
+		limited := false // set from the first best-effort change on
 		for i, ch := range order(queue, now) {
 			if !limited && ch.yields(now) {
 				limited = true
-				txn.LimitChanges(c.bestEffortLimit(size))
+				txn.LimitChanges(c.bestEffortLimit(maxWrites))
 			}
 			switch {
 			case ch.expired(now):
 				ch.done <- ErrDropped
-			case i > maxExamined && len(b.left) > 0:
-				b.left = append(b.left, ch)
+			case i > maxExamined && len(b.remaining) > 0:
+				b.remaining = append(b.remaining, ch)
 			default:
-				// Also after a change that the transaction has no room for: many others only add to a
-				// record that is in it.
+				// Tried even after a change did not fit: many changes only modify a record that the
+				// transaction already writes, and need no further write.
 				b.add(txn, ch)
 			}
 		}
-		if len(b.changes) == 0 && len(b.left) > 0 && !b.left[0].yields(now) {
-			// The first change alone is more than the budget has room for: commit it by itself, which
-			// waits for the budget.
-			first := b.left[0]
-			b.left = b.left[1:]
-			txn = timed(l.NewTransaction())
+		if len(b.changes) == 0 && len(b.remaining) > 0 && !b.remaining[0].yields(now) {
+			// The first change alone exceeds the available budget: it gets a transaction of its own, and
+			// Commit waits for the budget.
+			first := b.remaining[0]
+			b.remaining = b.remaining[1:]
+			txn = stampTime(l.NewTransaction())
 			b.add(txn, first)
 		}
 		b.txn, err = txn.Request()
@@ -99,25 +102,25 @@
 	return b, err
 }
 
-// add adds a change to the transaction of a batch, or leaves it for later if it has no room. A change
-// whose draft fails otherwise gets its outcome.
+// add drafts a change into the transaction of a batch. A change that does not fit is kept for a later batch;
+// one whose draft fails for another reason is completed with that error.
 func (b *batch) add(txn *ledger.Transaction, ch *Change) {
 	switch err := ch.Draft(txn); {
 	case err == nil:
 		b.changes = append(b.changes, ch)
 	case errors.Is(err, ledger.ErrTransactionFull):
-		b.left = append(b.left, ch)
+		b.remaining = append(b.remaining, ch)
 	default:
 		ch.done <- err
 	}
 }
 
-// bestEffortLimit returns how many changes a transaction may have in all once best-effort changes are
-// added to it: what leaves the reserve, but at least a start's while the budget has a margin.
-func (c *Committer) bestEffortLimit(size int) int {
+// bestEffortLimit returns the maximum number of writes of a transaction to which best-effort changes are
+// added: maxWrites less the reserve, but at least those of one start while the budget has a margin.
+func (c *Committer) bestEffortLimit(maxWrites int) int {
 	least := 0
 	if c.hasMargin() {
-		least = minTransaction
+		least = minTxnWrites
 	}
-	return max(least, size-c.reserve())
+	return max(least, maxWrites-c.reservedWrites())
 }
--- a/internal/state/committer/budget.go
+++ b/internal/state/committer/budget.go
@@ -5,64 +5,66 @@
 	"time"
 )
 
-// Parts of the budget, in changes.
+// Parts of the write budget. A write is one wire.Change of a transaction: a put or a delete.
 const (
-	minTransaction  = 2 // a start's: its job's record and its team's
-	changesForUsers = 2 // what batches leave for users' requests
-	minSpare        = 5 // what SpareCapacity returns at least, unless it is none
+	minTxnWrites     = 2 // the writes of a start: the records of its job and of its team
+	userWriteReserve = 2 // writes that batches leave for users' requests
+	minSpareWrites   = 5 // the least that SpareCapacity returns, unless it is 0
 )
 
-// What is waited for, as parts of this controller's changes in a second.
+// Thresholds of the available budget, as fractions of the writes that this controller may make per second.
 const (
-	minBatchPart  = 8 // an eighth: what the budget must hold for a batch
-	minMarginPart = 2 // half: what it must hold beyond the reserve for best-effort changes
+	minBatchDivisor  = 8 // 1/8 of a second's writes must be available for a batch
+	minMarginDivisor = 2 // 1/2 must be available beyond the reserve for best-effort changes
 )
 
-// batchInterval returns how long changes are collected for a batch: about as long as this controller's
-// share of changes takes to grow by one, between 100 and 500 ms.
+// batchInterval returns how long changes are collected for a batch: the time in which the write budget
+// grows by one, but between 100 and 500 ms.
 func (c *Committer) batchInterval() time.Duration {
 	return time.Duration(float64(time.Second) / min(10, max(2, c.opt.Changes)))
 }
 
-// minBatch returns how many changes the budget must hold for a batch when it is short. With few
-// changes to spare queues are long, and so batches collect enough for each record that they write; to
-// wait for more only keeps machines idle.
-func (c *Committer) minBatch() int { return c.shareOf(minBatchPart) }
+// minBatchWrites returns how many writes must be available for a batch. It is small: when the budget is
+// short, queues are long, so even a small batch combines many changes per record that it writes, and
+// waiting for a larger budget would only keep machines idle.
+func (c *Committer) minBatchWrites() int { return c.rateFraction(minBatchDivisor) }
 
-// minMargin returns how many changes beyond the reserve best-effort changes wait for.
-func (c *Committer) minMargin() int { return c.shareOf(minMarginPart) }
+// minMarginWrites returns how many writes must be available beyond the reserve for best-effort changes.
+func (c *Committer) minMarginWrites() int { return c.rateFraction(minMarginDivisor) }
 
-// shareOf returns a part of the changes of a second, within the bounds of a transaction.
-func (c *Committer) shareOf(part float64) int {
-	return max(minTransaction, min(c.opt.TxnOps, int(c.opt.Changes/part)))
+// rateFraction returns the writes per second divided by divisor, limited to the possible sizes of a
+// transaction.
+func (c *Committer) rateFraction(divisor float64) int {
+	return max(minTxnWrites, min(c.opt.TxnOps, int(c.opt.Changes/divisor)))
 }
 
-// reserve returns the part of the budget that best-effort changes leave, so that a start of other work
-// that comes the next moment need not wait for the budget to refill.
-func (c *Committer) reserve() int { return c.opt.TxnOps / 2 }
+// reservedWrites returns how many writes best-effort changes leave in the budget, so that a start of other
+// work that is submitted next does not have to wait for the budget to refill.
+func (c *Committer) reservedWrites() int { return c.opt.TxnOps / 2 }
 
-// hasMargin reports whether the budget has room for a batch beside the reserve, or is as full as it may
-// ever be: where transactions are small that is less.
+// hasMargin reports whether the budget has room for a best-effort batch besides the reserve, or holds the
+// writes of a full transaction: with small transactions it may never hold more.
 func (c *Committer) hasMargin() bool {
-	return c.store.AvailableChanges() >= min(c.reserve()+c.minMargin()+changesForUsers, c.opt.TxnOps)
+	return c.store.AvailableChanges() >= min(c.reservedWrites()+c.minMarginWrites()+userWriteReserve, c.opt.TxnOps)
 }
 
-// deferBatch reports whether a batch is to wait: the queue holds best-effort changes only, none of
-// them to be dropped, and the budget little more than what they leave.
+// deferBatch reports whether the next batch has to wait for the budget: the queue holds only best-effort
+// changes, none of which has expired, and the budget has no margin beyond the reserve.
 func (c *Committer) deferBatch(queue []*Change, now time.Time) bool {
 	return !c.hasMargin() && !slices.ContainsFunc(queue, func(ch *Change) bool {
 		return !ch.yields(now) || ch.expired(now)
 	})
 }
 
-// SpareCapacity returns how many changes a transaction of background work may have now: none while
-// changes wait in the queue or the budget is short, and otherwise what leaves the reserve.
+// SpareCapacity returns how many writes a transaction of background work may have now: 0 while changes wait
+// to be taken up by Run or the budget has no margin, otherwise the available budget less the reserve.
 func (c *Committer) SpareCapacity() int {
 	if len(c.submitted) > 0 || !c.hasMargin() {
 		return 0
 	}
-	return max(minSpare, c.store.AvailableChanges()-c.reserve())
+	return max(minSpareWrites, c.store.AvailableChanges()-c.reservedWrites())
 }
 
-// HasSpareCapacity reports whether the budget has more than what best-effort changes leave.
-func (c *Committer) HasSpareCapacity() bool { return c.store.AvailableChanges() > c.reserve() }
+// HasSpareCapacity reports whether the available budget exceeds the reserve. Unlike SpareCapacity it
+// requires neither a margin nor an empty queue.
+func (c *Committer) HasSpareCapacity() bool { return c.store.AvailableChanges() > c.reservedWrites() }
--- a/internal/state/committer/class.go
+++ b/internal/state/committer/class.go
@@ -1,36 +1,36 @@
 package committer
 
-// Class is the urgency of a change. The order of a queue, which order and its parts in queue.go make, is:
+// Class is the scheduling class of a change. The queue, which queue.go sorts, has this order:
 //
 //  1. ClassUrgent, in the order of submission.
-//  2. ClassRecord and the starts, which take turns one by one, a record first: in a flood of records
-//     no start would otherwise be in time. The starts are ClassOverdueStart in the order of
-//     submission, then ClassStart. Records among themselves, and ClassStart among themselves, take
-//     turns by priority (byPriority).
-//  3. Best-effort changes, after all others, in the order that they have among the others: a
-//     best-effort class is placed as the class that it is made from and then moved to the end. A
-//     best-effort record is moved only in its first bestEffortDelay, a best-effort start always.
+//  2. ClassRecord and the starts, which alternate one by one, a record first: otherwise no start would
+//     be committed before it expires when there are many records. Among the starts, ClassOverdueStart
+//     comes first, in the order of submission, then ClassStart. Records, and the changes of ClassStart,
+//     are interleaved by priority (byPriority).
+//  3. Best-effort changes, after all others and in the same relative order: a best-effort class is
+//     sorted like the class that it derives from and then moved to the end. A best-effort record is
+//     moved only during its first bestEffortDelay in the queue, a best-effort start always.
 //
-// Classes that expire are dropped after Change.ExpiresAt; the others are kept until they are durable
-// or refused.
+// Changes of a class that expires are dropped after Change.ExpiresAt; all others are retried until they
+// are durable or fail.
 type Class uint8
 
 // The classes of changes.
 const (
-	// ClassRecord is a record of what has happened, or any change that has no deadline.
+	// ClassRecord records something that has happened, or is any other change without a deadline.
 	ClassRecord Class = iota
-	// ClassBestEffortRecord is ClassRecord, of work that only takes what others leave.
+	// ClassBestEffortRecord is ClassRecord for best-effort work.
 	ClassBestEffortRecord
-	// ClassUrgent is a record of what nobody can report again once this process ends: there is little
-	// of it, and only after an outage.
+	// ClassUrgent records information that would be lost with this process, since nobody can report it
+	// again. It is rare and occurs only after an outage.
 	ClassUrgent
-	// ClassStart is a start of work, or any decision that the next report makes anew. It expires.
+	// ClassStart starts work, or is any other decision that the next report triggers again. It expires.
 	ClassStart
-	// ClassBestEffortStart is ClassStart, of work that only takes what others leave.
+	// ClassBestEffortStart is ClassStart for best-effort work.
 	ClassBestEffortStart
-	// ClassOverdueStart is a start of work that has waited for too long. It expires.
+	// ClassOverdueStart starts work that has waited for too long. It expires.
 	ClassOverdueStart
-	// ClassBestEffortOverdueStart is ClassOverdueStart, of work that only takes what others leave.
+	// ClassBestEffortOverdueStart is ClassOverdueStart for best-effort work.
 	ClassBestEffortOverdueStart
 )
 
@@ -42,7 +42,7 @@
 	return ClassStart
 }
 
-// AsBestEffort returns the best-effort class of a class. An urgent change stays urgent.
+// AsBestEffort returns the best-effort variant of a class. ClassUrgent has none and is returned as it is.
 func (c Class) AsBestEffort() Class {
 	switch c {
 	case ClassRecord:
@@ -56,7 +56,7 @@
 	}
 }
 
-// bestEffort reports whether a change of the class is of work that only takes what others leave.
+// bestEffort reports whether the class is for best-effort work.
 func (c Class) bestEffort() bool {
 	switch c {
 	case ClassBestEffortRecord, ClassBestEffortStart, ClassBestEffortOverdueStart:
@@ -66,7 +66,7 @@
 	}
 }
 
-// expires reports whether a change of the class is dropped after its Change.ExpiresAt.
+// expires reports whether changes of the class are dropped after their Change.ExpiresAt.
 func (c Class) expires() bool {
 	switch c {
 	case ClassStart, ClassBestEffortStart, ClassOverdueStart, ClassBestEffortOverdueStart:
@@ -76,5 +76,5 @@
 	}
 }
 
-// overdue reports whether a change of the class comes before other starts.
+// overdue reports whether changes of the class come before other starts.
 func (c Class) overdue() bool { return c == ClassOverdueStart || c == ClassBestEffortOverdueStart }
--- a/internal/state/committer/committer.go
+++ b/internal/state/committer/committer.go
@@ -1,30 +1,32 @@
-// Package committer makes a controller's decisions durable. Changes that reports and periodic duties
-// ask for are committed in batches within the budget of changes, users' changes at once. Every change
-// is drafted over the newest records, and its transaction is conditioned on them (docs/DESIGN.md,
-// points 1 and 2).
+// Package committer makes a controller's decisions durable. Changes that result from reports and periodic
+// tasks are queued and committed in batches, within a budget of writes to the state service; users'
+// changes are committed at once. Every change is drafted from the newest records, and its transaction is
+// conditioned on their versions (docs/DESIGN.md, points 1 and 2).
 //
 // # Types
 //
-// A [Change] is one step to be made durable; its [Class] is its urgency, of which class.go has the
-// order. A [Committer] queues changes, drafts batches of them, and commits transactions.
+// A [Change] is one state transition to be made durable; its [Class] determines its place in the queue.
+// A [Committer] queues changes, drafts transactions from them, and commits these. A write is a single
+// put or delete in a transaction (wire.Change); the changes of a batch that modify the same record share
+// a write.
 //
 // # Locking
 //
 // A Committer has no lock. Drafts run in Records.Read, under the lock of the records, and must not
-// wait; commits and the wait for their outcome run without it. A Change belongs to the committer from
+// block; commits and the wait for their outcome run without it. A Change is owned by the committer from
 // Enqueue on; only its Done and Pending may be used afterwards.
 //
 // # Goroutines
 //
-// The controller runs Run once and ends it by its context; it alone holds the queue and commits
-// batches. CommitNow and Commit run in their callers' goroutines. The package starts none itself.
+// The controller calls Run once and stops it by its context; only Run accesses the queue and commits
+// batches. CommitNow and Commit run in their callers' goroutines. The package starts no goroutines.
 //
 // # Invariants
 //
-//   - A change whose Done gives nil is durable, and the records show it.
-//   - A batch leaves changesForUsers of the budget, and best-effort changes leave half a transaction's.
-//   - A transaction whose outcome is unknown is drafted again over newer records, never sent again as
-//     it was.
+//   - A change whose Done yields nil is durable and contained in the local records.
+//   - Batches leave userWriteReserve of the budget unused, and best-effort changes leave half of the
+//     maximum size of a transaction.
+//   - A transaction whose outcome is unknown is drafted again from newer records, never resent unchanged.
 package committer
 
 import (
@@ -41,61 +43,62 @@
 	"maddermill/wire"
 )
 
-// ErrDropped is the outcome of a change that was given up before it was tried: it expired, or the
-// queue was full.
-var ErrDropped = errors.New("committer: change dropped before it was tried")
+// ErrDropped is the outcome of a change that was dropped without an attempt to commit it, because it
+// expired or the queue was full.
+var ErrDropped = errors.New("committer: change dropped: expired or queue full")
 
-// Bounds of what is under way.
+// Limits of queued and concurrent work.
 const (
-	maxQueued      = 4096 // changes submitted and not yet taken in by Run
-	maxUserCommits = 32   // users' transactions in flight
+	maxQueued      = 4096 // changes submitted and not yet taken up by Run
+	maxUserCommits = 32   // concurrent calls of CommitNow
 )
 
-// Records is what the committer needs of the cache of the records.
+// Records is the interface of the record cache that the committer uses.
 type Records interface {
-	// Read calls f with the records, under their lock.
+	// Read calls f with the records while it holds their lock.
 	Read(f func(l *ledger.Ledger))
 	// WaitForRevision waits until the records have advanced to a revision.
 	WaitForRevision(ctx context.Context, r wire.Revision) error
 }
 
-// Change is one step to be made durable. Its fields are set before Enqueue and not changed after.
+// Change is one state transition to be made durable. Its fields must not be modified after Enqueue.
 type Change struct {
-	// Draft adds the step to a transaction. It may run several times, each time over newer records,
-	// under their lock. An error other than ledger.ErrTransactionFull is the outcome of the change.
+	// Draft adds the transition to a transaction. It runs under the lock of the records, possibly several
+	// times, each time on newer records. An error other than ledger.ErrTransactionFull is final and
+	// becomes the outcome of the change.
 	Draft func(*ledger.Transaction) error
-	// Class is how urgent the change is.
+	// Class determines the place of the change in the queue and whether it expires.
 	Class Class
-	// Priority is that of the work that the change is about, which orders changes of one class.
-	// "": the change takes turns with those of the upper priorities.
+	// Priority is the priority of the work that the change concerns; it interleaves the changes of a class
+	// (byPriority). A change without a priority is treated like the upper priorities.
 	Priority wire.Priority
-	// ExpiresAt is when a change of a class that expires is given up; others ignore it.
+	// ExpiresAt is the time after which a change of a class that expires is dropped. Others ignore it.
 	ExpiresAt time.Time
-	// OnCommit is called once the change is durable; nil: nothing is.
+	// OnCommit, if not nil, is called when the change is durable.
 	OnCommit func()
 
 	queuedAt time.Time
-	done     chan error // gets one value
+	done     chan error // buffered; receives one value, the outcome
 }
 
-// Done returns a channel that gets one value: nil once the change is durable, or why it was not made.
+// Done returns a channel that receives one value: nil once the change is durable, or the error that ended it.
 func (ch *Change) Done() <-chan error { return ch.done }
 
-// Pending reports whether the change has no outcome yet. It is for those who do not receive from Done:
-// once the outcome was received, it reports true again.
+// Pending reports whether the change has no outcome yet. It is for callers that do not receive from Done:
+// after the outcome has been received, it reports true again.
 func (ch *Change) Pending() bool { return len(ch.done) == 0 }
 
-// expired reports whether the change is to be given up.
+// expired reports whether the change has to be dropped.
 func (ch *Change) expired(now time.Time) bool { return ch.Class.expires() && now.After(ch.ExpiresAt) }
 
 // Options are the settings of a Committer.
 type Options struct {
-	Changes float64 // this controller's share of the state service's changes a second
-	TxnOps  int     // changes that a transaction may have
+	Changes float64 // this controller's share of the state service's writes per second
+	TxnOps  int     // maximum number of writes of a transaction
 }
 
-// Committer makes one controller's changes durable. Run runs once; all other methods may be called at
-// any time.
+// Committer makes one controller's changes durable. Run must be called once; all other methods may be called
+// concurrently at any time.
 type Committer struct {
 	opt     Options
 	records Records
@@ -103,25 +106,25 @@
 	stats   *metrics.Set
 	log     *slog.Logger
 
-	submitted   chan *Change
-	userCommits chan struct{} // holds one value for each of users' transactions in flight
+	submitted       chan *Change
+	userCommitSlots chan struct{} // semaphore: one value per running CommitNow
 }
 
-// New returns a committer that queues changes and commits none before Run.
+// New returns a committer. Queued changes are not committed until Run is called.
 func New(opt Options, records Records, store kvstore.Store, stats *metrics.Set, log *slog.Logger) *Committer {
 	return &Committer{
-		opt:         opt,
-		records:     records,
-		store:       store,
-		stats:       stats,
-		log:         log,
-		submitted:   make(chan *Change, maxQueued),
-		userCommits: make(chan struct{}, maxUserCommits),
+		opt:             opt,
+		records:         records,
+		store:           store,
+		stats:           stats,
+		log:             log,
+		submitted:       make(chan *Change, maxQueued),
+		userCommitSlots: make(chan struct{}, maxUserCommits),
 	}
 }
 
-// Enqueue adds a change to the queue. It never waits: a change that finds the queue full is dropped,
-// and the next report asks for it again.
+// Enqueue adds a change to the queue. It never blocks: when the queue is full the change is dropped, and
+// the next report triggers it again.
 func (c *Committer) Enqueue(ch *Change) {
 	ch.done, ch.queuedAt = make(chan error, 1), time.Now()
 	select {
@@ -131,7 +134,7 @@
 	}
 }
 
-// Run commits the queued changes, one batch at a time, until ctx ends.
+// Run commits the queued changes, one batch at a time, until ctx is done.
 func (c *Committer) Run(ctx context.Context) error {
 	var queue []*Change
 	for {
@@ -160,7 +163,7 @@
 	}
 }
 
-// takeSubmitted adds the changes submitted so far to a queue.
+// takeSubmitted appends the changes submitted so far to a queue.
 func (c *Committer) takeSubmitted(queue []*Change) []*Change {
 	for {
 		select {
@@ -172,14 +175,14 @@
 	}
 }
 
-// longQueue is how many changes may wait in the queue without that being a health problem.
-const longQueue = maxQueued / 2
+// unhealthyQueueLen is the number of submitted changes above which HealthProblem reports a problem.
+const unhealthyQueueLen = maxQueued / 2
 
-// HealthProblem returns in a few words what keeps changes from being made durable; "": nothing. It is
-// a supervise.Component's check.
+// HealthProblem returns a short description of a backlog of submitted changes, or "" if there is none. It is
+// the health check of a supervise.Component.
 func (c *Committer) HealthProblem(time.Time) string {
-	if n := len(c.submitted); n > longQueue {
-		return fmt.Sprintf("%d changes wait", n)
+	if n := len(c.submitted); n > unhealthyQueueLen {
+		return fmt.Sprintf("%d changes queued", n)
 	}
 	return ""
 }
--- a/internal/state/committer/committer_test.go
+++ b/internal/state/committer/committer_test.go
@@ -15,41 +15,42 @@
 	"maddermill/wire"
 )
 
-// store is a state service with a budget of changes that does not refill.
-type store struct {
+// fakeStore is a state service with a write budget that does not refill.
+type fakeStore struct {
 	kvstore.Store
 	budget int
-	sizes  []int // of the transactions committed
+	sizes  []int // writes of each committed transaction
 }
 
-func (s *store) AvailableChanges() int { return s.budget }
+func (s *fakeStore) AvailableChanges() int { return s.budget }
 
-func (s *store) Commit(_ context.Context, txn wire.Txn) (wire.Revision, error) {
+func (s *fakeStore) Commit(_ context.Context, txn wire.Txn) (wire.Revision, error) {
 	s.sizes = append(s.sizes, len(txn.Then))
 	s.budget -= len(txn.Then)
 	return 0, nil
 }
 
-// records are records that nothing changes.
-type records struct{ *ledger.Ledger }
+// fixedRecords are records that never advance.
+type fixedRecords struct{ *ledger.Ledger }
 
-func (r records) Read(f func(*ledger.Ledger)) { f(r.Ledger) }
+func (r fixedRecords) Read(f func(*ledger.Ledger)) { f(r.Ledger) }
 
-func (r records) WaitForRevision(context.Context, wire.Revision) error { return nil }
+func (r fixedRecords) WaitForRevision(context.Context, wire.Revision) error { return nil }
 
 const txnOps = 12
 
-// newCommitter returns a committer on a store whose transactions have at most ops changes, and its
-// records.
-func newCommitter(s *store, ops int) (*Committer, *ledger.Ledger) {
+// newCommitter returns a committer on a store whose transactions have at most ops writes, and the ledger
+// that it reads.
+func newCommitter(s *fakeStore, ops int) (*Committer, *ledger.Ledger) {
 	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: kvstore.TxnBytes})
 	opt := Options{Changes: 40.0 / 3, TxnOps: ops}
-	return New(opt, records{l}, s, metrics.New(), slog.New(slog.DiscardHandler)), l
+	return New(opt, fixedRecords{l}, s, metrics.New(), slog.New(slog.DiscardHandler)), l
 }
 
 func jobID(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
 
-// addJob adds the record of a job; fields follow its id in the specification, and rest that.
+// addJob adds the record of a job. fields is JSON that follows the ID in the specification; rest is JSON
+// that follows the specification.
 func addJob(l *ledger.Ledger, i int, fields, rest string) {
 	l.Apply(ledger.Event{
 		Key:     "mm1/j/" + string(jobID(i)),
@@ -59,7 +60,7 @@
 	})
 }
 
-// release returns a change that records the end of a task of a job that host-1 holds.
+// release returns a change that records the completion of a task claimed by host-1.
 func release(l *ledger.Ledger, job, task int) *Change {
 	return &Change{done: make(chan error, 1), Draft: func(txn *ledger.Transaction) error {
 		claim := ledger.Claim{Attempt: 1, Machine: "host-1", Zone: "a", Epoch: 1, Token: 1}
@@ -68,13 +69,13 @@
 	}}
 }
 
-// TestBatchKeepsToTheBudget: a batch has no more changes than the budget has room for,
-// leaves some for users, and still takes in what only adds to a record that it writes
-// already. Batches of a whole transaction's size once waited for the budget until they
-// were given up, with all starts in them; batches that stopped at the first change that
-// did not fit wrote one job's record ten times a second.
+// TestBatchKeepsToTheBudget checks that a batch has no more writes than the budget allows, leaves
+// userWriteReserve, and still includes changes that only modify a record that it writes already. It guards
+// against two failures: batches of a full transaction waited for the budget until they timed out, with all
+// starts in them; and batches that stopped at the first change that did not fit wrote one job's record ten
+// times a second.
 func TestBatchKeepsToTheBudget(t *testing.T) {
-	s := &store{budget: 10}
+	s := &fakeStore{budget: 10}
 	c, l := newCommitter(s, txnOps)
 	var queue []*Change
 	for i := range 12 {
@@ -82,32 +83,32 @@
 		queue = append(queue, release(l, i, 0))
 	}
 	for i := range 5 {
-		queue = append(queue, release(l, 0, i+1)) // adds to a record that the batch writes already
+		queue = append(queue, release(l, 0, i+1)) // modifies a record that the batch writes already
 	}
 	left := c.commitBatch(t.Context(), queue)
-	if want := 10 - changesForUsers; len(s.sizes) != 1 || s.sizes[0] != want {
-		t.Errorf("batches of %v changes, want one of %d", s.sizes, want)
+	if want := 10 - userWriteReserve; len(s.sizes) != 1 || s.sizes[0] != want {
+		t.Errorf("batches of %v writes, want one of %d", s.sizes, want)
 	}
-	if want := 12 - (10 - changesForUsers); len(left) != want {
+	if want := 12 - (10 - userWriteReserve); len(left) != want {
 		t.Errorf("%d changes left, want %d", len(left), want)
 	}
 }
 
-// TestSmallestBudget: where a transaction takes only two changes the budget never holds
-// more, and batches must not wait for it to.
+// TestSmallestBudget checks that a batch is committed when transactions are limited to two writes: the
+// budget then never holds more, so the batch must not wait for more.
 func TestSmallestBudget(t *testing.T) {
-	s := &store{budget: 2}
+	s := &fakeStore{budget: 2}
 	c, l := newCommitter(s, 2)
 	addJob(l, 1, `"pieces":1`, `,"c":[[0,1,1,"host-1","a",1,1]]`)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	c.commitBatch(ctx, []*Change{release(l, 1, 0)})
 	if len(s.sizes) != 1 || ctx.Err() != nil {
-		t.Errorf("batches of %v changes, context %v; want one batch before the end of the context", s.sizes, ctx.Err())
+		t.Errorf("batches of %v writes, context %v; want one batch before the end of the context", s.sizes, ctx.Err())
 	}
 }
 
-// numbers are the numbers of changes, which their ExpiresAt holds, in the order of a queue.
+// numbers returns the numbers that numbered stored in the ExpiresAt of each change, in the order of a queue.
 func numbers(queue []*Change) string {
 	var out strings.Builder
 	for _, ch := range queue {
@@ -116,7 +117,7 @@
 	return out.String()
 }
 
-// numbered returns one change of each class, numbered from 0.
+// numbered returns one change of each class. Their ExpiresAt holds their number, from 0.
 func numbered(classes ...Class) []*Change {
 	var queue []*Change
 	for i, class := range classes {
@@ -125,8 +126,8 @@
 	return queue
 }
 
-// TestOrderByClass: in a flood of records starts are still tried, and neither kind changes its own
-// order.
+// TestOrderByClass checks that starts are not delayed by a large number of records, and that both keep their
+// own order.
 func TestOrderByClass(t *testing.T) {
 	const (
 		record       = ClassRecord
@@ -163,10 +164,10 @@
 	})
 }
 
-// TestOrderByPriority: changes of all priorities take turns, upper ones more often. Gangs that were
-// submitted with 2,000 tasks of services once waited for two reports, since their starts expired in the
-// queue behind the services'; and when a zone was lost, claims of its services were released among
-// thousands of others, over a minute and more.
+// TestOrderByPriority checks the weighted round-robin over priorities. It guards against two failures: gangs
+// submitted together with 2,000 service tasks waited for two reports, since their starts expired in the
+// queue behind those of the services; and when a zone was lost, the release of the claims of its services
+// took over a minute, since it was queued among thousands of others.
 func TestOrderByPriority(t *testing.T) {
 	priorities := []wire.Priority{
 		wire.Normal, wire.Normal,
@@ -186,7 +187,7 @@
 	}
 }
 
-// TestAsBestEffort: a best-effort class expires, and is overdue, as the class that it is made from.
+// TestAsBestEffort checks that a best-effort class expires and is overdue like the class that it derives from.
 func TestAsBestEffort(t *testing.T) {
 	for _, class := range []Class{ClassRecord, ClassStart, ClassOverdueStart} {
 		got := class.AsBestEffort()
@@ -203,8 +204,8 @@
 	}
 }
 
-// cancellations adds jobs and returns the changes that cancel them, submitted at a time: best-effort ones
-// and then others.
+// cancellations adds jobs and returns the changes that cancel them, all queued at the same time: the
+// best-effort ones first.
 func cancellations(l *ledger.Ledger, bestEffort, others int, at time.Time) []*Change {
 	var queue []*Change
 	for i := range bestEffort + others {
@@ -226,9 +227,10 @@
 	return queue
 }
 
-// TestBestEffortLeavesRoom: best-effort changes come after all others and leave half of a transaction's
-// changes of the budget, but do not wait for ever, except starts, which expire. A guest's huge array
-// once took all changes, and urgent starts waited for the budget to refill.
+// TestBestEffortLeavesRoom checks that best-effort changes come after all others and leave half of a
+// transaction's writes in the budget, and that records do not wait forever (starts expire instead). It
+// guards against a huge best-effort array using up the whole budget, so that urgent starts waited for it
+// to refill.
 func TestBestEffortLeavesRoom(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
@@ -238,7 +240,7 @@
 		bestEffort int
 		age        time.Duration
 		deferred   bool
-		size       int  // of the transaction
+		size       int  // writes of the transaction
 		lastYields bool // the last change of the transaction is best-effort
 	}{
 		{"others only", 10, 12, 0, 0, false, 8, false},
@@ -248,7 +250,7 @@
 		{"best effort alone for long", 10, 0, 9, time.Minute, false, 8, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &store{budget: tc.budget}
+			s := &fakeStore{budget: tc.budget}
 			c, l := newCommitter(s, txnOps)
 			queue := cancellations(l, tc.bestEffort, tc.others, now.Add(-tc.age))
 			if got := c.deferBatch(queue, now); got != tc.deferred {
@@ -259,23 +261,23 @@
 			}
 			left := c.commitBatch(t.Context(), queue)
 			if len(s.sizes) != 1 || s.sizes[0] != tc.size {
-				t.Errorf("batches of %v changes, want one of %d", s.sizes, tc.size)
+				t.Errorf("batches of %v writes, want one of %d", s.sizes, tc.size)
 			}
 			for _, ch := range left {
 				if !ch.Class.bestEffort() && tc.lastYields {
-					t.Error("a change of other work is left behind a best-effort one")
+					t.Error("a best-effort change was committed before one that is not")
 				}
 			}
 		})
 	}
 }
 
-// TestBestEffortWithSmallTransactions: where a transaction takes few changes, and the budget never
-// holds more, best-effort starts are still made.
+// TestBestEffortWithSmallTransactions checks that best-effort starts are still committed when transactions
+// are limited to few writes, and the budget never holds more than that.
 func TestBestEffortWithSmallTransactions(t *testing.T) {
 	for _, ops := range []int{2, 4, 8} {
 		t.Run(fmt.Sprint(ops), func(t *testing.T) {
-			s := &store{budget: ops}
+			s := &fakeStore{budget: ops}
 			c, l := newCommitter(s, ops)
 			addJob(l, 1, `"pieces":1,"cores":1`, "")
 			now := time.Now()
@@ -291,10 +293,10 @@
 				},
 			}}
 			if c.deferBatch(queue, now) {
-				t.Fatal("deferred with all of the budget there")
+				t.Fatal("deferred although the budget is full")
 			}
 			if left := c.commitBatch(t.Context(), queue); len(left) > 0 || len(s.sizes) != 1 {
-				t.Errorf("%d changes left, batches of %v; want none left and one batch", len(left), s.sizes)
+				t.Errorf("%d changes left, batches of %v writes; want none left and one batch", len(left), s.sizes)
 			}
 		})
 	}
--- a/internal/state/committer/transaction.go
+++ b/internal/state/committer/transaction.go
@@ -14,19 +14,19 @@
 
 // Timing of transactions.
 const (
-	commitTimeout = 2500 * time.Millisecond // for a transaction and the wait for its outcome
-	retryDelay    = 100 * time.Millisecond  // after a transaction that the service refused
+	commitTimeout = 2500 * time.Millisecond // for a transaction and the wait until the records show its outcome
+	retryDelay    = 100 * time.Millisecond  // after a transaction that the service rejected
 )
 
-// timed sets the time of a transaction to the time of day and returns it.
-func timed(txn *ledger.Transaction) *ledger.Transaction {
+// stampTime sets the time of a transaction to the current time and returns the transaction.
+func stampTime(txn *ledger.Transaction) *ledger.Transaction {
 	txn.SetTime(wire.UnixMillis(time.Now().UnixMilli()))
 	return txn
 }
 
-// Commit commits a transaction, waits until the records show its outcome, and returns the revision of
-// that. After a conflict its error wraps a kvstore.ConflictError; after any other error the outcome is
-// open.
+// Commit commits a transaction, waits until the local records include its outcome, and returns the revision
+// of the outcome. After a conflict the error wraps a kvstore.ConflictError; after any other error the
+// outcome is unknown.
 func (c *Committer) Commit(ctx context.Context, txn wire.Txn) (wire.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -35,7 +35,7 @@
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		c.stats.Add("conflicts_total", 1)
-		c.log.Debug("conflict", "keys", conflict.Failed)
+		c.log.Debug("transaction conditions failed", "keys", conflict.Failed)
 		revision = conflict.Revision
 	} else if err != nil {
 		return 0, err
@@ -46,12 +46,12 @@
 	return revision, err
 }
 
-// CommitNow commits one user's change at once and tries again after conflicts. An error of the
-// draft is wrapped; kvstore.ErrUnreachable leaves the outcome open.
+// CommitNow commits a user's change at once, bypassing the queue, and retries after conflicts. It wraps an
+// error of the draft. After kvstore.ErrUnreachable the outcome is unknown.
 func (c *Committer) CommitNow(ctx context.Context, draft func(*ledger.Transaction) error) error {
 	select {
-	case c.userCommits <- struct{}{}:
-		defer func() { <-c.userCommits }()
+	case c.userCommitSlots <- struct{}{}:
+		defer func() { <-c.userCommitSlots }()
 	case <-ctx.Done():
 		return kvstore.ErrUnreachable
 	}
@@ -70,7 +70,7 @@
 			return nil
 		case errors.As(err, &conflict):
 			if slices.ContainsFunc(conflict.Failed, ledger.IsFinalKey) {
-				return ledger.ErrPreconditionFailed // the job is archived, which the records do not show
+				return ledger.ErrPreconditionFailed // the job has been archived; the local records do not include archived jobs
 			}
 		case errors.Is(err, kvstore.ErrRefused):
 			wait.For(ctx, retryDelay)
@@ -81,10 +81,10 @@
 	return kvstore.ErrUnreachable
 }
 
-// draftOne drafts a transaction of one change over the newest records.
+// draftOne drafts a transaction for one change from the newest records.
 func (c *Committer) draftOne(draft func(*ledger.Transaction) error) (request wire.Txn, err error) {
 	c.records.Read(func(l *ledger.Ledger) {
-		txn := timed(l.NewTransaction())
+		txn := stampTime(l.NewTransaction())
 		draftErr := draft(txn)
 		request, err = txn.Request()
 		err = errors.Join(draftErr, err)
