--- a/internal/state/committer/batch.go
+++ b/internal/state/committer/batch.go
@@ -54,7 +54,7 @@
 	c.stats.Add("transactions_failed_total", 1)
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
-		// The transaction was rejected, or its outcome is unknown and it may still be executed. In that
+		// The transaction was not executed, or its outcome is unknown and it may still be executed. In that
 		// case either the records show it when the changes are drafted again, or the conditions of the
 		// retry fail, since they are on the same versions.
 		c.log.Debug("batch failed", "changes", len(b.txn.Then), "err", err)
--- a/internal/state/committer/transaction.go
+++ b/internal/state/committer/transaction.go
@@ -15,7 +15,7 @@
 // Timing of transactions.
 const (
 	commitTimeout = 2500 * time.Millisecond // for a transaction and the wait until the records show its outcome
-	retryDelay    = 100 * time.Millisecond  // after a transaction that the service rejected
+	retryDelay    = 100 * time.Millisecond  // after a transaction that was not executed
 )
 
 // stampTime sets the time of a transaction to the current time and returns the transaction.
@@ -70,7 +70,7 @@
 			return nil
 		case errors.As(err, &conflict):
 			if slices.ContainsFunc(conflict.Failed, ledger.IsFinalKey) {
-				return ledger.ErrPreconditionFailed // the job has been archived; the local records do not include archived jobs
+				return ledger.ErrPreconditionFailed // the job is archived already, which the local records do not show
 			}
 		case errors.Is(err, kvstore.ErrRefused):
 			wait.For(ctx, retryDelay)
