--- a/internal/state/kvstore/budget.go
+++ b/internal/state/kvstore/budget.go
@@ -6,41 +6,42 @@
 	"golang.org/x/time/rate"
 )
 
-// maxChangesShare is the part of all changes that one controller's rate may grow to.
-const maxChangesShare = 0.8
+// maxRateShare is the fraction of the total rate that one controller's rate may grow to.
+const maxRateShare = 0.8
 
-// increaseSteps is how many changes made raise the rate by a whole share.
-const increaseSteps = 20
+// changesPerShareIncrease is the number of successful changes that raise the rate by one fair share.
+const changesPerShareIncrease = 20
 
-// changeBudget is how many changes a second one controller may make. Its fair share is always its own.
-// What the others leave unused it finds out by additive increase after each success and multiplicative
-// decrease, down to its share, after each refusal.
+// changeBudget limits the rate of one controller's changes, a change being one put or delete of a
+// transaction. The rate is never below the controller's fair share. To use what other controllers leave
+// unused, it follows AIMD: additive increase after each success, multiplicative decrease, down to the fair
+// share, when the service reports that its limits are exceeded.
 type changeBudget struct {
-	limiter        *rate.Limiter
-	share, maximum rate.Limit // changes a second
+	limiter            *rate.Limiter
+	fairShare, maxRate rate.Limit // changes per second
 }
 
-// newChangeBudget returns the budget of one of count controllers that share a rate of total changes a
-// second. It may save up burst changes.
+// newChangeBudget returns the budget of one of count controllers that share a rate of total changes per
+// second. It accumulates at most burst changes.
 func newChangeBudget(total float64, count, burst int) *changeBudget {
 	share := rate.Limit(total / float64(count))
 	return &changeBudget{
-		limiter: rate.NewLimiter(share, burst),
-		share:   share,
-		maximum: max(share, rate.Limit(total*maxChangesShare)),
+		limiter:   rate.NewLimiter(share, burst),
+		fairShare: share,
+		maxRate:   max(share, rate.Limit(total*maxRateShare)),
 	}
 }
 
-// wait waits until the budget has room for n changes and takes them.
+// wait blocks until n changes are available and consumes them.
 func (b *changeBudget) wait(ctx context.Context, n int) error { return b.limiter.WaitN(ctx, n) }
 
-// available returns how many changes the budget has room for now.
+// available returns the number of changes that are available without waiting.
 func (b *changeBudget) available() int { return int(b.limiter.Tokens()) }
 
-// granted raises the rate after n changes were made.
-func (b *changeBudget) granted(n int) {
-	b.limiter.SetLimit(min(b.maximum, b.limiter.Limit()+b.share/increaseSteps*rate.Limit(n)))
+// increase raises the rate after n changes succeeded.
+func (b *changeBudget) increase(n int) {
+	b.limiter.SetLimit(min(b.maxRate, b.limiter.Limit()+b.fairShare/changesPerShareIncrease*rate.Limit(n)))
 }
 
-// refused lowers the rate after the service was over its limits.
-func (b *changeBudget) refused() { b.limiter.SetLimit(max(b.share, b.limiter.Limit()/2)) }
+// decrease halves the rate, but not below the fair share, after the service reported exceeded limits.
+func (b *changeBudget) decrease() { b.limiter.SetLimit(max(b.fairShare, b.limiter.Limit()/2)) }
--- a/internal/state/kvstore/budget_test.go
+++ b/internal/state/kvstore/budget_test.go
@@ -7,29 +7,29 @@
 	"golang.org/x/time/rate"
 )
 
-// TestChangeBudget: the rate grows with each change made, up to most of all changes, and a refusal halves
-// it, down to the share.
+// TestChangeBudget checks that each successful change raises the rate, up to maxRateShare of the total, and
+// that an exceeded limit halves it, down to the fair share.
 func TestChangeBudget(t *testing.T) {
 	const total, count = 30, 3
 	b := newChangeBudget(total, count, 12)
 	expect := func(step string, want rate.Limit) {
 		t.Helper()
 		if got := b.limiter.Limit(); math.Abs(float64(got-want)) > 1e-9 {
-			t.Errorf("%s: %v changes a second, want %v", step, got, want)
+			t.Errorf("%s: %v changes per second, want %v", step, got, want)
 		}
 	}
-	expect("at the start", 10)
-	b.refused()
-	expect("refused at the share", 10)
-	b.granted(10)
-	expect("10 changes made", 15)
-	b.granted(100)
-	expect("100 changes made", total*maxChangesShare)
-	b.refused()
-	expect("refused", total*maxChangesShare/2)
-	b.refused()
-	expect("refused again", 10)
-	if got := newChangeBudget(total, 1, 12); got.maximum != total {
-		t.Errorf("alone, at most %v changes a second, want its share of %v", got.maximum, total)
+	expect("initially", 10)
+	b.decrease()
+	expect("limit exceeded at the fair share", 10)
+	b.increase(10)
+	expect("after 10 changes", 15)
+	b.increase(100)
+	expect("after 100 more changes", total*maxRateShare)
+	b.decrease()
+	expect("limit exceeded", total*maxRateShare/2)
+	b.decrease()
+	expect("limit exceeded again", 10)
+	if got := newChangeBudget(total, 1, 12); got.maxRate != total {
+		t.Errorf("single controller: at most %v changes per second, want its share of %v", got.maxRate, total)
 	}
 }
--- a/internal/state/kvstore/client.go
+++ b/internal/state/kvstore/client.go
@@ -15,18 +15,18 @@
 	"maddermill/wire"
 )
 
-// requestTimeout bounds the wait for an answer. Usual answers take under 10 ms, slow ones some
+// requestTimeout is the time limit for a response. A response usually takes less than 10 ms, a slow one some
 // hundred.
 const requestTimeout = 1500 * time.Millisecond
 
-// watchGrace is how much longer than its wait a watch may take. One that gets no answer is given up:
-// its connection may be dead without an error.
+// watchGrace is how much longer than the requested wait a watch may take. After that it is aborted, since
+// its connection may be dead without reporting an error.
 const watchGrace = 3 * time.Second
 
-// headroom is the part of the service's limits that is used.
-const headroom = 0.95
+// limitFraction is the fraction of the service's rate limits that controllers use.
+const limitFraction = 0.95
 
-// Status codes of answers.
+// HTTP status codes of responses.
 const (
 	statusOK              = 200
 	statusNotFound        = 404
@@ -36,10 +36,10 @@
 	statusUnavailable     = 503
 )
 
-// leaseNotFoundBody is the error in the answer to a transaction that names a lease that has ended.
+// leaseNotFoundBody is the error text of the response to a transaction that uses an expired lease.
 const leaseNotFoundBody = "no such lease"
 
-// Client is a Store over the service's HTTP protocol.
+// Client implements Store over the service's HTTP protocol.
 type Client struct {
 	http     *http1.Client // for short requests
 	watch    *http1.Client // for watches
@@ -49,14 +49,14 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns the client of one of count controllers that share the service's limits of requests
-// and changes a second. short and long are the connections for requests and for watches.
-func NewClient(short, long *http1.Client, requestRate, changeRate float64, count, txnOps int) *Client {
-	requestRate, changeRate = requestRate*headroom, changeRate*headroom
+// NewClient returns the client of one of count controllers that share the service's limits of requests and
+// changes per second. requestClient serves short requests, watchClient the watches, which block for long.
+func NewClient(requestClient, watchClient *http1.Client, requestRate, changeRate float64, count, txnOps int) *Client {
+	requestRate, changeRate = requestRate*limitFraction, changeRate*limitFraction
 	share := requestRate / float64(count)
 	return &Client{
-		http:     short,
-		watch:    long,
+		http:     requestClient,
+		watch:    watchClient,
 		requests: rate.NewLimiter(rate.Limit(share), max(1, int(share/2))),
 		changes:  newChangeBudget(changeRate, count, max(txnOps, int(math.Ceil(changeRate/float64(count))))),
 	}
@@ -64,7 +64,7 @@
 
 // Revision implements Store.
 func (c *Client) Revision(ctx context.Context) (wire.Revision, error) {
-	// No key has the prefix: the page is empty, and its revision is the service's.
+	// No key has this prefix, so the page is empty, but it contains the service's current revision.
 	page, err := c.list(ctx, "~", "", 1)
 	if err != nil {
 		return page.Revision, fmt.Errorf("state: read revision: %w", err)
@@ -82,17 +82,17 @@
 }
 
 func (c *Client) get(ctx context.Context, key string) (wire.Item, error) {
-	p, err := c.do(ctx, "GET", "/store/"+key, "", nil)
+	resp, err := c.do(ctx, "GET", "/store/"+key, "", nil)
 	if err != nil {
 		return wire.Item{}, err
 	}
-	switch p.Status {
+	switch resp.Status {
 	case statusOK:
-		return decode[wire.Item](p)
+		return decode[wire.Item](resp)
 	case statusNotFound:
 		return wire.Item{}, ErrNotFound
 	}
-	return wire.Item{}, unexpected(p)
+	return wire.Item{}, unexpectedStatus(resp)
 }
 
 // List implements Store.
@@ -109,21 +109,21 @@
 	if after != "" {
 		query += "&from=" + after
 	}
-	p, err := c.do(ctx, "GET", "/store", query, nil)
+	resp, err := c.do(ctx, "GET", "/store", query, nil)
 	if err != nil {
 		return wire.ItemPage{}, err
 	}
-	if p.Status != statusOK {
-		return wire.ItemPage{}, unexpected(p)
+	if resp.Status != statusOK {
+		return wire.ItemPage{}, unexpectedStatus(resp)
 	}
-	return decode[wire.ItemPage](p)
+	return decode[wire.ItemPage](resp)
 }
 
-// Commit implements Store. It waits until the budget has room for the transaction's changes.
+// Commit implements Store. It waits until the budget allows the transaction's changes.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	revision, err := c.commit(ctx, t)
 	var conflict *ConflictError
-	if err != nil && !errors.As(err, &conflict) { // a ConflictError names the operation itself
+	if err != nil && !errors.As(err, &conflict) { // the message of a ConflictError names the operation already
 		return revision, fmt.Errorf("state: commit of %d changes: %w", len(t.Then), err)
 	}
 	return revision, err
@@ -132,7 +132,7 @@
 func (c *Client) commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	if n := len(t.Then); n > 0 {
 		if err := c.changes.wait(ctx, n); err != nil {
-			return 0, refused(err)
+			return 0, refusedError(err)
 		}
 	}
 	if t.If == nil {
@@ -141,28 +141,28 @@
 	if t.Then == nil {
 		t.Then = []wire.Change{}
 	}
-	p, err := c.do(ctx, "POST", "/multi", "", t)
-	if errors.Is(err, errBusy) {
-		c.changes.refused()
+	resp, err := c.do(ctx, "POST", "/multi", "", t)
+	if errors.Is(err, errRateLimited) {
+		c.changes.decrease()
 	}
 	if err != nil {
 		return 0, err
 	}
-	c.changes.granted(len(t.Then))
-	switch p.Status {
+	c.changes.increase(len(t.Then))
+	switch resp.Status {
 	case statusOK, statusConflict:
-		result, err := decode[wire.TxnResult](p)
-		if err == nil && p.Status == statusConflict {
+		result, err := decode[wire.TxnResult](resp)
+		if err == nil && resp.Status == statusConflict {
 			err = &ConflictError{Failed: result.Failed, Revision: result.Revision}
 		}
 		return result.Revision, err
 	}
 	var body wire.ErrorBody
-	_ = json.Unmarshal(p.Body, &body) // a body that is no ErrorBody is reported whole
+	_ = json.Unmarshal(resp.Body, &body) // a body in any other form is included in the error below
 	if body.Error == leaseNotFoundBody {
 		return 0, ErrLeaseNotFound
 	}
-	return 0, unexpected(p)
+	return 0, unexpectedStatus(resp)
 }
 
 // AvailableChanges implements Store.
@@ -189,33 +189,33 @@
 	wait time.Duration,
 ) (wire.Events, error) {
 	if err := c.requests.Wait(ctx); err != nil {
-		return wire.Events{}, refused(err)
+		return wire.Events{}, refusedError(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
 	defer cancel()
 	query := fmt.Sprintf("starts=%s&from=%d&wait_ms=%d", prefix, after, wait.Milliseconds())
-	p, err := exchange(ctx, c.watch, "GET", "/changes", query, nil)
+	resp, err := exchange(ctx, c.watch, "GET", "/changes", query, nil)
 	if err != nil {
 		return wire.Events{}, err
 	}
-	switch p.Status {
+	switch resp.Status {
 	case statusOK:
-		return decode[wire.Events](p)
+		return decode[wire.Events](resp)
 	case statusGone:
 		return wire.Events{}, ErrRevisionCompacted
 	}
-	return wire.Events{}, unexpected(p)
+	return wire.Events{}, unexpectedStatus(resp)
 }
 
 // GrantLease implements Store.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (wire.LeaseID, error) {
-	p, err := c.do(ctx, "POST", "/leases", "", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()})
-	if err == nil && !succeeded(p) {
-		err = unexpected(p)
+	resp, err := c.do(ctx, "POST", "/leases", "", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()})
+	if err == nil && !succeeded(resp) {
+		err = unexpectedStatus(resp)
 	}
 	var grant wire.LeaseGrant
 	if err == nil {
-		grant, err = decode[wire.LeaseGrant](p)
+		grant, err = decode[wire.LeaseGrant](resp)
 	}
 	if err != nil {
 		return grant.Lease, fmt.Errorf("state: grant lease of %v: %w", ttl, err)
@@ -225,13 +225,13 @@
 
 // RenewLease implements Store.
 func (c *Client) RenewLease(ctx context.Context, id wire.LeaseID) error {
-	p, err := c.do(ctx, "POST", fmt.Sprintf("/leases/%d/renew", id), "", nil)
+	resp, err := c.do(ctx, "POST", fmt.Sprintf("/leases/%d/renew", id), "", nil)
 	switch {
 	case err != nil:
-	case p.Status == statusNotFound:
+	case resp.Status == statusNotFound:
 		err = ErrLeaseNotFound
-	case !succeeded(p):
-		err = unexpected(p)
+	case !succeeded(resp):
+		err = unexpectedStatus(resp)
 	}
 	if err != nil {
 		return fmt.Errorf("state: renew lease %d: %w", id, err)
@@ -239,18 +239,18 @@
 	return nil
 }
 
-// do sends a request within the limit of requests and waits for its answer.
+// do sends a request, within the limit of requests per second, and waits for the response.
 func (c *Client) do(ctx context.Context, method, path, query string, body any) (*http1.Response, error) {
 	if err := c.requests.Wait(ctx); err != nil {
-		return nil, refused(err)
+		return nil, refusedError(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return exchange(ctx, c.http, method, path, query, body)
 }
 
-// exchange sends a request, with the JSON of body unless that is nil, and waits for its answer until
-// ctx ends. Its error wraps ErrRefused, ErrUnknown or ErrInvalid.
+// exchange sends a request, with body encoded as JSON unless it is nil, and waits for the response until ctx
+// is done. Its error wraps ErrRefused, ErrUnknown or ErrInvalid.
 func exchange(ctx context.Context, h *http1.Client, method, path, query string, body any) (*http1.Response, error) {
 	request := &http1.Request{Method: method, Path: path, Query: query}
 	if body != nil {
@@ -260,36 +260,36 @@
 		}
 		request.Body = b
 	}
-	p, err := h.Do(ctx, request)
+	resp, err := h.Do(ctx, request)
 	switch {
 	case errors.Is(err, http1.ErrNotSent):
-		return nil, refused(err)
+		return nil, refusedError(err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
-	case p.Status == statusTooManyRequests:
-		return nil, refused(errBusy)
-	case p.Status == statusUnavailable:
+	case resp.Status == statusTooManyRequests:
+		return nil, refusedError(errRateLimited)
+	case resp.Status == statusUnavailable:
 		return nil, ErrRefused
 	}
-	return p, nil
+	return resp, nil
 }
 
-// refused returns an ErrRefused with its reason.
-func refused(reason error) error { return fmt.Errorf("%w: %w", ErrRefused, reason) }
+// refusedError returns an error that wraps ErrRefused and its reason.
+func refusedError(reason error) error { return fmt.Errorf("%w: %w", ErrRefused, reason) }
 
-// decode returns the value in the body of an answer. What can't be decoded is no answer.
-func decode[T any](p *http1.Response) (T, error) {
+// decode decodes the body of a response. A malformed body counts as no response: the error wraps ErrUnknown.
+func decode[T any](resp *http1.Response) (T, error) {
 	var v T
-	if err := json.Unmarshal(p.Body, &v); err != nil {
-		return v, fmt.Errorf("%w: decode the answer: %w", ErrUnknown, err)
+	if err := json.Unmarshal(resp.Body, &v); err != nil {
+		return v, fmt.Errorf("%w: decode response: %w", ErrUnknown, err)
 	}
 	return v, nil
 }
 
-// succeeded reports whether an answer's status is one of success.
-func succeeded(p *http1.Response) bool { return p.Status/100 == 2 }
+// succeeded reports whether a response has a 2xx status.
+func succeeded(resp *http1.Response) bool { return resp.Status/100 == 2 }
 
-// unexpected returns the error for an answer of another status than the protocol has for the request.
-func unexpected(p *http1.Response) error {
-	return fmt.Errorf("%w: status %d: %.200s", ErrInvalid, p.Status, p.Body)
+// unexpectedStatus returns the error for a response whose status the protocol does not define for the request.
+func unexpectedStatus(resp *http1.Response) error {
+	return fmt.Errorf("%w: status %d: %.200s", ErrInvalid, resp.Status, resp.Body)
 }
--- a/internal/state/kvstore/client_test.go
+++ b/internal/state/kvstore/client_test.go
@@ -17,7 +17,7 @@
 	"maddermill/wire"
 )
 
-// newClient returns a client of a service at an address, alone on limits that no test reaches.
+// newClient returns the only client of a service at an address, with rate limits that no test reaches.
 func newClient(t *testing.T, addr string) *kvstore.Client {
 	t.Helper()
 	dialer, err := transport.NewDialer(1 << 20)
@@ -39,7 +39,7 @@
 	return s.Listener.Addr().String()
 }
 
-// newService returns a client of a service that holds keys, each with itself as its value.
+// newService returns a client of a new service that contains keys, each with the key itself as its value.
 func newService(t *testing.T, keys ...string) *kvstore.Client {
 	t.Helper()
 	c := newClient(t, serve(t, emulator.StateHandler(emulator.NewLink(emulator.NewStore(12, 4096), 1))))
@@ -51,7 +51,7 @@
 	return c
 }
 
-// create is a transaction that creates a key with itself as its value.
+// create returns a transaction that creates a key with the key itself as its value.
 func create(key string) wire.Txn {
 	return wire.Txn{
 		If:   []wire.Condition{{Key: key}},
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestRead: Get and Each read what was committed.
+// TestRead checks that Get and Each return committed items.
 func TestRead(t *testing.T) {
 	c := newService(t, "a/1", "a/2", "a/3", "b/1")
 	item, err := c.Get(t.Context(), "a/2")
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestConflict: a transaction whose conditions do not hold names the keys, and is not executed.
+// TestConflict checks that a transaction whose conditions do not hold fails with the keys and is not executed.
 func TestConflict(t *testing.T) {
 	c := newService(t, "a/1")
 	before, err := c.Revision(t.Context())
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestWatch: a watch returns the changes after a revision.
+// TestWatch checks that a watch returns the changes after a revision.
 func TestWatch(t *testing.T) {
 	c := newService(t, "a/1", "b/1")
 	before, err := c.Revision(t.Context())
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestLease: a lease that was granted can be renewed, another can't.
+// TestLease checks that a granted lease can be renewed, and that any other can't.
 func TestLease(t *testing.T) {
 	c := newService(t)
 	lease, err := c.GrantLease(t.Context(), time.Minute)
@@ -120,11 +120,11 @@
 		t.Error(err)
 	}
 	if err := c.RenewLease(t.Context(), lease+1); !errors.Is(err, kvstore.ErrLeaseNotFound) {
-		t.Errorf("renewed a lease that never was: error %v, want %v", err, kvstore.ErrLeaseNotFound)
+		t.Errorf("renewed a lease that was never granted: error %v, want %v", err, kvstore.ErrLeaseNotFound)
 	}
 }
 
-// operations are the client's, with what the messages of their errors say.
+// operations are the operations of a client, with the prefix of their error messages.
 var operations = map[string]struct {
 	run    func(ctx context.Context, c *kvstore.Client) error
 	prefix string
@@ -158,8 +158,8 @@
 	}, "state: renew lease 5: "},
 }
 
-// TestErrors: an answer of any status becomes the error that says whether the request was executed, and
-// the message names the operation and its object.
+// TestErrors checks that each response status results in the error that tells whether the request was
+// executed, with a message that names the operation and its object.
 func TestErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name, operation string
@@ -167,15 +167,15 @@
 		body            string
 		want            error
 	}{
-		{"over the limits", "commit", 429, `{}`, kvstore.ErrRefused},
-		{"over the limits", "watch", 429, `{}`, kvstore.ErrRefused},
+		{"rate limit exceeded", "commit", 429, `{}`, kvstore.ErrRefused},
+		{"rate limit exceeded", "watch", 429, `{}`, kvstore.ErrRefused},
 		{"unavailable", "get", 503, `{}`, kvstore.ErrRefused},
 		{"unavailable", "list", 503, `{}`, kvstore.ErrRefused},
 		{"unavailable", "revision", 503, `{}`, kvstore.ErrRefused},
 		{"unavailable", "grant", 503, `{}`, kvstore.ErrRefused},
-		{"no JSON", "get", 200, `{`, kvstore.ErrUnknown},
-		{"no JSON", "commit", 409, `{`, kvstore.ErrUnknown},
-		{"no JSON", "grant", 200, `{`, kvstore.ErrUnknown},
+		{"invalid JSON", "get", 200, `{`, kvstore.ErrUnknown},
+		{"invalid JSON", "commit", 409, `{`, kvstore.ErrUnknown},
+		{"invalid JSON", "grant", 200, `{`, kvstore.ErrUnknown},
 		{"no such key", "get", 404, `{}`, kvstore.ErrNotFound},
 		{"compacted", "watch", 410, `{}`, kvstore.ErrRevisionCompacted},
 		{"no such lease", "renew", 404, `{}`, kvstore.ErrLeaseNotFound},
@@ -196,23 +196,23 @@
 				t.Fatalf("error %v, want %v", err, tc.want)
 			}
 			if !strings.HasPrefix(err.Error(), op.prefix) {
-				t.Errorf("message %q, want one that begins with %q", err, op.prefix)
+				t.Errorf("message %q, want prefix %q", err, op.prefix)
 			}
 		})
 	}
 }
 
-// TestNoService: a request that could not be sent was not executed.
+// TestNoService checks that a request that could not be sent is reported as not executed.
 func TestNoService(t *testing.T) {
-	gone := httptest.NewServer(http.NotFoundHandler())
-	addr := gone.Listener.Addr().String()
-	gone.Close()
+	stopped := httptest.NewServer(http.NotFoundHandler())
+	addr := stopped.Listener.Addr().String()
+	stopped.Close()
 	c := newClient(t, addr)
 	for name, op := range operations {
 		t.Run(name, func(t *testing.T) {
 			err := op.run(t.Context(), c)
 			if !errors.Is(err, kvstore.ErrRefused) || !strings.HasPrefix(err.Error(), op.prefix) {
-				t.Errorf("error %v, want %v that begins with %q", err, kvstore.ErrRefused, op.prefix)
+				t.Errorf("error %v, want %v with prefix %q", err, kvstore.ErrRefused, op.prefix)
 			}
 		})
 	}
--- a/internal/state/kvstore/list.go
+++ b/internal/state/kvstore/list.go
@@ -6,16 +6,16 @@
 	"maddermill/wire"
 )
 
-// Lister reads pages of items, as Store does.
+// Lister is the part of Store that lists items.
 type Lister interface {
 	List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error)
 }
 
-// Each calls f for every item under a prefix, in the order of keys, until f or a read fails, and returns
-// that error. It reads limit items at once; the pages may be of different revisions.
-func Each(ctx context.Context, from Lister, prefix string, limit int, f func(wire.Item) error) error {
+// Each calls f for every item whose key has a prefix, in the order of keys, until f or a read fails, and
+// returns that error. It reads pages of limit items, which may be of different revisions.
+func Each(ctx context.Context, lister Lister, prefix string, limit int, f func(wire.Item) error) error {
 	for after := ""; ; {
-		page, err := from.List(ctx, prefix, after, limit)
+		page, err := lister.List(ctx, prefix, after, limit)
 		if err != nil {
 			return err
 		}
