--- a/internal/state/watchcache/cache_test.go
+++ b/internal/state/watchcache/cache_test.go
@@ -20,28 +20,28 @@
 	"maddermill/wire"
 )
 
-// follower counts how often the records were read anew.
-type follower struct{ loads atomic.Int32 }
+// listener counts the loads of the records.
+type listener struct{ loads atomic.Int32 }
 
-func (f *follower) Loaded()                                    { f.loads.Add(1) }
-func (f *follower) Advanced(time.Time)                         {}
-func (f *follower) JobArchived(wire.JobID, ledger.FinalRecord) {}
+func (f *listener) Loaded()                                    { f.loads.Add(1) }
+func (f *listener) Advanced(time.Time)                         {}
+func (f *listener) JobArchived(wire.JobID, ledger.FinalRecord) {}
 
-// instance is a cache whose goroutines run.
+// instance is a cache with running goroutines.
 type instance struct {
 	*watchcache.Cache
-	follower follower
+	listener listener
 	cancel   context.CancelFunc
 	group    sync.WaitGroup
 }
 
-// start runs a cache of a member on a store.
+// start starts a cache of a member on a store.
 func start(t *testing.T, member wire.MemberID, store kvstore.Store) *instance {
 	t.Helper()
 	in := &instance{}
 	limits := ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.TxnBytes}
 	opt := watchcache.Options{Member: member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}
-	in.Cache = watchcache.New(opt, store, &in.follower, metrics.New(), slog.New(slog.DiscardHandler))
+	in.Cache = watchcache.New(opt, store, &in.listener, metrics.New(), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	in.cancel = cancel
 	for _, run := range []func(context.Context) error{in.Watch, in.ServeReadIndex, in.AcquireTokens} {
@@ -54,7 +54,7 @@
 	return in
 }
 
-// stop ends the goroutines of a cache.
+// stop stops the goroutines of a cache.
 func (in *instance) stop() {
 	in.cancel()
 	in.group.Wait()
@@ -66,15 +66,15 @@
 	return token, revision, syncedAt
 }
 
-// memberTxn is a transaction that changes the records.
+// memberTxn returns a transaction that changes the records.
 func memberTxn() wire.Txn {
 	return wire.Txn{Then: []wire.Change{{Put: ledger.MemberKey("m-9"), Value: []byte(`{}`)}}}
 }
 
-// lagging is a store whose changes arrive late.
-type lagging struct{ kvstore.Store }
+// laggingStore is a store whose watches return late.
+type laggingStore struct{ kvstore.Store }
 
-func (s lagging) Watch(
+func (s laggingStore) Watch(
 	ctx context.Context,
 	prefix string,
 	after wire.Revision,
@@ -85,13 +85,14 @@
 	return events, err
 }
 
-// TestReadIndex: after ReadIndex the records hold all that was committed before the call, and the last
-// sync is no earlier than the call; without the service it fails, and the last sync stays.
+// TestReadIndex checks that after ReadIndex the records include everything that was committed before the
+// call, and that the last sync is not before the call. While the service is down, ReadIndex must fail and
+// the time of the last sync must not change.
 func TestReadIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.NewStore(12, 4096)
 		link := emulator.NewLink(store, 1)
-		c := start(t, "m-0", lagging{link})
+		c := start(t, "m-0", laggingStore{link})
 		defer c.stop()
 		for range 3 {
 			time.Sleep(time.Second) // the records are up to date
@@ -119,8 +120,8 @@
 	})
 }
 
-// TestTokens: controllers that start together acquire different tokens, and another one only when a
-// token is requested that theirs does not exceed.
+// TestTokens checks that controllers that start at the same time acquire different tokens, and that a
+// controller acquires another one only if its token is not above a requested one.
 func TestTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.NewStore(12, 4096)
@@ -135,13 +136,13 @@
 		for i, c := range caches {
 			token, _, _ := c.state()
 			if seen[token] {
-				t.Errorf("cache %d has token %d, which is 0 or another's", i, token)
+				t.Errorf("cache %d has token %d, which is 0 or a duplicate", i, token)
 			}
 			seen[token] = true
 		}
 		c := caches[0]
 		first, _, _ := c.state()
-		last := wire.FencingToken(len(caches)) // on record
+		last := wire.FencingToken(len(caches)) // in the token record
 		for _, tc := range []struct{ above, want wire.FencingToken }{
 			{first - 1, first}, // exceeded already
 			{first, last + 1},
@@ -156,13 +157,13 @@
 	})
 }
 
-// compacting is a store that once lacks the changes that a watch asks for.
-type compacting struct {
+// compactingStore is a store whose first watch fails since the changes have been compacted.
+type compactingStore struct {
 	kvstore.Store
 	compacted atomic.Bool
 }
 
-func (s *compacting) Watch(
+func (s *compactingStore) Watch(
 	ctx context.Context,
 	prefix string,
 	after wire.Revision,
@@ -174,19 +175,19 @@
 	return s.Store.Watch(ctx, prefix, after, timeout)
 }
 
-// TestReload: all records are read anew when the service no longer has the changes to follow.
+// TestReload checks that all records are reloaded when the changes to follow have been compacted.
 func TestReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := start(t, "m-0", &compacting{Store: emulator.NewLink(emulator.NewStore(12, 4096), 1)})
+		c := start(t, "m-0", &compactingStore{Store: emulator.NewLink(emulator.NewStore(12, 4096), 1)})
 		defer c.stop()
 		time.Sleep(time.Minute)
-		if loads := c.follower.loads.Load(); loads != 2 {
-			t.Errorf("records read %d times, want 2", loads)
+		if loads := c.listener.loads.Load(); loads != 2 {
+			t.Errorf("records loaded %d times, want 2", loads)
 		}
 	})
 }
 
-// TestNewerFormat: records of a format that this version does not read end Watch.
+// TestNewerFormat checks that Watch fails if this version does not support the format of the records.
 func TestNewerFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.NewStore(12, 4096)
@@ -197,7 +198,7 @@
 		if _, err := store.Apply(wire.Txn{Then: []wire.Change{{Put: ledger.FormatKey, Value: format}}}); err != nil {
 			t.Fatal(err)
 		}
-		c := watchcache.New(watchcache.Options{}, emulator.NewLink(store, 1), &follower{}, metrics.New(),
+		c := watchcache.New(watchcache.Options{}, emulator.NewLink(store, 1), &listener{}, metrics.New(),
 			slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
--- a/internal/state/watchcache/read_index.go
+++ b/internal/state/watchcache/read_index.go
@@ -12,28 +12,28 @@
 
 // Settings of the read index.
 const (
-	readIndexShare   = 0.4                     // the part of a controller's share of requests that it may take
-	readIndexBurst   = 2                       // requests
-	readIndexEvery   = time.Second             // how often it is read without a request
-	readIndexTimeout = 1500 * time.Millisecond // for the records to reach the revision that was read
+	readIndexShare    = 0.4                     // fraction of the controller's request rate that it may use
+	readIndexBurst    = 2                       // requests
+	readIndexInterval = time.Second             // how often the revision is read without a caller
+	readIndexTimeout  = 1500 * time.Millisecond // time limit for the records to reach the revision that was read
 )
 
-// readIndexRequest is one read of the service's revision, which any number of callers wait for.
+// readIndexRequest is one read of the service's revision, shared by any number of callers.
 type readIndexRequest struct {
-	done chan struct{} // closed once err is set
+	done chan struct{} // closed after err has been set
 	err  error
 }
 
-// readIndexQueue collects the callers of ReadIndex that the next read of the revision serves. A read
-// that has begun must not serve callers that came later.
+// readIndexQueue collects the callers of ReadIndex that share the next read of the revision. A caller must
+// not share a read that has already begun, since that read may miss commits made before the call.
 type readIndexQueue struct {
 	wake chan struct{} // holds one value while a request is pending
 
 	mu      sync.Mutex        // guards the field below
-	pending *readIndexRequest // nil: none
+	pending *readIndexRequest // nil if there is none
 }
 
-// join returns the pending request, and makes one if there is none.
+// join returns the pending request, after creating it if there is none.
 func (q *readIndexQueue) join() *readIndexRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -47,7 +47,7 @@
 	return q.pending
 }
 
-// take removes and returns the pending request; nil: there is none.
+// take removes and returns the pending request, or nil if there is none.
 func (q *readIndexQueue) take() *readIndexRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,10 +60,10 @@
 	return request
 }
 
-// ReadIndex returns once the records hold all that was committed before the call. Its error is
-// kvstore.ErrUnreachable when the service did not answer or ctx ended.
+// ReadIndex returns once the records include everything that was committed before the call. It returns
+// kvstore.ErrUnreachable if the service did not respond or ctx is done.
 func (c *Cache) ReadIndex(ctx context.Context) error {
-	request := c.reads.join()
+	request := c.readIndex.join()
 	select {
 	case <-request.done:
 		return request.err
@@ -72,23 +72,23 @@
 	}
 }
 
-// ServeReadIndex serves the callers of ReadIndex, one read of the revision after the other, until ctx
-// ends. It also reads the revision once a second by itself, which keeps SyncedAt recent.
+// ServeReadIndex serves the callers of ReadIndex, with one read of the revision at a time, until ctx is
+// done. It also reads the revision every readIndexInterval without a caller, to keep SyncedAt recent.
 func (c *Cache) ServeReadIndex(ctx context.Context) error {
 	limiter := rate.NewLimiter(rate.Limit(c.opt.Requests*readIndexShare), readIndexBurst)
-	idle := time.NewTicker(readIndexEvery)
+	idle := time.NewTicker(readIndexInterval)
 	defer idle.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-c.reads.wake:
+		case <-c.readIndex.wake:
 		case <-idle.C:
 		}
 		if limiter.Wait(ctx) != nil {
 			return ctx.Err()
 		}
-		request := c.reads.take()
+		request := c.readIndex.take()
 		err := c.sync(ctx)
 		if request == nil {
 			continue
@@ -100,8 +100,8 @@
 	}
 }
 
-// sync reads the service's revision, waits until the records have reached it, and then notes the time
-// at which the read began as that of the last sync.
+// sync reads the service's revision, waits until the records have reached it, and then records the start of
+// the read as the time of the last sync.
 func (c *Cache) sync(ctx context.Context) error {
 	start := time.Now()
 	revision, err := c.store.Revision(ctx)
--- a/internal/state/watchcache/testing.go
+++ b/internal/state/watchcache/testing.go
@@ -9,10 +9,9 @@
 // TestingT is the part of a testing.TB that SetStateForTest needs.
 type TestingT interface{ Helper() }
 
-// SetStateForTest has a cache whose goroutines do not run take its records for read, use a fencing
-// token, and take a time for that of its last sync. The cache's lock must be held where anything else
-// uses the cache. It is for tests of other packages, which is why it needs a test: tests that run the
-// goroutines need none of it.
+// SetStateForTest marks the records of a cache as loaded and sets its fencing token and the time of its
+// last sync. It is for tests of other packages that do not run the cache's goroutines, and takes a
+// TestingT so that it is called only from tests. The cache's lock must be held if anything else uses the cache.
 func SetStateForTest(t TestingT, c *Cache, token wire.FencingToken, syncedAt time.Time) {
 	t.Helper()
 	c.loaded, c.token, c.syncedAt = true, token, syncedAt
--- a/internal/state/watchcache/tokens.go
+++ b/internal/state/watchcache/tokens.go
@@ -15,17 +15,17 @@
 
 // Timing of the acquisition of tokens.
 const (
-	tokenTimeout    = 3 * time.Second        // for one attempt
-	tokenRetryDelay = 200 * time.Millisecond // after an attempt failed
-	// tokenConflictDelay comes after an attempt that another controller was ahead of, as when all start
-	// together: by then the records show the other's token.
+	tokenTimeout    = 3 * time.Second        // time limit of one attempt
+	tokenRetryDelay = 200 * time.Millisecond // delay after a failed attempt
+	// tokenConflictDelay is the delay after a conflict with another controller, as happens when all start
+	// at the same time. It is short, since the records then already include the other's token.
 	tokenConflictDelay = 10 * time.Millisecond
-	// declareInterval is how often the record is checked for what this controller reads.
-	declareInterval = time.Second
+	// formatCheckInterval is how often the token record is checked for the format that this controller supports.
+	formatCheckInterval = time.Second
 )
 
-// RequestToken asks for a fencing token above one that a worker has accepted. It never waits; while a
-// request is pending further ones are dropped, since the worker's next heartbeat asks again.
+// RequestToken requests a fencing token above one that a worker has accepted. It never blocks: while a
+// request is pending, further ones are dropped, since the worker's next heartbeat triggers them again.
 func (c *Cache) RequestToken(above wire.FencingToken) {
 	select {
 	case c.tokenRequest <- above:
@@ -33,8 +33,8 @@
 	}
 }
 
-// AcquireTokens acquires a fencing token at the start and whenever one is requested above the one in
-// use, until ctx ends.
+// AcquireTokens acquires a fencing token when it starts, and a new one whenever the token in use is not above
+// a requested one, until ctx is done.
 func (c *Cache) AcquireTokens(ctx context.Context) error {
 	var above wire.FencingToken
 	for {
@@ -57,10 +57,10 @@
 	}
 }
 
-// nextTokenRequest waits for a request that the token in use does not satisfy and returns the token
-// that the new one is to exceed.
+// nextTokenRequest waits for a request that the token in use does not satisfy and returns the token that
+// the new one must exceed. While it waits, it keeps the supported format in the token record.
 func (c *Cache) nextTokenRequest(ctx context.Context) (above wire.FencingToken, err error) {
-	ticker := time.NewTicker(declareInterval)
+	ticker := time.NewTicker(formatCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -68,7 +68,7 @@
 			return 0, ctx.Err()
 		case <-ticker.C:
 			if err := c.declareFormat(ctx); err != nil {
-				c.log.Debug("format read here not on record", "err", err)
+				c.log.Debug("declaring the supported record format failed", "err", err)
 			}
 			continue
 		case above = <-c.tokenRequest:
@@ -82,8 +82,9 @@
 	}
 }
 
-// declareFormat puts on record again what this controller reads if a start of an older version, which takes a
-// token without it, has removed it.
+// declareFormat restores this controller's entry in the token record, the newest format that it supports,
+// if it is missing. A controller of an older version drops the entries when it starts, since it acquires a
+// token without them.
 func (c *Cache) declareFormat(ctx context.Context) error {
 	c.Lock()
 	record, version := c.records.Token()
@@ -95,12 +96,12 @@
 	defer cancel()
 	revision, err := c.commitToken(ctx, record.WithDeclaredFormat(c.opt.Member, c.opt.Reads), version)
 	if err != nil {
-		return fmt.Errorf("watchcache: declare the format read here: %w", err)
+		return fmt.Errorf("watchcache: declare supported record format: %w", err)
 	}
 	return c.WaitForRevision(ctx, revision)
 }
 
-// commitToken commits the record of fencing tokens, on the condition that it has a version.
+// commitToken commits the token record, on the condition that the stored one still has a version.
 func (c *Cache) commitToken(
 	ctx context.Context,
 	record ledger.TokenRecord,
@@ -108,7 +109,7 @@
 ) (wire.Revision, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
-		return 0, fmt.Errorf("encode the record: %w", err)
+		return 0, fmt.Errorf("encode token record: %w", err)
 	}
 	return c.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: ledger.TokenKey, Version: version}},
@@ -116,8 +117,9 @@
 	})
 }
 
-// acquireToken commits the next fencing token, above the last one on record and a given one, and has
-// this controller use it. Its error wraps a kvstore.ConflictError when another controller was ahead.
+// acquireToken commits a new fencing token, above both the last one in the token record and a given one, and
+// then makes it the token in use. Its error wraps a kvstore.ConflictError if another controller committed
+// a token first.
 func (c *Cache) acquireToken(ctx context.Context, above wire.FencingToken) error {
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
@@ -136,8 +138,8 @@
 	if err != nil {
 		return fmt.Errorf("watchcache: acquire fencing token %d: %w", token, err)
 	}
-	// Until the records hold everything older than the token, a command under it could release or
-	// start what a predecessor has changed.
+	// The token must not be used before the records include everything committed before it. Otherwise a
+	// command under it could start or release tasks that a previous holder of a token has changed.
 	if err := c.WaitForRevision(ctx, revision); err != nil {
 		return err
 	}
--- a/internal/state/watchcache/watch.go
+++ b/internal/state/watchcache/watch.go
@@ -13,17 +13,17 @@
 
 // Timing of the watch.
 const (
-	watchWait       = 10 * time.Second       // how long the service holds a watch open without changes
-	watchRetryDelay = 200 * time.Millisecond // after a watch failed
-	loadRetryDelay  = 300 * time.Millisecond // after reading the records failed
-	importDelay     = 2 * time.Second        // while an import of records is not complete
+	watchWait       = 10 * time.Second       // how long the service keeps a watch open without changes
+	watchRetryDelay = 200 * time.Millisecond // delay after a failed watch
+	loadRetryDelay  = 300 * time.Millisecond // delay after a failed load
+	importDelay     = 2 * time.Second        // delay between loads while an import is incomplete
 )
 
-// loadPageSize is how many records are read at once.
+// loadPageSize is the number of records per page of a load.
 const loadPageSize = 1000
 
-// Watch reads all records and then follows their changes until ctx ends. Its error is ctx's, or wraps
-// ledger.ErrNewerFormat when the records are of a format that this version does not read.
+// Watch loads all records and then applies their changes until ctx is done. It returns the error of ctx, or
+// one that wraps ledger.ErrNewerFormat if this version does not support the format of the records.
 func (c *Cache) Watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		from, err := c.Load(ctx)
@@ -45,8 +45,8 @@
 	return ctx.Err()
 }
 
-// follow applies all changes after a revision. It returns nil when ctx ends or when the service no
-// longer has the changes, so that all records must be read anew.
+// follow applies all changes after a revision. It returns nil if ctx is done, or if the service no longer
+// has the changes, so that all records have to be reloaded.
 func (c *Cache) follow(ctx context.Context, from wire.Revision) error {
 	for ctx.Err() == nil {
 		events, err := c.store.Watch(ctx, ledger.Prefix, from, watchWait)
@@ -60,7 +60,7 @@
 			continue
 		}
 		if events.Revision < from {
-			continue // older than the records: there is nothing to apply
+			continue // older than the records: nothing to apply
 		}
 		from = events.Revision
 		if err := c.apply(events); err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// apply applies the changes up to a revision to the records. Its error is that of their format.
+// apply applies changes from a watch to the records. It returns an error if their format is not supported.
 func (c *Cache) apply(events wire.Events) error {
 	c.Lock()
 	defer c.Unlock()
@@ -81,15 +81,15 @@
 			c.records.Apply(ledger.Event{Key: e.Put, Value: e.Value, Version: e.Version})
 		}
 	}
-	c.records.DrainArchivedJobs(c.follower.JobArchived)
+	c.records.DrainArchivedJobs(c.listener.JobArchived)
 	err := c.records.CheckFormat()
 	c.advance(events.Revision)
 	return err
 }
 
-// Load reads all records anew and replaces those held. The pages are of different revisions: the
-// first one's is returned, a watch is to follow from there, and the version of each key keeps older
-// changes from replacing newer ones.
+// Load reads all records into a new ledger and replaces the current one. The pages may be of different
+// revisions. Load returns the revision of the first page, from which the watch has to continue; the watch
+// then repeats some changes, which the ledger ignores if its version of the key is newer.
 func (c *Cache) Load(ctx context.Context) (wire.Revision, error) {
 	records := ledger.New(c.opt.Limits)
 	var from wire.Revision
@@ -113,14 +113,14 @@
 	if err := records.CheckFormat(); err != nil {
 		return 0, err
 	}
-	records.DrainNewlyReady() // whoever became ready before is no news
-	known, active := records.Counts()
-	c.log.Info("records loaded", "jobs", known, "active", active, "revision", from)
+	records.DrainNewlyReady() // discard: what became ready before the load is not reported again
+	total, active := records.Counts()
+	c.log.Info("records loaded", "jobs", total, "active", active, "revision", from)
 	c.Lock()
 	defer c.Unlock()
 	c.records = records
 	c.loaded = true
-	c.follower.Loaded()
+	c.listener.Loaded()
 	c.advance(from)
 	return from, nil
 }
