--- a/internal/scheduler/deadline/deadline_test.go
+++ b/internal/scheduler/deadline/deadline_test.go
@@ -12,8 +12,8 @@
 	"maddermill/wire"
 )
 
-// goodRegister is a register without mistakes.
-const goodRegister = `# what was promised
+// validRegister is a valid register, which tests modify.
+const validRegister = `# what was promised
 revision: 3
 margin_s: 30
 gallery {
@@ -25,11 +25,11 @@
 gallery { name: "couple-3" team: "other" promised: "2026-12-06T18:00:00Z" class: "rush" why: "moved by the bride" }
 `
 
-// TestRegister: a register is read as it is meant, and each mistake is reported with its line, its field and the
+// TestRegister checks that a register is parsed correctly and that each mistake is reported with its line, field and
 // reason.
 func TestRegister(t *testing.T) {
 	teams := []wire.Team{"desk", "other"}
-	r, err := Parse([]byte(goodRegister), teams)
+	r, err := Parse([]byte(validRegister), teams)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,45 +57,46 @@
 		}
 	}
 	for _, tc := range []struct{ old, new, want string }{
-		{"revision: 3", "", "revision: must be given"},
-		{"margin_s: 30", "margin_s: -1", "margin_s: must be 0"},
-		{`name: "couple-1"`, `name: "couple 1"`, `line 4: name: "couple 1" is not`},
-		{`name: "couple-2"`, `name: "couple-1"`, `line 8: name: "couple-1" is given twice`},
-		{`team: "other"`, `team: "nobody"`, `line 10: team: "nobody" is no team`},
-		{"2026-12-06T18:00:00Z", "Friday", `line 10: promised: "Friday" is not a time`},
-		{`job: "wk-000001"`, `job: "wk-1"`, `line 4: job: "wk-1" is not an id`},
-		{`job: "wk-000001"`, ``, `line 4: gallery: "couple-1" has neither`},
-		{`class: "rush" complete`, `job: "wk-000001" complete`, `line 8: job: wk-000001 is of "couple-1", too`},
+		{"revision: 3", "", "revision: is required"},
+		{"margin_s: 30", "margin_s: -1", "margin_s: must be from 0"},
+		{`name: "couple-1"`, `name: "couple 1"`, `line 4: name: "couple 1" must be 1 to 64`},
+		{`name: "couple-2"`, `name: "couple-1"`, `line 8: name: duplicate gallery name "couple-1"`},
+		{`team: "other"`, `team: "nobody"`, `line 10: team: unknown team "nobody"`},
+		{"2026-12-06T18:00:00Z", "Friday", `line 10: promised: "Friday" is not an RFC 3339 time`},
+		{`job: "wk-000001"`, `job: "wk-1"`, `line 4: job: "wk-1" is not a valid job ID`},
+		{`job: "wk-000001"`, ``, `line 4: gallery: "couple-1" lists no job`},
+		{`class: "rush" complete`, `job: "wk-000001" complete`,
+			`line 8: job: wk-000001 is already listed in gallery "couple-1"`},
 		{"gallery", "galery", "galery"},
 	} {
-		_, err := Parse([]byte(strings.Replace(goodRegister, tc.old, tc.new, 1)), teams)
+		_, err := Parse([]byte(strings.Replace(validRegister, tc.old, tc.new, 1)), teams)
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q in place of %q: got error %v, want %q", tc.new, tc.old, err, tc.want)
 		}
 	}
 }
 
-// FuzzRegister: no file ends the reading, and what is taken is whole.
+// FuzzRegister checks that no input makes Parse panic and that an accepted register is consistent.
 func FuzzRegister(f *testing.F) {
-	f.Add(goodRegister)
+	f.Add(validRegister)
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := Parse([]byte(text), nil)
 		if err == nil && r.Revision < 1 {
-			t.Error("a register without a revision is taken")
+			t.Error("a register without a revision was accepted")
 		}
 		if err == nil {
 			for i := range r.Entries {
 				if e := &r.Entries[i]; r.Entry(e.Name) != e || !e.Name.Valid() || e.Promised.IsZero() && e.Name == "" {
-					t.Errorf("%+v", e)
+					t.Errorf("inconsistent entry %+v", e)
 				}
 			}
 		}
 	})
 }
 
-// TestEvaluateByTheRecord: whenever it is evaluated, after a pause of any length and with clocks off
-// by the bound, a promise comes to the same end, kept if all was done by the date; and a state
-// that is over is never left.
+// TestEvaluateByTheRecord checks that the final state of a gallery does not depend on when it is evaluated: with pauses
+// of any length and clocks that are off by up to the bound, it is kept if all jobs were done by the date and broken
+// otherwise. Before, it may change only with a reason.
 func TestEvaluateByTheRecord(t *testing.T) {
 	date := time.Unix(1_800_000_000, 0)
 	const skew = 100 * time.Millisecond
@@ -113,19 +114,19 @@
 			want = ledger.GalleryBroken
 		}
 		state, ended := ledger.GalleryOpen, ledger.GalleryOpen
-		// It is evaluated now and then, or not for a long time.
+		// The intervals between evaluations vary from seconds to minutes.
 		for at := -300 * time.Second; at < 400*time.Second; at += time.Duration(1+rng.IntN(1+rng.IntN(200))) * time.Second {
-			f := Facts{
-				Date:     date,
-				State:    state,
-				Count:    ledger.GalleryCount{Jobs: n},
-				Need:     20 * time.Second,
-				Complete: rng.IntN(2) == 0,
+			f := Progress{
+				Date:         date,
+				State:        state,
+				Count:        ledger.GalleryCount{Jobs: n},
+				MinRemaining: 20 * time.Second,
+				Complete:     rng.IntN(2) == 0,
 			}
 			for _, e := range ends {
 				if e <= at {
 					f.Count.Done++
-					// Each was recorded by a controller whose clock is off.
+					// Each end was recorded by a controller with a clock error.
 					f.Count.Ended = max(
 						f.Count.Ended,
 						wire.UnixMillis(date.Add(e+time.Duration(rng.IntN(201)-100)*time.Millisecond).UnixMilli()),
@@ -135,7 +136,7 @@
 			off := time.Duration(rng.IntN(201)-100) * time.Millisecond
 			to, why := Evaluate(&f, 30*time.Second, skew, date.Add(at+off))
 			if to != state && why == "" {
-				t.Fatalf("seed %d: %q without a reason", seed, to)
+				t.Fatalf("seed %d: state changed to %q without a reason", seed, to)
 			}
 			if state = to; to == ledger.GalleryKept || to == ledger.GalleryBroken {
 				ended = to
@@ -143,13 +144,13 @@
 			}
 		}
 		if ended != want {
-			t.Fatalf("seed %d: the last was done %v after the date: %q, want %q", seed, last, ended, want)
+			t.Fatalf("seed %d: last job done %v after the date: got state %q, want %q", seed, last, ended, want)
 		}
 	}
 }
 
-// TestAtRiskAndBack: a gallery is at risk once what remains and the margin leave no time, and no
-// longer when there is twice as much; one with nothing left is not.
+// TestAtRiskAndBack checks that a gallery is at risk once its slack is below the margin and the boot time, until the
+// slack exceeds twice that, and that a gallery without remaining jobs is not at risk.
 func TestAtRiskAndBack(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	for _, tc := range []struct {
@@ -164,12 +165,12 @@
 		{2, 90 * time.Second, ledger.GalleryAtRisk, ledger.GalleryOpen},
 		{0, 5 * time.Second, ledger.GalleryAtRisk, ledger.GalleryOpen},
 	} {
-		f := Facts{
-			Date:     now.Add(time.Minute + tc.slack),
-			State:    tc.was,
-			Count:    ledger.GalleryCount{Jobs: 5, Done: 5 - tc.left},
-			Need:     time.Minute,
-			Machines: 10 * time.Second,
+		f := Progress{
+			Date:         now.Add(time.Minute + tc.slack),
+			State:        tc.was,
+			Count:        ledger.GalleryCount{Jobs: 5, Done: 5 - tc.left},
+			MinRemaining: time.Minute,
+			BootTime:     10 * time.Second,
 		}
 		if got, _ := Evaluate(&f, 30*time.Second, 0, now); got != tc.want {
 			t.Errorf("%+v: got %q, want %q", tc, got, tc.want)
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestOvercommitted: galleries are named whose dates can't be met however the work is ordered,
-// which a plain trial of all orders of a few confirms.
+// TestOvercommitted checks that galleries are reported if and only if no order of the work meets all dates, by
+// comparison with all permutations.
 func TestOvercommitted(t *testing.T) {
 	now := time.Unix(0, 0)
 	overcommitted := 0
@@ -205,7 +206,7 @@
 			possible = possible || ok
 		})
 		if got := Overcommitted(loads, now); (len(got) == 0) != possible {
-			t.Fatalf("seed %d: %v of %v, possible %v", seed, got, loads, possible)
+			t.Fatalf("seed %d: got %v of %v, possible %v", seed, got, loads, possible)
 		}
 		if !possible {
 			overcommitted++
@@ -216,6 +217,7 @@
 	}
 }
 
+// permute calls f with every permutation of list.
 func permute(list []Load, f func([]Load)) {
 	if len(list) == 0 {
 		f(nil)
--- a/internal/scheduler/deadline/register.go
+++ b/internal/scheduler/deadline/register.go
@@ -1,8 +1,10 @@
-// Package deadline is the pure core of galleries, work with one promised date each: the operators' register
-// (Register, Parse), the state of a gallery (Evaluate), and which dates can't all be met (Overcommitted).
-// docs/promises.md has the reasons for its rules. Package deadlinetracker applies it to the records.
+// Package deadline implements the rules for galleries, groups of jobs with one promised completion date each: it
+// parses the operators' register (Register, Parse), derives the state of a gallery (Evaluate) and finds the dates
+// that can't be met (Overcommitted). docs/promises.md explains the rules. Package deadlinetracker applies them to
+// the records.
 //
-// It does no I/O, is given the time, and holds no locks; a Register doesn't change once it is parsed.
+// The package does no I/O, takes the current time as a parameter and uses no locks. A Register is immutable once
+// it is parsed.
 package deadline
 
 import (
@@ -21,22 +23,22 @@
 )
 
 const (
-	// DefaultMargin is the margin of a register that gives none.
+	// DefaultMargin is the margin if the register does not set one.
 	DefaultMargin = time.Minute
-	// maxMarginSeconds is the largest margin that a register may give.
+	// maxMarginSeconds is the largest margin that a register may set.
 	maxMarginSeconds = 1e6
-	// maxGalleries is how many galleries a register may have.
+	// maxGalleries bounds the galleries of a register.
 	maxGalleries = 20_000
 )
 
-// Entry is a gallery as it is registered.
+// Entry is a gallery's entry in the register.
 type Entry struct {
 	Name     wire.GalleryName
 	Team     wire.Team
-	Promised time.Time // the date
+	Promised time.Time // the promised date
 	Why      string    // the operators' reason for the date, for the records
 
-	// What belongs to the gallery: jobs by ID, by workflow, and by class.
+	// The jobs of the gallery are selected by ID, by workflow and by class.
 	Jobs      []wire.JobID
 	Workflows []wire.WorkflowID
 	Classes   []wire.Class
@@ -44,7 +46,7 @@
 	Complete bool // no more jobs will come
 }
 
-// Register is a checked register. It doesn't change. A nil register names nothing.
+// Register is a validated register of galleries. It is immutable. A nil Register is valid and empty.
 type Register struct {
 	Revision int
 	Margin   time.Duration // the slack below which a gallery is at risk
@@ -56,26 +58,26 @@
 	byClass    map[teamClass][]*Entry
 }
 
-// teamClass is a class of a team's jobs.
+// teamClass identifies a job class within a team.
 type teamClass struct {
 	team  wire.Team
 	class wire.Class
 }
 
-// registerParser turns the message of a register into a Register and collects what is wrong with it.
+// registerParser converts the protobuf message of a register to a Register and collects all errors.
 type registerParser struct {
 	register *Register
-	teams    []wire.Team // empty: any team is taken
+	teams    []wire.Team // empty: any team is accepted
 	errs     []error
 }
 
-// fail adds an error about a field of a node; nil: of the whole file.
-func (p *registerParser) fail(node *ast.Node, field, format string, args ...any) {
+// addError adds an error about a field of a node; a nil node stands for the whole file.
+func (p *registerParser) addError(node *ast.Node, field, format string, args ...any) {
 	p.errs = append(p.errs, configfile.FieldError(node, field, format, args...))
 }
 
-// Parse reads and checks a register in protobuf text format. teams are those of the cluster's settings; with
-// none given any team is taken. The error joins everything that is wrong, each with its line.
+// Parse parses and validates a register in protobuf text format. teams are those of the cluster's settings; if it
+// is empty, any team is accepted. The error joins all mistakes, each with its line.
 func Parse(text []byte, teams []wire.Team) (*Register, error) {
 	var message promisepb.Register
 	if err := prototext.Unmarshal(text, &message); err != nil {
@@ -112,24 +114,24 @@
 	return p.register, nil
 }
 
-// parseHeader takes what the register says of itself.
+// parseHeader reads the fields that apply to the whole register.
 func (p *registerParser) parseHeader(message *promisepb.Register) {
 	if message.Revision == nil || message.GetRevision() == 0 {
-		p.fail(nil, "revision", "must be given, above 0")
+		p.addError(nil, "revision", "is required and must be greater than 0")
 	}
 	if message.MarginS != nil {
 		seconds := message.GetMarginS()
 		p.register.Margin = wire.Seconds(seconds).Duration()
 		if seconds < 0 || seconds > maxMarginSeconds {
-			p.fail(nil, "margin_s", "must be 0 to 1e6 seconds")
+			p.addError(nil, "margin_s", "must be from 0 to 1e6 seconds")
 		}
 	}
 	if n := len(message.Gallery); n > maxGalleries {
-		p.fail(nil, "gallery", "%d of them; %d at most", n, maxGalleries)
+		p.addError(nil, "gallery", "%d galleries exceed the limit of %d", n, maxGalleries)
 	}
 }
 
-// parseGallery fills in an entry from a gallery at a node of the file.
+// parseGallery fills in an entry from the message of a gallery. node is its position in the file.
 func (p *registerParser) parseGallery(entry *Entry, gallery *promisepb.Gallery, node *ast.Node) {
 	*entry = Entry{
 		Name:     wire.GalleryName(gallery.GetName()),
@@ -138,59 +140,59 @@
 		Complete: gallery.GetComplete(),
 	}
 	if !entry.Name.Valid() {
-		p.fail(node, "name", "%q is not 1 to 64 letters, digits, dots, dashes and underscores", entry.Name)
+		p.addError(node, "name", "%q must be 1 to 64 letters, digits, dots, dashes or underscores", entry.Name)
 	} else if p.register.byName[entry.Name] != nil {
-		p.fail(node, "name", "%q is given twice", entry.Name)
+		p.addError(node, "name", "duplicate gallery name %q", entry.Name)
 	}
 	p.register.byName[entry.Name] = entry
 	if entry.Team == "" || len(p.teams) > 0 && !slices.Contains(p.teams, entry.Team) {
-		p.fail(node, "team", "%q is no team", entry.Team)
+		p.addError(node, "team", "unknown team %q", entry.Team)
 	}
 	var err error
 	if entry.Promised, err = time.Parse(time.RFC3339, gallery.GetPromised()); err != nil {
-		p.fail(node, "promised", "%q is not a time as 2026-12-05T18:00:00Z", gallery.GetPromised())
+		p.addError(node, "promised", "%q is not an RFC 3339 time such as 2026-12-05T18:00:00Z", gallery.GetPromised())
 	}
 	if len(gallery.Job)+len(gallery.Workflow)+len(gallery.Class) == 0 {
-		p.fail(node, "gallery", "%q has neither job, workflow nor class", entry.Name)
+		p.addError(node, "gallery", "%q lists no job, workflow or class", entry.Name)
 	}
 	p.parseJobs(entry, gallery.Job, node)
 	p.parseWorkflows(entry, gallery.Workflow, node)
 	p.parseClasses(entry, gallery.Class, node)
 }
 
-// parseJobs adds the jobs of an entry, each of which is of one gallery only.
+// parseJobs adds the jobs that an entry lists by ID. A job may be listed in one gallery only.
 func (p *registerParser) parseJobs(entry *Entry, ids []string, node *ast.Node) {
 	for _, text := range ids {
 		id := wire.JobID(text)
 		if !id.Valid() {
-			p.fail(node, "job", "%q is not an id of a job", text)
+			p.addError(node, "job", "%q is not a valid job ID", text)
 		} else if other := p.register.byJob[id]; other != nil {
-			p.fail(node, "job", "%s is of %q, too", text, other.Name)
+			p.addError(node, "job", "%s is already listed in gallery %q", text, other.Name)
 		}
 		entry.Jobs = append(entry.Jobs, id)
 		p.register.byJob[id] = entry
 	}
 }
 
-// parseWorkflows adds the workflows of an entry, each of which is of one gallery only.
+// parseWorkflows adds the workflows of an entry. A workflow may be listed in one gallery only.
 func (p *registerParser) parseWorkflows(entry *Entry, ids []string, node *ast.Node) {
 	for _, text := range ids {
 		id := wire.WorkflowID(text)
 		if text == "" {
-			p.fail(node, "workflow", "is empty")
+			p.addError(node, "workflow", "must not be empty")
 		} else if other := p.register.byWorkflow[id]; other != nil {
-			p.fail(node, "workflow", "%s is of %q, too", text, other.Name)
+			p.addError(node, "workflow", "%s is already listed in gallery %q", text, other.Name)
 		}
 		entry.Workflows = append(entry.Workflows, id)
 		p.register.byWorkflow[id] = entry
 	}
 }
 
-// parseClasses adds the classes of an entry, which may be of several galleries.
+// parseClasses adds the job classes of an entry. A class may be listed in several galleries.
 func (p *registerParser) parseClasses(entry *Entry, names []string, node *ast.Node) {
 	for _, name := range names {
 		if name == "" {
-			p.fail(node, "class", "is empty")
+			p.addError(node, "class", "must not be empty")
 		}
 		key := teamClass{team: entry.Team, class: wire.Class(name)}
 		entry.Classes = append(entry.Classes, key.class)
@@ -198,7 +200,7 @@
 	}
 }
 
-// Entry returns a gallery as registered, or nil.
+// Entry returns a gallery's entry, or nil if it is not registered.
 func (r *Register) Entry(name wire.GalleryName) *Entry {
 	if r == nil {
 		return nil
@@ -206,9 +208,9 @@
 	return r.byName[name]
 }
 
-// GalleriesOf returns the galleries that a job, perhaps of a workflow, may be assigned to, the best first: by
-// the job's ID, by its workflow, and by its class if only one gallery has that. Galleries of other teams are
-// left out.
+// GalleriesOf returns the galleries that a job may be assigned to, in the order of preference: the one that lists
+// the job's ID, the one that lists its workflow, and the one that lists its class if no other gallery does.
+// Galleries of other teams are left out. workflow is empty if the job belongs to none.
 func (r *Register) GalleriesOf(spec *wire.JobSpec, workflow wire.WorkflowID) []wire.GalleryName {
 	if r == nil {
 		return nil
@@ -229,7 +231,7 @@
 	return names
 }
 
-// String returns the revision and how much the register has, in a line.
+// String returns a one-line summary of the register.
 func (r *Register) String() string {
 	jobs, workflows, classes := 0, 0, 0
 	for i := range r.Entries {
--- a/internal/scheduler/deadlinetracker/keeper.go
+++ b/internal/scheduler/deadlinetracker/reconciler.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	// reconcileInterval is the time between two passes of the keeper.
+	// reconcileInterval is the time between two passes of the reconciler.
 	reconcileInterval = time.Second
-	// assignInterval is the time between two searches for jobs to be assigned.
+	// assignInterval is the time between two searches for jobs without a gallery.
 	assignInterval = 5 * time.Second
-	// changeTimeout is how long a change may wait in the committer's queue.
+	// changeTimeout bounds how long a change waits in the committer's queue.
 	changeTimeout = 5 * time.Second
-	// maxChangesPerPass bounds the changes of a pass: they share the budget with starts.
+	// maxChangesPerPass bounds the changes of a pass, because they share the committer's budget with task starts.
 	maxChangesPerPass = 8
-	// peerStatusMaxAge is the age up to which a peer's status counts.
+	// peerStatusMaxAge is the age beyond which a peer's status is ignored.
 	peerStatusMaxAge = 5 * time.Second
-	// maxLoggedGalleries bounds the galleries that a warning names.
+	// maxLoggedGalleries bounds the galleries listed in a warning.
 	maxLoggedGalleries = 20
 )
 
-// isKeeper reports whether this controller is to keep the records: the leader is, or, if others have a newer
-// edition of the register, the first of those by name. Two that both take themselves for it only conflict. A job
-// accepted before the register came once stayed unassigned, since the only controller with the edition in force
-// did not lead. The caller holds the cache's lock.
-func (t *Tracker) isKeeper(now time.Time) bool {
+// isReconciler reports whether this controller reconciles the records: the leader does, or, if other controllers have
+// a newer revision of the register, the first of those by name. When it was always the leader, jobs accepted before
+// the register was read stayed unassigned if only another controller had the revision in force. If two controllers
+// consider themselves the reconciler, their changes only conflict. The caller holds the cache's lock.
+func (t *Tracker) isReconciler(now time.Time) bool {
 	leader, _ := t.records().Leader()
-	newest, keeper, leaderEdition := t.RegisterEdition(), t.set.Member, t.RegisterEdition()
+	newest, reconciler, leaderRevision := t.RegisterEdition(), t.settings.Member, t.RegisterEdition()
 	for _, p := range t.Membership.Peers() {
 		if now.Sub(p.AsOf) > peerStatusMaxAge {
 			continue
 		}
-		edition := p.Status.RegisterEdition
-		if edition > newest || edition == newest && p.Status.Member < keeper {
-			newest, keeper = edition, p.Status.Member
+		revision := p.Status.RegisterEdition
+		if revision > newest || revision == newest && p.Status.Member < reconciler {
+			newest, reconciler = revision, p.Status.Member
 		}
 		if p.Status.Member == leader.Member {
-			leaderEdition = edition
+			leaderRevision = revision
 		}
 	}
-	if leaderEdition == newest {
-		keeper = leader.Member
+	if leaderRevision == newest {
+		reconciler = leader.Member
 	}
-	return keeper == t.set.Member
+	return reconciler == t.settings.Member
 }
 
-// Run keeps the records while this controller is the keeper, until ctx ends. It takes the cache's lock.
+// Run reconciles the records while this controller is the reconciler, until ctx ends. It takes the cache's lock.
 func (t *Tracker) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, reconcileInterval)
 		t.Cache.Lock()
-		if now := time.Now(); t.Cache.SyncedWithin(now, settings.StartContact) && t.isKeeper(now) {
+		if now := time.Now(); t.Cache.SyncedWithin(now, settings.StartContact) && t.isReconciler(now) {
 			t.runPass(now)
 		}
 		t.Cache.Unlock()
@@ -68,15 +68,15 @@
 	return ctx.Err()
 }
 
-// pass is one round of the keeper, under the cache's lock.
+// pass is one reconciliation pass. It runs under the cache's lock.
 type pass struct {
 	*Tracker
 	now     time.Time
 	budget  int  // changes that may still be enqueued
-	inForce bool // the register is the one on record
+	inForce bool // the register has the revision on record
 }
 
-// runPass enqueues the changes that the records lack. The caller holds the cache's lock.
+// runPass enqueues the changes that bring the records up to date. The caller holds the cache's lock.
 func (t *Tracker) runPass(now time.Time) {
 	for name, change := range t.pending {
 		if !change.Pending() {
@@ -101,7 +101,7 @@
 	t.logOvercommitment(p.updateGalleries(), now)
 }
 
-// enqueue enqueues the change of a gallery, unless one is under way. onCommit may be nil.
+// enqueue enqueues a change of a gallery unless another one is pending. onCommit may be nil.
 func (p *pass) enqueue(name wire.GalleryName, onCommit func(), draft func(*ledger.Transaction) error) {
 	if change := p.pending[name]; change != nil && change.Pending() {
 		return
@@ -117,7 +117,7 @@
 	p.Committer.Enqueue(change)
 }
 
-// upgradeRegister records the revision of a newer register.
+// upgradeRegister records the register's revision if it is newer than the one on record.
 func (p *pass) upgradeRegister() {
 	if p.register == nil || p.register.Revision <= p.records().Register() {
 		return
@@ -127,8 +127,8 @@
 	p.enqueue("", onCommit, func(txn *ledger.Transaction) error { return txn.UpgradeRegister(revision) })
 }
 
-// applyRegister opens galleries and changes dates as the register in force has them. Withdrawn galleries are
-// handled by updateGalleries.
+// applyRegister opens galleries and changes dates according to the register. updateGalleries handles withdrawn
+// galleries.
 func (p *pass) applyRegister() {
 	revision := p.register.Revision
 	for i := range p.register.Entries {
@@ -141,7 +141,7 @@
 		case p.rejected[entry.Name] == revision:
 		case g == nil && entry.Promised.Before(p.now):
 			p.rejected[entry.Name] = revision
-			p.log.Warn("gallery not opened: its date is over", "gallery", entry.Name, "promised", entry.Promised)
+			p.log.Warn("gallery not opened: its date has passed", "gallery", entry.Name, "promised", entry.Promised)
 		case g == nil:
 			p.openGallery(entry)
 		case !g.Ended() && g.Date() != dateOf(entry):
@@ -150,17 +150,17 @@
 	}
 }
 
-// dateOf returns the promised date of an entry as it is recorded.
+// dateOf returns the promised date of an entry in the form of the records.
 func dateOf(entry *deadline.Entry) wire.UnixMillis {
 	return wire.UnixMillis(entry.Promised.UnixMilli())
 }
 
-// promise returns the promise of an entry as it is recorded now.
+// promise returns the promise to record for an entry.
 func (p *pass) promise(entry *deadline.Entry) ledger.Promise {
 	return ledger.Promise{At: wire.UnixMillis(p.now.UnixMilli()), Date: dateOf(entry), Reason: entry.Why}
 }
 
-// openGallery records a gallery of the register.
+// openGallery enqueues the opening of a gallery.
 func (p *pass) openGallery(entry *deadline.Entry) {
 	revision, promise := p.register.Revision, p.promise(entry)
 	onCommit := func() {
@@ -171,8 +171,8 @@
 	})
 }
 
-// changeDate records another date of a gallery. A gallery with too many dates is not tried again under the same
-// revision of the register.
+// changeDate enqueues a change of a gallery's date. If the gallery has had too many dates already, the change is not
+// retried under the same revision of the register.
 func (p *pass) changeDate(entry *deadline.Entry) {
 	revision, promise := p.register.Revision, p.promise(entry)
 	onCommit := func() {
@@ -192,7 +192,7 @@
 	})
 }
 
-// assignJobs assigns jobs to galleries that were accepted before the register named them.
+// assignJobs assigns galleries to jobs that were accepted before the register listed them.
 func (p *pass) assignJobs() {
 	if p.now.Sub(p.assignedAt) < assignInterval {
 		return
@@ -208,7 +208,7 @@
 		}
 	})
 	if p.budget <= 0 {
-		p.assignedAt = time.Time{} // there may be more
+		p.assignedAt = time.Time{} // search again in the next pass, as there may be more
 	}
 }
 
@@ -227,8 +227,8 @@
 	})
 }
 
-// updateGalleries records the states of galleries and archives those that have ended, until the budget is used
-// up. It returns what remains of the galleries that go on.
+// updateGalleries enqueues the state changes of galleries and archives those that have ended, until the budget is
+// used up. It returns the remaining work of the galleries that have not ended.
 func (p *pass) updateGalleries() []deadline.Load {
 	var loads []deadline.Load
 	p.records().EachGallery(func(g *ledger.Gallery) {
@@ -246,7 +246,7 @@
 	return loads
 }
 
-// updateState records the state that a gallery has by what is on record, if that is another one.
+// updateState enqueues a change of a gallery's state if the records imply another one.
 func (p *pass) updateState(g *ledger.Gallery) {
 	entry := p.register.Entry(g.Name)
 	state, why := p.evaluate(g, entry)
@@ -259,7 +259,7 @@
 		if g == nil {
 			return ledger.ErrPreconditionFailed
 		}
-		// What was decided may no longer hold by what is on record now.
+		// The records may have changed since the state was evaluated.
 		if current, _ := p.evaluate(g, entry); current != state {
 			return ledger.ErrPreconditionFailed
 		}
@@ -270,12 +270,12 @@
 	})
 }
 
-// evaluate returns the state that a gallery is to have, as of the pass, and why.
+// evaluate returns the state that a gallery should have at the time of the pass, and the reason for a change.
 func (p *pass) evaluate(g *ledger.Gallery, entry *deadline.Entry) (ledger.GalleryState, string) {
-	return deadline.Evaluate(p.facts(g, entry), p.margin(), p.skew(), p.now)
+	return deadline.Evaluate(p.progress(g, entry), p.margin(), p.maxClockSkew(), p.now)
 }
 
-// logState counts and logs the recorded state of a gallery.
+// logState counts and logs a recorded change of a gallery's state.
 func (p *pass) logState(name wire.GalleryName, state ledger.GalleryState, why string) {
 	p.stats.Add("galleries_"+strings.ReplaceAll(string(state), " ", "_")+"_total", 1)
 	switch state {
@@ -288,23 +288,23 @@
 	}
 }
 
-// facts returns what a gallery's state follows from; entry is that of the register, nil if it has none.
-func (p *pass) facts(g *ledger.Gallery, entry *deadline.Entry) *deadline.Facts {
+// progress returns the progress of a gallery. entry is its entry in the register, nil if it has none.
+func (p *pass) progress(g *ledger.Gallery, entry *deadline.Entry) *deadline.Progress {
 	work := p.remaining[g.Name]
-	facts := &deadline.Facts{
-		Date:      g.Date().Time(),
-		State:     g.State,
-		Count:     g.Count,
-		Complete:  entry != nil && entry.Complete,
-		Withdrawn: p.inForce && entry == nil,
-		Need:      work.longest,
+	progress := &deadline.Progress{
+		Date:         g.Date().Time(),
+		State:        g.State,
+		Count:        g.Count,
+		Complete:     entry != nil && entry.Complete,
+		Withdrawn:    p.inForce && entry == nil,
+		MinRemaining: work.longestJob,
 	}
 	if work.hasPending {
 		for _, machineType := range p.records().MachineTypes() {
-			facts.Machines = max(facts.Machines, machineType.Boot.Duration())
+			progress.BootTime = max(progress.BootTime, machineType.Boot.Duration())
 		}
 	}
-	return facts
+	return progress
 }
 
 // margin returns the slack below which a gallery is at risk.
@@ -315,14 +315,14 @@
 	return t.register.Margin
 }
 
-// skew returns by how much the controllers' clocks may be off.
-func (t *Tracker) skew() time.Duration {
-	return time.Duration(t.set.Cluster.SkewMillis * float64(time.Millisecond))
+// maxClockSkew returns the bound on the error of the controllers' clocks.
+func (t *Tracker) maxClockSkew() time.Duration {
+	return time.Duration(t.settings.Cluster.SkewMillis * float64(time.Millisecond))
 }
 
-// archive moves a gallery that has ended out of the records once its jobs have left them.
+// archive enqueues the archiving of a gallery that has ended, once its jobs have left the records.
 func (p *pass) archive(g *ledger.Gallery) {
-	if g.HasJobs() || !p.set.Operators.Archive {
+	if g.HasJobs() || !p.settings.Operators.Archive {
 		return
 	}
 	name := g.Name
@@ -335,8 +335,8 @@
 	})
 }
 
-// logOvercommitment warns, once for each set of them, of galleries whose dates the cluster as it is can't all
-// meet.
+// logOvercommitment warns of galleries whose dates can't all be met with the present machines. It warns once for each
+// distinct set of galleries.
 func (t *Tracker) logOvercommitment(loads []deadline.Load, now time.Time) {
 	machines := t.Registry.Len()
 	for _, p := range t.Membership.Peers() {
--- a/internal/scheduler/deadlinetracker/tracker.go
+++ b/internal/scheduler/deadlinetracker/tracker.go
@@ -1,14 +1,14 @@
-// Package deadlinetracker is the part of a controller that keeps galleries, work with one promised date each
-// (docs/promises.md): it assigns jobs to them as they are accepted and, while it is the keeper of the records,
-// brings these up to the operators' register, records which promises are at risk, kept or broken, and warns of
-// dates that the cluster can't all meet.
+// Package deadlinetracker is the component of a controller that tracks galleries, groups of jobs with one promised
+// completion date each (docs/promises.md). It assigns jobs to galleries as they are accepted. While this controller is
+// the reconciler, it also brings the records up to date with the operators' register, records which promises are at
+// risk, kept or broken, and warns of dates that the cluster can't meet.
 //
-// The keeper is the leader, or another controller with a newer register (Tracker.isKeeper). All that lasts is
-// in the records, and each change is conditioned on the one before: the next keeper goes on where this one
-// ended, and two that both take themselves for the keeper only conflict.
+// The reconciler is the leader, or another controller with a newer register (Tracker.isReconciler). All persistent
+// state is in the records, and each change is conditioned on the one before it: the next reconciler continues where
+// the last one ended, and if two controllers consider themselves the reconciler, their changes only conflict.
 //
-// A Tracker has no lock: but for Set, Reload and Run, which take it, its methods are called under the watch
-// cache's lock.
+// A Tracker has no lock of its own. Its methods are called under the watch cache's lock, except for SetRegister,
+// WatchFile and Run, which take that lock.
 package deadlinetracker
 
 import (
@@ -32,7 +32,7 @@
 	"maddermill/wire"
 )
 
-// Parts are the components that the tracker works with.
+// Parts holds the components that a Tracker depends on.
 type Parts struct {
 	Cache      *watchcache.Cache
 	Committer  *committer.Committer
@@ -41,43 +41,42 @@
 	Registry   *reconcile.Registry
 }
 
-// Tracker is the component of a controller that keeps galleries.
+// Tracker tracks the galleries and their deadlines.
 type Tracker struct {
-	set *settings.Settings
+	settings *settings.Settings
 	Parts
 	stats *metrics.Set
 	log   *slog.Logger
 
-	register  *deadline.Register // nil: no register is given
+	register  *deadline.Register // nil: no register has been set
 	remaining map[wire.GalleryName]remainingWork
 
-	// State of the keeper.
-	pending              map[wire.GalleryName]*committer.Change // by gallery; "": that of the register's revision
-	rejected             map[wire.GalleryName]int               // revisions whose date could not be recorded
-	assignedAt           time.Time                              // when jobs were last searched for assignments
-	loggedOvercommitment string                                 // the galleries last warned of
+	// State of the reconciler.
+	pending              map[wire.GalleryName]*committer.Change // by gallery; "": the change of the register's revision
+	rejected             map[wire.GalleryName]int               // revisions whose entry could not be recorded, by gallery
+	assignedAt           time.Time                              // when jobs without a gallery were last searched for
+	loggedOvercommitment string                                 // the galleries listed in the last warning
 }
 
-// remainingWork is what remains of a gallery.
+// remainingWork is the remaining work of a gallery.
 type remainingWork struct {
-	longest        time.Duration // of its jobs, each with its image fetch
-	hasPending     bool          // some tasks are not on a machine yet
-	machineSeconds float64       // for which it takes whole machines
+	longestJob     time.Duration // longest expected duration of its jobs, including the image fetch
+	hasPending     bool          // some tasks have not been placed yet
+	machineSeconds float64       // total run time, in seconds of a whole machine
 }
 
-// Margins and bounds of what remains.
 const (
-	// runTimeMarginNum and runTimeMarginDen are the factor on expected run times, 5/4.
+	// runTimeMarginNum / runTimeMarginDen is the safety factor on expected run times.
 	runTimeMarginNum = 5
 	runTimeMarginDen = 4
-	// maxTasksPerMachine bounds how many tasks of a job are counted on one machine.
+	// maxTasksPerMachine bounds how many tasks of a job are assumed to share a machine.
 	maxTasksPerMachine = 1 << 20
 )
 
 // New returns a tracker without a register.
 func New(set *settings.Settings, p Parts, stats *metrics.Set, log *slog.Logger) *Tracker {
 	return &Tracker{
-		set:       set,
+		settings:  set,
 		Parts:     p,
 		stats:     stats,
 		log:       log,
@@ -90,7 +89,7 @@
 // records returns the cached records. The caller holds the cache's lock while it uses them.
 func (t *Tracker) records() *ledger.Ledger { return t.Cache.Records() }
 
-// Set takes over a register. It takes the cache's lock.
+// Set replaces the register. It takes the cache's lock.
 func (t *Tracker) Set(r *deadline.Register) {
 	t.Cache.Lock()
 	defer t.Cache.Unlock()
@@ -98,7 +97,7 @@
 	clear(t.rejected)
 }
 
-// Read reads and checks a register's file; set may be nil, for any teams. An error names file, line and reason.
+// Read reads and validates a register file. If set is nil, any team is accepted. Errors name file, line and reason.
 func Read(path string, set *settings.Settings) (*deadline.Register, error) {
 	var teams []wire.Team
 	if set != nil {
@@ -109,11 +108,11 @@
 	return configfile.Read(path, func(text []byte) (*deadline.Register, error) { return deadline.Parse(text, teams) })
 }
 
-// Reload reads the register's file again when it changes, until ctx ends. A file that is wrong, or gone, leaves
-// the register that was read last in force.
+// Reload reads the register file whenever it changes, until ctx ends. If the file is invalid or missing, the last
+// valid register stays in force.
 func (t *Tracker) Reload(ctx context.Context, path string) error {
 	return configfile.Follow(ctx, path, nil, func() {
-		r, err := Read(path, t.set)
+		r, err := Read(path, t.settings)
 		if err != nil {
 			t.stats.Add("registers_refused_total", 1)
 			t.log.Error("register not taken; the one before stays", "err", strings.ReplaceAll(err.Error(), "\n", "; "))
@@ -124,7 +123,7 @@
 	})
 }
 
-// RegisterEdition returns the revision of the register that was given; 0: none.
+// RegisterEdition returns the revision of the register, 0 if none has been set.
 func (t *Tracker) RegisterEdition() int {
 	if t.register == nil {
 		return 0
@@ -132,9 +131,10 @@
 	return t.register.Revision
 }
 
-// GalleryOf returns the gallery that a job, perhaps of a workflow, is to be assigned to as it is accepted, nil
-// if none: the first that the register names for it and that is on record and has not ended. The record decides:
-// a register that differs from other controllers' can't assign jobs to a gallery that nobody opened.
+// GalleryOf returns the gallery to assign to a job that is being accepted, nil if there is none: the first one that
+// the register lists for the job and that is on record and has not ended. The gallery must be on record so that a
+// controller whose register differs from the others' can't assign jobs to a gallery that was never opened. workflow is
+// empty if the job belongs to none.
 func (t *Tracker) GalleryOf(spec *wire.JobSpec, workflow wire.WorkflowID) *ledger.Gallery {
 	for _, name := range t.register.GalleriesOf(spec, workflow) {
 		if g := t.records().Gallery(name); g != nil && !g.Ended() && g.Team == spec.Team {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Reconcile computes what remains of every gallery, from the jobs that are active.
+// Reconcile recomputes the remaining work of all galleries from the active jobs.
 func (t *Tracker) Reconcile(now time.Time) {
 	clear(t.remaining)
 	t.records().EachActive(func(j *ledger.Job) {
@@ -157,7 +157,7 @@
 			duration += placement.FetchTime(j.Spec.ImageGB, machineType.FetchGBps)
 		}
 		work := t.remaining[j.Gallery]
-		work.longest = max(work.longest, duration)
+		work.longestJob = max(work.longestJob, duration)
 		work.hasPending = work.hasPending || pending > 0
 		total := ledger.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 		if perMachine := total.CountFitting(j.Need, maxTasksPerMachine); perMachine > 0 {
@@ -167,7 +167,7 @@
 	})
 }
 
-// machineTypeFor returns the first machine type by name that a job may run on; the zero type if there is none.
+// machineTypeFor returns the first machine type, by name, that a job may run on; the zero value if there is none.
 func (t *Tracker) machineTypeFor(j *ledger.Job) wire.MachineType {
 	var first wire.MachineType
 	for name, machineType := range t.records().MachineTypes() {
@@ -181,14 +181,14 @@
 	return first
 }
 
-// LatestStart returns when a job must start for its gallery to be done by the promised date: all jobs of a
-// gallery share the time that its longest one leaves. False if it is assigned to none that goes on.
+// LatestStart returns when a job must start for its gallery to be done by the promised date: the date less the
+// longest remaining duration of the gallery's jobs. It returns false if the job's gallery has ended or it has none.
 func (t *Tracker) LatestStart(j *ledger.Job) (time.Time, bool) {
 	g := t.records().Gallery(j.Gallery)
 	if j.Gallery == "" || g == nil || g.Ended() {
 		return time.Time{}, false
 	}
-	return g.Date().Time().Add(-t.remaining[j.Gallery].longest), true
+	return g.Date().Time().Add(-t.remaining[j.Gallery].longestJob), true
 }
 
 // CountGalleries returns how many galleries have not ended, and how many of them are at risk.
--- a/internal/scheduler/deadlinetracker/tracker_test.go
+++ b/internal/scheduler/deadlinetracker/tracker_test.go
@@ -13,8 +13,8 @@
 	"maddermill/wire"
 )
 
-// BenchmarkReconcile is what galleries add to the making of a snapshot, at 16,000 machines and as many jobs: with
-// none, and with 5,000 that have three jobs each.
+// BenchmarkReconcile measures the share of galleries in the time to take a snapshot, at 16,000 machines and as many
+// jobs: without galleries, and with 5,000 galleries of three jobs each.
 func BenchmarkReconcile(b *testing.B) {
 	for _, galleries := range []int{0, 5000} {
 		b.Run(fmt.Sprint(galleries), func(b *testing.B) {
--- a/internal/scheduler/topology/pack.go
+++ b/internal/scheduler/topology/pack.go
@@ -12,242 +12,244 @@
 type MachineOption struct {
 	Machine wire.MachineID
 	Block   Block
-	Room    int   // tasks that it may take, above 0
-	Order   int64 // less is better among places that are equally close, from 0 to MostOrder
+	Room    int   // how many tasks it may take, above 0
+	Order   int64 // from 0 to MaxOrder; lower values are preferred among equally close machines
 }
 
-// MostOrder bounds Option.Order.
+// MostOrder is the upper bound of MachineOption.Order.
 const MostOrder = 1 << 20
 
-// Gang is what is to be placed.
+// Gang describes a gang to be placed.
 type Gang struct {
 	Tasks   int
-	OneZone bool // all in one zone
-	MostIn  int  // the most tasks in one zone; 0: any number
+	OneZone bool // all tasks must be in one zone
+	MostIn  int  // maximum number of tasks per zone; 0: no limit
 }
 
-// CostOf is the cost of a placement: over all pairs of tasks, the sum of the costs of
-// the levels in which the two are apart, and of their being on two machines.
+// CostOf returns the cost of a placement: the sum of PairCost over all pairs of tasks that are on different machines.
 //
 //	cost = Σ over pairs {i,j} on machines x ≠ y of ( 1 + Σ over levels l, block_l(x) ≠ block_l(y) of cost_l )
 //
-// on and counts tell for each machine used its block and its tasks.
-func (t *Tree) CostOf(on []Block, counts []int) Cost {
+// blocks and counts hold the block and the number of tasks of each machine used.
+func (t *Tree) CostOf(blocks []Block, counts []int) Cost {
 	var sum Cost
-	for i := range on {
+	for i := range blocks {
 		for k := range i {
-			sum += Cost(counts[i]*counts[k]) * t.Apart(on[i], on[k])
+			sum += Cost(counts[i]*counts[k]) * t.PairCost(blocks[i], blocks[k])
 		}
 	}
 	return sum
 }
 
-// value is what a partial placement costs. Closeness goes first; waste, among equally
-// close places, is the room left over in the blocks used and then the order of machines.
-type value struct {
+// score rates a partial placement; lower is better. waste breaks ties between placements of the same cost: it is the
+// room left over in the blocks used, then the sum of the machines' orders.
+type score struct {
 	cost  Cost
 	waste int64
 }
 
-var never = value{cost: math.MaxInt64 / 4}
+// infeasible is the score of a placement that does not exist. A quarter of the largest Cost leaves room for additions.
+var infeasible = score{cost: math.MaxInt64 / 4}
 
-func (v value) less(o value) bool {
-	return v.cost < o.cost || v.cost == o.cost && v.waste < o.waste
+func (s score) less(other score) bool {
+	return s.cost < other.cost || s.cost == other.cost && s.waste < other.waste
 }
 
-func (v value) add(o value) value { return value{v.cost + o.cost, v.waste + o.waste} }
+func (s score) add(other score) score { return score{s.cost + other.cost, s.waste + other.waste} }
 
-// leftover is the weight of a task's room left over in a block that is used, against the
-// orders of machines: a small gang goes where it fills a block, so that another stays
-// whole for a larger one. It counts up to mostLeft tasks.
 const (
-	leftover = MostOrder << 8
-	mostLeft = 1 << 12
+	// leftoverWeight is the waste per task that still fits into a block in use. It outweighs the machines' orders,
+	// so that a small gang fills up a partly used block and leaves empty ones to larger gangs.
+	leftoverWeight = MostOrder << 8
+	// maxLeftover bounds the leftover room that counts, in tasks.
+	maxLeftover = 1 << 12
 )
 
-// part is one block, or one machine, in a packing.
-type part struct {
-	option int   // of a machine, -1 for a block
-	block  Block // of a block
-	parts  []int // within a block
-	room   int   // tasks, no more than the gang has
-	free   int   // tasks
-	best   []value
-	picks  [][]int16 // by part and number of tasks so far: how many the part takes
+// node is a block or a machine in a packing.
+type node struct {
+	option       int       // index of a machine's option; -1 for a block
+	block        Block     // 0 for a machine
+	children     []int     // of a block
+	room         int       // number of tasks that fit, capped at the size of the gang
+	uncappedRoom int       // number of tasks that fit
+	best         []score   // best score by number of tasks
+	choices      [][]int16 // by child and number of tasks in the children up to it: how many tasks the child takes
 }
 
-// Pack chooses where a gang's tasks go so that the cost of the placement is the least
-// that the options allow, and among those of that cost the waste is least. counts tells
-// how many tasks each option takes; ok is false if there is no room.
+// Pack places a gang at the least cost that the options allow and, among placements of that cost, with the least
+// waste. counts holds the number of tasks that each option takes; ok is false if the gang does not fit.
 //
-// It is exact. Within a block every pair of tasks costs at least what pairs in different
-// inner blocks do, less what is saved by those that share one, so that the best way to
-// put k tasks into a block follows from the best ways to put fewer into its parts: a
-// knapsack a block, from the inside out, over the blocks with room only.
+// The result is exact. All pairs of tasks in different children of a block cost the same, and a pair that shares a
+// child saves an amount that depends on the child only. The best score for k tasks in a block therefore follows from
+// the best scores of its children: a bounded knapsack problem per block, solved bottom-up over the blocks with room.
 func (t *Tree) Pack(g Gang, options []MachineOption) (counts []int, cost Cost, ok bool) {
 	p := packing{
-		t:     t,
-		g:     g,
-		at:    map[Block]int{},
-		alike: map[machineKind][]value{},
-		parts: make([]part, 0, len(options)+len(options)/8),
+		tree:          t,
+		gang:          g,
+		blockNodes:    map[Block]int{},
+		machineScores: map[machineKind][]score{},
+		nodes:         make([]node, 0, len(options)+len(options)/8),
 	}
 	for i := range options {
 		p.addMachine(i, &options[i])
 	}
-	if len(p.parts) == 0 {
+	if len(p.nodes) == 0 {
 		return nil, 0, false
 	}
-	top := p.at[0]
+	top := p.blockNodes[0]
 	p.solve(top)
-	root := &p.parts[top]
+	root := &p.nodes[top]
 	if g.OneZone {
 		best := -1
-		for _, z := range root.parts {
-			zone := &p.parts[z]
-			if zone.room >= g.Tasks && (best < 0 || zone.best[g.Tasks].less(p.parts[best].best[g.Tasks])) {
+		for _, z := range root.children {
+			zone := &p.nodes[z]
+			if zone.room >= g.Tasks && (best < 0 || zone.best[g.Tasks].less(p.nodes[best].best[g.Tasks])) {
 				best = z
 			}
 		}
 		if best < 0 {
 			return nil, 0, false
 		}
-		top, root = best, &p.parts[best]
+		top, root = best, &p.nodes[best]
 	}
-	if root.room < g.Tasks || root.best[g.Tasks].cost >= never.cost {
+	if root.room < g.Tasks || root.best[g.Tasks].cost >= infeasible.cost {
 		return nil, 0, false
 	}
 	counts = make([]int, len(options))
-	p.collect(top, g.Tasks, counts)
+	p.assignTasks(top, g.Tasks, counts)
 	return counts, root.best[g.Tasks].cost, true
 }
 
+// packing is the state of one call of Pack.
 type packing struct {
-	t     *Tree
-	g     Gang
-	parts []part
-	at    map[Block]int           // the parts that are blocks
-	alike map[machineKind][]value // best of machines that are alike
-	picks []int16                 // room for the parts' picks
+	tree          *Tree
+	gang          Gang
+	nodes         []node
+	blockNodes    map[Block]int           // indexes of the nodes of blocks
+	machineScores map[machineKind][]score // node.best of machines, shared by those of the same kind
+	choicePool    []int16                 // unused rest of the buffer for node.choices
 }
 
+// machineKind holds what the scores of a machine depend on.
 type machineKind struct {
 	room  int
 	order int64
 }
 
-// pick returns room for n picks.
-func (p *packing) pick(n int) []int16 {
-	if len(p.picks) < n {
-		p.picks = make([]int16, max(n, 1<<14))
+// newChoices returns a zeroed slice of n elements for node.choices.
+func (p *packing) newChoices(n int) []int16 {
+	if len(p.choicePool) < n {
+		p.choicePool = make([]int16, max(n, 1<<14))
 	}
-	out := p.picks[:n:n]
-	p.picks = p.picks[n:]
+	out := p.choicePool[:n:n]
+	p.choicePool = p.choicePool[n:]
 	return out
 }
 
-func (p *packing) addMachine(i int, o *MachineOption) {
-	room := min(o.Room, p.g.Tasks)
+// addMachine adds the node of a machine, the i-th option, and those of the blocks that contain it.
+func (p *packing) addMachine(i int, option *MachineOption) {
+	room := min(option.Room, p.gang.Tasks)
 	if room <= 0 {
 		return
 	}
-	in := p.blockPart(o.Block)
-	p.parts = append(p.parts, part{option: i, room: room, free: o.Room})
-	m := len(p.parts) - 1
-	alike := machineKind{room, min(max(o.Order, 0), MostOrder)}
-	b := p.alike[alike]
-	if b == nil {
-		b = make([]value, room+1)
+	parent := p.blockNode(option.Block)
+	p.nodes = append(p.nodes, node{option: i, room: room, uncappedRoom: option.Room})
+	m := len(p.nodes) - 1
+	kind := machineKind{room, min(max(option.Order, 0), MostOrder)}
+	best := p.machineScores[kind]
+	if best == nil {
+		best = make([]score, room+1)
 		for k := 1; k <= room; k++ {
-			b[k] = value{0, alike.order}
+			best[k] = score{0, kind.order}
 		}
-		p.alike[alike] = b
+		p.machineScores[kind] = best
 	}
-	p.parts[m].best = b
-	p.parts[in].parts = append(p.parts[in].parts, m)
+	p.nodes[m].best = best
+	p.nodes[parent].children = append(p.nodes[parent].children, m)
 }
 
-// blockPart is the part of a block, made with those of all that it is in.
-func (p *packing) blockPart(b Block) int {
-	if i, ok := p.at[b]; ok {
+// blockNode returns the index of a block's node. It adds the node and those of the block's ancestors if missing.
+func (p *packing) blockNode(b Block) int {
+	if i, ok := p.blockNodes[b]; ok {
 		return i
 	}
-	in := -1
+	parent := -1
 	if b != 0 {
-		in = p.blockPart(p.t.blocks[b].parent)
+		parent = p.blockNode(p.tree.blocks[b].parent)
 	}
-	p.parts = append(p.parts, part{option: -1, block: b})
-	i := len(p.parts) - 1
-	p.at[b] = i
-	if in >= 0 {
-		p.parts[in].parts = append(p.parts[in].parts, i)
+	p.nodes = append(p.nodes, node{option: -1, block: b})
+	i := len(p.nodes) - 1
+	p.blockNodes[b] = i
+	if parent >= 0 {
+		p.nodes[parent].children = append(p.nodes[parent].children, i)
 	}
 	return i
 }
 
-func pairs(k int) Cost { return Cost(k) * Cost(k-1) / 2 }
+// pairCount returns the number of pairs among k tasks.
+func pairCount(k int) Cost { return Cost(k) * Cost(k-1) / 2 }
 
-// solve works out best of a block: for each number of tasks the least value.
+// solve computes the best scores and the choices of a block's node and of all nodes below it.
 func (p *packing) solve(at int) {
-	n := &p.parts[at]
+	n := &p.nodes[at]
 	if n.option >= 0 {
 		return
 	}
-	for _, c := range n.parts {
+	for _, c := range n.children {
 		p.solve(c)
 	}
-	// Parts in a fixed order, whatever order the options came in.
-	slices.SortFunc(n.parts, func(a, b int) int {
-		x, y := &p.parts[a], &p.parts[b]
+	// Sort the children so that the result does not depend on the order of the options.
+	slices.SortFunc(n.children, func(a, b int) int {
+		x, y := &p.nodes[a], &p.nodes[b]
 		return cmp.Or(cmp.Compare(x.block, y.block), cmp.Compare(y.room, x.room), cmp.Compare(x.option, y.option))
 	})
-	apart := p.t.within(n.block)
-	// Two buffers, by turns: what was best with the parts before, and with one more.
-	best, other := append(make([]value, 0, p.g.Tasks+1), value{}), make([]value, 0, p.g.Tasks+1)
-	n.picks = make([][]int16, 0, len(n.parts))
-	for _, c := range n.parts {
-		x := &p.parts[c]
-		n.free += x.free
-		most := x.room
-		if n.block == 0 && p.g.MostIn > 0 {
-			most = min(most, p.g.MostIn)
+	pairCost := p.tree.pairCostWithin(n.block)
+	// Two alternating buffers: the best scores without and with the next child.
+	best, spare := append(make([]score, 0, p.gang.Tasks+1), score{}), make([]score, 0, p.gang.Tasks+1)
+	n.choices = make([][]int16, 0, len(n.children))
+	for _, c := range n.children {
+		child := &p.nodes[c]
+		n.uncappedRoom += child.uncappedRoom
+		maxTasks := child.room
+		if n.block == 0 && p.gang.MostIn > 0 {
+			maxTasks = min(maxTasks, p.gang.MostIn)
 		}
-		next := other[:min(p.g.Tasks, len(best)-1+most)+1]
-		pick := p.pick(len(next))
+		next := spare[:min(p.gang.Tasks, len(best)-1+maxTasks)+1]
+		choice := p.newChoices(len(next))
 		for k := range next {
-			next[k] = never
-			for take := max(0, k-len(best)+1); take <= min(most, k); take++ {
-				v := x.best[take]
-				v.cost -= apart * pairs(take)
-				if v = v.add(best[k-take]); v.less(next[k]) {
-					next[k], pick[k] = v, int16(take)
+			next[k] = infeasible
+			for take := max(0, k-len(best)+1); take <= min(maxTasks, k); take++ {
+				s := child.best[take]
+				s.cost -= pairCost * pairCount(take)
+				if s = s.add(best[k-take]); s.less(next[k]) {
+					next[k], choice[k] = s, int16(take)
 				}
 			}
 		}
-		best, other = next, best
-		n.picks = append(n.picks, pick)
+		best, spare = next, best
+		n.choices = append(n.choices, choice)
 	}
 	n.room = len(best) - 1
 	for k := 1; k < len(best); k++ {
-		best[k].cost += apart * pairs(k)
+		best[k].cost += pairCost * pairCount(k)
 		if n.block != 0 {
-			best[k].waste += int64(min(n.free-k, mostLeft)) * leftover
+			best[k].waste += int64(min(n.uncappedRoom-k, maxLeftover)) * leftoverWeight
 		}
 	}
 	n.best = best
 }
 
-// collect notes what the options take of k tasks in a part.
-func (p *packing) collect(at, k int, counts []int) {
-	n := &p.parts[at]
+// assignTasks stores in counts how k tasks in a node are distributed over the options.
+func (p *packing) assignTasks(at, k int, counts []int) {
+	n := &p.nodes[at]
 	if n.option >= 0 {
 		counts[n.option] = k
 		return
 	}
-	for i := len(n.parts) - 1; i >= 0; i-- {
-		take := int(n.picks[i][k])
+	for i := len(n.children) - 1; i >= 0; i-- {
+		take := int(n.choices[i][k])
 		if take > 0 {
-			p.collect(n.parts[i], take, counts)
+			p.assignTasks(n.children[i], take, counts)
 		}
 		k -= take
 	}
--- a/internal/scheduler/topology/pack_test.go
+++ b/internal/scheduler/topology/pack_test.go
@@ -10,7 +10,7 @@
 	"maddermill/wire"
 )
 
-// tree of zones a and b, two switches each, racks in each.
+// testTree returns a topology of the zones a and b with some switches per zone and racks per switch.
 func testTree(tb testing.TB, switches, racks int) *Tree {
 	tb.Helper()
 	var b strings.Builder
@@ -41,8 +41,8 @@
 	return tree
 }
 
-// cheapest tries every way to place a gang; -1 if there is none.
-func cheapest(t *Tree, g Gang, options []MachineOption) Cost {
+// bruteForceMinCost returns the least cost of a gang over all valid placements; -1 if there is none.
+func bruteForceMinCost(t *Tree, g Gang, options []MachineOption) Cost {
 	best := Cost(-1)
 	counts := make([]int, len(options))
 	on := make([]Block, len(options))
@@ -52,7 +52,7 @@
 	var try func(i, left int)
 	try = func(i, left int) {
 		if left == 0 {
-			if c := t.CostOf(on, counts); fits(t, g, options, counts) && (best < 0 || c < best) {
+			if c := t.CostOf(on, counts); isValidPlacement(t, g, options, counts) && (best < 0 || c < best) {
 				best = c
 			}
 			return
@@ -70,8 +70,8 @@
 	return best
 }
 
-// fits checks a placement against the rules by itself.
-func fits(t *Tree, g Gang, options []MachineOption, counts []int) bool {
+// isValidPlacement checks a placement against the options and the gang's rules, independently of Pack.
+func isValidPlacement(t *Tree, g Gang, options []MachineOption, counts []int) bool {
 	sum, zones := 0, map[wire.Zone]int{}
 	for i, k := range counts {
 		if k < 0 || k > options[i].Room {
@@ -90,9 +90,9 @@
 	return sum == g.Tasks
 }
 
-// TestPackIsExact: over random small fleets with holes, machines of unknown rack, mixed
-// rooms and all rules, a gang is placed exactly when any way exists, never against a rule,
-// and at the least cost that trying every way finds. The stated margin is none.
+// TestPackIsExact checks against brute force that a gang is placed if and only if a valid placement exists, that the
+// placement is valid, and that its cost is the least possible. The random small fleets include partly occupied blocks,
+// machines whose rack is unknown, machines of different room, and all zone rules.
 func TestPackIsExact(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 1))
 	tree := testTree(t, 2, 2)
@@ -119,7 +119,7 @@
 		case 1:
 			g.MostIn = (g.Tasks + 1) / 2
 		}
-		want := cheapest(tree, g, options)
+		want := bruteForceMinCost(tree, g, options)
 		counts, cost, ok := tree.Pack(g, options)
 		if ok != (want >= 0) {
 			t.Fatalf("%+v in %+v: placed %v, least cost %d", g, options, ok, want)
@@ -132,7 +132,7 @@
 		for i := range options {
 			on[i] = options[i].Block
 		}
-		if !fits(tree, g, options, counts) || tree.CostOf(on, counts) != cost {
+		if !isValidPlacement(tree, g, options, counts) || tree.CostOf(on, counts) != cost {
 			t.Fatalf("%+v in %+v: %v breaks a rule or does not cost %d", g, options, counts, cost)
 		}
 		if cost != want {
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestSmallGangLeavesLargeBlockWhole: of places that are equally close the fuller one is
-// taken, at each level.
+// TestSmallGangLeavesLargeBlockWhole checks that of equally close placements the one in the fullest block is chosen, at
+// every level.
 func TestSmallGangLeavesLargeBlockWhole(t *testing.T) {
 	tree := testTree(t, 2, 2)
 	in := func(path string, machines, room int) (out []MachineOption) {
@@ -164,9 +164,10 @@
 	for _, tc := range []struct {
 		whole, full []MachineOption
 	}{
-		// The only rack for eight, beside one that fits two and leaves one.
+		// The only rack with room for eight tasks, and one with room for three.
 		{in("a/s0-0/r0-0-0", 8, 1), in("a/s0-1/r0-1-0", 3, 1)},
-		// A rack of two in the only switch for ten, beside a rack of three in a full switch.
+		// A rack with room for two in the only switch with room for ten, and a rack with room for three in a switch
+		// that is full otherwise.
 		{append(in("a/s0-0/r0-0-0", 8, 1), in("a/s0-0/r0-0-1", 2, 1)...), in("a/s0-1/r0-1-0", 3, 1)},
 	} {
 		counts, _, ok := tree.Pack(Gang{Tasks: 2}, append(slices.Clone(tc.whole), tc.full...))
@@ -175,15 +176,16 @@
 			sum += k
 		}
 		if !ok || sum != 2 {
-			t.Errorf("two tasks go to %v", counts)
+			t.Errorf("two tasks placed as %v, want both in the fuller block", counts)
 		}
 	}
 }
 
+// BenchmarkPack measures placing a gang of 64 tasks on fleets of different sizes.
 func BenchmarkPack(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tree := testTree(b, n/256+1, 8) // 32 machines a rack in two zones
+			tree := testTree(b, n/256+1, 8) // about 32 machines per rack, in two zones
 			var leaves []Block
 			for _, x := range tree.Blocks() {
 				if tree.blocks[x].level == 2 {
--- a/internal/scheduler/topology/tree.go
+++ b/internal/scheduler/topology/tree.go
@@ -1,7 +1,7 @@
-// Package topology holds the declared topology of machines: a tree of zones, switches, racks and whatever
-// other blocks operators name. Tree locates machines and packs gangs onto machines that are close
-// together (Pack, exactly); Health detects blocks that failed as a whole. The package does no I/O, is
-// given the time, and has no locks. docs/topology.md describes the file and the behaviour.
+// Package topology holds the declared network topology of the machines: a tree of blocks such as zones, switches and
+// racks, whose levels operators define. Tree locates machines and places gangs on machines that are close together
+// (Pack, which is exact). Health detects blocks that failed as a whole. The package does no I/O, takes the current
+// time as a parameter and uses no locks. docs/topology.md describes the file format and the behaviour.
 package topology
 
 import (
@@ -15,68 +15,70 @@
 	"maddermill/wire"
 )
 
-// Block is a block of a tree; 0: none, as of a machine that is not located.
+// Block identifies a block of a Tree. 0 stands for no block, as for a machine that is not located.
 type Block int32
 
-// Cost is the cost of the distance between tasks of a gang, in thousandths of the unit of the file, which
-// states it for a pair of tasks.
+// Cost is the communication cost between tasks of a gang, in thousandths of the unit of the topology file. The file
+// gives costs per pair of tasks.
 type Cost int64
 
+// costUnit is the Cost of one unit of the topology file.
 const costUnit = 1000
 
-// Stated returns the cost in the unit of the file.
+// Stated returns the cost in the unit of the topology file.
 func (c Cost) Stated() float64 { return float64(c) / costUnit }
 
-// Level is one kind of block, outermost first.
+// Level is a level of the tree, such as all racks.
 type Level struct {
 	Name string
 	Cost Cost // of a pair of tasks in different blocks of the level
 }
 
-// First is what goes first when a gang is placed.
-type First int
+// PlacementPriority is the criterion that takes precedence when a gang is placed.
+type PlacementPriority int
 
-// The choices: machines nearest to having the image (the paper's ranks, section 5), or
-// the closest machines.
+// ImageFirst prefers machines that are nearest to having the image (the ranks of the paper, section 5).
+// ClosenessFirst prefers machines that are close to each other.
 const (
-	ImageFirst First = iota
+	ImageFirst PlacementPriority = iota
 	ClosenessFirst
 )
 
+// block is a node of a Tree.
 type block struct {
 	name   string
-	level  int // of the tree's levels
+	level  int // index in the tree's levels
 	parent Block
 	zone   wire.Zone
 }
 
-// Tree is a declared topology. It doesn't change.
+// Tree is a declared topology. It is immutable.
 type Tree struct {
-	First      First
-	CloserWait time.Duration // how long a gang waits for a place closer than there is now
-
-	levels []Level
-	apart  []Cost // of a pair that is in different blocks of a level, and so of all inner ones
-	blocks []block
-	byAddr bart.Table[Block]
-	byName map[wire.MachineID]Block
-	zones  map[wire.Zone]Block
+	First      PlacementPriority
+	CloserWait time.Duration // how long a gang waits for a closer placement than is possible now
+
+	levels    []Level
+	pairCosts []Cost // by level: of a pair in different blocks of that level, and so of all inner levels
+	blocks    []block
+	byAddr    bart.Table[Block]
+	byName    map[wire.MachineID]Block
+	zones     map[wire.Zone]Block
 }
 
-// machineCost is what a pair on different machines costs where all levels are the same.
-const machineCost = costUnit
+// crossMachineCost is the cost of a pair on different machines that share the blocks of all levels.
+const crossMachineCost = costUnit
 
 const (
-	maxBlocks   = 100_000
-	maxLevels   = 16
-	defaultWait = 5 * time.Second // of a gang for closer machines
-	maxCost     = 1e6             // of a level, in the unit of the file
+	maxBlocks         = 100_000
+	maxLevels         = 16
+	defaultCloserWait = 5 * time.Second // how long a gang waits for a closer placement
+	maxCost           = 1e6             // of a level, in the unit of the topology file
 )
 
 // Levels lists the levels, outermost first.
 func (t *Tree) Levels() []Level { return t.levels }
 
-// Blocks lists all blocks, each after the one that it is in.
+// Blocks lists all blocks, parents before their children.
 func (t *Tree) Blocks() []Block {
 	out := make([]Block, 0, len(t.blocks)-1)
 	for i := 1; i < len(t.blocks); i++ {
@@ -85,16 +87,16 @@
 	return out
 }
 
-// Name returns a block's own name.
+// Name returns a block's name without its path.
 func (t *Tree) Name(b Block) string { return t.blocks[b].name }
 
-// Parent returns the block that a block is in, 0 for a zone.
+// Parent returns the parent of a block, 0 for a zone.
 func (t *Tree) Parent(b Block) Block { return t.blocks[b].parent }
 
 // Level returns the name of a block's level.
 func (t *Tree) Level(b Block) string { return t.levels[t.blocks[b].level].Name }
 
-// Path returns the names of a block and all that it is in, outermost first: "soar/switch-2/rack-5".
+// Path returns the names of a block and its ancestors, outermost first: "soar/switch-2/rack-5".
 func (t *Tree) Path(b Block) string {
 	var names []string
 	for ; b != 0; b = t.blocks[b].parent {
@@ -104,7 +106,7 @@
 	return strings.Join(names, "/")
 }
 
-// ByPath returns a block by its path.
+// ByPath returns the block with a path, and whether there is one.
 func (t *Tree) ByPath(path string) (Block, bool) {
 	for _, b := range t.Blocks() {
 		if t.Path(b) == path {
@@ -114,9 +116,9 @@
 	return 0, false
 }
 
-// Locate returns a machine's block: by its name if the file lists it, else by the address of its worker's
-// endpoint, the longest prefix first. A machine in another zone than its block is not located: it gets
-// the zone itself, or 0 for an unknown zone.
+// Locate returns the block of a machine: by the machine's name if the file lists it, else by the longest prefix that
+// contains the address of the worker's endpoint. If nothing matches, or the block is in another zone than the
+// machine, known is false and the block is that of the machine's zone, or 0 if the zone is unknown.
 func (t *Tree) Locate(m wire.MachineID, endpoint string, zone wire.Zone) (b Block, known bool) {
 	b, known = t.byName[m]
 	if !known {
@@ -130,13 +132,13 @@
 	return t.zones[zone], false
 }
 
-// Apart returns the cost of a pair of tasks on two machines of these blocks: the sum over the levels in
-// which they are apart, and over their being two machines.
-func (t *Tree) Apart(a, b Block) Cost {
-	return t.within(t.Common(a, b))
+// PairCost returns the cost of a pair of tasks on two different machines in these blocks: crossMachineCost plus the
+// costs of the levels at which the blocks differ.
+func (t *Tree) PairCost(a, b Block) Cost {
+	return t.pairCostWithin(t.Common(a, b))
 }
 
-// Common returns the innermost block that two blocks are both in, 0 if there is none.
+// Common returns the lowest common ancestor of two blocks, which may be one of them; 0 if there is none.
 func (t *Tree) Common(a, b Block) Block {
 	for a != b {
 		if a == 0 || b == 0 {
@@ -153,10 +155,10 @@
 	return a
 }
 
-// within is what a pair on two machines costs whose innermost common block it is.
-func (t *Tree) within(b Block) Cost {
+// pairCostWithin returns the cost of a pair on two machines whose lowest common ancestor is b.
+func (t *Tree) pairCostWithin(b Block) Cost {
 	if b == 0 {
-		return t.apart[0]
+		return t.pairCosts[0]
 	}
-	return t.apart[t.blocks[b].level+1]
+	return t.pairCosts[t.blocks[b].level+1]
 }
--- a/internal/scheduler/topologytracker/heartbeats.go
+++ b/internal/scheduler/topologytracker/heartbeats.go
@@ -9,30 +9,30 @@
 	"maddermill/wire"
 )
 
-// switchAfter is how long a peer is silent before its workers may be looking for another controller.
-const switchAfter = 4 * time.Second
+// workerFailoverAfter is how long a peer may be silent before its workers fail over to another controller.
+const workerFailoverAfter = 4 * time.Second
 
-// lastHeartbeat is a machine's last heartbeat, by whichever controller received it.
+// lastHeartbeat is the last heartbeat of a machine that any controller received.
 type lastHeartbeat struct {
 	endpoint  string
 	zone      wire.Zone
 	at        time.Time
-	reclaimed bool // the cloud has announced that it reclaims the machine
+	reclaimed bool // the cloud provider announced that it reclaims the machine
 }
 
-// heartbeats holds the last heartbeats of machines.
+// heartbeats holds the last heartbeat of each machine.
 type heartbeats map[wire.MachineID]lastHeartbeat
 
-// observe keeps the newer one of a machine's heartbeats.
+// observe records a machine's heartbeat unless a newer one is known.
 func (h heartbeats) observe(id wire.MachineID, last lastHeartbeat) {
 	if !last.at.Before(h[id].at) {
 		h[id] = last
 	}
 }
 
-// collectHeartbeats lists the last heartbeats of all machines that are neither terminating nor
-// terminated. Machines of a peer that is itself silent are left out while they may still be looking
-// for another controller: the silence is the peer's.
+// collectHeartbeats returns the last heartbeats of all machines that are neither terminating nor terminated. If a peer
+// is silent, its machines are left out while they may still be failing over to another controller: their silence is
+// due to the peer.
 func (t *Tracker) collectHeartbeats(records *ledger.Ledger, now time.Time) heartbeats {
 	all := make(heartbeats, t.registry.Len())
 	t.registry.Each(func(w *reconcile.Worker) {
@@ -46,14 +46,14 @@
 	return all
 }
 
-// collectFromPeer adds the heartbeats that a peer received.
+// collectFromPeer merges the heartbeats that a peer received into all.
 func (t *Tracker) collectFromPeer(all heartbeats, p *membership.Peer, records *ledger.Ledger, now time.Time) {
 	silence := now.Sub(p.AsOf)
-	maySwitch := silence > switchAfter && silence < t.settings.SilentAfter()+t.settings.HeartbeatGrace()
+	failingOver := silence > workerFailoverAfter && silence < t.settings.SilentAfter()+t.settings.HeartbeatGrace()
 	for i := range p.Status.Machines {
 		m := &p.Status.Machines[i]
 		at := p.HeartbeatAt(m)
-		if known, ok := all[m.ID]; maySwitch && (!ok || !known.at.After(at)) {
+		if known, ok := all[m.ID]; failingOver && (!ok || !known.at.After(at)) {
 			delete(all, m.ID)
 			continue
 		}
--- a/internal/scheduler/topologytracker/partitions.go
+++ b/internal/scheduler/topologytracker/partitions.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// maxPendingPartitions bounds the partitions that wait to be attributed.
+	// maxPendingPartitions bounds the partitions that are not attributed yet.
 	maxPendingPartitions = 100
-	// shareFor is how long an attributed partition is shared with peers.
-	shareFor = 2 * time.Minute
+	// partitionShareDuration is how long an attributed partition is reported to peers.
+	partitionShareDuration = 2 * time.Minute
 )
 
-// gangPartition is a gang that lost peers although none of its tasks ended.
+// gangPartition is the loss of connections within a gang none of whose tasks ended.
 type gangPartition struct {
 	job      wire.JobID
-	block    topology.Block // the innermost that all its machines are in, once attributed
+	block    topology.Block // the innermost block with all its machines, once attributed
 	machines []wire.MachineID
 	at       time.Time
 }
 
-// ObservePartition records that a gang's task lost its peers, unless the gang was preempted or one of
-// its tasks failed, which then is the cause.
+// ObservePartition records that a gang's task lost its peers, unless the gang was preempted or one of its tasks
+// failed, either of which explains the loss.
 func (t *Tracker) ObservePartition(j *ledger.Job, attempt wire.Attempt, now time.Time) {
 	if t.tree == nil || j.Stop >= attempt || t.failures.Failing(j.ID) {
 		return
@@ -43,8 +43,8 @@
 	t.pendingPartitions = append(t.pendingPartitions, g)
 }
 
-// attributePartitions attributes pending partitions to the innermost block that all machines of the gang
-// are in, once the end of a machine would have shown, and drops those that such an end explains.
+// attributePartitions attributes each pending partition to the innermost block that contains all machines of the gang.
+// It waits until a failed machine would have been noticed, and drops partitions that such a failure explains.
 func (t *Tracker) attributePartitions(now time.Time, all heartbeats) {
 	t.pendingPartitions = slices.DeleteFunc(t.pendingPartitions, func(g gangPartition) bool {
 		if now.Sub(g.at) < 2*t.settings.SilentAfter() {
@@ -58,12 +58,12 @@
 		return true
 	})
 	t.attributedPartitions = slices.DeleteFunc(t.attributedPartitions, func(g gangPartition) bool {
-		return now.Sub(g.at) > shareFor
+		return now.Sub(g.at) > partitionShareDuration
 	})
 }
 
-// commonBlock returns the innermost block that all machines of the gang are in; false if the gang had
-// none, or if one of them has ended or fallen silent since, which explains the partition.
+// commonBlock returns the innermost block that contains all machines of the gang. ok is false if the gang has no
+// machines, or if one of them has ended, is being reclaimed or has fallen silent, which explains the partition.
 func (t *Tracker) commonBlock(g *gangPartition, all heartbeats) (common topology.Block, ok bool) {
 	for i, id := range g.machines {
 		h, known := all[id]
@@ -79,7 +79,7 @@
 	return common, len(g.machines) > 0
 }
 
-// Partitions lists the partitions that were attributed to a block lately, to be shared with peers.
+// Partitions lists the recently attributed partitions, for sharing with peers.
 func (t *Tracker) Partitions(now time.Time) []peer.GangPartition {
 	var out []peer.GangPartition
 	for _, g := range t.attributedPartitions {
@@ -92,7 +92,7 @@
 	return out
 }
 
-// MergePartitions takes over the partitions that a peer shared; asOf is when it was asked.
+// MergePartitions records the partitions that a peer shared. asOf is when the peer was queried.
 func (t *Tracker) MergePartitions(list []peer.GangPartition, asOf time.Time) {
 	if t.tree == nil {
 		return
--- a/internal/scheduler/topologytracker/tracker.go
+++ b/internal/scheduler/topologytracker/tracker.go
@@ -1,10 +1,10 @@
-// Package topologytracker is the part of a controller that locates machines in the declared topology, if
-// operators declared one, and detects blocks of it that failed. Every controller judges by the heartbeats
-// that it and its peers received, so that the next leader has watched all along. Nothing here is a
-// proof of a machine's end: a failed block only keeps new work away.
+// Package topologytracker is the component of a controller that locates machines in the topology that operators
+// declared, if any, and detects its failed blocks. Every controller evaluates the heartbeats that it and its peers
+// received, so that a new leader has the health of the blocks at once. A failed block does not prove that its machines
+// have ended: it only receives no new work.
 //
-// A Tracker has no lock of its own. Its methods are called under the watch cache's lock, but for
-// Reload, Watch, Set and Topology, which take it.
+// A Tracker has no lock of its own. Its methods are called under the watch cache's lock, except for WatchFile, Watch,
+// SetTree and Topology, which take that lock.
 package topologytracker
 
 import (
@@ -26,10 +26,10 @@
 	"maddermill/wire"
 )
 
-// watchInterval is how often blocks are judged.
+// watchInterval is the time between two evaluations of the blocks.
 const watchInterval = time.Second
 
-// Tracker locates machines and keeps what is known of the health of their blocks.
+// Tracker locates machines and tracks the health of their blocks.
 type Tracker struct {
 	settings   *settings.Settings
 	cache      *watchcache.Cache
@@ -38,25 +38,25 @@
 	failures   *crashloop.Tracker
 	stats      *metrics.Set
 	log        *slog.Logger
-	changed    func() // invalidates placements made with the topology as it was
+	onChange   func() // invalidates placements computed with the previous topology or block health
 
 	tree                 *topology.Tree // nil: no topology is declared
 	health               *topology.Health
-	silenceFrom          time.Time       // silence of machines counts from then on
+	silenceCountsFrom    time.Time       // silence of machines before then is not counted
 	pendingPartitions    []gangPartition // not yet attributed
-	attributedPartitions []gangPartition // attributed to a block, shared with peers for shareFor
+	attributedPartitions []gangPartition // attributed to a block, shared with peers for partitionShareDuration
 	unlocatedMachines    int
 }
 
-// New returns a tracker without a topology. changed is called, under the watch cache's lock, whenever
-// blocks become usable or unusable.
+// New returns a tracker without a topology. onChange is called, under the watch cache's lock, whenever blocks become
+// usable or unusable.
 func New(
 	set *settings.Settings,
 	cache *watchcache.Cache,
 	members *membership.Membership,
 	registry *reconcile.Registry,
 	failures *crashloop.Tracker,
-	changed func(),
+	onChange func(),
 	stats *metrics.Set,
 	log *slog.Logger,
 ) *Tracker {
@@ -66,16 +66,16 @@
 		membership: members,
 		registry:   registry,
 		failures:   failures,
-		changed:    changed,
+		onChange:   onChange,
 		stats:      stats,
 		log:        log,
 	}
 }
 
-// Tree is the declared topology; nil: there is none.
+// Tree returns the declared topology, nil if there is none.
 func (t *Tracker) Tree() *topology.Tree { return t.tree }
 
-// CountDown counts the blocks that are avoided.
+// CountDown returns the number of failed blocks.
 func (t *Tracker) CountDown() int {
 	if t.tree == nil {
 		return 0
@@ -83,20 +83,19 @@
 	return len(t.health.DownBlocks())
 }
 
-// CountUnknown counts the machines that the topology does not locate.
+// CountUnknown returns the number of machines that the topology does not locate.
 func (t *Tracker) CountUnknown() int { return t.unlocatedMachines }
 
-// Set puts a declared topology in force. The health of blocks starts anew; silent machines get no
-// work all the same.
+// Set replaces the topology and resets the health of its blocks. Silent machines still get no work in the meantime.
 func (t *Tracker) Set(tree *topology.Tree) {
 	t.cache.Lock()
 	defer t.cache.Unlock()
 	t.tree, t.health = tree, topology.NewHealth(tree, t.settings.SilentAfter())
-	t.silenceFrom, t.pendingPartitions, t.attributedPartitions = time.Now(), nil, nil
-	t.changed()
+	t.silenceCountsFrom, t.pendingPartitions, t.attributedPartitions = time.Now(), nil, nil
+	t.onChange()
 }
 
-// Locate returns the block that a machine is in, and whether the block is up.
+// Locate returns the block of a machine, and whether the block is up.
 func (t *Tracker) Locate(id wire.MachineID, endpoint string, zone wire.Zone) (b topology.Block, up bool) {
 	if t.tree == nil {
 		return 0, true
@@ -105,10 +104,10 @@
 	return b, !t.health.Down(b)
 }
 
-// Reload reads the topology's file again when it changes or again receives, until ctx ends. A file that
-// is invalid or missing leaves the topology that was read last in force.
-func (t *Tracker) Reload(ctx context.Context, path string, again <-chan os.Signal) error {
-	return configfile.Follow(ctx, path, again, func() {
+// Reload reads the topology file whenever it changes or a signal arrives on reload, until ctx ends. If the file is
+// invalid or missing, the last valid topology stays in force.
+func (t *Tracker) Reload(ctx context.Context, path string, reload <-chan os.Signal) error {
+	return configfile.Follow(ctx, path, reload, func() {
 		tree, err := Read(path, t.settings.Cluster.Zones)
 		if err != nil {
 			t.stats.Add("topology_reloads_failed_total", 1)
@@ -121,7 +120,7 @@
 	})
 }
 
-// Watch detects failed blocks every watchInterval, until ctx ends.
+// Watch evaluates the blocks every watchInterval, until ctx ends.
 func (t *Tracker) Watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, watchInterval)
@@ -134,10 +133,10 @@
 	return ctx.Err()
 }
 
-// DetectFailedBlocks judges blocks by the heartbeats of their machines, under the watch cache's lock.
-// Watch does so every watchInterval.
+// DetectFailedBlocks evaluates the blocks by the heartbeats of their machines. The caller holds the watch cache's
+// lock.
 func (t *Tracker) DetectFailedBlocks(now time.Time) {
-	t.silenceFrom = t.membership.SilenceCountsFrom(t.silenceFrom, t.cache.SyncedAt(), now)
+	t.silenceCountsFrom = t.membership.SilenceCountsFrom(t.silenceCountsFrom, t.cache.SyncedAt(), now)
 	all := t.collectHeartbeats(t.cache.Records(), now)
 	t.unlocatedMachines = 0
 	located := make([]topology.MachineHeartbeat, 0, len(all))
@@ -149,31 +148,32 @@
 		located = append(located, topology.MachineHeartbeat{Block: block, At: h.at})
 	}
 	t.attributePartitions(now, all)
-	for _, verdict := range t.health.DetectFailedBlocks(now, t.silenceFrom, located) {
-		t.report(verdict)
-		t.changed()
+	for _, change := range t.health.DetectFailedBlocks(now, t.silenceCountsFrom, located) {
+		t.reportChange(change)
+		t.onChange()
 	}
 }
 
-// report logs and counts a change of a block's health.
-func (t *Tracker) report(v topology.Verdict) {
+// reportChange logs and counts a change of a block's state.
+func (t *Tracker) reportChange(change topology.BlockStateChange) {
 	attributes := []any{
-		"block", t.tree.Path(v.Block), "level", t.tree.Level(v.Block), "machines", v.Machines, "silent", v.Silent,
+		"block", t.tree.Path(change.Block), "level", t.tree.Level(change.Block),
+		"machines", change.Machines, "silent", change.Silent,
 	}
 	switch {
-	case v.Down && v.Gangs > 0:
-		t.log.Warn("block avoided: gangs lose mates there", append(attributes, "gangs", v.Gangs)...)
-	case v.Down:
+	case change.Down && change.Gangs > 0:
+		t.log.Warn("block avoided: gangs lose mates there", append(attributes, "gangs", change.Gangs)...)
+	case change.Down:
 		t.log.Warn("block failed: its machines fell silent together", attributes...)
 	default:
 		t.log.Info("block is used again", attributes...)
 	}
-	if v.Down {
+	if change.Down {
 		t.stats.Add("blocks_failed_total", 1)
 	}
 }
 
-// BlockOf returns the path of the block that a registered worker's machine is in; "" without a topology.
+// BlockOf returns the path of the block of a registered worker's machine; "" without a topology.
 func (t *Tracker) BlockOf(w *reconcile.Worker) string {
 	if t.tree == nil {
 		return ""
@@ -182,8 +182,7 @@
 	return t.tree.Path(b)
 }
 
-// EndpointOf returns the endpoint to share with peers, which they need to locate the machine; "" without
-// a topology.
+// EndpointOf returns the endpoint of a worker, which peers need to locate its machine; "" without a topology.
 func (t *Tracker) EndpointOf(w *reconcile.Worker) string {
 	if t.tree == nil {
 		return ""
@@ -191,7 +190,7 @@
 	return w.Addr
 }
 
-// Read reads and checks a topology's file. Its errors name file, line and reason.
+// Read reads and validates a topology file. Errors name file, line and reason.
 func Read(path string, zones []wire.Zone) (*topology.Tree, error) {
 	return configfile.Read(path, func(b []byte) (*topology.Tree, error) { return topology.Parse(b, zones) })
 }
--- a/internal/scheduler/topologytracker/view.go
+++ b/internal/scheduler/topologytracker/view.go
@@ -12,12 +12,11 @@
 	"maddermill/wire"
 )
 
-// microsPerUnit converts resources, which are counted in millionths, to the protocol's decimals.
+// microsPerUnit converts resources, which are counted in millionths, to the units of the protocol.
 const microsPerUnit = 1e6
 
-// Topology describes the declared topology, its machines and the gangs on them, as this controller
-// knows them; false while no topology is declared or the records are not loaded. snapshot is called under
-// the watch cache's lock.
+// Topology returns the declared topology, its machines and the gangs on them, as this controller knows them; false
+// while no topology is declared or the records are not loaded. snapshot is called under the watch cache's lock.
 func (t *Tracker) Topology(
 	now time.Time,
 	snapshot func(now time.Time) *placement.Snapshot,
@@ -28,33 +27,34 @@
 		return wire.TopologyView{}, false
 	}
 	v := viewBuilder{
-		tree:    t.tree,
-		records: t.cache.Records(),
-		last:    t.collectHeartbeats(t.cache.Records(), now),
-		index:   map[topology.Block]int{},
+		tree:       t.tree,
+		records:    t.cache.Records(),
+		heartbeats: t.collectHeartbeats(t.cache.Records(), now),
+		blockIndex: map[topology.Block]int{},
 	}
 	v.addBlocks(t.health)
-	for _, id := range slices.Sorted(maps.Keys(v.last)) {
+	for _, id := range slices.Sorted(maps.Keys(v.heartbeats)) {
 		v.addMachine(id, snapshot(now).Machine(id))
 	}
 	v.records.EachActive(v.addGang)
-	slices.SortFunc(v.out.Gangs, func(a, b wire.GangView) int { return cmp.Compare(a.Job, b.Job) })
-	return v.out, true
+	slices.SortFunc(v.view.Gangs, func(a, b wire.GangView) int { return cmp.Compare(a.Job, b.Job) })
+	return v.view, true
 }
 
-// viewBuilder collects the description of a topology.
+// viewBuilder builds a wire.TopologyView.
 type viewBuilder struct {
-	tree    *topology.Tree
-	records *ledger.Ledger
-	last    heartbeats
-	index   map[topology.Block]int // of blocks in the description
-	out     wire.TopologyView
+	tree       *topology.Tree
+	records    *ledger.Ledger
+	heartbeats heartbeats
+	blockIndex map[topology.Block]int // indexes of blocks in view.Blocks
+	view       wire.TopologyView
 }
 
+// addBlocks adds all blocks, without counts of machines.
 func (v *viewBuilder) addBlocks(health *topology.Health) {
 	for i, b := range v.tree.Blocks() {
-		v.index[b] = i
-		v.out.Blocks = append(v.out.Blocks, wire.BlockView{
+		v.blockIndex[b] = i
+		v.view.Blocks = append(v.view.Blocks, wire.BlockView{
 			Path:  v.tree.Path(b),
 			Level: v.tree.Level(b),
 			Down:  health.Down(b),
@@ -62,10 +62,10 @@
 	}
 }
 
-// addMachine adds a machine, and counts it in the blocks that it is in. placed is the machine in the
-// scheduler's snapshot; nil: it is not there.
+// addMachine adds a machine and counts it in its block and the ancestors of that. placed is the machine in the
+// scheduler's snapshot, nil if it is missing there.
 func (v *viewBuilder) addMachine(id wire.MachineID, placed *placement.Machine) {
-	block, known := v.tree.Locate(id, v.last[id].endpoint, v.last[id].zone)
+	block, known := v.tree.Locate(id, v.heartbeats[id].endpoint, v.heartbeats[id].zone)
 	m := wire.MachineView{Machine: id}
 	if known {
 		m.Block = v.tree.Path(block)
@@ -83,16 +83,16 @@
 		}
 	}
 	for ; block != 0; block = v.tree.Parent(block) {
-		counts := &v.out.Blocks[v.index[block]]
+		counts := &v.view.Blocks[v.blockIndex[block]]
 		counts.Machines++
 		if len(claims) == 0 {
 			counts.Empty++
 		}
 	}
-	v.out.Machines = append(v.out.Machines, m)
+	v.view.Machines = append(v.view.Machines, m)
 }
 
-// addGang adds a job if it is a gang of several tasks that has claims.
+// addGang adds a job if it is a gang of several tasks that holds claims.
 func (v *viewBuilder) addGang(j *ledger.Job) {
 	if j.Spec.Shape != wire.Gang || j.Spec.Tasks < 2 || j.Claimed == 0 {
 		return
@@ -101,7 +101,7 @@
 	var blocks []topology.Block
 	var counts []int
 	j.Claims(func(claim ledger.Claim) bool {
-		block, _ := v.tree.Locate(claim.Machine, v.last[claim.Machine].endpoint, claim.Zone)
+		block, _ := v.tree.Locate(claim.Machine, v.heartbeats[claim.Machine].endpoint, claim.Zone)
 		blocks, counts = append(blocks, block), append(counts, claim.Count)
 		g.Machines = append(g.Machines, claim.Machine)
 		return true
@@ -111,5 +111,5 @@
 		common = v.tree.Common(common, b)
 	}
 	g.Block, g.Cost = v.tree.Path(common), v.tree.CostOf(blocks, counts).Stated()
-	v.out.Gangs = append(v.out.Gangs, g)
+	v.view.Gangs = append(v.view.Gangs, g)
 }
