--- a/internal/workflow/runner/documents.go
+++ b/internal/workflow/runner/documents.go
@@ -20,22 +20,22 @@
 	"maddermill/wire"
 )
 
-// Bounds of a workflow's documents.
+// Limits of a workflow's documents.
 const (
-	maxPieces        = 26 * 26
-	maxDocumentBytes = 8 << 20 // unpacked
+	maxChunks        = 26 * 26 // ledger.DocumentKey numbers chunks with two letters
+	maxDocumentBytes = 8 << 20 // uncompressed
 	readTimeout      = 5 * time.Second
 )
 
-// writePieces writes documents under their hash, so that writing them twice is idempotent.
-func (r *Runner) writePieces(ctx context.Context, hash string, pieces []string) error {
+// writeChunks writes the chunks of packed documents under their hash, which makes repeated writes idempotent.
+func (r *Runner) writeChunks(ctx context.Context, hash string, chunks []string) error {
 	limits := ledger.Limits{TxnOps: r.settings.StateLimits().TxnOps, TxnBytes: kvstore.TxnBytes}
 	batch := ledger.Batch{Limits: limits, Commit: func(changes []wire.Change) error {
 		_, err := r.keyValues.Commit(ctx, wire.Txn{Then: changes})
 		return err
 	}}
-	for n, p := range pieces {
-		v, err := json.Marshal(p)
+	for n, chunk := range chunks {
+		v, err := json.Marshal(chunk)
 		if err != nil {
 			return err
 		}
@@ -46,62 +46,64 @@
 	return batch.Flush()
 }
 
-// pack compresses documents and returns their hash and pieces that fit the values of the state service.
-func (r *Runner) pack(docs *workflow.Documents) (hash string, pieces []string, err error) {
-	b, err := json.Marshal(docs)
+// pack compresses documents and returns the hash of the result and its base64 chunks, each of which fits in
+// one value of the state service.
+func (r *Runner) pack(docs *workflow.Documents) (hash string, chunks []string, err error) {
+	encoded, err := json.Marshal(docs)
 	if err != nil {
 		return "", nil, err
 	}
 	var packed bytes.Buffer
-	z := gzip.NewWriter(&packed)
-	if _, err := z.Write(b); err != nil {
+	compressor := gzip.NewWriter(&packed)
+	if _, err := compressor.Write(encoded); err != nil {
 		return "", nil, err
 	}
-	if err := z.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return "", nil, err
 	}
 	sum := sha256.Sum256(packed.Bytes())
-	size := (r.settings.StateLimits().ValueBytes - 64) / 4 * 3
-	for part := range slices.Chunk(packed.Bytes(), size) {
-		pieces = append(pieces, base64.StdEncoding.EncodeToString(part))
+	// Base64 encodes 3 bytes as 4. The 64 bytes are headroom for the JSON string.
+	chunkBytes := (r.settings.StateLimits().ValueBytes - 64) / 4 * 3
+	for chunk := range slices.Chunk(packed.Bytes(), chunkBytes) {
+		chunks = append(chunks, base64.StdEncoding.EncodeToString(chunk))
 	}
-	if len(pieces) > maxPieces {
+	if len(chunks) > maxChunks {
 		return "", nil, fmt.Errorf("%w: its documents are too large", server.ErrUnschedulable)
 	}
-	return hex.EncodeToString(sum[:]), pieces, nil
+	return hex.EncodeToString(sum[:]), chunks, nil
 }
 
-// documents reads a workflow's documents from their pieces and checks them against their hash.
+// documents reads a workflow's documents from their chunks and verifies their hash.
 func (r *Runner) documents(ctx context.Context, w *ledger.Workflow) (*workflow.Documents, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var packed []byte
 	for n := range w.Pieces {
-		it, err := r.keyValues.Get(ctx, ledger.DocumentKey(w.Hash, n))
+		item, err := r.keyValues.Get(ctx, ledger.DocumentKey(w.Hash, n))
 		if err != nil {
 			return nil, err
 		}
 		var text string
-		if err := json.Unmarshal(it.Value, &text); err != nil {
+		if err := json.Unmarshal(item.Value, &text); err != nil {
 			return nil, err
 		}
-		part, err := base64.StdEncoding.DecodeString(text)
+		chunk, err := base64.StdEncoding.DecodeString(text)
 		if err != nil {
 			return nil, err
 		}
-		packed = append(packed, part...)
+		packed = append(packed, chunk...)
 	}
 	if sum := sha256.Sum256(packed); hex.EncodeToString(sum[:]) != w.Hash {
-		return nil, fmt.Errorf("documents of %s are not what their hash says", w.ID)
+		return nil, fmt.Errorf("documents of workflow %s do not match their hash", w.ID)
 	}
-	z, err := gzip.NewReader(bytes.NewReader(packed))
+	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
 	}
-	b, err := io.ReadAll(io.LimitReader(z, maxDocumentBytes))
+	encoded, err := io.ReadAll(io.LimitReader(decompressor, maxDocumentBytes))
 	if err != nil {
 		return nil, err
 	}
 	docs := new(workflow.Documents)
-	return docs, json.Unmarshal(b, docs)
+	return docs, json.Unmarshal(encoded, docs)
 }
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -1,10 +1,9 @@
 // Package runner is the part of a controller that drives workflows: it accepts them, submits the jobs of
 // their steps as they become ready, and reports their status (docs/cwl.md).
 //
-// Which controller drives a workflow follows from the workflow's name and the controllers that are reachable.
-// Two that drive one for a while do no harm, as each step's job has an id of its own; a workflow that
-// nobody drives is taken up within driveInterval. The fields driven and inspected of a Runner are guarded by
-// the watch cache's lock.
+// Each controller derives which workflows it drives from their ids and the controllers that are reachable, by
+// rendezvous hashing. Two controllers that drive the same workflow for a while do no harm, because the ids of
+// the steps' jobs are deterministic. A workflow without a driver gets one within driveInterval.
 package runner
 
 import (
@@ -35,7 +34,7 @@
 	"maddermill/wire"
 )
 
-// Parts are the parts of the controller that a Runner uses.
+// Parts holds the components of the controller that a Runner uses.
 type Parts struct {
 	Cache      *watchcache.Cache
 	Committer  *committer.Committer
@@ -47,7 +46,7 @@
 	Deadlines  *deadlinetracker.Tracker
 }
 
-// Runner drives workflows. It is off until Set.
+// Runner drives workflows. It is disabled until Enable is called.
 type Runner struct {
 	settings  *settings.Settings
 	keyValues kvstore.Store
@@ -55,71 +54,71 @@
 	stats *metrics.Set
 	log   *slog.Logger
 
-	store stepdata.Store // nil: workflows are off
+	store stepdata.Store // nil: workflows are disabled
 	// Guarded by the watch cache's lock:
 	driven    map[wire.WorkflowID]*drivenRun
-	inspected map[wire.WorkflowID]*inspection // driven elsewhere, whose status was requested here
+	inspected map[wire.WorkflowID]*inspection // driven by other controllers, with their status requested here
 }
 
-// New returns a Runner with workflows off.
-func New(set *settings.Settings, records kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
-	return &Runner{settings: set, keyValues: records, Parts: p, stats: stats, log: log}
+// New returns a Runner with workflows disabled.
+func New(cfg *settings.Settings, keyValues kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
+	return &Runner{settings: cfg, keyValues: keyValues, Parts: p, stats: stats, log: log}
 }
 
-// records returns the records, for whoever holds the watch cache's lock.
+// records returns the ledger. The caller holds the watch cache's lock.
 func (r *Runner) records() *ledger.Ledger { return r.Cache.Records() }
 
-// inspection is a workflow that another controller drives, replayed here for its status.
+// inspection is a read-only replay of a workflow that another controller drives, to report its status.
 type inspection struct {
-	// turn has a place for the one request that uses run and revision. The others wait for theirs only as
-	// long as their own time lasts, which they could not with a mutex.
-	turn        chan struct{}
+	// sem is a semaphore of size one that guards run and revision. Unlike with a mutex, a request can stop
+	// waiting for it when its context ends.
+	sem         chan struct{}
 	run         *workflow.Run
 	revision    wire.Revision
 	requestedAt time.Time // when its status was last requested
 
-	archiveMissed atomic.Bool // the last pass could not read some of what is archived
+	archiveReadFailed atomic.Bool // the last pass failed to read some archived job
 }
 
-// newInspection returns the inspection of a workflow that nobody has replayed yet.
-func newInspection() *inspection { return &inspection{turn: make(chan struct{}, 1)} }
+// newInspection returns an inspection that has not replayed its workflow yet.
+func newInspection() *inspection { return &inspection{sem: make(chan struct{}, 1)} }
 
 // drivenRun is a workflow that this controller drives.
 type drivenRun struct {
 	run      *workflow.Run
-	revision wire.Revision     // of the record that it was made from
-	retryAt  time.Time         // no step before, after an error
-	steps    []wire.StepStatus // all of them, as of the last whole pass; nil before the first
+	revision wire.Revision     // of the record that run was created from
+	retryAt  time.Time         // no pass before this time, after an error
+	steps    []wire.StepStatus // all steps, as of the last complete pass; nil before the first
 
-	archiveMissed atomic.Bool // the last pass could not read some of what is archived
+	archiveReadFailed atomic.Bool // the last pass failed to read some archived job
 }
 
-// Bounds of driving workflows.
+// Parameters of driving workflows.
 const (
 	driveInterval   = time.Second
 	driveRetryAfter = 5 * time.Second // after an error
-	// abandonAfterRounds is after how many rounds of failures on several machines a step's job is
-	// cancelled. A user's own job is not: its user may know better.
+	// abandonAfterRounds is the number of rounds of failures on several machines after which a step's job is
+	// cancelled. Jobs that users submit themselves are not cancelled: their users may know how to proceed.
 	abandonAfterRounds = 3
-	// stepShare is the share of a controller's changes that submitting steps may take, so that a wide
-	// workflow leaves capacity for users and starts.
-	stepShare = 0.25
+	// stepWriteShare is the share of a controller's write rate that submitting steps may use, so that a wide
+	// workflow leaves capacity for users' requests and task starts.
+	stepWriteShare = 0.25
 )
 
-// Errors of users' requests.
+// Errors returned to users.
 var (
-	// ErrNoWorkflows means that the service runs without workflows.
-	ErrNoWorkflows = errors.New("workflows are not switched on")
-	// ErrNotFailed means that a workflow can't be resumed.
+	// ErrNoWorkflows means that workflows are disabled in this service.
+	ErrNoWorkflows = errors.New("workflows are disabled")
+	// ErrNotFailed means that a workflow can't be resumed because it has not failed.
 	ErrNotFailed = errors.New("only a workflow that failed can be resumed")
 )
 
-// Set switches workflows on, before Run. What steps pass to each other is kept in store.
+// Set enables workflows, with the store of their steps' data. It is called before Run.
 func (r *Runner) Set(store stepdata.Store) {
 	r.store, r.driven, r.inspected = store, map[wire.WorkflowID]*drivenRun{}, map[wire.WorkflowID]*inspection{}
 }
 
-// Run drives this controller's part of the workflows, until ctx ends.
+// Run drives the workflows that this controller owns until ctx ends.
 func (r *Runner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, driveInterval)
@@ -129,9 +128,9 @@
 			own = r.ownWorkflows(time.Now())
 		}
 		r.Cache.Unlock()
-		budget := max(1, int(r.settings.StateLimits().WriteRPS/float64(r.settings.Cluster.Count)*stepShare))
+		budget := max(1, int(r.settings.StateLimits().WriteRPS/float64(r.settings.Cluster.Count)*stepWriteShare))
 		for i, w := range own {
-			// What is left of the budget is shared among those that are left.
+			// The remaining budget is divided evenly among the remaining workflows.
 			share := max(1, budget/(len(own)-i))
 			if budget <= 0 {
 				share = 0
@@ -146,11 +145,13 @@
 	return ctx.Err()
 }
 
-// ownWorkflows lists the workflows that have not ended and that this controller drives, by weights that each
-// controller has for each workflow, so that few change owners when a controller leaves.
+// ownWorkflows lists the workflows for this controller to drive, by priority and time of acceptance: those that
+// are active or whose cancelled steps remain to be swept. Rendezvous hashing assigns each workflow to a
+// reachable controller, so that few workflows change owners when a controller leaves. Runs of other workflows
+// are dropped.
 func (r *Runner) ownWorkflows(now time.Time) []*ledger.Workflow {
 	members := append(r.Membership.ReachablePeers(now), r.settings.Member)
-	var out []*ledger.Workflow
+	var owned []*ledger.Workflow
 	for id := range r.driven {
 		if r.records().Workflow(id) == nil {
 			delete(r.driven, id) // archived
@@ -161,46 +162,48 @@
 			delete(r.driven, w.ID)
 			return
 		}
-		best := slices.MaxFunc(members, func(a, b wire.MemberID) int {
+		owner := slices.MaxFunc(members, func(a, b wire.MemberID) int {
 			return cmp.Or(cmp.Compare(weight(a, w.ID), weight(b, w.ID)), cmp.Compare(a, b))
 		})
-		if best == r.settings.Member {
-			out = append(out, w)
+		if owner == r.settings.Member {
+			owned = append(owned, w)
 		} else {
 			delete(r.driven, w.ID)
 		}
 	})
-	slices.SortFunc(out, func(a, b *ledger.Workflow) int {
+	slices.SortFunc(owned, func(a, b *ledger.Workflow) int {
 		return cmp.Or(
 			cmp.Compare(a.Spec.Priority.Rank(), b.Spec.Priority.Rank()),
 			cmp.Compare(a.Accepted, b.Accepted),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	return out
+	return owned
 }
 
-// goldenRatio64 spreads the hashes of names that end alike.
+// goldenRatio64 is 2^64 divided by the golden ratio, for Fibonacci hashing: it spreads the hashes of names with
+// the same ending.
 const goldenRatio64 = 0x9e3779b97f4a7c15
 
-// weight is the weight of a controller for a workflow; the greatest drives it (rendezvous hashing).
-func weight(m wire.MemberID, w wire.WorkflowID) uint64 {
+// weight is the rendezvous hash of a controller and a workflow. The controller with the greatest weight drives
+// the workflow.
+func weight(member wire.MemberID, id wire.WorkflowID) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(string(m) + "\x00" + string(w))) // a hash takes any write
+	_, _ = h.Write([]byte(string(member) + "\x00" + string(id))) // a hash never returns an error
 	return h.Sum64() * goldenRatio64
 }
 
-// drive moves one workflow on and submits at most maxSubmitted of its steps.
+// drive makes one pass over a workflow and submits at most maxSubmitted of its steps.
 func (r *Runner) drive(ctx context.Context, w *ledger.Workflow, maxSubmitted int) (submitted int, err error) {
 	now := time.Now()
-	d, err := r.takeUp(ctx, w)
+	d, err := r.acquireRun(ctx, w)
 	if d == nil || now.Before(d.retryAt) {
 		return 0, err
 	}
 	if w.State == ledger.WorkflowCancelled {
 		maxSubmitted = 0
 	}
-	d.archiveMissed.Store(false)
+	d.archiveReadFailed.Store(false)
 	submitted, ended, err := d.run.Step(ctx, now, maxSubmitted)
 	if w.State == ledger.WorkflowCancelled && ctx.Err() == nil {
 		err = cmp.Or(r.cancelSteps(ctx, w, d), err)
@@ -209,7 +212,7 @@
 		d.retryAt = now.Add(driveRetryAfter)
 	}
 	var steps []wire.StepStatus
-	if !d.run.Cut() && !d.archiveMissed.Load() {
+	if !d.run.Interrupted() && !d.archiveReadFailed.Load() {
 		steps = d.run.Steps(r.waitReason)
 	}
 	r.Cache.Lock()
@@ -224,55 +227,56 @@
 	return submitted, err
 }
 
-// takeUp returns the run of a workflow, resumed if it is not driven yet; nil if it can't be resumed now, or
-// never: then the workflow has failed.
-func (r *Runner) takeUp(ctx context.Context, w *ledger.Workflow) (*drivenRun, error) {
+// acquireRun returns the run of a workflow, resuming it if this controller does not drive the current revision
+// yet. It returns nil if the workflow can't be resumed. If its documents can be read but are not valid, it
+// records the workflow as failed.
+func (r *Runner) acquireRun(ctx context.Context, w *ledger.Workflow) (*drivenRun, error) {
 	r.Cache.Lock()
 	d := r.driven[w.ID]
 	r.Cache.Unlock()
-	if d != nil && d.revision == w.Version { // else it was resumed or cancelled since
+	if d != nil && d.revision == w.Version { // otherwise it was resumed or cancelled since
 		return d, nil
 	}
 	d = &drivenRun{revision: w.Version}
-	run, err := r.resume(ctx, w, &d.archiveMissed)
+	run, err := r.resume(ctx, w, &d.archiveReadFailed)
 	if errors.Is(err, errNoDocuments) {
 		return nil, err
 	}
 	if err != nil {
-		// The documents were checked when the workflow was accepted, perhaps by another version.
+		// The documents were validated when the workflow was accepted, perhaps by another version.
 		return nil, stepJobs{runner: r}.EndWorkflow(ctx, w.ID, ledger.WorkflowFailed, err.Error())
 	}
 	d.run = run
 	return d, nil
 }
 
-// cancelSteps cancels the steps' jobs of a cancelled workflow, and deletes its record once none is left. A
-// pass that could not read all of the archive may have missed some.
+// cancelSteps cancels the steps' jobs of a cancelled workflow, and records it as swept once none is active. After
+// a pass that failed to read from the archive it does not, since jobs may have been missed.
 func (r *Runner) cancelSteps(ctx context.Context, w *ledger.Workflow, d *drivenRun) error {
-	allGone, err := d.run.Cancel(ctx)
-	if !allGone || d.archiveMissed.Load() || err != nil {
+	allEnded, err := d.run.Cancel(ctx)
+	if !allEnded || d.archiveReadFailed.Load() || err != nil {
 		return err
 	}
-	err = r.Committer.CommitNow(ctx, func(transaction *ledger.Transaction) error {
-		if now := r.records().Workflow(w.ID); now != nil {
-			return transaction.FinishCancelledWorkflow(now)
+	err = r.Committer.CommitNow(ctx, func(txn *ledger.Transaction) error {
+		if current := r.records().Workflow(w.ID); current != nil {
+			return txn.FinishCancelledWorkflow(current)
 		}
 		return ledger.ErrPreconditionFailed
 	})
 	if errors.Is(err, ledger.ErrPreconditionFailed) {
-		return nil // another controller did
+		return nil // another controller has swept it
 	}
 	return err
 }
 
-// errNoDocuments means that a workflow's documents can't be read now.
+// errNoDocuments means that a workflow's documents can't be read at present.
 var errNoDocuments = errors.New("documents can't be read")
 
-// resume takes a workflow up from its documents and its steps' jobs.
-func (r *Runner) resume(ctx context.Context, w *ledger.Workflow, archiveMissed *atomic.Bool) (*workflow.Run, error) {
+// resume recreates the run of a workflow from its documents. Passes then replay its steps' jobs.
+func (r *Runner) resume(ctx context.Context, w *ledger.Workflow, readFailed *atomic.Bool) (*workflow.Run, error) {
 	docs, err := r.documents(ctx, w)
 	if err != nil {
 		return nil, errors.Join(errNoDocuments, err)
 	}
-	return workflow.Resume(ctx, w, docs, stepJobs{r, w.Ended(), archiveMissed}, r.store)
+	return workflow.Resume(ctx, w, docs, stepJobs{r, w.Ended(), readFailed}, r.store)
 }
--- a/internal/workflow/runner/status.go
+++ b/internal/workflow/runner/status.go
@@ -16,9 +16,9 @@
 	"maddermill/wire"
 )
 
-// Status returns a workflow's state, at least as new as the call. The controller that drives it reports
-// its steps from the run, others replay them. Steps and outputs are whole or left out: what can't be told
-// within the time of ctx is left out, and the status says why (docs/cwl.md, "Status").
+// Status returns a workflow's state, at least as recent as the call. The controller that drives it reports its
+// steps from the run; other controllers replay them. Steps and outputs are either complete or left out: if they
+// can't be determined before ctx ends, the status says why they are missing (docs/cwl.md, "Status").
 func (r *Runner) Status(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	if r.store == nil {
 		return wire.WorkflowStatus{}, ErrNoWorkflows
@@ -41,7 +41,7 @@
 		var err error
 		if steps, err = r.inspect(ctx, w); err != nil {
 			r.stats.Add("workflow_steps_unknown_total", 1)
-			r.log.Info("workflow's steps can't be told", "workflow", id, "err", err)
+			r.log.Info("workflow status without steps", "workflow", id, "err", err)
 			st.StepsUnknown = err.Error()
 		}
 	}
@@ -52,28 +52,28 @@
 	return st, nil
 }
 
-// addOutputs adds the outputs of a workflow that has ended to its status, or why they are left out.
+// addOutputs adds the outputs of a workflow that has ended to its status, or the reason for leaving them out.
 func (r *Runner) addOutputs(ctx context.Context, st *wire.WorkflowStatus) {
 	outputs, _, err := r.store.Get(ctx, workflow.OutputsName(st.ID))
 	switch {
 	case err != nil:
 		st.OutputsUnknown = fmt.Errorf("outputs can't be read: %w", err).Error()
 	case len(outputs) >= maxOutputBytes:
-		st.OutputsUnknown = fmt.Sprintf("outputs have %d bytes, more than a status takes", len(outputs))
+		st.OutputsUnknown = fmt.Sprintf("outputs of %d bytes exceed the size limit of a status", len(outputs))
 	default:
 		st.Outputs = outputs
 	}
 }
 
-// knownSteps returns a workflow's record, nil if it is not among the records, and its steps if this
-// controller drives it and knows them all: it may have taken the workflow up only in part. A run of an
-// earlier revision knows nothing of the end that another controller recorded.
+// knownSteps returns a workflow's record, nil if the ledger has none, and its steps if this controller drives
+// the workflow and has completed a pass over it. A run of an earlier revision does not count: it lacks the end
+// that another controller may have recorded.
 func (r *Runner) knownSteps(id wire.WorkflowID) (w *ledger.Workflow, steps []wire.StepStatus, driven bool) {
 	r.Cache.Lock()
 	defer r.Cache.Unlock()
 	w = r.records().Workflow(id)
-	if d := r.driven[id]; d != nil && w != nil && d.revision == w.Version && d.steps != nil {
-		return w, d.steps, true
+	if run := r.driven[id]; run != nil && w != nil && run.revision == w.Version && run.steps != nil {
+		return w, run.steps, true
 	}
 	return w, nil, false
 }
@@ -93,23 +93,23 @@
 	return ""
 }
 
-// Bounds of reporting on workflows.
+// Limits of reporting on workflows.
 const (
-	maxInspected    = 64               // workflows that other controllers drive
-	inspectFor      = 30 * time.Second // after the last request
+	maxInspections  = 64               // of workflows that other controllers drive
+	inspectionTTL   = 30 * time.Second // an inspection is dropped this long after its last request
 	inspectInterval = 50 * time.Millisecond
 	maxOutputBytes  = 48 << 10 // larger outputs are left out of the status
 )
 
-// Why a workflow's steps are left out of its status.
+// Reasons for leaving a workflow's steps out of its status.
 var (
-	errTooManyInspections = errors.New("too many workflows are asked about here, ask again later")
-	errInspectionTime     = errors.New("steps could not be read in the request's time, ask again later")
+	errTooManyInspections = errors.New("too many workflows are being inspected on this controller, try again later")
+	errInspectionTimeout  = errors.New("steps could not be read before the request timed out, try again later")
 )
 
-// inspect replays the steps of a workflow that another controller drives, from its documents and jobs as
-// any driver would. It returns all steps, or an error that says why they can't be told. A replay that is cut
-// short by the end of one request is gone on with by the next.
+// inspect replays the steps of a workflow that another controller drives, from its documents and jobs as a
+// driver does. It returns all steps, or an error that says why they can't be determined. The next request
+// continues a replay that the end of a request interrupted.
 func (r *Runner) inspect(ctx context.Context, record *ledger.Workflow) ([]wire.StepStatus, error) {
 	now := time.Now()
 	inspected := r.inspectionOf(record.ID, now)
@@ -117,46 +117,46 @@
 		return nil, errTooManyInspections
 	}
 	select {
-	case inspected.turn <- struct{}{}:
+	case inspected.sem <- struct{}{}:
 	case <-ctx.Done():
-		return nil, errInspectionTime
+		return nil, errInspectionTimeout
 	}
-	defer func() { <-inspected.turn }()
+	defer func() { <-inspected.sem }()
 	if inspected.run == nil || inspected.revision != record.Version {
-		run, err := r.resume(context.WithoutCancel(ctx), record, &inspected.archiveMissed)
+		run, err := r.resume(context.WithoutCancel(ctx), record, &inspected.archiveReadFailed)
 		if err != nil {
 			return nil, err
 		}
-		run.Look()
+		run.SetReadOnly()
 		inspected.run, inspected.revision = run, record.Version
 	}
 	for {
-		inspected.archiveMissed.Store(false)
+		inspected.archiveReadFailed.Store(false)
 		_, _, err := inspected.run.Step(ctx, now, 0)
 		switch {
 		case ctx.Err() != nil:
-			return nil, errInspectionTime
+			return nil, errInspectionTimeout
 		case err != nil:
 			return nil, fmt.Errorf("steps can't be read: %w", err)
-		case inspected.run.Whole(record.State) && !inspected.archiveMissed.Load():
+		case inspected.run.Complete(record.State) && !inspected.archiveReadFailed.Load():
 			return inspected.run.Steps(r.waitReason), nil
 		}
 		wait.For(ctx, inspectInterval)
 	}
 }
 
-// inspectionOf returns the inspection of a workflow, begun if there is none; nil if there are too many.
-// It forgets those that were not requested for inspectFor.
+// inspectionOf returns the inspection of a workflow, creating it if needed; nil if there are too many. It drops
+// those without a request for inspectionTTL.
 func (r *Runner) inspectionOf(id wire.WorkflowID, now time.Time) *inspection {
 	r.Cache.Lock()
 	defer r.Cache.Unlock()
-	for other, i := range r.inspected {
-		if now.Sub(i.requestedAt) > inspectFor {
-			delete(r.inspected, other)
+	for otherID, other := range r.inspected {
+		if now.Sub(other.requestedAt) > inspectionTTL {
+			delete(r.inspected, otherID)
 		}
 	}
 	inspected := r.inspected[id]
-	if inspected == nil && len(r.inspected) < maxInspected {
+	if inspected == nil && len(r.inspected) < maxInspections {
 		inspected = newInspection()
 		r.inspected[id] = inspected
 	}
@@ -166,7 +166,7 @@
 	return inspected
 }
 
-// waitReason says in a few words what a step's job waits for; "" if it runs.
+// waitReason returns a short description of what a step's job waits for; "" if it is not waiting.
 func (r *Runner) waitReason(id wire.JobID) string {
 	r.Cache.Lock()
 	defer r.Cache.Unlock()
@@ -196,33 +196,39 @@
 	return fmt.Sprintf("waits for a machine, as number %d in the order", position+1)
 }
 
-// Cancel cancels a workflow and returns its final state. Its steps' jobs are cancelled by the controller that
-// drives it; none is submitted any more.
+// Cancel cancels a workflow and returns its final state. No further step is submitted. The controller that drives
+// the workflow cancels its steps' jobs.
 func (r *Runner) Cancel(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
-	return r.move(ctx, id, ledger.WorkflowCancelled)
+	return r.transition(ctx, id, ledger.WorkflowCancelled)
 }
 
-// Resume lets a workflow that failed go on from the failure.
+// Resume makes a failed workflow active again: its failed steps are retried.
 func (r *Runner) Resume(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
-	return r.move(ctx, id, ledger.WorkflowActive)
+	return r.transition(ctx, id, ledger.WorkflowActive)
 }
 
-func (r *Runner) move(ctx context.Context, id wire.WorkflowID, to ledger.WorkflowState) (wire.WorkflowStatus, error) {
+// transition moves a workflow to a state if it may, and returns its status. One that is done or already cancelled
+// stays as it is; resuming one that has not failed returns ErrNotFailed.
+func (r *Runner) transition(
+	ctx context.Context,
+	id wire.WorkflowID,
+	target ledger.WorkflowState,
+) (wire.WorkflowStatus, error) {
 	st, err := r.Status(ctx, id)
 	if err != nil {
 		return st, err
 	}
 	if st.Status == wire.Done || st.Status == wire.Cancelled { // and perhaps archived
-		if to == ledger.WorkflowActive {
+		if target == ledger.WorkflowActive {
 			err = ErrNotFailed
 		}
 		return st, err
 	}
-	got, err := r.endWorkflow(ctx, id, to, "")
+	state, err := r.endWorkflow(ctx, id, target, "")
 	if err != nil {
 		return wire.WorkflowStatus{}, err
 	}
-	if to == ledger.WorkflowActive && got != to {
+	if target == ledger.WorkflowActive && state != target {
 		return wire.WorkflowStatus{}, ErrNotFailed
 	}
 	return r.Status(ctx, id)
--- a/internal/workflow/runner/steps.go
+++ b/internal/workflow/runner/steps.go
@@ -19,23 +19,23 @@
 	archiveTimeout = time.Second
 )
 
-// stepJobs implements workflow.Jobs: the jobs of steps.
+// stepJobs implements workflow.Jobs on the controller's jobs.
 type stepJobs struct {
-	runner        *Runner
-	ended         bool         // the workflow is, so its steps' jobs may be archived
-	archiveMissed *atomic.Bool // set when the archive could not be read
+	runner            *Runner
+	ended             bool         // the workflow has ended, so its steps' jobs may be archived
+	archiveReadFailed *atomic.Bool // set when reading from the archive fails
 }
 
 // StepState returns the state of a step's job.
 func (s stepJobs) StepState(id wire.JobID) workflow.JobState {
 	s.runner.Cache.Lock()
-	j := s.runner.records().Job(id)
-	if j == nil {
+	job := s.runner.records().Job(id)
+	if job == nil {
 		s.runner.Cache.Unlock()
 		if !s.ended {
 			return workflow.Unknown
 		}
-		// Only the steps of a workflow that is over are archived.
+		// Only steps of workflows that have ended are archived.
 		ctx, cancel := context.WithTimeout(context.Background(), archiveTimeout)
 		defer cancel()
 		switch st, err := s.runner.Jobs.ArchivedStatus(ctx, id); {
@@ -44,58 +44,57 @@
 		case st.Status == wire.Cancelled:
 			return workflow.Cancelled
 		case !errors.Is(err, server.ErrNoSuchJob):
-			s.archiveMissed.Store(true)
+			s.archiveReadFailed.Store(true)
 		}
 		return workflow.Unknown
 	}
 	defer s.runner.Cache.Unlock()
-	switch j.State {
+	switch job.State {
 	case ledger.Done:
 		return workflow.Done
 	case ledger.Cancelled:
 		return workflow.Cancelled
 	}
-	if rounds, suspect := s.runner.Failures.CrashLooping(id); suspect && rounds >= abandonAfterRounds {
-		return workflow.Doubtful
+	if rounds, crashLooping := s.runner.Failures.CrashLooping(id); crashLooping && rounds >= abandonAfterRounds {
+		return workflow.CrashLooping
 	}
 	return workflow.Active
 }
 
-// SubmitStep accepts a step's job as Submit does a user's, on the condition that the
-// workflow is active.
-func (s stepJobs) SubmitStep(ctx context.Context, of wire.WorkflowID, spec *wire.JobSpec) error {
-	c := s.runner
-	c.Cache.Lock()
-	verdict := c.Jobs.Admit(spec, time.Now()) //nolint:contextcheck // a module that decides has a time limit of its own
-	c.Cache.Unlock()
-	if errors.Is(verdict, server.ErrUnschedulable) {
-		return errors.Join(workflow.ErrNever, verdict)
+// SubmitStep accepts a step's job as if a user submitted it, on the condition that the workflow is active.
+func (s stepJobs) SubmitStep(ctx context.Context, workflowID wire.WorkflowID, spec *wire.JobSpec) error {
+	r := s.runner
+	r.Cache.Lock()
+	admitErr := r.Jobs.Admit(spec, time.Now()) //nolint:contextcheck // policy modules have their own time limit
+	r.Cache.Unlock()
+	if errors.Is(admitErr, server.ErrUnschedulable) {
+		return errors.Join(workflow.ErrUnschedulable, admitErr)
 	}
-	if verdict != nil {
-		return errors.Join(workflow.ErrNotNow, verdict)
+	if admitErr != nil {
+		return errors.Join(workflow.ErrRetryLater, admitErr)
 	}
-	at := wire.UnixMillis(time.Now().UnixMilli())
+	acceptedAt := wire.UnixMillis(time.Now().UnixMilli())
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err := c.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
-		w := c.records().Workflow(of)
+	err := r.Committer.CommitNow(ctx, func(txn *ledger.Transaction) error {
+		w := r.records().Workflow(workflowID)
 		if w == nil {
 			return ledger.ErrPreconditionFailed
 		}
-		return d.SubmitStep(w, spec, at, c.Deadlines.GalleryOf(spec, of))
+		return txn.SubmitStep(w, spec, acceptedAt, r.Deadlines.GalleryOf(spec, workflowID))
 	})
 	switch {
 	case err == nil:
-		c.log.Info("job accepted",
-			"job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "workflow", of)
-		c.stats.Add("jobs_accepted_total", 1)
+		r.log.Info("job accepted",
+			"job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "workflow", workflowID)
+		r.stats.Add("jobs_accepted_total", 1)
 		return nil
 	case errors.Is(err, ledger.ErrPreconditionFailed):
-		return nil // it is known, or the workflow is over: the next look tells
+		return nil // the job exists or the workflow has ended: the next pass sees which
 	case errors.Is(err, ledger.ErrTooLarge):
-		return errors.Join(workflow.ErrNever, err)
+		return errors.Join(workflow.ErrUnschedulable, err)
 	}
-	return errors.Join(workflow.ErrNotNow, err)
+	return errors.Join(workflow.ErrRetryLater, err)
 }
 
 // CancelStep cancels a step's job.
@@ -118,20 +117,20 @@
 	id wire.WorkflowID,
 	state ledger.WorkflowState,
 	why string,
-) (got ledger.WorkflowState, err error) {
+) (recorded ledger.WorkflowState, err error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err = r.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
+	err = r.Committer.CommitNow(ctx, func(txn *ledger.Transaction) error {
 		w := r.records().Workflow(id)
 		if w == nil {
 			return ledger.ErrPreconditionFailed
 		}
 		var err error
-		got, err = d.SetWorkflowState(w, state, why)
+		recorded, err = txn.SetWorkflowState(w, state, why)
 		return err
 	})
-	if err == nil && got == state {
-		r.log.Info("workflow", "workflow", id, "state", cmp.Or(string(state), "active"), "why", why)
+	if err == nil && recorded == state {
+		r.log.Info("workflow state changed", "workflow", id, "state", cmp.Or(string(state), "active"), "why", why)
 	}
-	return got, err
+	return recorded, err
 }
--- a/internal/workflow/runner/submit.go
+++ b/internal/workflow/runner/submit.go
@@ -12,8 +12,8 @@
 	"maddermill/wire"
 )
 
-// Submit accepts a valid workflow, or returns the status of one that is known: repeated submissions are
-// idempotent. Its documents are written first, under their hash, and only then the record.
+// Submit accepts a valid workflow, or returns the status of a known one: submissions are idempotent. The
+// documents are written under their hash before the record that refers to them.
 func (r *Runner) Submit(
 	ctx context.Context,
 	spec *wire.WorkflowSpec,
@@ -46,32 +46,33 @@
 	return st, false, err
 }
 
-// create writes a workflow's documents and its record. ErrPreconditionFailed: it is known by now.
+// create writes a workflow's documents and its record. It returns ledger.ErrPreconditionFailed if the workflow
+// is known by now.
 func (r *Runner) create(ctx context.Context, spec *wire.WorkflowSpec) error {
-	hash, pieces, err := r.pack(&workflow.Documents{Bundle: spec.Bundle, Inputs: spec.Inputs})
+	hash, chunks, err := r.pack(&workflow.Documents{Bundle: spec.Bundle, Inputs: spec.Inputs})
 	if err != nil {
 		return err
 	}
-	if err := r.writePieces(ctx, hash, pieces); err != nil {
+	if err := r.writeChunks(ctx, hash, chunks); err != nil {
 		return errors.Join(kvstore.ErrUnreachable, err)
 	}
-	short := *spec
-	short.Bundle, short.Inputs = nil, nil
+	stripped := *spec
+	stripped.Bundle, stripped.Inputs = nil, nil
 	record := ledger.WorkflowRecord{
-		Spec:     &short,
+		Spec:     &stripped,
 		Hash:     hash,
-		Pieces:   len(pieces),
+		Pieces:   len(chunks),
 		Accepted: wire.UnixMillis(time.Now().UnixMilli()),
 	}
-	err = r.Committer.CommitNow(ctx, func(d *ledger.Transaction) error {
-		return d.SubmitWorkflow(spec.ID, record)
+	err = r.Committer.CommitNow(ctx, func(txn *ledger.Transaction) error {
+		return txn.SubmitWorkflow(spec.ID, record)
 	})
 	if errors.Is(err, ledger.ErrTooLarge) {
 		return errors.Join(server.ErrUnschedulable, err)
 	}
 	if err == nil {
 		r.log.Info("workflow accepted",
-			"workflow", spec.ID, "class", spec.Class, "team", spec.Team, "pieces", len(pieces))
+			"workflow", spec.ID, "class", spec.Class, "team", spec.Team, "pieces", len(chunks))
 		r.stats.Add("workflows_accepted_total", 1)
 	}
 	return err
--- a/internal/workflow/stepdata/data.go
+++ b/internal/workflow/stepdata/data.go
@@ -1,5 +1,5 @@
-// Package stepdata keeps what steps of workflows pass to each other, by name: in files, not in
-// the state service. Each carries a checksum, which whoever reads it checks.
+// Package stepdata stores the data that workflow steps pass to each other, by name. It is kept in files instead
+// of the state service. Each file carries a checksum that readers verify.
 package stepdata
 
 import (
@@ -16,29 +16,29 @@
 	"sync"
 )
 
-// Errors of stores.
+// Errors returned by stores.
 var (
-	ErrNotFound = errors.New("data: there is none of that name")
-	ErrDamaged  = errors.New("data: damaged: its checksum does not fit")
-	ErrName     = errors.New("data: not a name: expected a relative path that stays where it is")
+	ErrNotFound    = errors.New("step data: not found")
+	ErrCorrupt     = errors.New("step data: corrupt: checksum mismatch")
+	ErrInvalidName = errors.New("step data: invalid name: expected a relative path inside the store")
 )
 
-// Info tells of what is kept under a name.
+// Info describes a stored object.
 type Info struct {
 	Name string
 	Size int64  // bytes
 	Sum  string // SHA-256, in hex
 }
 
-// Store keeps contents by name. A name is a slash-separated relative path. Put replaces
-// the whole at once: readers see the old contents or the new.
+// Store stores objects by name, a slash-separated relative path. Put replaces an object atomically: readers see
+// either the old contents or the new.
 type Store interface {
 	Put(ctx context.Context, name string, r io.Reader) (Info, error)
 	Get(ctx context.Context, name string) ([]byte, Info, error)
 	Stat(ctx context.Context, name string) (Info, error)
 }
 
-// Mem is a Store in memory, for tests and for trying things out.
+// Mem is an in-memory Store for tests and experiments.
 type Mem struct {
 	mu    sync.Mutex
 	files map[string][]byte
@@ -82,12 +82,12 @@
 	return m.info(name), nil
 }
 
-// Dir is a Store in a directory. A file is its contents and then their SHA-256.
+// Dir is a Store in a directory. Each file holds an object's contents followed by their SHA-256.
 type Dir struct{ Root string }
 
 func (d Dir) path(name string) (string, error) {
 	if !filepath.IsLocal(filepath.FromSlash(name)) || name == "." {
-		return "", fmt.Errorf("%w: %q", ErrName, name)
+		return "", fmt.Errorf("%w: %q", ErrInvalidName, name)
 	}
 	return filepath.Join(d.Root, filepath.FromSlash(name)), nil
 }
@@ -105,8 +105,8 @@
 	if err != nil {
 		return Info{}, err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // there is none once it is renamed
-	if err := f.Chmod(0o644); err != nil {     // machines that run steps read it, too
+	defer func() { _ = os.Remove(f.Name()) }() // fails harmlessly once the file is renamed
+	if err := f.Chmod(0o644); err != nil {     // worker machines read it, too
 		return Info{}, errors.Join(err, f.Close())
 	}
 	sum := sha256.New()
@@ -136,15 +136,15 @@
 	if err != nil {
 		return nil, Info{}, err
 	}
-	at := len(b) - sha256.Size
-	if at < 0 {
-		return nil, Info{}, fmt.Errorf("%w: %s", ErrDamaged, name)
+	size := len(b) - sha256.Size
+	if size < 0 {
+		return nil, Info{}, fmt.Errorf("%w: %s", ErrCorrupt, name)
 	}
-	sum := sha256.Sum256(b[:at])
-	if !bytes.Equal(sum[:], b[at:]) {
-		return nil, Info{}, fmt.Errorf("%w: %s", ErrDamaged, name)
+	sum := sha256.Sum256(b[:size])
+	if !bytes.Equal(sum[:], b[size:]) {
+		return nil, Info{}, fmt.Errorf("%w: %s", ErrCorrupt, name)
 	}
-	return b[:at], Info{name, int64(at), hex.EncodeToString(sum[:])}, nil
+	return b[:size], Info{name, int64(size), hex.EncodeToString(sum[:])}, nil
 }
 
 // Stat implements Store. It does not read the contents.
@@ -160,17 +160,17 @@
 	if err != nil {
 		return Info{}, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
-	st, err := f.Stat()
+	defer func() { _ = f.Close() }() // an error of closing a file that was only read is harmless
+	stat, err := f.Stat()
 	if err != nil {
 		return Info{}, err
 	}
 	sum := make([]byte, sha256.Size)
-	if st.Size() < sha256.Size {
-		return Info{}, fmt.Errorf("%w: %s", ErrDamaged, name)
+	if stat.Size() < sha256.Size {
+		return Info{}, fmt.Errorf("%w: %s", ErrCorrupt, name)
 	}
-	if _, err := f.ReadAt(sum, st.Size()-sha256.Size); err != nil {
+	if _, err := f.ReadAt(sum, stat.Size()-sha256.Size); err != nil {
 		return Info{}, err
 	}
-	return Info{name, st.Size() - sha256.Size, hex.EncodeToString(sum)}, nil
+	return Info{name, stat.Size() - sha256.Size, hex.EncodeToString(sum)}, nil
 }
--- a/internal/workflow/stepdata/data_test.go
+++ b/internal/workflow/stepdata/data_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestDir: what is put is got, whole or with an error: a byte changed, an end cut off, a
-// name that leads out.
+// TestDir checks that an object is read back as it was stored, and that a changed byte, a truncated file, a missing
+// object, and a name that leaves the directory each return their error.
 func TestDir(t *testing.T) {
 	d := Dir{t.TempDir()}
 	info, err := d.Put(t.Context(), "a/b.json", strings.NewReader("hello"))
@@ -22,21 +22,21 @@
 		t.Errorf("%q, %+v, %+v, %v, %v", b, got, st, err, e)
 	}
 	path := filepath.Join(d.Root, "a", "b.json")
-	whole, _ := os.ReadFile(path)
-	for name, damaged := range map[string][]byte{
-		"changed":      append([]byte("j"), whole[1:]...),
-		"cut off":      whole[:len(whole)-1],
-		"nearly empty": whole[:3],
+	intact, _ := os.ReadFile(path)
+	for name, corrupt := range map[string][]byte{
+		"changed":      append([]byte("j"), intact[1:]...),
+		"truncated":    intact[:len(intact)-1],
+		"nearly empty": intact[:3],
 	} {
-		if err := os.WriteFile(path, damaged, 0o644); err != nil {
+		if err := os.WriteFile(path, corrupt, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := d.Get(t.Context(), "a/b.json"); !errors.Is(err, ErrDamaged) {
+		if _, _, err := d.Get(t.Context(), "a/b.json"); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for _, name := range []string{"../x", "/x", "", "a/../../x", "."} {
-		if _, err := d.Put(t.Context(), name, strings.NewReader("")); !errors.Is(err, ErrName) {
+		if _, err := d.Put(t.Context(), name, strings.NewReader("")); !errors.Is(err, ErrInvalidName) {
 			t.Errorf("%q: %v", name, err)
 		}
 	}
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -1,8 +1,8 @@
-// Package workflow runs CWL workflows on the jobs of the same service: each step is an
-// ordinary job, accepted by the same call as a user's. What has come of a workflow follows
-// from its documents and the states and results of its steps' jobs alone, whose ids follow
-// from the workflow and the step. So any controller can take a workflow over at any time,
-// two that drive it at once do the same, and no step is noted anywhere but as its job.
+// Package workflow runs CWL workflows as jobs of the same service: each step is an ordinary job, accepted by the
+// same call as a user's. The progress of a workflow is derived only from its documents and from the states and
+// results of its steps' jobs, whose ids are derived from the workflow and the step. So any controller can take
+// over a workflow at any time, two controllers that drive it at once do the same, and a step has no record other
+// than its job.
 package workflow
 
 import (
@@ -24,41 +24,41 @@
 	"maddermill/wire"
 )
 
-// JobState is what a driver needs to know of a step's job.
+// JobState is the state of a step's job as far as driving a workflow needs it.
 type JobState int
 
 // The states of a step's job.
 const (
-	Unknown   JobState = iota // never submitted, as far as this controller knows
-	Active                    // waits or runs
-	Doubtful                  // fails wherever it runs
-	Done                      // its result is written
-	Cancelled                 // by its user, or because it was doubtful
+	Unknown      JobState = iota // never submitted, as far as this controller knows
+	Active                       // waiting or running
+	CrashLooping                 // keeps failing on several machines
+	Done                         // its result is stored
+	Cancelled                    // by its user, or because it was crash-looping
 )
 
-// Jobs is the service that steps are submitted to.
+// Jobs submits, cancels and observes the jobs of steps, and records the ends of workflows.
 type Jobs interface {
 	// SubmitStep accepts a step's job, on the condition that its workflow is active.
-	SubmitStep(ctx context.Context, of wire.WorkflowID, spec *wire.JobSpec) error
+	SubmitStep(ctx context.Context, workflowID wire.WorkflowID, spec *wire.JobSpec) error
 	CancelStep(ctx context.Context, id wire.JobID) error
 	StepState(id wire.JobID) JobState
-	// EndWorkflow makes a workflow's end durable.
+	// EndWorkflow records the end of a workflow durably.
 	EndWorkflow(ctx context.Context, id wire.WorkflowID, state ledger.WorkflowState, why string) error
 }
 
-// Errors of submissions.
+// Errors of submitting a step's job: the step fails, or the submission is retried later.
 var (
-	ErrNever  = errors.New("workflow: the step's job can never run")
-	ErrNotNow = errors.New("workflow: not accepted now")
+	ErrUnschedulable = errors.New("workflow: the step's job can never run")
+	ErrRetryLater    = errors.New("workflow: the step's job can't be accepted at present")
 )
 
-// Documents are a workflow's documents and inputs, as they are kept.
+// Documents holds a workflow's documents and inputs, as they are stored.
 type Documents struct {
 	Bundle map[string]string `json:"bundle"`
 	Inputs json.RawMessage   `json:"inputs"`
 }
 
-// Order is what a machine that runs a step is told, under OrderName.
+// Order describes a step to the machine that runs it. It is stored under StepSpecName.
 type Order struct {
 	Workflow wire.WorkflowID `json:"workflow"`
 	Step     string          `json:"step"` // the id of cwl.Task
@@ -67,16 +67,16 @@
 	Inputs   map[string]any  `json:"inputs"`
 }
 
-// Result is what a machine leaves of a step, under ResultName, before it reports the task
-// as done.
+// Result is the result of a step. The machine that ran it stores it under ResultName before it reports the task as
+// done.
 type Result struct {
 	Code    int            `json:"code"` // the tool's exit code
 	Error   string         `json:"error,omitempty"`
-	Retry   bool           `json:"retry,omitempty"` // another try may help
+	Retry   bool           `json:"retry,omitempty"` // another attempt may succeed
 	Outputs map[string]any `json:"outputs,omitempty"`
 }
 
-// OrderName is the name under which the order of a step's job is stored.
+// OrderName is the name under which the specification of a step's job is stored.
 func OrderName(id wire.JobID) string { return "orders/" + string(id) + ".json" }
 
 // ResultName is the name under which the result of a step's job is stored.
@@ -85,172 +85,174 @@
 // OutputsName is the name under which the outputs of a workflow are stored.
 func OutputsName(id wire.WorkflowID) string { return "outputs/" + string(id) + ".json" }
 
-func put(ctx context.Context, store stepdata.Store, name string, v any) error {
-	b, err := json.Marshal(v)
+// putJSON stores a value as JSON.
+func putJSON(ctx context.Context, store stepdata.Store, name string, value any) error {
+	encoded, err := json.Marshal(value)
 	if err == nil {
-		_, err = store.Put(ctx, name, bytes.NewReader(b))
+		_, err = store.Put(ctx, name, bytes.NewReader(encoded))
 	}
 	return err
 }
 
-// JobOf is the id of a step's job at an attempt. It is the same at every controller and
-// after every restart; 17 digits of a hash keep steps of all workflows apart, and the digit
-// before them keeps them from the ids that users count up.
-func JobOf(w wire.WorkflowID, step string, attempt int) wire.JobID {
-	h := sha256.Sum256(fmt.Appendf(nil, "%s\x00%s\x00%d", w, step, attempt))
-	return wire.JobID(fmt.Sprintf("wk-9%017d", binary.BigEndian.Uint64(h[:8])%1e17))
+// JobOf is the id of the job for an attempt of a step. It is the same on every controller and after every restart.
+// 17 digits of a hash make it unique among the steps of all workflows. The leading 9 avoids collisions with the ids
+// that users assign by counting up.
+func JobOf(id wire.WorkflowID, step string, attempt int) wire.JobID {
+	hash := sha256.Sum256(fmt.Appendf(nil, "%s\x00%s\x00%d", id, step, attempt))
+	return wire.JobID(fmt.Sprintf("wk-9%017d", binary.BigEndian.Uint64(hash[:8])%1e17))
 }
 
-// Bounds of a workflow.
+// Parameters of driving a workflow.
 const (
-	defaultWindow = 32
-	mostRetries   = 3 // of a step that says that another try may help
-	firstRetry    = 2 * time.Second
-	mostLook      = 300 * time.Millisecond // of a pass; a large workflow is taken over in several
-	missingResult = 30 * time.Second       // after its job is done, until a step has failed for want of a result
+	defaultWindow        = 32 // steps in flight at once
+	maxRetries           = 3  // of a step whose result says that another attempt may succeed
+	initialRetryDelay    = 2 * time.Second
+	maxPassTime          = 300 * time.Millisecond // taking over a large workflow needs several passes
+	missingResultTimeout = 30 * time.Second       // a step fails if its job is done and its result still missing
 )
 
-// Run is one workflow, driven by this controller.
+// Run is a workflow that this controller drives or, if read-only, inspects.
 type Run struct {
 	ID   wire.WorkflowID
 	Spec *wire.WorkflowSpec
 
-	jobs    Jobs
-	store   stepdata.Store
-	docs    *Documents
-	run     *cwl.Run
-	out     map[string]*step
-	order   []string // of out
-	cut     bool     // the last pass ended early or failed: more may be under way than order tells
-	passive bool     // only looked at here: nothing is submitted, cancelled or ended
-	// resumed is how often the workflow was resumed: so many failures of a step are gone over.
-	resumed int
+	jobs        Jobs
+	store       stepdata.Store
+	docs        *Documents
+	run         *cwl.Run
+	inFlight    map[string]*step
+	inFlightIDs []string // the keys of inFlight, in the order in which they became ready
+	interrupted bool     // the last pass ended early or failed: steps may be missing from inFlight
+	readOnly    bool     // another controller drives it: nothing is submitted, cancelled or ended here
+	// resumes is how often the workflow was resumed. That many permanent failures of a step are retried.
+	resumes int
 }
 
-// step is a task that is under way.
+// step is a task that is in flight: ready and without a final result.
 type step struct {
-	task    cwl.Task
-	attempt int
-	retries int
-	failed  int // for good, gone over since the workflow was resumed
-	job     wire.JobID
-	ordered bool // its order is written
-	doneAt  time.Time
-	next    time.Time // no submission before
+	task       cwl.Task
+	attempt    int
+	retries    int
+	failures   int // permanent failures of earlier attempts, superseded by resuming the workflow
+	jobID      wire.JobID
+	specStored bool // its StepSpec is stored
+	doneAt     time.Time
+	notBefore  time.Time // earliest time of the next submission
 }
 
-// Check reads a submission's documents and inputs. Problems are all told at once.
-func Check(ctx context.Context, s *wire.WorkflowSpec) (cwl.Problems, error) {
-	p, warnings, err := load(s.Entry, s.Bundle)
+// Check validates a submission's documents and inputs. It reports all problems at once.
+func Check(ctx context.Context, spec *wire.WorkflowSpec) (cwl.Problems, error) {
+	process, warnings, err := loadProcess(spec.Entry, spec.Bundle)
 	if err != nil {
 		return warnings, err
 	}
-	in, err := p.ReadInputs("inputs", s.Inputs)
+	inputs, err := process.ReadInputs("inputs", spec.Inputs)
 	if err != nil {
 		return warnings, err
 	}
-	_, err = cwl.Start(ctx, p, in)
+	_, err = cwl.Start(ctx, process, inputs)
 	return warnings, err
 }
 
-func load(entry string, files map[string]string) (*cwl.Process, cwl.Problems, error) {
-	b := cwl.Bundle{}
+// loadProcess loads the entry process of a bundle of documents.
+func loadProcess(entry string, files map[string]string) (*cwl.Process, cwl.Problems, error) {
+	bundle := cwl.Bundle{}
 	for name, text := range files {
-		b[name] = []byte(text)
+		bundle[name] = []byte(text)
 	}
-	return cwl.Load(b, entry)
+	return cwl.Load(bundle, entry)
 }
 
-// Resume is the progress of a workflow from its record and its documents. The first steps
-// tell how far it has come.
+// Resume recreates the run of a workflow from its record and documents. The first passes of Advance replay its
+// progress.
 func Resume(ctx context.Context, w *ledger.Workflow, docs *Documents, jobs Jobs, store stepdata.Store) (*Run, error) {
-	p, _, err := load(w.Spec.Entry, docs.Bundle)
+	process, _, err := loadProcess(w.Spec.Entry, docs.Bundle)
 	if err != nil {
-		return nil, fmt.Errorf("workflow: its documents: %w", err)
+		return nil, fmt.Errorf("workflow documents: %w", err)
 	}
-	in, err := p.ReadInputs("inputs", docs.Inputs)
+	inputs, err := process.ReadInputs("inputs", docs.Inputs)
 	if err != nil {
-		return nil, fmt.Errorf("workflow: its documents: %w", err)
+		return nil, fmt.Errorf("workflow documents: %w", err)
 	}
-	run, err := cwl.Start(ctx, p, in)
+	run, err := cwl.Start(ctx, process, inputs)
 	if err != nil {
-		return nil, fmt.Errorf("workflow: its documents: %w", err)
+		return nil, fmt.Errorf("workflow documents: %w", err)
 	}
 	r := &Run{
-		ID:      w.ID,
-		Spec:    w.Spec,
-		jobs:    jobs,
-		store:   store,
-		docs:    docs,
-		run:     run,
-		out:     map[string]*step{},
-		resumed: w.Resumed,
+		ID:       w.ID,
+		Spec:     w.Spec,
+		jobs:     jobs,
+		store:    store,
+		docs:     docs,
+		run:      run,
+		inFlight: map[string]*step{},
+		resumes:  w.Resumed,
 	}
 	run.Contents = func(file map[string]any) (string, error) {
 		name, _ := file["location"].(string)
 		b, _, err := store.Get(ctx, cmp.Or(name, fmt.Sprint(file["path"])))
 		if len(b) > 64<<10 {
-			return "", errors.New("more than loadContents reads")
+			return "", errors.New("the file exceeds the 64 KiB limit of loadContents")
 		}
 		return string(b), err
 	}
 	return r, nil
 }
 
-// Step looks at the jobs of the steps under way, submits up to most of those that are
-// ready, and ends the workflow when nothing is left. It returns how many it submitted, and
-// whether the workflow is over. An error is of this pass only: the next goes on.
-func (r *Run) Step(ctx context.Context, now time.Time, most int) (submitted int, over bool, err error) {
-	began := time.Now()
-	r.run.Enough = func() bool { return ctx.Err() != nil || time.Since(began) > mostLook }
-	err = r.observe(ctx, now)
-	r.cut = r.run.Enough() || err != nil
-	if r.passive {
-		_, _, over = r.run.Over()
-		return 0, over, err
+// Step makes one pass: it polls the jobs of the steps in flight, submits up to limit ready steps, and ends the
+// workflow when no step is left. It returns how many steps it submitted and whether the workflow has ended. After
+// an error, the next pass continues.
+func (r *Run) Step(ctx context.Context, now time.Time, limit int) (submitted int, ended bool, err error) {
+	start := time.Now()
+	r.run.Enough = func() bool { return ctx.Err() != nil || time.Since(start) > maxPassTime }
+	err = r.pollSteps(ctx, now)
+	r.interrupted = r.run.Enough() || err != nil
+	if r.readOnly {
+		_, _, ended = r.run.Over()
+		return 0, ended, err
 	}
-	submitted, e := r.submitReady(ctx, now, most)
-	err = cmp.Or(err, e)
-	outputs, failure, over := r.run.Over()
-	if !over {
+	submitted, submitErr := r.submitReady(ctx, now, limit)
+	err = cmp.Or(err, submitErr)
+	outputs, failure, ended := r.run.Over()
+	if !ended {
 		return submitted, false, err
 	}
 	return submitted, true, r.end(ctx, outputs, failure)
 }
 
-// observe takes in what became of the steps under way and makes further ones ready, until nothing moves. It
-// returns the first error.
-func (r *Run) observe(ctx context.Context, now time.Time) (err error) {
-	for again := true; again && !r.run.Enough(); {
-		again = false
-		for _, id := range slices.Clone(r.order) {
-			moved, e := r.look(ctx, r.out[id], now)
-			err = cmp.Or(err, e)
-			again = again || moved
+// pollSteps polls the jobs of the steps in flight and adds further steps that become ready, until there is no more
+// progress. It returns the first error.
+func (r *Run) pollSteps(ctx context.Context, now time.Time) (err error) {
+	for progress := true; progress && !r.run.Enough(); {
+		progress = false
+		for _, id := range slices.Clone(r.inFlightIDs) {
+			progressed, stepErr := r.pollStep(ctx, r.inFlight[id], now)
+			err = cmp.Or(err, stepErr)
+			progress = progress || progressed
 		}
-		r.order = slices.DeleteFunc(r.order, func(id string) bool { return r.out[id] == nil })
-		for _, t := range r.run.Ready(r.window() - len(r.order)) {
-			r.out[t.ID] = &step{task: t, job: JobOf(r.ID, t.ID, 0)}
-			r.order = append(r.order, t.ID)
-			again = true
+		r.inFlightIDs = slices.DeleteFunc(r.inFlightIDs, func(id string) bool { return r.inFlight[id] == nil })
+		for _, t := range r.run.Ready(r.window() - len(r.inFlightIDs)) {
+			r.inFlight[t.ID] = &step{task: t, jobID: JobOf(r.ID, t.ID, 0)}
+			r.inFlightIDs = append(r.inFlightIDs, t.ID)
+			progress = true
 		}
 	}
 	return err
 }
 
-// submitReady submits up to most steps that are ready. It returns the first error.
-func (r *Run) submitReady(ctx context.Context, now time.Time, most int) (submitted int, err error) {
-	for _, id := range r.order {
-		s := r.out[id]
-		if submitted >= most || ctx.Err() != nil {
+// submitReady submits up to limit steps that are ready. It returns the first error.
+func (r *Run) submitReady(ctx context.Context, now time.Time, limit int) (submitted int, err error) {
+	for _, id := range r.inFlightIDs {
+		s := r.inFlight[id]
+		if submitted >= limit || ctx.Err() != nil {
 			break
 		}
-		if r.jobs.StepState(s.job) != Unknown || now.Before(s.next) {
+		if r.jobs.StepState(s.jobID) != Unknown || now.Before(s.notBefore) {
 			continue
 		}
-		if e := r.submit(ctx, s); e != nil {
-			err = cmp.Or(err, e)
-			if errors.Is(e, ErrNotNow) {
+		if stepErr := r.submitStep(ctx, s); stepErr != nil {
+			err = cmp.Or(err, stepErr)
+			if errors.Is(stepErr, ErrRetryLater) {
 				break
 			}
 			continue
@@ -260,127 +262,128 @@
 	return submitted, err
 }
 
-// Cut reports whether the last pass ended early or failed: there may be more than it told.
-func (r *Run) Cut() bool { return r.cut }
+// Interrupted reports whether the last pass ended early or failed, so that Steps may not be up to date.
+func (r *Run) Interrupted() bool { return r.interrupted }
 
-// Whole reports whether the last pass told all that there is to tell of a workflow in a state. One that is
-// done has nothing left to run: a pass that finds something missed a job or a result.
-func (r *Run) Whole(state ledger.WorkflowState) bool {
-	if r.cut {
+// Complete reports whether the last pass saw the full progress of a workflow in the given state. A workflow that is
+// done has no step left to run: a pass that finds one missed a job or a result.
+func (r *Run) Complete(state ledger.WorkflowState) bool {
+	if r.interrupted {
 		return false
 	}
-	_, failure, over := r.run.Over()
-	return state != ledger.WorkflowDone || over && failure == nil
+	_, failure, ended := r.run.Over()
+	return state != ledger.WorkflowDone || ended && failure == nil
 }
 
-// window returns how many steps may be under way at once.
+// window returns how many steps may be in flight at once.
 func (r *Run) window() int { return cmp.Or(r.Spec.Window, defaultWindow) }
 
-// look finds out what has come of a step's job, and reports whether the step moved on.
-func (r *Run) look(ctx context.Context, s *step, now time.Time) (moved bool, err error) {
-	switch r.jobs.StepState(s.job) {
-	case Doubtful:
-		// The job fails wherever it runs. To cancel it is what makes that durable.
-		if r.passive {
+// pollStep processes the state and result of a step's job, and reports whether the step progressed.
+func (r *Run) pollStep(ctx context.Context, s *step, now time.Time) (progressed bool, err error) {
+	switch r.jobs.StepState(s.jobID) {
+	case CrashLooping:
+		// Cancelling the job is what records its failure durably.
+		if r.readOnly {
 			return false, nil
 		}
-		return false, r.jobs.CancelStep(ctx, s.job)
+		return false, r.jobs.CancelStep(ctx, s.jobID)
 	case Cancelled:
-		r.fail(s, fmt.Errorf("its job %s was cancelled", s.job))
+		r.failStep(s, fmt.Errorf("its job %s was cancelled", s.jobID))
 		return true, nil
 	case Done:
 	default:
 		return false, nil
 	}
-	b, _, err := r.store.Get(ctx, ResultName(s.job))
+	encoded, _, err := r.store.Get(ctx, ResultName(s.jobID))
 	var res Result
 	if err == nil {
-		err = decode(b, &res)
+		err = decodeResult(encoded, &res)
 	}
 	switch {
 	case errors.Is(err, stepdata.ErrNotFound):
 		if s.doneAt.IsZero() {
 			s.doneAt = now
 		}
-		if now.Sub(s.doneAt) < missingResult {
+		if now.Sub(s.doneAt) < missingResultTimeout {
 			return false, nil
 		}
-		r.fail(s, fmt.Errorf("its job %s is done and left no result", s.job))
+		r.failStep(s, fmt.Errorf("its job %s is done and left no result", s.jobID))
 		return true, nil
-	case errors.Is(err, stepdata.ErrDamaged):
-		r.fail(s, err)
+	case errors.Is(err, stepdata.ErrCorrupt):
+		r.failStep(s, err)
 		return true, nil
 	case err != nil:
 		return false, err
 	case res.Error == "" && res.Code == 0:
-		delete(r.out, s.task.ID)
+		delete(r.inFlight, s.task.ID)
 		r.run.Finish(s.task.ID, res.Outputs, nil)
 		return true, nil
-	case res.Retry && s.retries < mostRetries:
-		s.next = now.Add(firstRetry << s.retries)
+	case res.Retry && s.retries < maxRetries:
+		s.notBefore = now.Add(initialRetryDelay << s.retries)
 		s.retries++
-		s.again(r.ID)
+		s.nextAttempt(r.ID)
 		return true, nil
 	}
-	r.fail(s, errors.New(cmp.Or(res.Error, fmt.Sprintf("the tool ended with code %d", res.Code))))
+	r.failStep(s, errors.New(cmp.Or(res.Error, fmt.Sprintf("the tool ended with code %d", res.Code))))
 	return true, nil
 }
 
-// again moves a step on to its next attempt.
-func (s *step) again(w wire.WorkflowID) {
+// nextAttempt prepares a step's next attempt, which is a job of its own.
+func (s *step) nextAttempt(id wire.WorkflowID) {
 	s.attempt++
-	s.job, s.ordered, s.doneAt = JobOf(w, s.task.ID, s.attempt), false, time.Time{}
+	s.jobID, s.specStored, s.doneAt = JobOf(id, s.task.ID, s.attempt), false, time.Time{}
 }
 
-// fail ends a step for good, unless the workflow was resumed since.
-func (r *Run) fail(s *step, why error) {
-	if s.failed < r.resumed {
-		s.failed++
-		s.retries, s.next = 0, time.Time{}
-		s.again(r.ID)
+// failStep fails a step for good, or starts its next attempt if the workflow was resumed after this failure.
+func (r *Run) failStep(s *step, err error) {
+	if s.failures < r.resumes {
+		s.failures++
+		s.retries, s.notBefore = 0, time.Time{}
+		s.nextAttempt(r.ID)
 		return
 	}
-	delete(r.out, s.task.ID)
-	r.run.Finish(s.task.ID, nil, why)
+	delete(r.inFlight, s.task.ID)
+	r.run.Finish(s.task.ID, nil, err)
 }
 
-// submit writes a step's order and then submits its job.
-func (r *Run) submit(ctx context.Context, s *step) error {
-	if !s.ordered {
+// submitStep stores a step's StepSpec and then submits its job.
+func (r *Run) submitStep(ctx context.Context, s *step) error {
+	if !s.specStored {
 		bundle := cwl.Bundle{}
 		for name, text := range r.docs.Bundle {
 			bundle[name] = []byte(text)
 		}
-		if err := put(
+		if err := putJSON(
 			ctx,
 			r.store,
-			OrderName(s.job),
+			OrderName(s.jobID),
 			Order{r.ID, s.task.ID, r.Spec.Entry, bundle, s.task.Inputs},
 		); err != nil {
 			return err
 		}
-		s.ordered = true
+		s.specStored = true
 	}
-	spec, err := r.job(ctx, s)
+	spec, err := r.jobSpec(ctx, s)
 	if err == nil {
 		err = r.jobs.SubmitStep(ctx, r.ID, spec)
 	}
-	if errors.Is(err, ErrNever) {
-		r.fail(s, err)
-		r.order = slices.DeleteFunc(slices.Clone(r.order), func(id string) bool { return r.out[id] == nil })
+	if errors.Is(err, ErrUnschedulable) {
+		r.failStep(s, err)
+		r.inFlightIDs = slices.DeleteFunc(slices.Clone(r.inFlightIDs), func(id string) bool { return r.inFlight[id] == nil })
 		return nil
 	}
 	return err
 }
 
-// job is a step's job: the workflow's class, team and urgency, and what the tool needs.
-func (r *Run) job(ctx context.Context, s *step) (*wire.JobSpec, error) {
+// jobSpec returns the specification of a step's job: the workflow's class, team and priority, and the resources that
+// the tool needs.
+func (r *Run) jobSpec(ctx context.Context, s *step) (*wire.JobSpec, error) {
 	cores, ram, accelerators, err := s.task.Tool.Resources(ctx, s.task.Inputs)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNever, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnschedulable, err)
 	}
 	spec := &wire.JobSpec{
-		ID:       s.job,
+		ID:       s.jobID,
 		Class:    r.Spec.Class,
 		Team:     r.Spec.Team,
 		Priority: r.Spec.Priority,
@@ -397,83 +400,84 @@
 	return spec, nil
 }
 
-// end writes the outputs and makes the end durable.
+// end stores the outputs and records the end of the workflow durably.
 func (r *Run) end(ctx context.Context, outputs map[string]any, failure error) error {
-	if err := put(ctx, r.store, OutputsName(r.ID), outputs); err != nil {
+	if err := putJSON(ctx, r.store, OutputsName(r.ID), outputs); err != nil {
 		return err
 	}
-	state, why := ledger.WorkflowDone, ""
+	state, reason := ledger.WorkflowDone, ""
 	if failure != nil {
-		state, why = ledger.WorkflowFailed, r.why(failure)
+		state, reason = ledger.WorkflowFailed, r.failureReason(failure)
 	}
-	return r.jobs.EndWorkflow(ctx, r.ID, state, why)
+	return r.jobs.EndWorkflow(ctx, r.ID, state, reason)
 }
 
-// mostWhy bounds what is kept of why a workflow failed.
-const mostWhy = 400
+// maxReasonBytes limits the recorded reason of a workflow's failure.
+const maxReasonBytes = 400
 
-func (r *Run) why(failure error) string {
+// failureReason returns the reason to record for a failed workflow: the errors of its failed steps.
+func (r *Run) failureReason(failure error) string {
 	var parts []string
 	for _, f := range r.run.Failures() {
 		parts = append(parts, f.ID+": "+f.Err.Error())
 	}
-	why := strings.Join(parts, "; ")
-	if why == "" {
-		why = failure.Error()
+	reason := strings.Join(parts, "; ")
+	if reason == "" {
+		reason = failure.Error()
 	}
-	if len(why) > mostWhy {
-		why = strings.ToValidUTF8(why[:mostWhy], "") + "…"
+	if len(reason) > maxReasonBytes {
+		reason = strings.ToValidUTF8(reason[:maxReasonBytes], "") + "…"
 	}
-	return why
+	return reason
 }
 
-// Cancel cancels the jobs of the steps under way, and reports whether none is left. Steps
-// that another controller submitted before it knew are found as they become known here; after a
-// pass that was cut short there may be more.
-func (r *Run) Cancel(ctx context.Context) (gone bool, err error) {
-	gone = !r.cut
-	for _, id := range r.order {
-		switch s := r.out[id]; r.jobs.StepState(s.job) {
-		case Active, Doubtful:
-			gone = false
-			err = cmp.Or(err, r.jobs.CancelStep(ctx, s.job))
+// Cancel cancels the jobs of the steps in flight, and reports whether none is active any more. Steps that another
+// controller submitted before it learned of the cancellation are found once their jobs are known here. After an
+// interrupted pass there may be more steps, so it reports false.
+func (r *Run) Cancel(ctx context.Context) (allEnded bool, err error) {
+	allEnded = !r.interrupted
+	for _, id := range r.inFlightIDs {
+		switch s := r.inFlight[id]; r.jobs.StepState(s.jobID) {
+		case Active, CrashLooping:
+			allEnded = false
+			err = cmp.Or(err, r.jobs.CancelStep(ctx, s.jobID))
 		}
 	}
-	return gone, err
+	return allEnded, err
 }
 
-// Look makes the run one that is only looked at: another controller drives it.
-func (r *Run) Look() { r.passive = true }
+// SetReadOnly makes the run read-only, for inspecting a workflow that another controller drives.
+func (r *Run) SetReadOnly() { r.readOnly = true }
 
-// Steps tells how far each step has come, and what it waits for: another step, or what why
-// says of the job of its next run.
-func (r *Run) Steps(why func(wire.JobID) string) []wire.StepStatus {
-	next := map[string]wire.JobID{} // by step
-	for _, id := range r.order {
+// Steps returns the progress of each step and what it waits for: another step, or what waitReason returns for the
+// job of its next run.
+func (r *Run) Steps(waitReason func(wire.JobID) string) []wire.StepStatus {
+	nextJobs := map[string]wire.JobID{} // by step
+	for _, id := range r.inFlightIDs {
 		step, _, _ := strings.Cut(id, "/")
 		step, _, _ = strings.Cut(step, "[")
-		if _, known := next[step]; !known && r.jobs.StepState(r.out[id].job) != Done {
-			next[step] = r.out[id].job
+		if _, known := nextJobs[step]; !known && r.jobs.StepState(r.inFlight[id].jobID) != Done {
+			nextJobs[step] = r.inFlight[id].jobID
 		}
 	}
-	var out []wire.StepStatus
-	r.run.Steps(func(id string, state cwl.StepState, over, total int, behind string) {
-		s := wire.StepStatus{Step: id, State: string(state), Finished: over, Total: total}
-		if job, ok := next[id]; ok {
-			s.Reason = why(job)
-		} else if behind != "" {
-			s.Reason = "waits for step " + behind
+	var statuses []wire.StepStatus
+	r.run.Steps(func(id string, state cwl.StepState, finished, total int, waitsFor string) {
+		s := wire.StepStatus{Step: id, State: string(state), Finished: finished, Total: total}
+		if job, ok := nextJobs[id]; ok {
+			s.Reason = waitReason(job)
+		} else if waitsFor != "" {
+			s.Reason = "waits for step " + waitsFor
 		}
-		out = append(out, s)
+		statuses = append(statuses, s)
 	})
-	return out
+	return statuses
 }
 
-// decode reads JSON with whole numbers as such.
-func decode(b []byte, res *Result) error {
-	if err := json.Unmarshal(b, res); err != nil {
-		return fmt.Errorf("%w: %w", stepdata.ErrDamaged, err)
+// decodeResult decodes a result, with whole numbers in its outputs as integers.
+func decodeResult(encoded []byte, result *Result) error {
+	if err := json.Unmarshal(encoded, result); err != nil {
+		return fmt.Errorf("%w: %w", stepdata.ErrCorrupt, err)
 	}
-	res.Outputs, _ = cwl.Whole(res.Outputs).(map[string]any)
+	result.Outputs, _ = cwl.Whole(result.Outputs).(map[string]any)
 	return nil
 }
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -15,9 +15,10 @@
 	"maddermill/wire"
 )
 
-// script is a service in which each step's attempts come out as written: "ok", an exit code,
-// "retry", "doubtful", "silent" (done without a result), "never", "later" (not accepted yet).
-type script struct {
+// scriptedJobs is a fake job service and store with a scripted outcome for each attempt of a step: "ok", an exit
+// code, "retry", "crash-looping", "no result" (done without one), "never" (never accepted), or "later" (not accepted
+// yet).
+type scriptedJobs struct {
 	stepdata.Mem
 	steps     map[string][]string
 	submitted []string
@@ -27,40 +28,40 @@
 	why       string
 }
 
-func (s *script) plan(id wire.JobID) (name, what string, attempt int) {
-	for step, list := range s.steps {
-		for i := range list {
+func (s *scriptedJobs) outcomeOf(id wire.JobID) (name, outcome string, attempt int) {
+	for step, outcomes := range s.steps {
+		for i := range outcomes {
 			if JobOf("wf-000001", step, i) == id {
-				return step, list[i], i
+				return step, outcomes[i], i
 			}
 		}
 	}
 	return "", "", 0
 }
 
-func (s *script) SubmitStep(ctx context.Context, _ wire.WorkflowID, spec *wire.JobSpec) error {
-	step, what, attempt := s.plan(spec.ID)
-	switch what {
+func (s *scriptedJobs) SubmitStep(ctx context.Context, _ wire.WorkflowID, spec *wire.JobSpec) error {
+	step, outcome, attempt := s.outcomeOf(spec.ID)
+	switch outcome {
 	case "never":
-		return ErrNever
+		return ErrUnschedulable
 	case "later":
 		s.steps[step][attempt] = "ok"
-		return ErrNotNow
+		return ErrRetryLater
 	case "":
-		return fmt.Errorf("%s is submitted, which nobody planned", spec.ID)
+		return fmt.Errorf("unexpected submission of job %s", spec.ID)
 	}
 	s.submitted = append(s.submitted, fmt.Sprintf("%s/%d", step, attempt))
-	s.jobs[spec.ID] = what
+	s.jobs[spec.ID] = outcome
 	res := Result{Outputs: map[string]any{"o": step}}
-	switch what {
+	switch outcome {
 	case "ok":
 	case "retry":
 		res = Result{Code: 75, Retry: true}
-	case "doubtful", "silent":
+	case "crash-looping", "no result":
 		return nil
 	default:
 		res = Result{}
-		if _, err := fmt.Sscan(what, &res.Code); err != nil {
+		if _, err := fmt.Sscan(outcome, &res.Code); err != nil {
 			return err
 		}
 	}
@@ -69,24 +70,24 @@
 	return err
 }
 
-func (s *script) CancelStep(_ context.Context, id wire.JobID) error {
+func (s *scriptedJobs) CancelStep(_ context.Context, id wire.JobID) error {
 	s.cancelled[id] = true
 	return nil
 }
 
-func (s *script) StepState(id wire.JobID) JobState {
-	switch what, known := s.jobs[id]; {
+func (s *scriptedJobs) StepState(id wire.JobID) JobState {
+	switch outcome, known := s.jobs[id]; {
 	case !known:
 		return Unknown
 	case s.cancelled[id]:
 		return Cancelled
-	case what == "doubtful":
-		return Doubtful
+	case outcome == "crash-looping":
+		return CrashLooping
 	}
 	return Done
 }
 
-func (s *script) EndWorkflow(_ context.Context, _ wire.WorkflowID, state ledger.WorkflowState, why string) error {
+func (s *scriptedJobs) EndWorkflow(_ context.Context, _ wire.WorkflowID, state ledger.WorkflowState, why string) error {
 	s.ended, s.why = state, why
 	return nil
 }
@@ -100,15 +101,15 @@
   b: {run: *t, in: {x: a/o}, out: [o]}
 `
 
-// play drives a workflow until it ends, with a new driver every now and then if asked.
-func play(t *testing.T, s *script, resumed int, restart bool) {
+// driveToEnd drives a workflow until it ends. With restart, a new Run replaces the old one every 12 seconds.
+func driveToEnd(t *testing.T, s *scriptedJobs, resumed int, restart bool) {
 	t.Helper()
 	w := &ledger.Workflow{ID: "wf-000001"}
 	w.Spec, w.Resumed = &wire.WorkflowSpec{ID: w.ID, Team: "t", Entry: "main.cwl"}, resumed
 	var r *Run
 	now := time.Unix(1000, 0)
 	for second := range 200 {
-		if r == nil || restart && second%12 == 0 { // longer than the longest wait before a retry
+		if r == nil || restart && second%12 == 0 { // 12 s exceed the longest retry delay
 			var err error
 			if r, err = Resume(
 				t.Context(),
@@ -125,47 +126,47 @@
 		}
 		now = now.Add(time.Second)
 	}
-	t.Fatal("it does not end")
+	t.Fatal("the workflow did not end within 200 passes")
 }
 
-// TestStepsAttempts: what comes of a step's attempts is the same whether one driver sees them
-// all or each is seen by a new one: retries where the tool says that they may help, failure for
-// good, a job that is given up, one that leaves nothing, and going on after a failure.
+// TestStepsAttempts checks the attempts of steps with one driver and with a new driver every few passes, which must
+// give the same result: retries that a result asks for, permanent failures, crash-looping jobs, missing results, and
+// resuming a failed workflow.
 func TestStepsAttempts(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		a, b    []string
-		resumed int
-		want    string
-		state   ledger.WorkflowState
-		why     string
-		once    bool // what is waited for is known to one driver only
+		name      string
+		a, b      []string
+		resumed   int
+		want      string
+		state     ledger.WorkflowState
+		why       string
+		oneDriver bool // depends on the in-memory state of one driver
 	}{
-		{"fine", []string{"ok"}, []string{"ok"}, 0, "a/0 b/0", ledger.WorkflowDone, "", false},
+		{"all succeed", []string{"ok"}, []string{"ok"}, 0, "a/0 b/0", ledger.WorkflowDone, "", false},
 		{"two retries", []string{"retry", "retry", "ok"}, []string{"ok"}, 0, "a/0 a/1 a/2 b/0",
 			ledger.WorkflowDone, "", false},
 		{"too many retries", []string{"retry", "retry", "retry", "retry"}, nil, 0, "a/0 a/1 a/2 a/3",
 			ledger.WorkflowFailed, "a: the tool ended with code 75", false},
-		{"fails for good", []string{"ok"}, []string{"3"}, 0, "a/0 b/0",
+		{"permanent failure", []string{"ok"}, []string{"3"}, 0, "a/0 b/0",
 			ledger.WorkflowFailed, "b: the tool ended with code 3", false},
-		{"goes on after a failure", []string{"ok"}, []string{"3", "ok"}, 1, "a/0 b/0 b/1", ledger.WorkflowDone, "", false},
-		{"fails again after it went on", []string{"4", "5"}, nil, 1, "a/0 a/1",
+		{"resumed after a failure", []string{"ok"}, []string{"3", "ok"}, 1, "a/0 b/0 b/1", ledger.WorkflowDone, "", false},
+		{"fails again after it was resumed", []string{"4", "5"}, nil, 1, "a/0 a/1",
 			ledger.WorkflowFailed, "a: the tool ended with code 5", false},
-		{"given up", []string{"doubtful"}, nil, 0, "a/0", ledger.WorkflowFailed, "was cancelled", false},
-		{"leaves nothing", []string{"silent"}, nil, 0, "a/0", ledger.WorkflowFailed, "left no result", true},
+		{"crash-looping", []string{"crash-looping"}, nil, 0, "a/0", ledger.WorkflowFailed, "was cancelled", false},
+		{"no result", []string{"no result"}, nil, 0, "a/0", ledger.WorkflowFailed, "left no result", true},
 		{"can never run", []string{"never"}, nil, 0, "", ledger.WorkflowFailed, "can never run", false},
 		{"not accepted at once", []string{"later"}, []string{"ok"}, 0, "a/0 b/0", ledger.WorkflowDone, "", false},
 	} {
 		for _, restart := range []bool{false, true} {
-			if restart && tc.once {
+			if restart && tc.oneDriver {
 				continue
 			}
-			s := &script{
+			s := &scriptedJobs{
 				steps:     map[string][]string{"a": slices.Clone(tc.a), "b": slices.Clone(tc.b)},
 				jobs:      map[wire.JobID]string{},
 				cancelled: map[wire.JobID]bool{},
 			}
-			play(t, s, tc.resumed, restart)
+			driveToEnd(t, s, tc.resumed, restart)
 			if got := strings.Join(
 				s.submitted,
 				" ",
@@ -177,19 +178,18 @@
 	}
 }
 
-// slow is a service whose results take time to read, with the jobs of the last few runs of a
-// scatter under way.
-type slow struct {
-	*script
+// slowJobs is a fake job service whose results take time to read. The given jobs are active, all others are done.
+type slowJobs struct {
+	*scriptedJobs
 	active map[wire.JobID]bool
 }
 
-func (s *slow) Get(ctx context.Context, name string) ([]byte, stepdata.Info, error) {
+func (s *slowJobs) Get(ctx context.Context, name string) ([]byte, stepdata.Info, error) {
 	time.Sleep(20 * time.Millisecond)
 	return []byte(`{"code":0,"outputs":{"o":"x"}}`), stepdata.Info{}, nil
 }
 
-func (s *slow) StepState(id wire.JobID) JobState {
+func (s *slowJobs) StepState(id wire.JobID) JobState {
 	switch {
 	case s.cancelled[id]:
 		return Cancelled
@@ -199,9 +199,9 @@
 	return Done
 }
 
-// TestCancelAfterATakeover: taking a large workflow over takes several passes; until all that
-// is under way has been come to, none is not said to be left. It was once, and the jobs of the
-// steps that followed stayed on record as active.
+// TestCancelAfterATakeover guards against Cancel reporting that no job is active while a new driver is still
+// replaying the workflow. Taking over a large workflow needs several passes. When Cancel reported this too early, the
+// jobs of the steps that had not been reached yet stayed active.
 func TestCancelAfterATakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const doc = `cwlVersion: v1.2
@@ -216,7 +216,7 @@
     in: {a: x}
     out: [o]
 `
-		s := &slow{&script{cancelled: map[wire.JobID]bool{}}, map[wire.JobID]bool{}}
+		s := &slowJobs{&scriptedJobs{cancelled: map[wire.JobID]bool{}}, map[wire.JobID]bool{}}
 		for i := 95; i < 100; i++ {
 			s.active[JobOf("wf-000001", fmt.Sprintf("s[%d]", i), 0)] = true
 		}
@@ -231,15 +231,15 @@
 			if _, _, err := r.Step(t.Context(), time.Now(), 0); err != nil || pass > 50 {
 				t.Fatal(pass, err)
 			}
-			gone, err := r.Cancel(t.Context())
+			allEnded, err := r.Cancel(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !gone {
+			if !allEnded {
 				continue
 			}
 			if len(s.cancelled) != len(s.active) || pass < 3 {
-				t.Errorf("after %d passes none is left, with %d of %d jobs cancelled", pass, len(s.cancelled), len(s.active))
+				t.Errorf("pass %d: no active job left, but %d of %d jobs cancelled", pass, len(s.cancelled), len(s.active))
 			}
 			return
 		}
