--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -61,7 +61,13 @@
 }
 
 // New returns a Runner with workflows disabled.
-func New(cfg *settings.Settings, keyValues kvstore.Store, p Parts, stats *metrics.Set, log *slog.Logger) *Runner {
+func New(
+	cfg *settings.Settings,
+	keyValues kvstore.Store,
+	p Parts,
+	stats *metrics.Set,
+	log *slog.Logger,
+) *Runner {
 	return &Runner{settings: cfg, keyValues: keyValues, Parts: p, stats: stats, log: log}
 }
 
