--- a/internal/scheduler/crashloop/failures.go
+++ b/internal/scheduler/crashloop/failures.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// minToBlame is on how many machines a job must fail to be crash-looping, and how many jobs must fail
-	// on a machine for it to be faulty.
-	minToBlame = 2
-	// baseBackoff is doubled with each round of failures, up to maxBackoff, for the time before a
-	// crash-looping job is tried again.
+	// minDistinctFailures is the number of machines on which a job must fail to count as crash-looping, and the
+	// number of jobs that must fail on a machine for the machine to count as faulty.
+	minDistinctFailures = 2
+	// baseBackoff is doubled for each round of failures, up to maxBackoff, to give the backoff of a crash-looping
+	// job.
 	baseBackoff = 4 * time.Second
 	maxBackoff  = 4 * time.Minute
-	// maxDoublings bounds the doublings, so that the product doesn't overflow.
+	// maxDoublings bounds the exponent of the backoff, so that the shift doesn't overflow.
 	maxDoublings = 10
-	// avoidPeriod is how long a job avoids a machine where it failed.
+	// avoidPeriod is how long a job isn't scheduled on a machine where it failed.
 	avoidPeriod = 3 * time.Minute
 )
 
-// failures are those of a job, or of one of its tasks, since a task of it last completed.
+// failures records the failures of a job or of a single task since a task of the job last completed.
 type failures struct {
-	machines     map[wire.MachineID]time.Time // where it failed, and when last
-	rounds       int                          // of failures, each ended by a backoff
-	backoffUntil time.Time                    // no further try before that
+	machines     map[wire.MachineID]time.Time // latest failure by machine
+	rounds       int                          // rounds of failures, each followed by a backoff
+	backoffUntil time.Time                    // no retry before this time
 }
 
-// record adds a failure. Those that come during a backoff are of the round before it: an array fails with
-// many tasks at once.
+// record adds a failure. Failures during a backoff belong to the round before it and don't extend it, since
+// many tasks of an array fail at once.
 func (f *failures) record(machine wire.MachineID, now time.Time) {
 	if f.machines == nil {
 		f.machines = map[wire.MachineID]time.Time{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// merge adds the failures that a peer has shared, as of a time.
+// merge adds failures that a peer shared, as of the given time.
 func (f *failures) merge(shared *peer.Suspect, asOf time.Time) {
 	if f.machines == nil {
 		f.machines = map[wire.MachineID]time.Time{}
@@ -61,19 +61,19 @@
 	}
 }
 
-// crashLooping reports whether the failures are on so many machines that the job or task is to blame.
-func (f *failures) crashLooping() bool { return len(f.machines) >= minToBlame }
+// crashLooping reports whether the job or task failed on enough machines to be itself the likely cause.
+func (f *failures) crashLooping() bool { return len(f.machines) >= minDistinctFailures }
 
-// backedOff reports whether it is not to be tried yet.
+// backedOff reports whether the job or task must not be retried yet.
 func (f *failures) backedOff(now time.Time) bool { return now.Before(f.backoffUntil) }
 
-// jobState is what is remembered of a job.
+// jobState is the failure and retry state of a job.
 type jobState struct {
-	failures failures
-	tasks    map[wire.TaskIndex]*failures // by task, of those that failed; nil for gangs
-	avoided  map[wire.MachineID]time.Time // machines that the job avoids, and when it began to
-	retryAt  time.Time                    // no start before, for other reasons than failures
-	doneSeen int                          // tasks done when the failures were last cleared
+	failures    failures
+	tasks       map[wire.TaskIndex]*failures // by failed task; nil for gangs
+	avoided     map[wire.MachineID]time.Time // avoided machines, and since when
+	retryAt     time.Time                    // no start before this time, for reasons other than failures
+	doneAtClear int                          // completed tasks when the failures were last cleared
 }
 
 // recordTask adds a failure of one task.
@@ -87,24 +87,24 @@
 	s.tasks[task].record(machine, now)
 }
 
-// clearOnProgress clears the failures if a task of the job has completed since they were last cleared, by
-// whichever controller that was recorded. Tasks that are not done themselves stay backed off.
+// clearOnProgress clears the job's failures if one of its tasks has completed since they were last cleared,
+// whichever controller recorded the completion. Tasks that haven't completed stay backed off.
 func (s *jobState) clearOnProgress(j *ledger.Job) {
-	if j.Done <= s.doneSeen {
+	if j.Done <= s.doneAtClear {
 		return
 	}
-	s.doneSeen = j.Done
+	s.doneAtClear = j.Done
 	s.failures = failures{}
 	maps.DeleteFunc(s.tasks, func(task wire.TaskIndex, _ *failures) bool { return j.TaskDone(task) })
 }
 
-// taskBackedOff reports whether a task has failed on several machines and is not to be tried yet.
+// taskBackedOff reports whether a task has failed on several machines and must not be retried yet.
 func (s *jobState) taskBackedOff(task wire.TaskIndex, now time.Time) bool {
 	f := s.tasks[task]
 	return f != nil && f.backedOff(now)
 }
 
-// countBackedOff returns how many tasks are not to be tried yet.
+// countBackedOff returns the number of tasks that must not be retried yet.
 func (s *jobState) countBackedOff(now time.Time) int {
 	n := 0
 	for _, f := range s.tasks {
@@ -115,13 +115,13 @@
 	return n
 }
 
-// share returns the job's failures in the form in which peers get them.
-func (s *jobState) share(id wire.JobID, now time.Time) peer.Suspect {
+// toSuspect converts the job's failures to the message that is sent to peers.
+func (s *jobState) toSuspect(id wire.JobID, now time.Time) peer.Suspect {
 	machines := slices.Sorted(maps.Keys(s.failures.machines))
 	return peer.Suspect{
 		Job:       id,
-		Done:      s.doneSeen,
-		Machines:  machines[:min(len(machines), minToBlame)],
+		Done:      s.doneAtClear,
+		Machines:  machines[:min(len(machines), minDistinctFailures)],
 		Rounds:    s.failures.rounds,
 		BackoffMS: max(0, s.failures.backoffUntil.Sub(now).Milliseconds()),
 	}
--- a/internal/scheduler/crashloop/quarantine.go
+++ b/internal/scheduler/crashloop/quarantine.go
@@ -11,17 +11,17 @@
 	"maddermill/wire"
 )
 
-// blamePeriod is how long a failure counts against a machine where no quarantine is enabled.
-const blamePeriod = 10 * time.Minute
+// failureWindow is how long a failure counts against a machine when quarantine is disabled.
+const failureWindow = 10 * time.Minute
 
-// EnableQuarantine has machines judged by the likelihood of what failed where, and slow ones found. It is
-// called before the tracker is used.
-func (t *Tracker) EnableQuarantine(priors quarantine.Priors) { t.judge = quarantine.NewJudge(priors) }
+// EnableQuarantine turns on the detection of faulty machines by Bayesian inference, and of slow machines. It
+// must be called before the tracker is used.
+func (t *Tracker) EnableQuarantine(p quarantine.Priors) { t.detector = quarantine.NewDetector(p) }
 
-// QuarantineEnabled reports whether machines are judged by likelihood.
-func (t *Tracker) QuarantineEnabled() bool { return t.judge != nil }
+// QuarantineEnabled reports whether faulty machines are detected by Bayesian inference.
+func (t *Tracker) QuarantineEnabled() bool { return t.detector != nil }
 
-// newOutcome returns the outcome of a job's task on a machine in a block, as a success of unknown duration.
+// newOutcome returns the outcome of a task on a machine in a topology block, as a success of unknown duration.
 func newOutcome(
 	j *ledger.Job,
 	task wire.TaskIndex,
@@ -41,53 +41,54 @@
 	}
 }
 
-// Faulty reports whether a machine is to blame for the failures of its tasks. Without a quarantine it is
-// when several jobs failed there lately that are not crash-looping; failures of jobs that their user has
-// cancelled since don't count.
+// Faulty reports whether a machine is the likely cause of the failures of its tasks. When quarantine is
+// disabled, a machine is faulty if at least minDistinctFailures jobs that aren't crash-looping failed there within
+// failureWindow. Failures of jobs that have been cancelled since don't count.
 func (t *Tracker) Faulty(l *ledger.Ledger, machine wire.MachineID, now time.Time) bool {
-	if t.judge != nil {
-		return t.judge.Verdict(machine).Faulty
+	if t.detector != nil {
+		return t.detector.Diagnose(machine).Faulty
 	}
 	jobs := 0
 	for id, failedAt := range t.failedOn[machine] {
 		j := l.Job(id)
 		_, crashLooping := t.CrashLooping(id)
 		switch {
-		case now.Sub(failedAt) > blamePeriod || j == nil || j.State == ledger.Cancelled:
+		case now.Sub(failedAt) > failureWindow || j == nil || j.State == ledger.Cancelled:
 			delete(t.failedOn[machine], id)
 		case !crashLooping:
 			jobs++
 		}
 	}
-	return jobs >= minToBlame
+	return jobs >= minDistinctFailures
 }
 
-// Slow reports whether a machine's tasks take longer than others'; false without a quarantine.
+// Slow reports whether tasks take longer on a machine than elsewhere; false when quarantine is disabled.
 func (t *Tracker) Slow(machine wire.MachineID) bool {
-	if t.judge == nil {
+	if t.detector == nil {
 		return false
 	}
-	slow, _ := t.judge.Slow(machine)
+	slow, _ := t.detector.Slow(machine)
 	return slow
 }
 
-// QuarantineReason returns in a few words why a machine is judged faulty; "" without a quarantine.
+// QuarantineReason returns a one-line summary of why a machine is considered faulty; "" when quarantine is
+// disabled.
 func (t *Tracker) QuarantineReason(m wire.MachineID) string {
-	if t.judge == nil {
+	if t.detector == nil {
 		return ""
 	}
-	return t.judge.Digest(m)
+	return t.detector.Summary(m)
 }
 
-// Judgements explains the machines of a list of which failures or slowness are known, those most likely
-// faulty first. It is empty, not nil, without a quarantine.
+// Judgements returns the assessments, with their evidence, of those given machines that have recorded failures
+// or are slow, the most probably faulty first. It is empty, not nil, when quarantine is disabled.
 func (t *Tracker) Judgements(machines []wire.MachineID) []wire.Judgement {
 	out := []wire.Judgement{}
-	if t.judge == nil {
+	if t.detector == nil {
 		return out
 	}
 	for _, m := range machines {
-		if judgement, ok := t.judge.Explain(m); ok {
+		if judgement, ok := t.detector.Explain(m); ok {
 			out = append(out, judgement)
 		}
 	}
@@ -101,18 +102,18 @@
 	return out
 }
 
-// FailuresToShare returns the latest failures on machines that report here, for peers; nil without a
-// quarantine.
+// FailuresToShare returns the latest failures on machines that report to this controller, to be sent to peers;
+// nil when quarantine is disabled.
 func (t *Tracker) FailuresToShare(now time.Time) []peer.Failure {
-	if t.judge == nil {
+	if t.detector == nil {
 		return nil
 	}
-	return t.judge.FailuresToShare(now)
+	return t.detector.FailuresToShare(now)
 }
 
-// MergeFailures adds failures that a peer has shared; it does nothing without a quarantine.
+// MergeFailures adds failures that a peer shared. It does nothing when quarantine is disabled.
 func (t *Tracker) MergeFailures(list []peer.Failure) {
-	if t.judge != nil {
-		t.judge.MergeFailures(list)
+	if t.detector != nil {
+		t.detector.MergeFailures(list)
 	}
 }
--- a/internal/scheduler/estimate/boot_times.go
+++ b/internal/scheduler/estimate/boot_times.go
@@ -1,10 +1,10 @@
-// Package estimate learns from observations what configuration and owners state only roughly: how long
-// tasks of a class run (RunTimes), how long machines take to boot (BootTimes) and how often spot machines
+// Package estimate refines from observations what configuration and job owners give only as rough values: how
+// long tasks of a class run (RunTimes), how long machines take to boot (BootTimes) and how often spot machines
 // are reclaimed (SpotReclaims).
 //
-// The types do no I/O, are given the time by their callers, and have no locks: RunTimes and SpotReclaims
-// are used under the watch cache's lock, BootTimes by the leader alone. Nothing is stored; a controller
-// that restarts learns anew, with the stated values as its prior.
+// The types do no I/O, take the current time as a parameter and have no locks: RunTimes and SpotReclaims are used
+// under the lock of the watch cache, BootTimes by the leader alone. Nothing is persisted; a controller that
+// restarts learns again, with the configured values as priors.
 package estimate
 
 import (
@@ -14,40 +14,40 @@
 	"maddermill/wire"
 )
 
-// Kind is a kind of machine, whether spot or not: both boot alike and are compared with one another.
+// Kind identifies machines whose boot times are comparable. Spot and on-demand machines of a type boot alike, so
+// it doesn't distinguish them.
 type Kind struct {
 	Type wire.MachineTypeName
 	Zone wire.Zone
 }
 
-// BootTimes remembers, for each kind of machine, how long the last ones took to boot. The zero value
-// remembers nothing.
+// BootTimes keeps the latest boot times of each kind of machine. The zero value is empty and ready to use.
 //
-// Most machines are up after half to one and a half times what their type states, some take several times
-// as long, a few never come up, and at times all of a zone are late together. A machine is overdue when
-// those requested with it are up and it is not: then another one in its place saves time. While all are
-// late, another one would be as late.
+// Most machines are up after 0.5 to 1.5 times the nominal boot time of their type, some take several times as
+// long, a few never come up, and at times all machines of a zone are late. A machine is overdue when others
+// requested along with it are up and it isn't: a replacement then saves time. While all machines are late, a
+// replacement would be just as late.
 type BootTimes struct{ histories map[Kind]*bootHistory }
 
-// bootHistory is what is remembered of a kind.
+// bootHistory holds the latest boots of a kind of machine.
 type bootHistory struct {
-	durations   []time.Duration // from request to first heartbeat, of the last maxBoots machines
-	lastRequest time.Time       // the latest request of a machine that is up
+	durations     []time.Duration // from request to first heartbeat, of the last maxSamples machines
+	latestRequest time.Time       // when the last requested machine that is up was requested
 }
 
 const (
-	maxBoots = 12 // boots that are remembered of a kind
-	minBoots = 4  // boots from which on they are used
+	maxSamples = 12 // boot times kept per kind
+	minSamples = 4  // boot times needed to use them instead of the nominal value
 
-	// requestedTogether is how far apart the requests of machines may be that are compared.
-	requestedTogether = 10 * time.Second
+	// batchWindow is the maximum time between the requests of two machines that count as requested together.
+	batchWindow = 10 * time.Second
 )
 
-// Observe records that a machine was requested at one time and sent its first heartbeat at another. One
-// that is known from its heartbeat alone, whose times are the same, is ignored.
+// Observe records when a machine was requested and when it sent its first heartbeat. Machines known from their
+// heartbeat alone, for which both times are the same, are ignored.
 func (b *BootTimes) Observe(k Kind, requestedAt, firstHeartbeat time.Time) {
-	took := firstHeartbeat.Sub(requestedAt)
-	if took <= 0 {
+	bootTime := firstHeartbeat.Sub(requestedAt)
+	if bootTime <= 0 {
 		return
 	}
 	if b.histories == nil {
@@ -58,36 +58,36 @@
 		history = new(bootHistory)
 		b.histories[k] = history
 	}
-	history.durations = append(history.durations, took)
-	history.durations = history.durations[max(0, len(history.durations)-maxBoots):]
-	if requestedAt.After(history.lastRequest) {
-		history.lastRequest = requestedAt
+	history.durations = append(history.durations, bootTime)
+	history.durations = history.durations[max(0, len(history.durations)-maxSamples):]
+	if requestedAt.After(history.latestRequest) {
+		history.latestRequest = requestedAt
 	}
 }
 
-// typical returns how long machines of a kind took lately, all but the slowest sixth of them, and never
-// less than stated, which is what their type states.
-func (b *BootTimes) typical(k Kind, stated time.Duration) time.Duration {
+// typicalBootTime returns the boot time that five sixths of the latest machines of a kind didn't exceed, but at
+// least nominal, the boot time configured for their type.
+func (b *BootTimes) typicalBootTime(k Kind, nominal time.Duration) time.Duration {
 	history := b.histories[k]
-	if history == nil || len(history.durations) < minBoots {
-		return stated * 3 / 2
+	if history == nil || len(history.durations) < minSamples {
+		return nominal * 3 / 2
 	}
 	sorted := slices.Sorted(slices.Values(history.durations))
-	return max(stated, sorted[len(sorted)*5/6])
+	return max(nominal, sorted[len(sorted)*5/6])
 }
 
-// Overdue reports whether a machine that was requested at a time and is not up is no longer to be counted
-// on. stated is the boot time that its type states, 0 if it is unknown.
-func (b *BootTimes) Overdue(k Kind, requestedAt time.Time, stated time.Duration, now time.Time) bool {
+// Overdue reports whether a machine that was requested at requestedAt and isn't up yet should be replaced. nominal
+// is the boot time configured for its type; 0 if it is unknown.
+func (b *BootTimes) Overdue(k Kind, requestedAt time.Time, nominal time.Duration, now time.Time) bool {
 	history := b.histories[k]
-	if history == nil || stated <= 0 || requestedAt.After(history.lastRequest.Add(requestedTogether)) {
+	if history == nil || nominal <= 0 || requestedAt.After(history.latestRequest.Add(batchWindow)) {
 		return false
 	}
-	return now.Sub(requestedAt) > b.typical(k, stated)*3/2
+	return now.Sub(requestedAt) > b.typicalBootTime(k, nominal)*3/2
 }
 
-// BootTimeout returns how long a machine may take before it is returned as one that never comes up.
-// stated is the boot time that its type states.
-func (b *BootTimes) BootTimeout(k Kind, stated time.Duration) time.Duration {
-	return max(3*stated, 2*b.typical(k, stated))
+// BootTimeout returns how long a machine may take to boot before it is given up and returned. nominal is the boot
+// time configured for its type.
+func (b *BootTimes) BootTimeout(k Kind, nominal time.Duration) time.Duration {
+	return max(3*nominal, 2*b.typicalBootTime(k, nominal))
 }
--- a/internal/scheduler/estimate/run_times.go
+++ b/internal/scheduler/estimate/run_times.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// priorWeight is the weight of the owners' estimates themselves, in observed tasks.
+	// priorWeight is the weight of the owners' uncorrected estimates, as a number of observed tasks.
 	priorWeight = 4
-	// observationFade is the weight of older tasks of a class with each new one, so that a change is
-	// followed.
-	observationFade = 0.98
+	// observationDecay is the factor by which each new task of a class reduces the weight of earlier ones, so that
+	// the estimate follows changes.
+	observationDecay = 0.98
 	// minCorrection and maxCorrection bound the factor by which estimates are corrected.
 	minCorrection = 0.25
 	maxCorrection = 4
-	// serviceHorizon is how long a service's task is expected to go on from any time.
+	// serviceHorizon is the expected remaining run time of a service's task at any time.
 	serviceHorizon = 24 * time.Hour
-	// overrunMargin is the least time that a task is expected to go on once it has outrun its estimate.
-	overrunMargin = 5 * time.Second
+	// minOverrunRemaining is the minimum expected remaining run time of a task that has exceeded its estimate.
+	minOverrunRemaining = 5 * time.Second
 )
 
-// Peers is the part of the membership that run times use: what other controllers observed.
+// Peers provides the observations of other controllers.
 type Peers interface {
 	// Peers returns the other controllers with their last status.
 	Peers() []*membership.Peer
 }
 
-// RunTimes corrects the owners' estimates of run times by what was observed, here and by peers, and
-// remembers since when claims run. Estimates are often wrong by half, and on some days all in the same
-// direction. It has no lock: it is used under the watch cache's.
+// RunTimes corrects the owners' run time estimates by what this controller and its peers observed, and keeps the
+// time since which each claim has been held. Estimates are often wrong by half, and on some days all in the same
+// direction. It has no lock of its own: it is used under that of the watch cache.
 type RunTimes struct {
 	peers     Peers
-	classes   map[wire.Class]*peer.ClassRunTimes // as observed here
-	firstSeen map[claimKey]time.Time             // when a claim was first seen here
+	classes   map[wire.Class]*peer.ClassRunTimes // as observed by this controller
+	firstSeen map[claimKey]time.Time             // when this controller first saw a claim
 }
 
-// claimKey names a claim.
+// claimKey identifies a claim.
 type claimKey struct {
 	machine wire.MachineID
 	job     wire.JobID
@@ -48,7 +48,7 @@
 	first   wire.TaskIndex
 }
 
-// NewRunTimes returns run times that have observed nothing yet.
+// NewRunTimes returns a RunTimes without observations.
 func NewRunTimes(peers Peers) *RunTimes {
 	return &RunTimes{
 		peers:     peers,
@@ -57,19 +57,19 @@
 	}
 }
 
-// Observe records how long a task of a class ran that was estimated to run for a time.
+// Observe records the run time of a task of a class, and the estimate of it.
 func (r *RunTimes) Observe(class wire.Class, ran, estimate time.Duration) {
 	observed := r.classes[class]
 	if observed == nil {
 		observed = &peer.ClassRunTimes{Class: class}
 		r.classes[class] = observed
 	}
-	observed.Ran = observed.Ran*observationFade + ran.Seconds()
-	observed.Estimated = observed.Estimated*observationFade + estimate.Seconds()
-	observed.Count = observed.Count*observationFade + 1
+	observed.Ran = observed.Ran*observationDecay + ran.Seconds()
+	observed.Estimated = observed.Estimated*observationDecay + estimate.Seconds()
+	observed.Count = observed.Count*observationDecay + 1
 }
 
-// Classes returns the run times of classes as observed here, to be shared with peers.
+// Classes returns the run times observed by this controller, by class, to be shared with peers.
 func (r *RunTimes) Classes() []peer.ClassRunTimes {
 	out := make([]peer.ClassRunTimes, 0, len(r.classes))
 	for _, observed := range r.classes {
@@ -78,10 +78,10 @@
 	return out
 }
 
-// correction returns the factor by which estimates of a class are to be multiplied, by what all
-// controllers have observed.
-func (r *RunTimes) correction(class wire.Class) float64 {
-	var ran, estimated, count float64 // sums of seconds, and of tasks
+// correctionFactor returns the factor by which to multiply the estimates of a class, according to the observations
+// of all controllers.
+func (r *RunTimes) correctionFactor(class wire.Class) float64 {
+	var ran, estimated, count float64 // sums: seconds, seconds, tasks
 	add := func(observed *peer.ClassRunTimes) {
 		ran += observed.Ran
 		estimated += observed.Estimated
@@ -104,12 +104,12 @@
 	return min(maxCorrection, max(minCorrection, (ran+prior)/(estimated+prior)))
 }
 
-// Expected returns how long a task of a job is expected to run.
+// Expected returns the expected run time of a job's task.
 func (r *RunTimes) Expected(j *ledger.Job) time.Duration {
-	return time.Duration(float64(j.Spec.Estimate.Duration()) * r.correction(j.Spec.Class))
+	return time.Duration(float64(j.Spec.Estimate.Duration()) * r.correctionFactor(j.Spec.Class))
 }
 
-// ClaimedSince returns when a claim was first seen here, which is now if it has not been before.
+// ClaimedSince returns when this controller first saw a claim, which is now if it hasn't seen it before.
 func (r *RunTimes) ClaimedSince(h ledger.HeldClaim, now time.Time) time.Time {
 	key := claimKey{machine: h.Machine, job: h.Job.ID, attempt: h.Attempt, first: h.First}
 	since, seen := r.firstSeen[key]
@@ -120,20 +120,20 @@
 	return since
 }
 
-// Until returns when a claim's tasks are expected to end. One that has outrun its expectation is expected
-// to take half as long again as it has outrun it by.
+// Until returns when a claim's tasks are expected to end. A claim that has exceeded its expected run time is
+// expected to go on for half the time by which it has exceeded it, plus minOverrunRemaining.
 func (r *RunTimes) Until(h ledger.HeldClaim, now time.Time) time.Time {
 	if h.Job.Spec.Shape == wire.Service {
 		return now.Add(serviceHorizon)
 	}
 	end := r.ClaimedSince(h, now).Add(r.Expected(h.Job))
 	if overrun := now.Sub(end); overrun > 0 {
-		end = now.Add(overrun/2 + overrunMargin)
+		end = now.Add(overrun/2 + minOverrunRemaining)
 	}
 	return end
 }
 
-// Prune drops the claims that the records no longer hold.
+// Prune drops the claims that are no longer on record.
 func (r *RunTimes) Prune(l *ledger.Ledger) {
 	for key := range r.firstSeen {
 		if !slices.ContainsFunc(l.ClaimsOn(key.machine), func(h ledger.HeldClaim) bool {
--- a/internal/scheduler/estimate/spot_reclaims_test.go
+++ b/internal/scheduler/estimate/spot_reclaims_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSpotReclaims: the estimate follows how often machines are reclaimed, stays near the prior where few
-// were observed, and forgets a wave; a process that was paused doesn't count the hours.
+// TestSpotReclaims checks that the estimate follows the reclaim rate, stays near the prior with few observations,
+// recovers after a burst of reclaims, and doesn't count the time during which the process was paused.
 func TestSpotReclaims(t *testing.T) {
 	now := time.Unix(0, 0)
 	var s SpotReclaims
--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -12,7 +12,7 @@
 	"maddermill/wire"
 )
 
-// displayName returns the name of a cause for users.
+// displayName returns the name of a cause as shown to users.
 func (c SuspectedCause) displayName() string {
 	if c.Kind == CauseTask {
 		return fmt.Sprintf("%d of %s", c.Task, c.Name)
@@ -20,41 +20,41 @@
 	return c.Name
 }
 
-// Explain returns the judgement of a machine with the failures and causes that it follows from; false if
-// there is none: no failure there is remembered, and it isn't slow.
-func (j *Judge) Explain(m wire.MachineID) (wire.Judgement, bool) {
-	j.settle()
+// Explain returns the assessment of a machine with its evidence: the failures there and their possible causes. It
+// returns false if there is nothing to explain: no failure there is retained and the machine isn't slow.
+func (d *Detector) Explain(m wire.MachineID) (wire.Judgement, bool) {
+	d.runInference()
 	machine := machineCause(m)
 	out := wire.Judgement{
 		Machine:           m,
-		PriorFaulty:       j.priors.Faulty,
-		ProbabilityFaulty: j.priors.Faulty,
-		Completed:         int(j.completed[machine]),
-		BackgroundRate:    j.accidentRate,
+		PriorFaulty:       d.priors.Faulty,
+		ProbabilityFaulty: d.priors.Faulty,
+		Completed:         int(d.completed[machine]),
+		BackgroundRate:    d.backgroundRate,
 	}
-	out.Slow, out.Slowdown = j.Slow(m)
-	b := j.beliefs[machine]
+	out.Slow, out.Slowdown = d.Slow(m)
+	b := d.beliefs[machine]
 	if b == nil {
 		return out, out.Slow
 	}
-	verdict := j.Verdict(m)
-	out.Faulty, out.ProbabilityFaulty, out.FailureRate = verdict.Faulty, verdict.Probability, verdict.FailureRate
+	diagnosis := d.Diagnose(m)
+	out.Faulty, out.ProbabilityFaulty, out.FailureRate = diagnosis.Faulty, diagnosis.Probability, diagnosis.FailureRate
 	for _, f := range b.failures {
-		out.Failures = append(out.Failures, j.explainFailure(f))
+		out.Failures = append(out.Failures, d.explainFailure(f))
 	}
 	return out, true
 }
 
-// explainFailure returns a failure with what is believed about its causes.
-func (j *Judge) explainFailure(f *failure) wire.JudgedFailure {
+// explainFailure returns a failure with the current beliefs about its possible causes.
+func (d *Detector) explainFailure(f *failure) wire.JudgedFailure {
 	out := wire.JudgedFailure{At: wire.UnixMillis(f.At.UnixMilli()), Job: f.Job, Task: f.Task}
 	for _, b := range f.beliefs() {
 		out.Parties = append(out.Parties, wire.JudgedParty{
 			Kind:        b.Kind.String(),
 			Name:        b.displayName(),
-			Prior:       j.prior(b.Kind),
+			Prior:       d.prior(b.Kind),
 			Probability: b.probability,
-			Completed:   int(j.completed[b.SuspectedCause]),
+			Completed:   int(d.completed[b.SuspectedCause]),
 			Failed:      len(b.failures),
 		})
 	}
@@ -62,16 +62,16 @@
 }
 
 const (
-	// maxDigest bounds a digest, in bytes: it goes into the record of a machine's phase, beside little else.
-	maxDigest = 200
-	// digestEllipsis ends a digest that doesn't name all jobs.
-	digestEllipsis = " and others"
+	// maxSummaryBytes limits the length of a summary, which is stored in the small record of a machine's phase.
+	maxSummaryBytes = 200
+	// summaryEllipsis ends a summary that doesn't list all jobs.
+	summaryEllipsis = " and others"
 )
 
-// Digest returns in a few words why a machine is judged as it is, for the record of its phase; "" if there
-// is no judgement.
-func (j *Judge) Digest(m wire.MachineID) string {
-	judgement, ok := j.Explain(m)
+// Summary returns a one-line version of Explain for the record of the machine's phase; "" if there is nothing to
+// explain.
+func (d *Detector) Summary(m wire.MachineID) string {
+	judgement, ok := d.Explain(m)
 	if !ok {
 		return ""
 	}
@@ -82,8 +82,8 @@
 		if slices.Contains(named, f.Job) {
 			continue
 		}
-		if len(text)+len(f.Job)+len(digestEllipsis) > maxDigest {
-			return text + digestEllipsis
+		if len(text)+len(f.Job)+len(summaryEllipsis) > maxSummaryBytes {
+			return text + summaryEllipsis
 		}
 		named = append(named, f.Job)
 		text += " " + string(f.Job)
@@ -91,10 +91,10 @@
 	return text
 }
 
-// Write explains a judgement in sentences and a table. An error is that of w.
+// Write writes a judgement as text, with a table of the evidence. It returns the errors of w.
 func Write(w io.Writer, j *wire.Judgement) error {
 	var text strings.Builder
-	writeVerdict(&text, j)
+	writeDiagnosis(&text, j)
 	if len(j.Failures) > 0 {
 		writeCauses(&text, j)
 		if err := writeTable(&text, j); err != nil {
@@ -107,29 +107,29 @@
 	return nil
 }
 
-// writeVerdict writes whether the machine is faulty, and whether it is slow.
-func writeVerdict(text *strings.Builder, j *wire.Judgement) {
+// writeDiagnosis writes whether the machine is considered faulty, and whether it is slow.
+func writeDiagnosis(text *strings.Builder, j *wire.Judgement) {
 	switch {
 	case j.Faulty:
-		fmt.Fprintf(text, "%s is judged faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.FailureRate)
-	case j.ProbabilityFaulty > likely:
-		fmt.Fprintf(text, "%s is watched: it may be faulty, which has not stood for long enough.\n", j.Machine)
+		fmt.Fprintf(text, "%s is considered faulty: it fails about %.0f%% of its tasks.\n", j.Machine, 100*j.FailureRate)
+	case j.ProbabilityFaulty > likelyThreshold:
+		fmt.Fprintf(text, "%s is suspected: it is probably faulty, but this is not confirmed yet.\n", j.Machine)
 	case len(j.Failures) > 0:
-		fmt.Fprintf(text, "%s is not held to be faulty.\n", j.Machine)
+		fmt.Fprintf(text, "%s is not considered faulty.\n", j.Machine)
 	}
 	if j.Slow {
-		fmt.Fprintf(text, "%s is slow: its tasks take %.1f times as long as their mates and their class elsewhere.\n",
+		fmt.Fprintf(text, "%s is slow: its tasks take %.1f times as long as tasks of the same job or class elsewhere.\n",
 			j.Machine, j.Slowdown)
 	}
 }
 
-// causeSummary is a cause of a machine's failures, and of how many of them it may be the cause.
+// causeSummary is a possible cause of a machine's failures, with the number of failures that it may explain.
 type causeSummary struct {
 	wire.JudgedParty
 	failures int
 }
 
-// summarizeCauses returns the causes of a machine's failures, the most probable first.
+// summarizeCauses returns the possible causes of a machine's failures, the most probable first.
 func summarizeCauses(j *wire.Judgement) []causeSummary {
 	var list []causeSummary
 	for _, f := range j.Failures {
@@ -148,35 +148,35 @@
 	return list
 }
 
-// writeCauses writes the probabilities, and which causes the failures are put down to and which are ruled
-// out: the machine, and others that several failures share.
+// writeCauses writes the probabilities, the causes to which the failures are attributed, and the causes that are
+// ruled out: the machine, and other causes that several failures have in common.
 func writeCauses(text *strings.Builder, j *wire.Judgement) {
-	fmt.Fprintf(text, "The probability that it is faulty was %.3g before anything was seen and is %.3g now.\n",
+	fmt.Fprintf(text, "The probability that it is faulty was %.3g before the evidence (prior) and is %.3g now.\n",
 		j.PriorFaulty, j.ProbabilityFaulty)
-	fmt.Fprintf(text, "%d tasks were done there and %d failed that are remembered; ", j.Completed, len(j.Failures))
-	fmt.Fprintf(text, "%.2g%% of all tasks fail by accident.\n", 100*j.BackgroundRate)
-	var found, ruledOut []string
+	fmt.Fprintf(text, "%d tasks completed there and %d failures there are retained; ", j.Completed, len(j.Failures))
+	fmt.Fprintf(text, "%.2g%% of all tasks fail without an identifiable cause.\n", 100*j.BackgroundRate)
+	var likely, ruledOut []string
 	for _, c := range summarizeCauses(j) {
 		switch {
-		case c.Probability > likely:
-			found = append(found, fmt.Sprintf("%s %s (%d of its failures, %.3g)", c.Kind, c.Name, c.failures, c.Probability))
+		case c.Probability > likelyThreshold:
+			likely = append(likely, fmt.Sprintf("%s %s (%d of its failures, %.3g)", c.Kind, c.Name, c.failures, c.Probability))
 		case c.Kind == CauseMachine.String() || c.failures > 1:
 			ruledOut = append(ruledOut, fmt.Sprintf("%s %s (%.2g)", c.Kind, c.Name, c.Probability))
 		}
 	}
-	if len(found) == 0 {
-		found = []string{"nothing that comes again, as far as can be told"}
+	if len(likely) == 0 {
+		likely = []string{"no recurring cause, as far as known"}
 	}
-	fmt.Fprintf(text, "Its failures are put down to: %s.\n", strings.Join(found, "; "))
+	fmt.Fprintf(text, "Its failures are attributed to: %s.\n", strings.Join(likely, "; "))
 	if len(ruledOut) > 0 {
 		fmt.Fprintf(text, "Ruled out: %s.\n", strings.Join(ruledOut, "; "))
 	}
 }
 
-// writeTable writes a row for each cause of each failure.
+// writeTable writes a row for each possible cause of each failure.
 func writeTable(w io.Writer, j *wire.Judgement) error {
 	var rows strings.Builder
-	fmt.Fprintln(&rows, "at\tjob\ttask\tparty\tdone\tfailed\tbefore\tnow")
+	fmt.Fprintln(&rows, "time\tjob\ttask\tcause\tcompleted\tfailed\tprior\tposterior")
 	for _, f := range j.Failures {
 		head := fmt.Sprintf("%s\t%s\t%d", f.At.Time().UTC().Format(time.RFC3339), f.Job, f.Task)
 		for _, p := range f.Parties {
--- a/internal/scheduler/quarantine/inference.go
+++ b/internal/scheduler/quarantine/inference.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// maxRounds and minChange end the inference: after so many rounds, or once no rate changes by more.
+	// The inference ends after maxRounds rounds, or after a round in which every rate changed by less than
+	// minChange.
 	maxRounds = 8
 	minChange = 1e-3
-	// maxNearFailures is how many failures of a cause lead to other causes that are inferred with it.
-	maxNearFailures = 24
-	// minProbability keeps logarithms of probabilities finite.
+	// maxRelatedFailures is the number of latest failures of a cause whose other causes are inferred along with it.
+	maxRelatedFailures = 24
+	// minProbability keeps the logarithms of probabilities finite.
 	minProbability = 1e-9
 )
 
-// Bounds and priors of what is learned from all outcomes. The priors are in jobs, tasks and failures.
+// Bounds and priors of the parameters that are learned from all outcomes. The priors are pseudo-counts of failures,
+// outcomes, jobs and tasks.
 const (
-	minAccidentRate       = 1e-5
-	maxAccidentRate       = 1e-2
-	accidentPriorFailures = 2
-	accidentPriorOutcomes = 1000
-	jobShareWeight        = 50
-	taskShareWeight       = 200
+	minBackgroundRate       = 1e-5
+	maxBackgroundRate       = 1e-2
+	backgroundPriorFailures = 2
+	backgroundPriorOutcomes = 1000
+	jobPriorWeight          = 50
+	taskPriorWeight         = 200
 )
 
-// scope is the beliefs that are inferred together, by kind of cause.
+// scope holds the beliefs that are inferred together, by kind of cause.
 type scope struct {
 	pass    int
-	beliefs [causeKinds][]*belief
+	beliefs [numCauseKinds][]*belief
 }
 
-// add adds a belief, once.
+// add adds a belief unless the scope already contains it.
 func (s *scope) add(b *belief) {
 	if b.pass != s.pass {
 		b.pass = s.pass
@@ -40,12 +42,13 @@
 	}
 }
 
-// addNear adds the beliefs about the causes that share the latest failures of a cause. Of an image or a
-// block, which many share, all failures count: half of them would still be explained as before.
-func (s *scope) addNear(b *belief) {
+// addRelated adds the beliefs about all possible causes of the latest failures of a cause. For images and blocks,
+// which are common to many failures, it considers all their failures: if only half of them were inferred again, the
+// other half would keep their previous explanation.
+func (s *scope) addRelated(b *belief) {
 	failures := b.failures
 	if b.Kind != CauseImage && b.Kind != CauseBlock {
-		failures = failures[max(0, len(failures)-maxNearFailures):]
+		failures = failures[max(0, len(failures)-maxRelatedFailures):]
 	}
 	for _, f := range failures {
 		for _, other := range f.beliefs() {
@@ -54,51 +57,51 @@
 	}
 }
 
-// settle infers anew the beliefs that are queued, and those about causes that share failures with them. It
-// starts from the priors: with the beliefs so far a cause would not be blamed that explains everything
-// better. It does nothing within settleInterval of the last time.
-func (j *Judge) settle() {
-	if len(j.queue) == 0 || j.now.Sub(j.settledAt) < settleInterval {
+// runInference recomputes the queued beliefs and those about causes that have failures in common with them. It
+// starts from the priors, since starting from the previous beliefs could miss a cause that explains everything
+// better. It does nothing within inferenceInterval of the last inference.
+func (d *Detector) runInference() {
+	if len(d.queue) == 0 || d.now.Sub(d.inferredAt) < inferenceInterval {
 		return
 	}
-	j.settledAt = j.now
-	s := j.takeQueue()
+	d.inferredAt = d.now
+	s := d.drainQueue()
 	all := slices.Concat(s.beliefs[:]...)
-	j.inferBest(s, all)
+	d.inferBest(s, all)
 	for _, b := range all {
-		j.confirm(b)
+		d.updateConfirmation(b)
 	}
-	j.learnShares()
+	d.learnPriors()
 }
 
-// takeQueue empties the queue and returns the beliefs to be inferred.
-func (j *Judge) takeQueue() *scope {
-	j.passes++
-	s := &scope{pass: j.passes}
-	for _, b := range j.queue {
+// drainQueue empties the queue and returns the beliefs to be recomputed.
+func (d *Detector) drainQueue() *scope {
+	d.passes++
+	s := &scope{pass: d.passes}
+	for _, b := range d.queue {
 		b.queued = false
 		if len(b.failures) > 0 {
 			s.add(b)
-			s.addNear(b)
+			s.addRelated(b)
 		}
 	}
 	for _, kind := range []CauseKind{CauseMachine, CauseImage, CauseBlock} {
 		for _, b := range slices.Clone(s.beliefs[kind]) {
-			s.addNear(b)
+			s.addRelated(b)
 		}
 	}
-	j.queue = nil
+	d.queue = nil
 	return s
 }
 
-// inferBest infers the beliefs of a scope, all of which are listed in all, in each of inferenceOrders, and
-// leaves them as in the likeliest explanation.
-func (j *Judge) inferBest(s *scope, all []*belief) {
+// inferBest infers the beliefs of a scope in each of inferenceOrders and keeps the result with the highest
+// likelihood. all lists the beliefs of the scope.
+func (d *Detector) inferBest(s *scope, all []*belief) {
 	best := make([]belief, len(all))
 	highest := 0.0
 	for n, order := range inferenceOrders {
-		j.infer(s, order)
-		likelihood := j.logLikelihood(all)
+		d.infer(s, order)
+		likelihood := d.logLikelihood(all)
 		if n == 0 || likelihood > highest {
 			highest = likelihood
 			for i, b := range all {
@@ -111,36 +114,36 @@
 	}
 }
 
-// prior returns the probability that a cause of a kind is faulty before its outcomes are considered. That
-// of jobs and tasks is learned: on some days every tenth is.
-func (j *Judge) prior(k CauseKind) float64 {
+// prior returns the prior probability that a cause of a kind is faulty. That of jobs and tasks is learned, since on
+// some days every tenth of them is faulty.
+func (d *Detector) prior(k CauseKind) float64 {
 	switch k {
 	case CauseMachine:
-		return j.priors.Faulty
+		return d.priors.Faulty
 	case CauseJob, CauseTask:
-		return min(maxLearnedShare, max(faultyShares[k], j.learnedShare[k]))
+		return min(maxLearnedPrior, max(faultPriors[k], d.learnedPriors[k]))
 	}
-	return faultyShares[k]
+	return faultPriors[k]
 }
 
-// completionProbability returns how likely a failed task would have completed but for one of its causes;
-// nil: for none of them.
-func (j *Judge) completionProbability(f *failure, but *belief) float64 {
-	probability := 1 - j.accidentRate
+// completionProbability returns the probability with which a failed task would have completed if one of its causes,
+// except, were healthy. With nil, all its causes count.
+func (d *Detector) completionProbability(f *failure, except *belief) float64 {
+	probability := 1 - d.backgroundRate
 	for _, b := range f.beliefs() {
-		if b != but {
+		if b != except {
 			probability *= 1 - b.rate
 		}
 	}
 	return probability
 }
 
-// infer infers the beliefs of a scope, starting from the priors, in an order of their kinds, until they no
-// longer change.
-func (j *Judge) infer(s *scope, order [causeKinds]CauseKind) {
+// infer infers the beliefs of a scope, starting from the priors, by updating them in the given order of kinds until
+// they converge.
+func (d *Detector) infer(s *scope, order [numCauseKinds]CauseKind) {
 	for _, list := range s.beliefs {
 		for _, b := range list {
-			b.rate = j.prior(b.Kind)
+			b.rate = d.prior(b.Kind)
 		}
 	}
 	for range maxRounds {
@@ -148,7 +151,7 @@
 		for _, kind := range order {
 			for _, b := range s.beliefs[kind] {
 				before := b.rate
-				j.update(b)
+				d.updateBelief(b)
 				change = max(change, math.Abs(b.rate-before))
 			}
 		}
@@ -158,47 +161,47 @@
 	}
 }
 
-// logLikelihood returns the logarithm of how likely some beliefs, and the outcomes given them, are.
-func (j *Judge) logLikelihood(all []*belief) float64 {
-	j.passes++
+// logLikelihood returns the log-likelihood of some beliefs and of the outcomes given these beliefs.
+func (d *Detector) logLikelihood(all []*belief) float64 {
+	d.passes++
 	sum := 0.0
 	for _, b := range all {
-		// A belief costs as much as it is unlikely before any outcome.
-		prior, probability := j.prior(b.Kind), min(1-minProbability, max(minProbability, b.probability))
+		// Penalize beliefs by their divergence from the prior.
+		prior, probability := d.prior(b.Kind), min(1-minProbability, max(minProbability, b.probability))
 		sum += probability*math.Log(prior/probability) + (1-probability)*math.Log((1-prior)/(1-probability))
-		sum += probability * j.logLikelihoodOfCompleted(b, min(maxFailureRate, b.rate/probability))
+		sum += probability * d.logLikelihoodOfCompleted(b, min(maxFailureRate, b.rate/probability))
 		for _, f := range b.failures {
-			if f.pass != j.passes {
-				f.pass = j.passes
-				sum += j.logLikelihoodOfFailure(f)
+			if f.pass != d.passes {
+				f.pass = d.passes
+				sum += d.logLikelihoodOfFailure(f)
 			}
 		}
 	}
 	return sum
 }
 
-// logLikelihoodOfCompleted returns the logarithm of how likely a faulty cause with a failure rate is to have
-// completed the tasks that it did.
-func (j *Judge) logLikelihoodOfCompleted(b *belief, rate float64) float64 {
-	completed := j.completed[b.SuspectedCause]
+// logLikelihoodOfCompleted returns the log-likelihood of a cause's completed tasks if the cause is faulty with the
+// given failure rate.
+func (d *Detector) logLikelihoodOfCompleted(b *belief, rate float64) float64 {
+	completed := d.completed[b.SuspectedCause]
 	result := completed * math.Log(1-rate)
 	if b.Kind == CauseMachine || b.Kind == CauseBlock {
-		// It may be faulty since its first failure only, which is one time of many.
-		since := completed - b.failures[0].completedBeforeOf(b)
-		result = max(result, max(0, since)*math.Log(1-rate)-math.Log(completed+1))
+		// It may have become faulty only at its first failure, which is one of many possible times.
+		completedSince := completed - b.failures[0].completedBeforeFor(b)
+		result = max(result, max(0, completedSince)*math.Log(1-rate)-math.Log(completed+1))
 	}
 	if b.Kind != CauseJob && b.Kind != CauseTask {
-		result -= math.Log(float64(len(failureRates))) // its rate is one of several
+		result -= math.Log(float64(len(failureRates))) // its rate is one of several possible ones
 	}
 	return result
 }
 
-// logLikelihoodOfFailure returns the logarithm of how likely a failure is, on average over which of its
-// causes are faulty: causes that may all be faulty explain it less well than one that certainly is.
-func (j *Judge) logLikelihoodOfFailure(f *failure) float64 {
+// logLikelihoodOfFailure returns the expected log-likelihood of a failure over the sets of its causes that may be
+// faulty. So several causes that may be faulty explain it less well than one that certainly is.
+func (d *Detector) logLikelihoodOfFailure(f *failure) float64 {
 	sum := 0.0
-	for faulty := range 1 << f.causeCount { // a set of causes, as bits
-		weight, completion := 1.0, 1-j.accidentRate
+	for faulty := range 1 << f.causeCount { // a set of causes, as a bit mask
+		weight, completion := 1.0, 1-d.backgroundRate
 		for i, b := range f.beliefs() {
 			if faulty&(1<<i) != 0 {
 				weight *= b.probability
@@ -214,41 +217,41 @@
 	return sum
 }
 
-// update infers the belief about one cause from those about the others.
-func (j *Judge) update(b *belief) {
-	prior := j.prior(b.Kind)
+// updateBelief recomputes the belief about a cause given the beliefs about the others.
+func (d *Detector) updateBelief(b *belief) {
+	prior := d.prior(b.Kind)
 	completion := make([]float64, len(b.failures))
 	for i, f := range b.failures {
-		completion[i] = j.completionProbability(f, b)
+		completion[i] = d.completionProbability(f, b)
 	}
-	completed := j.completed[b.SuspectedCause]
-	var weights [len(failureRates)]float64 // logarithms, of being faulty with each rate
+	completed := d.completed[b.SuspectedCause]
+	var weights [len(failureRates)]float64 // log weights of being faulty at each rate
 	for r, rate := range failureRates {
 		best := bestOnset(b, rate, completion, completed)
-		weights[r] = best + math.Log(prior*rateShares[b.Kind][r]) - math.Log(float64(len(b.failures)))
+		weights[r] = best + math.Log(prior*ratePriors[b.Kind][r]) - math.Log(float64(len(b.failures)))
 	}
-	sound := math.Log(1 - prior)
-	highest := max(sound, slices.Max(weights[:]))
-	total, rate := math.Exp(sound-highest), 0.0
+	healthy := math.Log(1 - prior)
+	highest := max(healthy, slices.Max(weights[:]))
+	total, rate := math.Exp(healthy-highest), 0.0
 	for r := range failureRates {
 		weight := math.Exp(weights[r] - highest)
 		total += weight
 		rate += weight * failureRates[r]
 	}
-	b.rate, b.probability = rate/total, 1-math.Exp(sound-highest)/total
+	b.rate, b.probability = rate/total, 1-math.Exp(healthy-highest)/total
 }
 
-// bestOnset returns the logarithm of how much likelier a cause's outcomes are if it fails its tasks with a
-// rate than if it is sound, for the likeliest time since which it may: that of any of its failures, or, as
-// that of the first failure, the time when it was first seen. completion is how likely each of its failed
-// tasks would have completed but for the cause, completed how many tasks did.
+// bestOnset returns the log-likelihood ratio of a cause's outcomes, failing tasks at the given rate versus being
+// healthy, maximized over the onset of the fault. The onset may be at any of its failures; the first failure stands
+// for the time when the cause was first seen. completion is the probability with which each of the failed tasks
+// would have completed if the cause were healthy, completed the number of tasks that did complete.
 func bestOnset(b *belief, rate float64, completion []float64, completed float64) float64 {
 	best, failed := math.Inf(-1), 0.0
 	for i := len(b.failures) - 1; i >= 0; i-- {
 		failed += math.Log(1-(1-rate)*completion[i]) - math.Log(1-completion[i])
 		before := 0.0
 		if i > 0 {
-			before = b.failures[i].completedBeforeOf(b)
+			before = b.failures[i].completedBeforeFor(b)
 		}
 		if v := failed + max(0, completed-before)*math.Log(1-rate); v > best {
 			best = v
@@ -257,32 +260,32 @@
 	return best
 }
 
-// confirm keeps the time since which a cause is believed faulty. The belief stands until the contrary is
-// likelier: a failure that is yet to be explained makes it waver.
-func (j *Judge) confirm(b *belief) {
+// updateConfirmation maintains the time since which a cause is believed faulty. The time is reset only once the
+// cause is more probably healthy, since a failure that is yet to be explained lowers the probability temporarily.
+func (d *Detector) updateConfirmation(b *belief) {
 	switch {
-	case b.probability < likely:
+	case b.probability < likelyThreshold:
 		b.confirmedSince = time.Time{}
-	case b.probability > 1-j.priors.Wrong && b.confirmedSince.IsZero():
-		b.confirmedSince = j.now
+	case b.probability > 1-d.priors.Wrong && b.confirmedSince.IsZero():
+		b.confirmedSince = d.now
 	}
 }
 
-// learnShares learns the rate of accidents from the failures that no cause explains, and the shares of jobs
-// and tasks that are faulty.
-func (j *Judge) learnShares() {
-	accidents := 0.0
-	for _, f := range j.failures {
-		accidents += j.accidentRate / max(j.accidentRate, 1-j.completionProbability(f, nil))
+// learnPriors learns the rate of background failures from the failures that no cause explains, and the shares of
+// jobs and tasks that are faulty.
+func (d *Detector) learnPriors() {
+	background := 0.0
+	for _, f := range d.failures {
+		background += d.backgroundRate / max(d.backgroundRate, 1-d.completionProbability(f, nil))
 	}
-	var faulty [causeKinds]float64
-	for _, b := range j.beliefs {
+	var faulty [numCauseKinds]float64
+	for _, b := range d.beliefs {
 		if b.Kind == CauseJob || b.Kind == CauseTask {
 			faulty[b.Kind] += b.probability
 		}
 	}
-	j.learnedShare[CauseJob] = faulty[CauseJob] / (j.jobsSeen + jobShareWeight)
-	j.learnedShare[CauseTask] = faulty[CauseTask] / (j.completedTotal + taskShareWeight)
-	outcomes := j.completedTotal + float64(len(j.failures)) + accidentPriorOutcomes
-	j.accidentRate = min(maxAccidentRate, max(minAccidentRate, (accidents+accidentPriorFailures)/outcomes))
+	d.learnedPriors[CauseJob] = faulty[CauseJob] / (d.jobsSeen + jobPriorWeight)
+	d.learnedPriors[CauseTask] = faulty[CauseTask] / (d.completedTotal + taskPriorWeight)
+	outcomes := d.completedTotal + float64(len(d.failures)) + backgroundPriorOutcomes
+	d.backgroundRate = min(maxBackgroundRate, max(minBackgroundRate, (background+backgroundPriorFailures)/outcomes))
 }
--- a/internal/scheduler/quarantine/model.go
+++ b/internal/scheduler/quarantine/model.go
@@ -1,26 +1,27 @@
-// Package quarantine judges which machines are faulty or slow, by likelihood over which tasks failed where
-// (docs/quarantine.md). What follows from a judgement, such as the return of a machine, is the business of
-// others.
+// Package quarantine detects faulty and slow machines by Bayesian inference from the outcomes of tasks
+// (docs/quarantine.md). Acting on a result, such as returning a machine, is left to the callers.
 //
 // # Model
 //
-// A task that fails has a cause: its machine, its job, the one task, its image, or the block that its
-// machine is in; or an accident, which does not recur. Each cause is sound, or fails its tasks with some
-// rate; a task completes only if none of its causes fails it (a noisy or). So a completed task is evidence
-// for all its causes, by as much as their rate would be, and a failed one against each by as much as the
-// others don't explain it. Causes are judged in turn, each by the beliefs about the others, until the
-// beliefs no longer change (mean field).
+// A failed task has a cause: its machine, its job, the individual task, its image, or the topology block of its
+// machine; or it is a background failure, which doesn't recur. Each possible cause is either healthy or faulty, in
+// which case it fails its tasks at some rate; a task completes only if none of its causes fails it (noisy-OR). So
+// a completed task is evidence in favor of all its causes, the more so the higher the rate in question, and a
+// failed task is evidence against each cause to the extent that the other causes don't explain the failure. The
+// belief about each cause is updated in turn, given the beliefs about the others, until they converge (mean-field
+// approximation).
 //
-// Slowness is judged apart: a machine is slow if its tasks take longer than others of their job and class
-// do elsewhere, by a sequential test of the ratio's logarithm.
+// Slowness is detected separately: a machine is slow if its tasks take longer than tasks of the same job or class
+// elsewhere, by a sequential test on the logarithm of the run time ratio.
 //
 // # Types
 //
-// Judge holds outcomes and judges by them; Outcome is how a task ended; SuspectedCause names a cause;
-// Verdict is the judgement of a machine, which Judge.Explain explains and Write puts into words.
+// Detector holds outcomes and draws the conclusions; Outcome is how a task ended; SuspectedCause identifies a
+// possible cause; Diagnosis is the result for a machine, which Detector.Explain supplements by its evidence and
+// WriteJudgement prints.
 //
-// A Judge does no I/O and is given the time by its outcomes. It has no lock: it is used under the watch
-// cache's.
+// A Detector does no I/O and takes the current time from the outcomes. It has no lock of its own: it is used under
+// that of the watch cache.
 package quarantine
 
 import (
@@ -29,7 +30,7 @@
 	"maddermill/wire"
 )
 
-// CauseKind is a kind of cause that a task's failure may have.
+// CauseKind is the kind of a possible cause of a task's failure.
 type CauseKind uint8
 
 // Kinds of causes.
@@ -39,19 +40,19 @@
 	CauseTask
 	CauseImage
 	CauseBlock
-	causeKinds // their number
+	numCauseKinds // number of kinds
 )
 
-// String returns the name of the kind, as explanations have it.
+// String returns the name of the kind as used in explanations.
 func (k CauseKind) String() string {
 	return [...]string{"machine", "job", "task", "image", "block"}[k]
 }
 
-// SuspectedCause is a possible cause of failures.
+// SuspectedCause identifies a possible cause of failures.
 type SuspectedCause struct {
 	Kind CauseKind
-	Name string         // of the machine, job, image or block; of a task its job's
-	Task wire.TaskIndex // of a task
+	Name string         // of the machine, job, image or block; for a task that of its job
+	Task wire.TaskIndex // for a task its index
 }
 
 // machineCause returns a machine as a possible cause.
@@ -67,32 +68,32 @@
 	return SuspectedCause{Kind: CauseTask, Name: string(id), Task: task}
 }
 
-// Outcome is how a task ended that one of its causes may be blamed for: completed or failed. Reclaims,
-// stops and expired leases are no outcomes.
+// Outcome is how a task ended: it completed or failed. Spot reclaims, stops and expired leases don't count as
+// outcomes, since none of the causes is responsible for them.
 type Outcome struct {
 	Machine  wire.MachineID
 	Job      wire.JobID
 	Task     wire.TaskIndex
-	Array    bool // its job's tasks fail each by itself
+	Array    bool // the tasks of its job run and fail independently
 	Image    wire.Image
 	Class    wire.Class
 	Block    string // of the machine; "" if no topology is declared
 	Failed   bool
 	Ran      time.Duration // 0: unknown
-	Expected time.Duration // before it ran; 0: unknown
-	FromPeer bool          // another controller has shared it
+	Expected time.Duration // run time expected before it ran; 0: unknown
+	FromPeer bool          // received from another controller
 	At       time.Time
 }
 
-// The causes of every outcome begin with its machine and its job.
+// Indexes of the machine and the job in the causes of every outcome.
 const (
-	machineAt = 0
-	jobAt     = 1
+	machineIndex = 0
+	jobIndex     = 1
 )
 
-// causeList is the possible causes of an outcome.
+// causeList lists the possible causes of an outcome.
 type causeList struct {
-	causes [causeKinds]SuspectedCause
+	causes [numCauseKinds]SuspectedCause
 	n      int
 }
 
@@ -102,9 +103,9 @@
 	l.n++
 }
 
-// causesOf returns the possible causes of an outcome: a gang has no task of its own, and not all have a
-// block. Of one that a peer has shared, image and block are left out: how they did elsewhere is not
-// shared, and failures alone would make any of them look faulty.
+// causesOf returns the possible causes of an outcome. Tasks are causes in arrays only, since the tasks of a gang
+// fail together, and not every machine has a block. Image and block of an outcome shared by a peer are left out:
+// their completions elsewhere aren't shared, and failures alone would make any image or block look faulty.
 func causesOf(o *Outcome) causeList {
 	var list causeList
 	list.add(machineCause(o.Machine))
@@ -124,25 +125,25 @@
 	return list
 }
 
-// Priors are the probabilities that the operators set.
+// Priors are the probabilities configured by operators.
 type Priors struct {
-	Faulty float64 // the share of machines that are faulty, before anything is observed
-	Wrong  float64 // the share of machines judged faulty that may be sound
+	Faulty float64 // prior probability that a machine is faulty
+	Wrong  float64 // acceptable share of healthy machines among those considered faulty
 }
 
-// DefaultPriors are those of a cluster without settings of its own: one machine in a hundred is faulty, and one
-// judgement in 250 is wrong.
+// DefaultPriors apply to clusters without settings of their own: one machine in 100 is faulty, and one machine in
+// 250 that is considered faulty is not.
 var DefaultPriors = Priors{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
 
-// failureRates are those with which a faulty cause may fail its tasks.
+// failureRates are the rates at which a faulty cause may fail its tasks.
 var failureRates = [...]float64{0.08, 0.2, 0.5, 0.9, 0.999}
 
 // maxFailureRate is the highest of failureRates.
 const maxFailureRate = 0.999
 
-// rateShares are how often a faulty cause of a kind has each of failureRates. A job with a mistake, or a
+// ratePriors is the prior distribution of failureRates for faulty causes of each kind. A job with a mistake, or a
 // task with a bad input, fails wherever it runs.
-var rateShares = [causeKinds][len(failureRates)]float64{
+var ratePriors = [numCauseKinds][len(failureRates)]float64{
 	CauseMachine: {0.25, 0.25, 0.2, 0.15, 0.15},
 	CauseJob:     {0.0005, 0.0005, 0.001, 0.008, 0.99},
 	CauseTask:    {0.0005, 0.0005, 0.001, 0.008, 0.99},
@@ -150,9 +151,8 @@
 	CauseBlock:   {0.25, 0.25, 0.2, 0.15, 0.15},
 }
 
-// faultyShares are the shares of causes that are faulty, before anything is observed; that of machines is
-// the operators' (Priors).
-var faultyShares = [causeKinds]float64{
+// faultPriors are the prior probabilities that a cause is faulty; that of machines is configured (Priors).
+var faultPriors = [numCauseKinds]float64{
 	CauseMachine: 0,
 	CauseJob:     1.0 / 50,
 	CauseTask:    1.0 / 200,
@@ -160,15 +160,16 @@
 	CauseBlock:   1.0 / 1000,
 }
 
-// maxLearnedShare bounds the learned shares of jobs and tasks that are faulty.
-const maxLearnedShare = 0.2
+// maxLearnedPrior is the upper bound of the learned priors of jobs and tasks.
+const maxLearnedPrior = 0.2
 
-// inferenceOrders are the orders in which kinds of causes are judged. What is judged first explains what
-// others might explain as well; of the two explanations the likelier one as a whole counts.
-var inferenceOrders = [...][causeKinds]CauseKind{
+// inferenceOrders are the orders in which the beliefs about kinds of causes are updated. Kinds that are updated
+// first explain failures that later kinds might explain as well; of the two results, the one with the higher
+// overall likelihood is used.
+var inferenceOrders = [...][numCauseKinds]CauseKind{
 	{CauseBlock, CauseImage, CauseJob, CauseTask, CauseMachine},
 	{CauseBlock, CauseJob, CauseTask, CauseMachine, CauseImage},
 }
 
-// likely is the probability of a cause above which an explanation names it.
-const likely = 0.5
+// likelyThreshold is the probability above which failures are attributed to a cause.
+const likelyThreshold = 0.5
--- a/internal/scheduler/quarantine/share.go
+++ b/internal/scheduler/quarantine/share.go
@@ -7,18 +7,19 @@
 	"maddermill/internal/membership/peer"
 )
 
-// Bounds of what is shared with other controllers.
+// Limits of what is shared with other controllers.
 const (
 	maxSharedFailures = 100
-	sharePeriod       = 3 * time.Minute
+	sharingWindow     = 3 * time.Minute
 )
 
-// FailuresToShare returns the latest failures on machines that report here, for other controllers.
-func (j *Judge) FailuresToShare(now time.Time) []peer.Failure {
+// FailuresToShare returns the latest failures on machines that report to this controller, to be sent to other
+// controllers.
+func (d *Detector) FailuresToShare(now time.Time) []peer.Failure {
 	var out []peer.Failure
-	for i := len(j.failures) - 1; i >= 0 && len(out) < maxSharedFailures; i-- {
-		f := j.failures[i]
-		if now.Sub(f.At) > sharePeriod {
+	for i := len(d.failures) - 1; i >= 0 && len(out) < maxSharedFailures; i-- {
+		f := d.failures[i]
+		if now.Sub(f.At) > sharingWindow {
 			break
 		}
 		if f.FromPeer {
@@ -31,17 +32,17 @@
 			Machine:    f.Machine,
 			Image:      f.Image,
 			Block:      f.Block,
-			DoneBefore: f.completedBefore[machineAt],
+			DoneBefore: f.completedBefore[machineIndex],
 			At:         f.At.UnixMilli(),
 		})
 	}
 	return out
 }
 
-// MergeFailures adds failures that another controller has shared, those that are known already excepted.
-// They are evidence about jobs and tasks, whose completions are in the records. Machines are judged by the
-// controller that they report to, images and blocks by each controller from what it observes.
-func (j *Judge) MergeFailures(list []peer.Failure) {
+// MergeFailures adds failures shared by another controller, except those already known. They are evidence about
+// jobs and tasks, whose completions are on record. Machines are assessed by the controller that they report to,
+// images and blocks by each controller from its own observations.
+func (d *Detector) MergeFailures(list []peer.Failure) {
 	for i := len(list) - 1; i >= 0; i-- {
 		shared := &list[i]
 		o := &Outcome{
@@ -55,18 +56,18 @@
 			FromPeer: true,
 			At:       time.UnixMilli(shared.At),
 		}
-		if j.knows(o) {
+		if d.isKnownFailure(o) {
 			continue
 		}
 		machine := machineCause(shared.Machine)
-		j.completed[machine] = max(j.completed[machine], shared.DoneBefore)
-		j.Observe(o)
+		d.completed[machine] = max(d.completed[machine], shared.DoneBefore)
+		d.Observe(o)
 	}
 }
 
-// knows reports whether a failure has been observed or merged already.
-func (j *Judge) knows(o *Outcome) bool {
-	return slices.ContainsFunc(j.failures, func(f *failure) bool {
+// isKnownFailure reports whether a failure has already been observed or merged.
+func (d *Detector) isKnownFailure(o *Outcome) bool {
+	return slices.ContainsFunc(d.failures, func(f *failure) bool {
 		return f.Machine == o.Machine && f.Job == o.Job && f.Task == o.Task && f.At.Equal(o.At)
 	})
 }
--- a/internal/scheduler/quarantine/speed.go
+++ b/internal/scheduler/quarantine/speed.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// slowFactor is by how much longer the tasks of a slow machine take, at the least.
+	// slowFactor is the minimum factor by which tasks take longer on a slow machine.
 	slowFactor = 1.5
-	// maxResidual bounds the logarithm of a task's ratio, so that one odd task is not enough.
+	// maxResidual bounds the logarithm of a task's run time ratio, so that a single outlier isn't decisive.
 	maxResidual = 1.0
-	// minJobTasks is how many tasks of a job must have completed for others to be compared with them,
+	// minJobTasks is the number of completed tasks of a job from which on its other tasks are compared with them
 	// rather than with their class.
 	minJobTasks = 3
-	// minSlowTasks is how many tasks a machine must have been slow for to be judged slow.
+	// minSlowTasks is the minimum number of tasks in the sequential test for a machine to be considered slow.
 	minSlowTasks = 5
-	// spreadFade is the weight of older tasks in a spread with each new one.
-	spreadFade = 0.995
+	// statsDecay is the factor by which each new task reduces the weight of earlier ones.
+	statsDecay = 0.995
 
-	// A spread has a standard deviation of priorDeviation before any task, which weighs as much as
-	// priorDeviationTasks of them, and never less than minDeviation; all of logarithms.
+	// priorDeviation is the prior standard deviation of the logarithms, with the weight of priorDeviationTasks
+	// tasks. The estimated standard deviation is at least minDeviation.
 	priorDeviation      = 0.25
 	priorDeviationTasks = 8
 	minDeviation        = 0.05
 )
 
-// pace is the state of a machine's sequential test: it begins anew whenever its score is not above 0.
-type pace struct {
-	score     float64 // logarithm of the likelihood ratio of being slow and not
-	residuals float64 // sum of the logarithms by which its tasks took longer
+// slownessTest is the state of a machine's sequential test (CUSUM), which restarts whenever its score is not above 0.
+type slownessTest struct {
+	score     float64 // logarithm of the likelihood ratio, slow to not slow
+	residuals float64 // sum of the deviations of the tasks' logarithms from the mean
 	tasks     float64
 }
 
-// spread is the distribution of the logarithms of run times divided by what was expected. A nil spread has
-// no tasks.
-type spread struct{ tasks, sum, squares float64 }
+// logRatioStats describes the distribution of the logarithms of the ratio of actual to expected run time. Nil is
+// empty.
+type logRatioStats struct{ tasks, sum, squares float64 }
 
-// add adds a task's logarithm.
-func (s *spread) add(x float64) {
-	s.tasks = s.tasks*spreadFade + 1
-	s.sum = s.sum*spreadFade + x
-	s.squares = s.squares*spreadFade + x*x
+// add adds the logarithm of a task's run time ratio.
+func (s *logRatioStats) add(x float64) {
+	s.tasks = s.tasks*statsDecay + 1
+	s.sum = s.sum*statsDecay + x
+	s.squares = s.squares*statsDecay + x*x
 }
 
-// estimate returns the mean and the standard deviation, which is drawn to priorDeviation where there are few
+// estimate returns the mean and the standard deviation, which is shrunk towards priorDeviation if there are few
 // tasks.
-func (s *spread) estimate() (mean, deviation float64) {
+func (s *logRatioStats) estimate() (mean, deviation float64) {
 	if s == nil || s.tasks < 1 {
 		return 0, priorDeviation
 	}
@@ -56,56 +56,56 @@
 	return mean, math.Sqrt(max(variance, minDeviation*minDeviation))
 }
 
-// observeSpeed records how long a completed task ran, if that and its expectation are known.
-func (j *Judge) observeSpeed(o *Outcome) {
+// observeRunTime records the run time of a completed task, if it and the expected run time are known.
+func (d *Detector) observeRunTime(o *Outcome) {
 	if o.Ran <= 0 || o.Expected <= 0 {
 		return
 	}
 	logRatio := math.Log(o.Ran.Seconds() / o.Expected.Seconds())
-	class, job := j.classSpreads[o.Class], j.jobSpreads[o.Job]
+	class, job := d.classStats[o.Class], d.jobStats[o.Job]
 	mean, deviation := class.estimate()
 	if job != nil && job.tasks >= minJobTasks {
-		// A job's own estimate may be wrong for all its tasks.
+		// The job's estimate may be off by the same factor for all its tasks.
 		mean, deviation = job.estimate()
 	}
 	if class == nil {
-		class = new(spread)
-		j.classSpreads[o.Class] = class
+		class = new(logRatioStats)
+		d.classStats[o.Class] = class
 	}
 	if job == nil {
-		job = new(spread)
-		j.jobSpreads[o.Job] = job
+		job = new(logRatioStats)
+		d.jobStats[o.Job] = job
 	}
-	machine := j.paces[o.Machine]
+	machine := d.slownessTests[o.Machine]
 	if machine == nil {
-		machine = new(pace)
-		j.paces[o.Machine] = machine
+		machine = new(slownessTest)
+		d.slownessTests[o.Machine] = machine
 	}
 	machine.add(logRatio-mean, deviation)
-	if slow, _ := j.Slow(o.Machine); !slow { // a slow machine is no evidence of how long tasks take
+	if slow, _ := d.Slow(o.Machine); !slow { // slow machines would bias the statistics
 		class.add(logRatio)
 		job.add(logRatio)
 	}
 }
 
-// add adds a task, which took longer than others by a logarithm whose standard deviation is given.
-func (p *pace) add(residual, deviation float64) {
+// add adds a task. residual is the deviation of its logarithm from the mean, deviation the standard deviation.
+func (t *slownessTest) add(residual, deviation float64) {
 	residual = min(maxResidual, max(-maxResidual, residual))
 	slow := math.Log(slowFactor)
-	p.score += (slow*residual - slow*slow/2) / (deviation * deviation)
-	if p.score <= 0 {
-		*p = pace{}
+	t.score += (slow*residual - slow*slow/2) / (deviation * deviation)
+	if t.score <= 0 {
+		*t = slownessTest{}
 		return
 	}
-	p.residuals += residual
-	p.tasks++
+	t.residuals += residual
+	t.tasks++
 }
 
-// Slow reports whether a machine's tasks take longer than others', and by what factor; 1 if they don't.
-func (j *Judge) Slow(m wire.MachineID) (slow bool, factor float64) {
-	p := j.paces[m]
-	if p == nil || p.tasks < minSlowTasks || p.score < j.logOddsLimit()-math.Log(j.priors.Faulty) {
+// Slow reports whether tasks take longer on a machine than elsewhere, and by what factor; 1 if they don't.
+func (d *Detector) Slow(m wire.MachineID) (slow bool, factor float64) {
+	test := d.slownessTests[m]
+	if test == nil || test.tasks < minSlowTasks || test.score < d.logOddsThreshold()-math.Log(d.priors.Faulty) {
 		return false, 1
 	}
-	return true, math.Exp(p.residuals / p.tasks)
+	return true, math.Exp(test.residuals / test.tasks)
 }
