--- a/internal/scheduler/crashloop/tracker.go
+++ b/internal/scheduler/crashloop/tracker.go
@@ -61,7 +61,13 @@
 }
 
 // Failed records a task's failure on a machine. block is the machine's topology block; "" if none is declared.
-func (t *Tracker) Failed(j *ledger.Job, task wire.TaskIndex, machine wire.MachineID, block string, now time.Time) {
+func (t *Tracker) Failed(
+	j *ledger.Job,
+	task wire.TaskIndex,
+	machine wire.MachineID,
+	block string,
+	now time.Time,
+) {
 	if t.detector != nil {
 		outcome := newOutcome(j, task, machine, block, now)
 		outcome.Failed = true
