--- a/internal/membership/completion/exchange.go
+++ b/internal/membership/completion/exchange.go
@@ -8,66 +8,66 @@
 	"maddermill/wire"
 )
 
-// maxShared is how many completions one answer has.
-const maxShared = 500
+// maxPerResponse limits the completions in one probe response.
+const maxPerResponse = 500
 
-// exchangeTimeout is how long after its start a controller that has not read all peers' logs takes a task
-// without a known completion to have ended without one. Peers are asked every second.
+// exchangeTimeout is how long after startup a controller waits to read all peers' logs. After that it assumes
+// that a task without a known completion ended without one. Peers are probed every second.
 const exchangeTimeout = 2500 * time.Millisecond
 
-// Exchange shares the entries of a log with the peers, and adds theirs. Each entry is shared once with
-// each run of a peer, since the asker names the last one that it has read.
+// Exchange sends the entries of a log to the peers and merges theirs. A probe carries the position up to
+// which the sender has read the peer's log, so each run of a peer receives each entry once.
 type Exchange struct {
-	log   *Log
-	boot  time.Time // when this run began
-	peers []wire.MemberID
-	read  map[wire.MemberID]cursor // how far each peer's log was read
+	log       *Log
+	startedAt time.Time // start of this process
+	peers     []wire.MemberID
+	cursors   map[wire.MemberID]cursor // read position in each peer's log
 }
 
-// cursor is how far a peer's log was read.
+// cursor is the read position in a peer's log.
 type cursor struct {
-	boot     int64  // of the peer's run
-	number   uint64 // of the last entry read
-	complete bool   // the peer had no further entries then
+	boot     int64  // identifies the peer's run; see peer.Status
+	number   uint64 // sequence number of the last entry read
+	complete bool   // the last response contained all remaining entries
 }
 
-// NewExchange returns an exchange of a log with peers, for a run that began at boot.
-func NewExchange(log *Log, boot time.Time, peers []wire.MemberID) *Exchange {
-	return &Exchange{log: log, boot: boot, peers: peers, read: map[wire.MemberID]cursor{}}
+// NewExchange returns an exchange of log with peers, for a process that started at startedAt.
+func NewExchange(log *Log, startedAt time.Time, peers []wire.MemberID) *Exchange {
+	return &Exchange{log: log, startedAt: startedAt, peers: peers, cursors: map[wire.MemberID]cursor{}}
 }
 
-// Complete reports whether the log holds what the peers kept when this controller started, or they had
-// time enough to share it.
+// Complete reports whether the log holds all completions that the peers knew when this controller started,
+// or exchangeTimeout has passed since.
 func (x *Exchange) Complete(now time.Time) bool {
-	return now.Sub(x.boot) > exchangeTimeout ||
-		!slices.ContainsFunc(x.peers, func(id wire.MemberID) bool { return !x.read[id].complete })
+	return now.Sub(x.startedAt) > exchangeTimeout ||
+		!slices.ContainsFunc(x.peers, func(id wire.MemberID) bool { return !x.cursors[id].complete })
 }
 
-// Request sets in a question to a peer how far its log was read.
-func (x *Exchange) Request(to wire.MemberID, ask *peer.Status) {
-	at := x.read[to]
-	ask.CompletedBoot, ask.CompletedTo = at.boot, at.number
+// Request sets the read position in the peer's log in a probe.
+func (x *Exchange) Request(to wire.MemberID, probe *peer.Status) {
+	read := x.cursors[to]
+	probe.CompletionsBoot, probe.LastCompletion = read.boot, read.number
 }
 
-// Answer sets in the answer to a peer's question the entries that the peer has not read yet.
-func (x *Exchange) Answer(ask peer.Status, answer *peer.Status, now time.Time) {
+// Answer adds the log entries that the peer has not read yet to the response to its probe.
+func (x *Exchange) Answer(probe peer.Status, response *peer.Status, now time.Time) {
 	number := uint64(0)
-	if ask.CompletedBoot == x.boot.UnixMilli() {
-		number = ask.CompletedTo
+	if probe.CompletionsBoot == x.startedAt.UnixMilli() {
+		number = probe.LastCompletion
 	}
-	answer.CompletedBoot = x.boot.UnixMilli()
-	answer.Completed, answer.CompletedTo = x.log.Since(number, maxShared, now)
+	response.CompletionsBoot = x.startedAt.UnixMilli()
+	response.Completions, response.LastCompletion = x.log.Since(number, maxPerResponse, now)
 }
 
-// Merge adds the completions in a peer's answer that the records may lack, which lacking reports, to the
-// log; unsynced as in Log.Add.
-func (x *Exchange) Merge(s *peer.Status, lacking func(peer.Completion) bool, unsynced bool, now time.Time) {
-	if s.CompletedBoot == 0 {
-		return // an earlier version, or a published status
+// Merge adds those completions of a peer's response to the log for which maybeUnrecorded returns true.
+// unsynced has the same meaning as in Log.Add.
+func (x *Exchange) Merge(s *peer.Status, maybeUnrecorded func(peer.Completion) bool, unsynced bool, now time.Time) {
+	if s.CompletionsBoot == 0 {
+		return // sent by an earlier version, or read from the state service
 	}
-	x.read[s.Member] = cursor{s.CompletedBoot, s.CompletedTo, len(s.Completed) < maxShared}
-	for _, c := range s.Completed {
-		if lacking(c) {
+	x.cursors[s.Member] = cursor{s.CompletionsBoot, s.LastCompletion, len(s.Completions) < maxPerResponse}
+	for _, c := range s.Completions {
+		if maybeUnrecorded(c) {
 			x.log.Add(c, unsynced, now)
 		}
 	}
--- a/internal/membership/completion/log.go
+++ b/internal/membership/completion/log.go
@@ -1,23 +1,24 @@
-// Package completion keeps the completions of tasks that workers reported and that the records do not
-// hold yet. A worker whose lease ends forgets its tasks, so what it reported before, in an outage of the
-// state service or to a controller that ended since, is known to controllers only. Each shares what it
-// keeps with its peers (docs/meetings.md, "Completions outlive the session").
+// Package completion keeps task completions that workers have reported but that may not be in the records
+// yet. A worker discards its tasks when its lease ends. What it reported before then, during an outage of
+// the state service or to a controller that has since exited, is known to controllers only, so each
+// controller shares its completions with its peers (docs/meetings.md, "Completions outlive the session").
 //
 // # Types
 //
-// A [Log] is the completions that one controller knows of, in a bounded amount of memory. An [Exchange]
-// shares them with the peers, each entry once with each run of a peer.
+// A [Log] holds the completions that one controller knows, in bounded memory. An [Exchange] sends them to
+// the peers, each entry once to each run of a peer.
 //
 // # Locking and goroutines
 //
-// Neither type has a lock: both are used under the lock of the records (watchcache.Cache.Lock). The
-// package starts no goroutines.
+// Neither type is safe for concurrent use: the caller holds the lock of the records
+// (watchcache.Cache.Lock). The package starts no goroutines.
 //
 // # Invariants
 //
-//   - A completion proves how the task of that attempt on that machine in that session ended, and nothing
-//     else.
-//   - A completion is kept until records that are newer than it lack its claim, or there is no room.
+//   - A completion proves the outcome of one attempt of a task on one machine in one session (epoch), and
+//     nothing else.
+//   - A completion is kept until records newer than it no longer contain its claim, or until the log is
+//     full.
 package completion
 
 import (
@@ -30,34 +31,34 @@
 	"maddermill/wire"
 )
 
-// shareAfter is how old a completion must be to be shared with peers. Nearly all are on record sooner,
-// and a controller that ends before has a worker that reports them once more.
-const shareAfter = 1500 * time.Millisecond
+// minShareAge is the minimum age of a completion before it is sent to peers. Nearly all completions are
+// recorded earlier than that. If the controller exits before, the worker reports them again.
+const minShareAge = 1500 * time.Millisecond
 
 // Sizes of a Log.
 const (
-	entryBytes  = 400 // about what an entry takes of memory
+	entryBytes  = 400 // approximate memory per entry
 	minCapacity = 256 // entries
 )
 
-// Capacity returns how many completions a Log may keep in a number of bytes of memory.
+// Capacity returns how many completions fit in the given number of bytes of memory, at least minCapacity.
 func Capacity(bytes int) int { return max(minCapacity, bytes/entryBytes) }
 
-// entry is a completion in the order in which they were added.
+// entry is a completion in the log.
 type entry struct {
 	peer.Completion
-	number   uint64
+	number   uint64 // sequence number, in the order of additions
 	addedAt  time.Time
-	unsynced bool // added while this controller was out of touch with the state service
+	unsynced bool // added while this controller had lost contact with the state service
 }
 
-// Log is the completions that one controller knows of and that the records may lack.
+// Log holds the completions that one controller knows and that the records may not contain yet.
 type Log struct {
-	capacity int
-	last     uint64 // number of the entry added last; the first one's is 1
-	known    map[peer.Completion]struct{}
-	entries  []entry // by number
-	lost     int     // entries that were dropped for want of room
+	capacity   int
+	lastNumber uint64 // number of the newest entry; numbers start at 1
+	known      map[peer.Completion]struct{}
+	entries    []entry // ordered by number
+	dropped    int     // entries dropped because the log was full
 }
 
 // New returns an empty log that keeps at most capacity completions.
@@ -65,14 +66,14 @@
 	return &Log{capacity: capacity, known: map[peer.Completion]struct{}{}}
 }
 
-// Len returns how many completions are kept.
+// Len returns the number of completions in the log.
 func (l *Log) Len() int { return len(l.entries) }
 
-// Lost returns how many completions were dropped because there was no room for them.
-func (l *Log) Lost() int { return l.lost }
+// Lost returns how many completions were dropped because the log was full.
+func (l *Log) Lost() int { return l.dropped }
 
-// Add adds a completion unless it is known. unsynced says that this controller is out of touch with the
-// state service. A full log drops its oldest entry.
+// Add adds a completion unless the log already has it. unsynced means that this controller has lost
+// contact with the state service. A full log drops its oldest entry.
 func (l *Log) Add(c peer.Completion, unsynced bool, now time.Time) {
 	if _, ok := l.known[c]; ok {
 		return
@@ -80,15 +81,15 @@
 	if len(l.entries) >= l.capacity {
 		delete(l.known, l.entries[0].Completion)
 		l.entries = l.entries[1:]
-		l.lost++
+		l.dropped++
 	}
-	l.last++
+	l.lastNumber++
 	l.known[c] = struct{}{}
-	l.entries = append(l.entries, entry{c, l.last, now, unsynced})
+	l.entries = append(l.entries, entry{c, l.lastNumber, now, unsynced})
 }
 
-// Cause returns how the task of a claim ended that no worker can report any more: wire.CauseDone if its
-// completion is known, else "". A nil log knows of none.
+// Cause returns the outcome of a claimed task that no worker can report any more: wire.CauseDone if the log
+// has its completion, else "". A nil log is empty.
 func (l *Log) Cause(h *ledger.HeldClaim, task wire.TaskIndex) wire.Cause {
 	if l == nil || len(l.known) == 0 {
 		return ""
@@ -100,15 +101,15 @@
 	return wire.CauseDone
 }
 
-// Since returns at most limit completions after a number that are old enough to be shared, and the number
-// of the last of them.
+// Since returns at most limit completions that follow the entry with the given number and are at least
+// minShareAge old, and the number of the last of them.
 func (l *Log) Since(number uint64, limit int, now time.Time) ([]peer.Completion, uint64) {
 	begin, _ := slices.BinarySearchFunc(l.entries, number+1, func(e entry, n uint64) int {
 		return cmp.Compare(e.number, n)
 	})
 	var out []peer.Completion
 	for _, e := range l.entries[begin:] {
-		if len(out) == limit || now.Sub(e.addedAt) < shareAfter {
+		if len(out) == limit || now.Sub(e.addedAt) < minShareAge {
 			break
 		}
 		out, number = append(out, e.Completion), e.number
@@ -116,8 +117,8 @@
 	return out, number
 }
 
-// EachUnrecorded calls f for the completions that were added while this controller was out of touch with
-// the state service, in their order.
+// EachUnrecorded calls f, in order, for the completions that were added while this controller had lost
+// contact with the state service.
 func (l *Log) EachUnrecorded(f func(peer.Completion)) {
 	for _, e := range l.entries {
 		if e.unsynced {
@@ -126,8 +127,8 @@
 	}
 }
 
-// Prune drops the completions that are on record: those added before syncedAt whose claim the records
-// lack. The records must hold all that was committed before syncedAt.
+// Prune drops the completions that are already recorded: those added before syncedAt whose claim is no
+// longer in the records. The records must contain everything committed before syncedAt.
 func (l *Log) Prune(records *ledger.Ledger, syncedAt time.Time) {
 	l.entries = slices.DeleteFunc(l.entries, func(e entry) bool {
 		if !e.addedAt.Before(syncedAt) || Claimed(records, e.Completion) {
@@ -138,13 +139,13 @@
 	})
 }
 
-// Claimed reports whether the records hold the claim of a completion.
+// Claimed reports whether the records contain the claim of a completion.
 func Claimed(records *ledger.Ledger, c peer.Completion) bool {
 	_, ok := ClaimOf(records, c)
 	return ok
 }
 
-// ClaimOf returns the claim of a completion; false: the records do not hold it.
+// ClaimOf returns the claim of a completion, and false if the records do not contain it.
 func ClaimOf(records *ledger.Ledger, c peer.Completion) (ledger.HeldClaim, bool) {
 	for _, h := range records.ClaimsOn(c.Machine) {
 		if h.Job.ID == c.Job && h.Attempt == c.Attempt && h.Epoch == c.Epoch && h.Covers(c.Task) {
--- a/internal/membership/completion/log_test.go
+++ b/internal/membership/completion/log_test.go
@@ -9,11 +9,11 @@
 	"maddermill/wire"
 )
 
-// at returns a time so many seconds into a test.
+// at returns the time s seconds after the start of a test.
 func at(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 
-// done returns the completion of a task of job wk-000001 on host-1 in session 3.
-func done(task int, attempt wire.Attempt) peer.Completion {
+// completed returns the completion of a task of job wk-000001 on host-1 in session (epoch) 3.
+func completed(task int, attempt wire.Attempt) peer.Completion {
 	return peer.Completion{
 		Job:     "wk-000001",
 		Task:    wire.TaskIndex(task),
@@ -23,11 +23,11 @@
 	}
 }
 
-// TestCompletionOfAnotherAttempt: a completion proves the claim that it is of, and nothing of another
-// attempt, task, machine or session.
+// TestCompletionOfAnotherAttempt checks that a completion proves the outcome of its own claim only, not of
+// another attempt, task, machine, session or job.
 func TestCompletionOfAnotherAttempt(t *testing.T) {
 	l := New(4)
-	l.Add(done(2, 5), false, at(0))
+	l.Add(completed(2, 5), false, at(0))
 	claim := ledger.Claim{First: 0, Count: 4, Attempt: 5, Machine: "host-1", Epoch: 3, Token: 9}
 	for _, tc := range []struct {
 		name   string
@@ -36,7 +36,7 @@
 		want   wire.Cause
 	}{
 		{"the same", func(*ledger.HeldClaim) {}, 2, wire.CauseDone},
-		// Who held the machine does not matter.
+		// A new fencing token does not invalidate the completion.
 		{"another token", func(h *ledger.HeldClaim) { h.Token = 8 }, 2, wire.CauseDone},
 		{"another task", func(*ledger.HeldClaim) {}, 1, ""},
 		{"another attempt", func(h *ledger.HeldClaim) { h.Attempt = 6 }, 2, ""},
@@ -57,15 +57,15 @@
 	}
 }
 
-// TestLogIsBounded: a full log drops the oldest completion and counts it.
+// TestLogIsBounded checks that a full log drops the oldest completion and counts it.
 func TestLogIsBounded(t *testing.T) {
 	l := New(3)
 	for i := range 5 {
-		l.Add(done(i, 1), false, at(float64(i)))
-		l.Add(done(i, 1), false, at(float64(i))) // once more
+		l.Add(completed(i, 1), false, at(float64(i)))
+		l.Add(completed(i, 1), false, at(float64(i))) // duplicate
 	}
 	if l.Len() != 3 || l.Lost() != 2 {
-		t.Errorf("%d kept, %d lost; want 3 and 2", l.Len(), l.Lost())
+		t.Errorf("%d kept, %d dropped; want 3 and 2", l.Len(), l.Lost())
 	}
 	shared, number := l.Since(0, 10, at(60))
 	if number != 5 || len(shared) != 3 || shared[0].Task != 2 {
@@ -73,7 +73,7 @@
 	}
 }
 
-// run is one run of a controller: its log and the exchange of that with its only peer.
+// run is one run of a controller: its log and the exchange of that log with its only peer.
 type run struct {
 	id       wire.MemberID
 	log      *Log
@@ -85,35 +85,35 @@
 	return &run{id, l, NewExchange(l, boot, []wire.MemberID{other})}
 }
 
-// ask has a run ask another and merge all of the answer, and returns how many completions it had.
-func (r *run) ask(from *run, now time.Time) int {
-	ask, answer := peer.Status{Member: r.id}, peer.Status{Member: from.id}
-	r.exchange.Request(from.id, &ask)
-	from.exchange.Answer(ask, &answer, now)
-	r.exchange.Merge(&answer, everything, false, now)
-	return len(answer.Completed)
+// probe sends a probe to another run, merges the response, and returns how many completions it contained.
+func (r *run) probe(to *run, now time.Time) int {
+	probe, response := peer.Status{Member: r.id}, peer.Status{Member: to.id}
+	r.exchange.Request(to.id, &probe)
+	to.exchange.Answer(probe, &response, now)
+	r.exchange.Merge(&response, all, false, now)
+	return len(response.Completions)
 }
 
-func everything(peer.Completion) bool { return true }
+func all(peer.Completion) bool { return true }
 
-// TestExchange: each completion is shared once with each run of a peer, none before it is old enough,
-// and all of them again with and by a new run.
+// TestExchange checks that each completion is sent once to each run of a peer and not before it is
+// minShareAge old. After a restart, the new run starts empty and receives all completions again.
 func TestExchange(t *testing.T) {
 	a, b := newRun("a", "b", at(0)), newRun("b", "a", at(0))
-	for i := range maxShared + 20 {
-		a.log.Add(done(i, 1), false, at(10))
+	for i := range maxPerResponse + 20 {
+		a.log.Add(completed(i, 1), false, at(10))
 	}
 	for _, tc := range []struct {
 		at       float64
 		shared   int
 		complete bool
 	}{
-		{10.5, 0, true}, // none is old enough
-		{12, maxShared, false},
+		{10.5, 0, true}, // none is minShareAge old
+		{12, maxPerResponse, false},
 		{13, 20, true},
 		{14, 0, true},
 	} {
-		if got := b.ask(a, at(tc.at)); got != tc.shared {
+		if got := b.probe(a, at(tc.at)); got != tc.shared {
 			t.Errorf("at %v s: %d completions shared, want %d", tc.at, got, tc.shared)
 		}
 		if got := b.exchange.Complete(at(0.1)); got != tc.complete {
@@ -124,19 +124,19 @@
 		t.Errorf("%d completions arrived, want %d", b.log.Len(), a.log.Len())
 	}
 
-	a = newRun("a", "b", at(20)) // its next run has no completions, and asks
-	a.ask(b, at(21))
-	if a.log.Len() != maxShared {
-		t.Errorf("%d completions shared with a new run, want %d", a.log.Len(), maxShared)
+	a = newRun("a", "b", at(20)) // after a restart: an empty log
+	a.probe(b, at(21))
+	if a.log.Len() != maxPerResponse {
+		t.Errorf("%d completions shared with a new run, want %d", a.log.Len(), maxPerResponse)
 	}
 }
 
-// TestPeerWithoutCompletions: a peer of an earlier version, or its published status, does not count as one
-// whose log was read.
+// TestPeerWithoutCompletions checks that a status without completions, sent by an earlier version or
+// published in the state service, does not mark the peer's log as read.
 func TestPeerWithoutCompletions(t *testing.T) {
 	x := newRun("a", "c", at(20)).exchange
-	x.Merge(&peer.Status{Member: "c"}, everything, false, at(22))
-	if x.read["c"].complete {
+	x.Merge(&peer.Status{Member: "c"}, all, false, at(22))
+	if x.cursors["c"].complete {
 		t.Error("a peer without completions counts as read")
 	}
 	if x.Complete(at(22)) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// TestPrune: what is on record goes once the records are as new as the completion.
+// TestPrune checks that completions without a claim are dropped once the records are newer than they are.
 func TestPrune(t *testing.T) {
 	records := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: 1 << 16})
 	records.Apply(ledger.Event{
@@ -157,14 +157,14 @@
 			`"at":1,"a":5,"c":[[5,"host-1","a",3,9,0,2]]}`),
 	})
 	l := New(8)
-	l.Add(done(0, 5), false, at(1)) // claimed
-	l.Add(done(3, 5), false, at(1)) // not, or not yet
+	l.Add(completed(0, 5), false, at(1)) // claimed
+	l.Add(completed(3, 5), false, at(1)) // not claimed
 	l.Prune(records, at(0.5))
 	if l.Len() != 2 {
 		t.Errorf("%d kept by records from before, want 2", l.Len())
 	}
 	l.Prune(records, at(2))
-	if l.Len() != 1 || !Claimed(records, done(0, 5)) {
+	if l.Len() != 1 || !Claimed(records, completed(0, 5)) {
 		t.Errorf("%d kept by newer records, want 1, which is claimed", l.Len())
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,30 +1,30 @@
-// Package membership knows the other controllers: the status that each shared last over the mesh, when
-// that was, and what may be concluded from it. It also knows when this process itself was paused,
-// since silence is then its own and not the others'.
+// Package membership tracks the other controllers (peers): the last status that each sent over the mesh,
+// its age, and what can be concluded from it. It also detects pauses of this process, because after a
+// pause missing messages do not mean that the senders were down.
 //
 // # Types
 //
-// A [Membership] holds a [Peer] for each controller that was ever observed and a detector of this
-// process's pauses. Statuses come from the mesh (ObserveStatus) or, where the mesh does not reach, from
+// A [Membership] holds a [Peer] for each controller that was ever observed, and a detector for pauses of
+// this process. Statuses arrive over the mesh (ObserveStatus) or, where the mesh is unreachable, through
 // the state service (Publish, ReadPublished).
 //
 // # Locking
 //
-// A Membership has a lock of its own, under which it calls no other part but the log and the metrics.
-// It may be taken under the lock of the records, never the other way round: Publish and ReadPublished
-// read the records without it. A Peer and the list of them do not change once they are handed out.
+// A Membership has its own lock. While holding it, it calls nothing but the log and the metrics. The lock
+// may be acquired while the lock of the records is held, never the reverse: Publish and ReadPublished
+// read the records without it. A Peer and the list of peers are immutable once returned.
 //
 // # Goroutines
 //
-// The controller runs three, once each, and ends them by their context: DetectPauses, Publish and
-// ReadPublished. The package starts none itself.
+// The controller runs DetectPauses, Publish and ReadPublished in one goroutine each, until their context
+// is canceled. The package starts no goroutines itself.
 //
 // # Invariants
 //
-//   - A peer's AsOf is never later than the time at which its status was asked for.
-//   - A published status confirms nothing about cancellations: it is taken as one whose records are not
-//     loaded.
-//   - Silence counts only for times in which this process ran and was in touch with the state service.
+//   - A peer's AsOf is never later than the time at which its status was requested.
+//   - A published status confirms nothing about cancellations: it is treated as if the peer's records were
+//     not loaded.
+//   - Silence counts only while this process was running and in contact with the state service.
 package membership
 
 import (
@@ -39,13 +39,13 @@
 // Options are the settings of a Membership.
 type Options struct {
 	Self       wire.MemberID
-	Others     []wire.MemberID // the other controllers as configured
-	Count      int             // of controllers in the deployment
-	Contact    time.Duration   // how long ago the last sync may be for a controller to start work
-	ValueBytes int             // that a stored value may have
+	Others     []wire.MemberID // the other configured controllers
+	Count      int             // number of controllers in the deployment
+	Contact    time.Duration   // maximum age of the last sync for a controller to start work
+	ValueBytes int             // maximum size of a stored value
 }
 
-// Membership is what one controller knows of the others. All methods may be called at any time.
+// Membership holds what one controller knows about the others. It is safe for concurrent use.
 type Membership struct {
 	opt   Options
 	stats *metrics.Set
@@ -53,12 +53,12 @@
 
 	mu        sync.Mutex // guards the fields below
 	peers     map[wire.MemberID]*Peer
-	sorted    []*Peer                     // of peers, by name; replaced, never changed
-	lastProbe map[wire.MemberID]time.Time // when each peer last asked for the status over the mesh
+	sorted    []*Peer                     // peers ordered by name; replaced, never modified
+	lastProbe map[wire.MemberID]time.Time // when each peer last probed this controller over the mesh
 	pauses    pauseDetector
 }
 
-// New returns a membership that has observed no peer.
+// New returns a Membership that has not observed any peer.
 func New(opt Options, stats *metrics.Set, log *slog.Logger) *Membership {
 	return &Membership{
 		opt:       opt,
--- a/internal/membership/pause.go
+++ b/internal/membership/pause.go
@@ -7,24 +7,25 @@
 	"maddermill/internal/wait"
 )
 
-// A process may be paused for seconds or minutes while its clocks run on. What reached it meanwhile is
-// old, what it had decided is old, and the silence of others in that time is its own. It finds out by
-// how long it has not run.
+// A process may be paused for seconds or minutes while its clocks continue. Afterwards, queued messages
+// and earlier decisions are stale, and missing messages from that time say nothing about their senders. A
+// pause is detected as a gap between two periodic checks.
 const (
 	pauseCheckInterval = 250 * time.Millisecond
-	minPause           = 2 * time.Second        // a longer gap between two checks is a pause
-	recentPause        = 500 * time.Millisecond // after a pause, requests may be as old as the pause
-	maxSyncAge         = 3 * time.Second        // since the last sync, for the silence of others to count
+	minPause           = 2 * time.Second        // longer gaps between two checks are pauses
+	recentPausePeriod  = 500 * time.Millisecond // after a pause, when requests may be as old as the pause
+	maxSilenceSyncAge  = 3 * time.Second        // maximum age of the last sync for silence to count
 )
 
-// pauseDetector finds out since when this process has run without a pause. It has no lock.
+// pauseDetector determines since when this process has run without a pause. It is not safe for concurrent
+// use.
 type pauseDetector struct {
-	lastRan      time.Time // when the process was last known to run; zero: not yet
-	runningSince time.Time // when the last pause ended; zero: there was none
+	lastRan      time.Time // when the process last called check; zero before the first call
+	runningSince time.Time // end of the last pause; zero if there was none
 }
 
-// check notes that the process runs now and returns the gap since it was last known to run if that is a
-// pause, else 0.
+// check records that the process is running now. It returns the gap since the previous check if that gap
+// is a pause, else 0.
 func (d *pauseDetector) check(now time.Time) (pause time.Duration) {
 	if gap := now.Sub(d.lastRan); gap > minPause && !d.lastRan.IsZero() {
 		d.runningSince = now
@@ -36,7 +37,7 @@
 	return pause
 }
 
-// DetectPauses notes that the process runs, until ctx ends.
+// DetectPauses checks for pauses of this process periodically until ctx ends.
 func (m *Membership) DetectPauses(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, pauseCheckInterval)
@@ -45,9 +46,9 @@
 	return ctx.Err()
 }
 
-// RunningSince returns since when the process has run without a pause; zero: since its start. Whoever
-// judges by time passed calls it first: no goroutine can rely on another to run before it after a
-// pause.
+// RunningSince returns the time since which the process has run without a pause, or zero if there was no
+// pause since its start. Call it before every decision that depends on elapsed time: after a pause, the
+// caller may run before the goroutine of DetectPauses.
 func (m *Membership) RunningSince(now time.Time) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,18 +59,19 @@
 	return m.pauses.runningSince
 }
 
-// RecentlyPaused reports whether a pause ended a moment ago, so that a request read now may have waited
-// as long as that.
+// RecentlyPaused reports whether a pause ended less than recentPausePeriod ago. A request that is read now
+// may have been queued throughout that pause.
 func (m *Membership) RecentlyPaused(now time.Time) bool {
 	since := m.RunningSince(now)
-	return !since.IsZero() && now.Sub(since) < recentPause
+	return !since.IsZero() && now.Sub(since) < recentPausePeriod
 }
 
-// SilenceCountsFrom returns since when the silence of machines counts, given that it did since a time
-// and when the last sync was: not while this controller was out of touch with the state service or
-// paused. Every judgement of silence calls it anew, since a pause may lie between two.
+// SilenceCountsFrom returns the time from which missing heartbeats of machines count, given the previous
+// such time and the time of the last sync. Silence does not count while this controller was paused or had
+// lost contact with the state service. Call it before each evaluation of silence, as a pause may have
+// occurred since the previous one.
 func (m *Membership) SilenceCountsFrom(since, syncedAt, now time.Time) time.Time {
-	if now.Sub(syncedAt) > maxSyncAge {
+	if now.Sub(syncedAt) > maxSilenceSyncAge {
 		since = now
 	}
 	if running := m.RunningSince(now); running.After(since) {
--- a/internal/membership/pause_test.go
+++ b/internal/membership/pause_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestRunningSince: a gap of more than minPause between two checks is a pause.
+// TestRunningSince checks that a gap of more than minPause between two checks counts as a pause.
 func TestRunningSince(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
@@ -17,10 +17,10 @@
 		recent bool
 	}{
 		{"first check", at(0), time.Time{}, false},
-		{"a gap that is none", at(minPause), time.Time{}, false},
+		{"a gap of minPause", at(minPause), time.Time{}, false},
 		{"after a pause", at(10 * time.Second), at(10 * time.Second), true},
-		{"a moment later", at(10*time.Second + recentPause - 1), at(10 * time.Second), true},
-		{"no longer recent", at(10*time.Second + recentPause), at(10 * time.Second), false},
+		{"a moment later", at(10*time.Second + recentPausePeriod - 1), at(10 * time.Second), true},
+		{"no longer recent", at(10*time.Second + recentPausePeriod), at(10 * time.Second), false},
 		{"an earlier time", at(9 * time.Second), at(10 * time.Second), true},
 		{"after another pause", at(20 * time.Second), at(20 * time.Second), true},
 	} {
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestSilenceCountsFrom: silence does not count while this controller is out of touch with the state
-// service, nor before the end of a pause.
+// TestSilenceCountsFrom checks that silence does not count while this controller has lost contact with the
+// state service, nor before the end of a pause.
 func TestSilenceCountsFrom(t *testing.T) {
 	start := time.Unix(1000, 0)
 	since, now := start, start.Add(time.Minute)
@@ -44,8 +44,8 @@
 		lastRan  time.Time
 		want     time.Time
 	}{
-		{"in touch", now.Add(-maxSyncAge), now, since},
-		{"out of touch", now.Add(-maxSyncAge - 1), now, now},
+		{"in contact", now.Add(-maxSilenceSyncAge), now, since},
+		{"contact lost", now.Add(-maxSilenceSyncAge - 1), now, now},
 		{"paused until now", now, now.Add(-minPause - 1), now},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/membership/peer/frame.go
+++ b/internal/membership/peer/frame.go
@@ -10,16 +10,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A frame is a status in CBOR after its length in bytes, a big-endian 32-bit number.
+// A frame is the length of the body in bytes, as a big-endian 32-bit integer, followed by a status encoded
+// in CBOR.
 const (
-	frameHeader = 4       // bytes
-	maxFrame    = 4 << 20 // bytes; a status of twenty thousand machines fits
+	frameHeaderBytes = 4
+	maxFrameBytes    = 4 << 20 // enough for a status with 20,000 machines
 )
 
-// Errors of frames that are not taken.
+// Errors returned for rejected frames.
 var (
-	errFrameTooLong = errors.New("frame too long")
-	errVersion      = errors.New("version not spoken")
+	errFrameTooLong       = errors.New("frame too long")
+	errUnsupportedVersion = errors.New("unsupported version")
 )
 
 // writeFrame writes a status as one frame.
@@ -28,7 +29,7 @@
 	if err != nil {
 		return fmt.Errorf("peer: encode status: %w", err)
 	}
-	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHeader+len(body)), uint32(len(body)))
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHeaderBytes+len(body)), uint32(len(body)))
 	if _, err := w.Write(append(frame, body...)); err != nil {
 		return fmt.Errorf("peer: write status: %w", err)
 	}
@@ -37,13 +38,13 @@
 
 // readFrame reads a status from one frame.
 func readFrame(r *bufio.Reader) (*Status, error) {
-	var header [frameHeader]byte
+	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, fmt.Errorf("peer: read frame: %w", err)
 	}
 	n := binary.BigEndian.Uint32(header[:])
-	if n > maxFrame {
-		return nil, fmt.Errorf("peer: read frame of %d bytes, at most %d: %w", n, maxFrame, errFrameTooLong)
+	if n > maxFrameBytes {
+		return nil, fmt.Errorf("peer: read frame of %d bytes, limit is %d: %w", n, maxFrameBytes, errFrameTooLong)
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -53,12 +54,18 @@
 	if err := cbor.Unmarshal(body, s); err != nil {
 		return nil, fmt.Errorf("peer: decode status: %w", err)
 	}
-	if s.Version < Oldest || s.Version > Version {
-		return nil, fmt.Errorf("peer: status of version %d, not %d to %d: %w", s.Version, Oldest, Version, errVersion)
+	if s.Version < OldestVersion || s.Version > Version {
+		return nil, fmt.Errorf(
+			"peer: status has version %d, supported are %d to %d: %w",
+			s.Version,
+			OldestVersion,
+			Version,
+			errUnsupportedVersion,
+		)
 	}
 	return s, nil
 }
 
-// agreedVersion returns the newest version that this controller and an asker speak. Askers from before
-// versions were negotiated name only the one that they speak.
-func agreedVersion(ask *Status) int { return min(Version, max(ask.Version, ask.MaxVersion)) }
+// negotiateVersion returns the newest version that both this controller and the sender of a probe support.
+// Senders that predate version negotiation set only Version, to the one that they support.
+func negotiateVersion(probe *Status) int { return min(Version, max(probe.Version, probe.MaxVersion)) }
--- a/internal/membership/peer/frame_test.go
+++ b/internal/membership/peer/frame_test.go
@@ -14,7 +14,7 @@
 	"maddermill/wire"
 )
 
-// frame returns a status as a frame.
+// frame encodes a status as a frame.
 func frame(tb testing.TB, s Status) []byte {
 	tb.Helper()
 	b, err := cbor.Marshal(s)
@@ -24,14 +24,22 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...)
 }
 
-// read reads a frame.
+// read decodes a frame.
 func read(frame []byte) (*Status, error) { return readFrame(bufio.NewReader(bytes.NewReader(frame))) }
 
-var example = Status{Version: Version, Member: "m-1", Boot: 5, Revision: 7, Cancelled: 6, ContactMS: 12, Loaded: true,
-	Machines: []Machine{{ID: "host-1", Type: "g", Zone: "a", Epoch: 2, Token: 9, AgeMS: 100, Usable: true}},
-	Classes:  []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}}}
+var example = Status{
+	Version:   Version,
+	Member:    "m-1",
+	Boot:      5,
+	Revision:  7,
+	Cancelled: 6,
+	ContactMS: 12,
+	Loaded:    true,
+	Machines:  []Machine{{ID: "host-1", Type: "g", Zone: "a", Epoch: 2, Token: 9, AgeMS: 100, Usable: true}},
+	Classes:   []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}},
+}
 
-// TestFrames: what is written is read again, of all versions spoken.
+// TestFrames checks that a written frame can be read, and that all supported versions are accepted.
 func TestFrames(t *testing.T) {
 	var written bytes.Buffer
 	if err := writeFrame(&written, &example); err != nil {
@@ -45,23 +53,23 @@
 		t.Errorf("read %+v, error %v; want %+v", got, err, example)
 	}
 	older := example
-	older.Version = Oldest
+	older.Version = OldestVersion
 	if _, err := read(frame(t, older)); err != nil {
 		t.Errorf("a frame of the oldest version: %v", err)
 	}
 }
 
-// TestFramesRefused: frames that are too long or of another version are not taken.
+// TestFramesRefused checks that frames that are too long or of an unsupported version are rejected.
 func TestFramesRefused(t *testing.T) {
 	newer, earlier := example, example
-	newer.Version, earlier.Version = Version+1, Oldest-1
+	newer.Version, earlier.Version = Version+1, OldestVersion-1
 	for _, tc := range []struct {
 		name  string
 		frame []byte
 		want  error
 	}{
-		{"a newer version", frame(t, newer), errVersion},
-		{"an earlier version", frame(t, earlier), errVersion},
+		{"a newer version", frame(t, newer), errUnsupportedVersion},
+		{"an earlier version", frame(t, earlier), errUnsupportedVersion},
 		{"too long", []byte{0xff, 0xff, 0xff, 0xff, 1}, errFrameTooLong},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -72,33 +80,33 @@
 	}
 }
 
-// TestAgreedVersion: an asker is answered in the newest version that both speak; one from before versions
-// were negotiated is answered in its own.
+// TestAgreedVersion checks that the response uses the newest version that both sides support, and the
+// sender's own version if the sender predates version negotiation.
 func TestAgreedVersion(t *testing.T) {
 	for _, tc := range []struct {
 		name                string
 		version, maxVersion int
 		want                int
 	}{
-		{"from before", 1, 0, 1},
-		{"of this version", Oldest, Version, Version},
-		{"of a later version", Oldest, Version + 3, Version},
+		{"predates negotiation", 1, 0, 1},
+		{"this version", OldestVersion, Version, Version},
+		{"a later version", OldestVersion, Version + 3, Version},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ask, err := read(frame(t, Status{Version: tc.version, MaxVersion: tc.maxVersion, Member: "m-1"}))
+			probe, err := read(frame(t, Status{Version: tc.version, MaxVersion: tc.maxVersion, Member: "m-1"}))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := agreedVersion(ask); got != tc.want {
-				t.Errorf("asked in %d, up to %d: answered in %d, want %d", tc.version, tc.maxVersion, got, tc.want)
+			if got := negotiateVersion(probe); got != tc.want {
+				t.Errorf("probe of version %d, up to %d: negotiated %d, want %d", tc.version, tc.maxVersion, got, tc.want)
 			}
 		})
 	}
 }
 
-// TestLargeFleetFits: the status of ten thousand machines, each with as many images as a cache holds, is
-// taken. Frames were refused from about three thousand machines a controller on, and peers then took
-// each other for silent.
+// TestLargeFleetFits checks that the status of 10,000 machines, each with a full image cache, fits in a
+// frame. With an earlier limit, frames were rejected from about 3,000 machines per controller on, and peers
+// then considered each other silent.
 func TestLargeFleetFits(t *testing.T) {
 	s := example
 	s.Machines = nil
@@ -126,14 +134,15 @@
 	}
 }
 
-// FuzzFrame: no bytes from a peer do harm.
+// FuzzFrame checks that readFrame handles arbitrary input without panicking and accepts supported versions
+// only.
 func FuzzFrame(f *testing.F) {
 	f.Add(frame(f, example))
 	f.Add([]byte{0, 0, 0, 1, 0xa0})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		s, err := read(in)
-		if err == nil && (s.Version < Oldest || s.Version > Version) {
-			t.Errorf("version %d is taken", s.Version)
+		if err == nil && (s.Version < OldestVersion || s.Version > Version) {
+			t.Errorf("version %d is accepted", s.Version)
 		}
 	})
 }
--- a/internal/membership/peer/golden_test.go
+++ b/internal/membership/peer/golden_test.go
@@ -9,8 +9,8 @@
 	"maddermill/internal/testing/golden"
 )
 
-// TestSerializedFormsStay: a status is byte for byte what the sources before the renaming of 2026
-// sent to peers (CBOR) and published in the state service (JSON).
+// TestSerializedFormsStay checks that a status is encoded byte for byte as in the versions before the
+// identifiers were renamed in 2026, both for peers (CBOR) and for the state service (JSON).
 func TestSerializedFormsStay(t *testing.T) {
 	status := golden.Fill[Status]()
 	frame, err := cbor.Marshal(status)
--- a/internal/membership/peer/mesh.go
+++ b/internal/membership/peer/mesh.go
@@ -10,43 +10,43 @@
 
 // Timeouts of the mesh.
 const (
-	dialTimeout   = time.Second
-	answerTimeout = 2 * time.Second  // from the question on
-	idleTimeout   = 30 * time.Second // for the next question on a connection
+	dialTimeout     = time.Second
+	responseTimeout = 2 * time.Second  // from the start of the probe to the response
+	idleTimeout     = 30 * time.Second // until the next probe on a connection
 )
 
-// Serve answers the questions on one connection until it ends. describe returns the status for an asker,
-// given what that says of itself.
-func Serve(c *transport.Conn, describe func(ask Status) Status) {
+// Serve responds to the probes on one connection until the connection ends. describe returns the status to
+// send in response to a probe.
+func Serve(c *transport.Conn, describe func(probe Status) Status) {
 	r := bufio.NewReader(c)
 	for {
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
-		ask, err := readFrame(r)
+		probe, err := readFrame(r)
 		if err != nil {
 			return
 		}
-		s := describe(*ask)
-		s.Version = agreedVersion(ask)
+		s := describe(*probe)
+		s.Version = negotiateVersion(probe)
 		if err := writeFrame(c, &s); err != nil {
 			return
 		}
 	}
 }
 
-// Ask asks a peer for its status every interval until ctx ends, and calls got with each answer. self
-// returns what the asker says of itself.
+// Ask probes a peer at each interval until ctx ends and calls onResponse with each response. newProbe
+// returns the status to send as the probe.
 func Ask(
 	ctx context.Context,
 	d *transport.Dialer,
 	addr string,
-	self func() Status,
+	newProbe func() Status,
 	interval time.Duration,
-	got func(Answer),
+	onResponse func(Answer),
 ) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		_ = askOverConn(ctx, d, addr, self, tick.C, got) // the next tick tries again
+		_ = probeOverConn(ctx, d, addr, newProbe, tick.C, onResponse) // retried at the next tick
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
@@ -54,18 +54,18 @@
 	}
 }
 
-// askOverConn asks a peer over one connection, at each tick, until the connection or ctx ends.
-func askOverConn(
+// probeOverConn probes a peer over one connection, at each tick, until the connection fails or ctx ends.
+func probeOverConn(
 	ctx context.Context,
 	d *transport.Dialer,
 	addr string,
-	self func() Status,
+	newProbe func() Status,
 	tick <-chan time.Time,
-	got func(Answer),
+	onResponse func(Answer),
 ) error {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	c, err := d.Dial(dialing, addr)
+	c, err := d.Dial(dialCtx, addr)
 	if err != nil {
 		return err
 	}
@@ -74,18 +74,18 @@
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
-		asked := time.Now()
-		ask := self()
-		ask.Version, ask.MaxVersion = Oldest, Version
-		if err := writeFrame(c, &ask); err != nil {
+		sentAt := time.Now()
+		probe := newProbe()
+		probe.Version, probe.MaxVersion = OldestVersion, Version
+		if err := writeFrame(c, &probe); err != nil {
 			return err
 		}
-		c.SetReadDeadline(asked.Add(answerTimeout))
+		c.SetReadDeadline(sentAt.Add(responseTimeout))
 		s, err := readFrame(r)
 		if err != nil {
 			return err
 		}
-		got(Answer{Status: *s, AsOf: asked})
+		onResponse(Answer{Status: *s, AsOf: sentAt})
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -10,40 +10,41 @@
 	"maddermill/wire"
 )
 
-// recentStatus is how long ago a peer's status may have been asked for to count as its present one.
-const recentStatus = 3 * time.Second
+// maxStatusAge is the age up to which a peer's status counts as current.
+const maxStatusAge = 3 * time.Second
 
-// syncedMS is how long ago a peer's last sync may be, in milliseconds, for it to reach the state service.
-const syncedMS = 1500
+// maxStoreSyncAgeMS is the age of a peer's last sync, in milliseconds, up to which it counts as connected to
+// the state service.
+const maxStoreSyncAgeMS = 1500
 
-// Peer is the status that another controller shared last. It does not change.
+// Peer is the last known status of another controller. It is immutable.
 type Peer struct {
 	Status peer.Status
-	AsOf   time.Time // the latest time that the status can be relied on to describe
+	AsOf   time.Time // the latest time for which the status is known to hold
 }
 
-// HeartbeatAt returns when the peer last got a heartbeat of a machine in its status.
+// HeartbeatAt returns when the peer last received a heartbeat from a machine in its status.
 func (p *Peer) HeartbeatAt(m *peer.Machine) time.Time {
 	return p.AsOf.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 }
 
-// recent reports whether the status counts as the peer's present one.
-func (p *Peer) recent(now time.Time) bool { return now.Sub(p.AsOf) < recentStatus }
+// recent reports whether the status counts as current.
+func (p *Peer) recent(now time.Time) bool { return now.Sub(p.AsOf) < maxStatusAge }
 
-// PeerState is another controller as configured, with its status if that is recent.
+// PeerState is a configured peer, with its status if that is current.
 type PeerState struct {
 	Member wire.MemberID
-	Peer   *Peer // nil: it shared none lately
+	Peer   *Peer // nil if there is no current status
 }
 
-// ObserveStatus merges the status that a peer gave when it was asked at a time.
-func (m *Membership) ObserveStatus(s peer.Status, asked time.Time) {
+// ObserveStatus stores a peer's response to a probe that was sent at sentAt.
+func (m *Membership) ObserveStatus(s peer.Status, sentAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.observe(s, asked)
+	m.observe(s, sentAt)
 }
 
-// observe is ObserveStatus; the lock must be held.
+// observe implements ObserveStatus. The caller must hold m.mu.
 func (m *Membership) observe(s peer.Status, asOf time.Time) {
 	m.peers[s.Member] = &Peer{s, asOf}
 	m.sorted = slices.SortedFunc(maps.Values(m.peers), func(a, b *Peer) int {
@@ -51,28 +52,28 @@
 	})
 }
 
-// ObserveProbe notes that a peer asked for this controller's status over the mesh.
+// ObserveProbe records that a peer probed this controller over the mesh.
 func (m *Membership) ObserveProbe(id wire.MemberID, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lastProbe[id] = now
 }
 
-// Peers returns all peers that were ever observed, by name. The list must not be changed.
+// Peers returns all peers that were ever observed, ordered by name. The slice must not be modified.
 func (m *Membership) Peers() []*Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sorted
 }
 
-// Peer returns one peer; nil: it was never observed.
+// Peer returns a peer, or nil if it was never observed.
 func (m *Membership) Peer(id wire.MemberID) *Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.peers[id]
 }
 
-// Others returns all other controllers as configured.
+// Others returns all other configured controllers.
 func (m *Membership) Others(now time.Time) []PeerState {
 	var out []PeerState
 	for _, id := range m.opt.Others {
@@ -88,7 +89,7 @@
 // allConfigured reports whether the configuration names every other controller of the deployment.
 func (m *Membership) allConfigured() bool { return len(m.opt.Others) == m.opt.Count-1 }
 
-// ReachablePeers returns the peers that can take workers, by name.
+// ReachablePeers returns the peers that workers can be moved to, ordered by name.
 func (m *Membership) ReachablePeers(now time.Time) []wire.MemberID {
 	var reachable []wire.MemberID
 	for _, p := range m.Peers() {
@@ -99,14 +100,14 @@
 	return reachable
 }
 
-// PeersReachStore reports whether some other controller reaches the state service now.
+// PeersReachStore reports whether at least one peer is currently connected to the state service.
 func (m *Membership) PeersReachStore(now time.Time) bool {
 	return slices.ContainsFunc(m.Peers(), func(p *Peer) bool {
-		return p.recent(now) && p.Status.Loaded && p.Status.ContactMS < syncedMS
+		return p.recent(now) && p.Status.Loaded && p.Status.ContactMS < maxStoreSyncAgeMS
 	})
 }
 
-// LastStatusAt returns the time of the most recent status of any peer; zero: there is none.
+// LastStatusAt returns the time of the newest status of any peer, or zero if there is none.
 func (m *Membership) LastStatusAt() time.Time {
 	var last time.Time
 	for _, p := range m.Peers() {
@@ -117,9 +118,9 @@
 	return last
 }
 
-// CancellationsConfirmedUntil returns the time until which every other controller confirms that it has
-// acknowledged no cancellation that records at a revision lack; false: one of them does not confirm
-// it. The cancellations that peers list must have been merged into the records before.
+// CancellationsConfirmedUntil returns the time up to which all other controllers confirm that they have
+// acknowledged no cancellation that is missing from the records at rev, and false if one of them does not
+// confirm it. The caller must already have merged the cancellations listed by the peers into the records.
 func (m *Membership) CancellationsConfirmedUntil(rev wire.Revision, now time.Time) (time.Time, bool) {
 	if !m.allConfigured() {
 		return time.Time{}, false
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -14,30 +14,30 @@
 	"maddermill/wire"
 )
 
-// Timing of published statuses.
+// Timing of statuses published in the state service.
 const (
-	publishInterval = 5 * time.Second // while there are peers that the mesh does not reach
-	readInterval    = time.Second     // how often peers' published statuses are looked for
-	meshSilence     = 6 * time.Second // a published status counts after the mesh has had none for as long
-	publishedAge    = time.Second     // how old a published status is taken to be when it is first read
+	publishInterval     = 5 * time.Second // while some peer is not reached over the mesh
+	readInterval        = time.Second     // between checks for statuses published by peers
+	meshTimeout         = 6 * time.Second // without a status from the mesh, after which published ones count
+	assumedPublishedAge = time.Second     // assumed age of a published status when it is first read
 )
 
-// Committer commits transactions to the state service; a kvstore.Store is one.
+// Committer commits transactions to the state service. kvstore.Store implements it.
 type Committer interface {
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
 }
 
 var _ Committer = kvstore.Store(nil)
 
-// Records is what ReadPublished needs of the cache of the records.
+// Records is the part of the record cache that ReadPublished needs.
 type Records interface {
-	// Read calls f with the records, under their lock.
+	// Read calls f with the records while holding their lock.
 	Read(f func(l *ledger.Ledger))
 }
 
-// Publish writes this controller's status to the state service every few seconds while there are peers
-// that do not ask for it over the mesh, until ctx ends. Changes are scarce. describe returns the
-// status; false: there is nothing to publish.
+// Publish writes this controller's status to the state service every publishInterval until ctx ends, but
+// only while some peer does not probe it over the mesh, because the write rate of the state service is
+// limited. describe returns the status, and false if there is none to publish.
 func (m *Membership) Publish(ctx context.Context, store Committer, describe func() (peer.Status, bool)) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, publishInterval)
@@ -60,7 +60,7 @@
 	return ctx.Err()
 }
 
-// needsPublishing reports whether some peer has not asked for the status over the mesh lately.
+// needsPublishing reports whether some peer has not probed this controller within publishInterval.
 func (m *Membership) needsPublishing(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,8 +69,8 @@
 	})
 }
 
-// encodeStatus returns the JSON of a status in at most so many bytes, as far as leaving out images and
-// then machines makes it shorter. It changes the status's machines.
+// encodeStatus encodes a status as JSON. If the result exceeds maxBytes, it omits the images of all machines
+// and then, if necessary, some of the machines. It modifies the elements of s.Machines.
 func encodeStatus(s peer.Status, maxBytes int) ([]byte, error) {
 	value, err := json.Marshal(s)
 	if err == nil && len(value) > maxBytes {
@@ -86,10 +86,10 @@
 	return value, err
 }
 
-// ReadPublished merges the statuses that peers publish where the mesh has had none lately, until ctx
-// ends.
+// ReadPublished merges the published statuses of peers that have not sent one over the mesh recently,
+// until ctx ends.
 func (m *Membership) ReadPublished(ctx context.Context, records Records) error {
-	last := map[wire.MemberID]string{} // the stored values that were read
+	last := map[wire.MemberID]string{} // last value read, by peer
 	for ctx.Err() == nil {
 		wait.For(ctx, readInterval)
 		for _, id := range m.opt.Others {
@@ -105,22 +105,22 @@
 	return ctx.Err()
 }
 
-// mergePublished merges a status that a peer has published, unless it can't be read, is older than one
-// of the same run, or the mesh has a recent one.
+// mergePublished merges a status published by a peer, unless it has another version, is older than a known
+// one of the same run, or the mesh delivered a recent one.
 func (m *Membership) mergePublished(id wire.MemberID, value []byte, now time.Time) {
 	var s peer.Status
 	if json.Unmarshal(value, &s) != nil || s.Version != peer.Version {
-		return // of another version
+		return // written by another version
 	}
-	// Only what it says of machines: a stored value proves nothing about cancellations acknowledged since.
+	// Use it for machine states only: the peer may have acknowledged cancellations since it was written.
 	s.Loaded = false
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[id]
 	if p != nil && s.Boot == p.Status.Boot && s.Revision < p.Status.Revision {
-		return // written late, after newer ones of the same run
+		return // a delayed write, older than a known status of the same run
 	}
-	if p == nil || now.Sub(p.AsOf) >= meshSilence {
-		m.observe(s, now.Add(-publishedAge))
+	if p == nil || now.Sub(p.AsOf) >= meshTimeout {
+		m.observe(s, now.Add(-assumedPublishedAge))
 	}
 }
--- a/internal/membership/publish_test.go
+++ b/internal/membership/publish_test.go
@@ -15,7 +15,7 @@
 	"maddermill/wire"
 )
 
-// records are records under a lock.
+// records implements Records.
 type records struct {
 	mu     sync.Mutex
 	ledger *ledger.Ledger
@@ -27,15 +27,15 @@
 	f(r.ledger)
 }
 
-// newMembership returns a membership of m-0 with m-1 as its only peer.
+// newMembership returns the Membership of controller m-0 with m-1 as its only peer.
 func newMembership(t *testing.T) *Membership {
 	t.Helper()
 	opt := Options{Self: "m-0", Others: []wire.MemberID{"m-1"}, Count: 2, ValueBytes: 2048}
 	return New(opt, metrics.New(), slog.New(slog.DiscardHandler))
 }
 
-// TestPublishedLate: a published status that is written late, after newer ones of the same run of its
-// controller, is passed over: machines in it would seem to have sent heartbeats just now.
+// TestPublishedLate checks that a published status is ignored if it is written after newer ones of the same
+// run of its controller. Otherwise old heartbeats of its machines would count as recent.
 func TestPublishedLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMembership(t)
@@ -78,7 +78,8 @@
 	})
 }
 
-// TestEncodeStatus: a status too long for a stored value loses its images, and then machines.
+// TestEncodeStatus checks that a status too large for a stored value is encoded without images, and then
+// without some machines.
 func TestEncodeStatus(t *testing.T) {
 	const machines = 20
 	for _, tc := range []struct {
--- a/internal/membership/testing.go
+++ b/internal/membership/testing.go
@@ -5,9 +5,9 @@
 // TestingT is the part of a testing.TB that SetLastRanForTest needs.
 type TestingT interface{ Helper() }
 
-// SetLastRanForTest has a membership take a time for the last at which this process ran, so that a later
-// one seems to come after a pause. It is for tests of other packages, which is why it needs a test:
-// they can't pause the process.
+// SetLastRanForTest sets the time at which the process was last observed running, to simulate a pause
+// that began then. It is for tests of other packages, which cannot pause the process. The parameter t
+// prevents its use outside of tests.
 func SetLastRanForTest(t TestingT, m *Membership, lastRan time.Time) {
 	t.Helper()
 	m.mu.Lock()
