--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -1,17 +1,17 @@
-// Package archiver is the controller's component that keeps finished work out of the records that
-// every controller holds in memory (docs/history.md). Package archive holds the pure data
-// structures it is built on: the filter of archived names and the compact set of terminated
-// machines; this package does the input and output, the pacing and the choice of what to move.
+// Package archiver implements the controller component that moves finished work out of the records,
+// which every controller holds in memory (docs/history.md). It builds on the data structures of package
+// archive, the filter of archived names and the compact set of terminated machines, and adds the I/O,
+// the rate limiting and the selection of what to move.
 //
-// It has two jobs:
+// It has two tasks:
 //
-//   - On every controller, an archiveReader answers requests for jobs and workflows that are no
-//     longer on record, from the archive in the state service.
-//   - On the fleet's leader, Run upgrades the format of the records and a mover archives jobs and
-//     workflows that are over and compacts terminated machines, with changes nobody else needs.
+//   - On every controller, an archiveReader looks up jobs and workflows that are no longer in the
+//     records in the archive, which is stored in the state service.
+//   - On the leader, Run upgrades the format of the records, and a mover archives finished jobs and
+//     workflows and compacts terminated machines, using spare write capacity only.
 //
-// An Archiver reaches the rest of the controller through Host alone. It must not hold the lock of
-// the records while it reads or writes the state service.
+// An Archiver accesses the rest of the controller only through Host. It must not hold the lock of the
+// records while it reads or writes the state service.
 package archiver
 
 import (
@@ -28,67 +28,67 @@
 	"maddermill/wire"
 )
 
-// Errors of requests.
+// Errors returned by lookups.
 var (
-	// ErrUnknown is returned for a job that is neither on record nor archived.
-	ErrUnknown = errors.New("archiver: neither on record nor archived")
-	// ErrUnavailable is returned when the archive can't be read now; the request may be retried.
-	ErrUnavailable = errors.New("archiver: the archive can't be read now")
+	// ErrUnknown is returned for a job that is neither in the records nor in the archive.
+	ErrUnknown = errors.New("archiver: job found neither in the records nor in the archive")
+	// ErrUnavailable is returned when the archive cannot be read at the moment. The caller may retry.
+	ErrUnavailable = errors.New("archiver: archive temporarily unavailable")
 )
 
-// Host is what the archiver needs of its controller.
+// Host is the interface through which the archiver accesses its controller.
 type Host interface {
-	// Read calls f with the cached records under the cache's lock. f must not block, and must
-	// not retain its argument other than in transactions.
+	// Read calls f with the cached records while holding the cache's lock. f must not block, and
+	// must not retain its argument except in transactions.
 	Read(f func(l *ledger.Ledger))
-	// Leading reports whether this controller leads the fleet, as of its last sync.
+	// Leading reports whether this controller is the leader, as of its last sync.
 	Leading() bool
-	// AllRead reports whether every controller declares that it reads a format of the records.
+	// AllRead reports whether every controller has declared that it can read a format of the records.
 	AllRead(format int) bool
-	// Spare returns how many changes a transaction may have now without delaying other work;
-	// 0 means none.
+	// SpareCapacity returns how many changes a transaction may contain now without delaying other
+	// work, 0 if none.
 	SpareCapacity() int
-	// Commit runs a transaction and waits until the cached records show its outcome.
+	// Commit commits a transaction and waits until the cached records reflect its outcome.
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
 }
 
 // Options are the settings of an Archiver.
 type Options struct {
-	Archive    bool          // jobs, workflows and machines are moved
-	KeptJobs   int           // finished jobs, and finished workflows, that stay on record
-	Settle     time.Duration // from the upgrade of the format until anything is moved
-	FormatUpTo int           // the newest format to upgrade the records to; 0: the newest known
-	SweepAfter int           // machines of one part that are compacted together; 0: minCompacted
-	TxnOps     int           // changes that a transaction may have
-	Requests   float64       // state service requests per second, this controller's share
-	Changes    float64       // changes per second, of all controllers
+	Archive    bool          // move jobs, workflows and machines; lookups work regardless
+	KeptJobs   int           // number of finished jobs, and of finished workflows, to keep in the records
+	Settle     time.Duration // delay after a format upgrade before anything is moved
+	FormatUpTo int           // newest format to upgrade the records to; 0 means the newest known
+	SweepAfter int           // terminated machines of one part from which on they are compacted; 0 means minCompacted
+	TxnOps     int           // maximum number of changes in a transaction
+	Requests   float64       // state service requests per second available to this controller
+	Changes    float64       // changes per second available to all controllers together
 }
 
 const (
-	// runEvery is the pause between two rounds of Run.
-	runEvery = time.Second
-	// archiveShare is the part of all changes that moving takes when nothing else needs them.
-	archiveShare = 0.25
-	// minTxnOps is how many changes a transaction must be able to have: a job's record, its
-	// final state, and a page of the filter that is split.
-	minTxnOps = 5
-	// minCompacted is how many machines of one part must be terminated before they are
-	// compacted. Task starts are conditioned on the head of the machine's series, so it
-	// should rarely be written.
+	// runInterval is the delay between iterations of Run.
+	runInterval = time.Second
+	// changeShare is the fraction of Options.Changes that moving uses when nothing else needs it.
+	changeShare = 0.25
+	// minTxnChanges is the smallest transaction limit with which archiving works: a job's record,
+	// its final state, and the changes that split a page of the filter.
+	minTxnChanges = 5
+	// minCompacted is how many machines of one part must be terminated before they are compacted.
+	// Compaction writes the head of the machines' series, and task starts are conditioned on that
+	// key, so it should be written rarely.
 	minCompacted = 64
 )
 
-// Archiver is the component. Final, Workflow, CacheFinal and CachedFinal are safe for concurrent
-// use; Run must be called once.
+// Archiver moves finished work to the archive and looks up archived work. Final, Workflow, CacheFinal
+// and CachedFinal are safe for concurrent use. Run must be called only once.
 type Archiver struct {
 	host   Host
 	opt    Options
 	log    *slog.Logger
 	reader *archiveReader
-	mover  *mover // used by Run alone
+	mover  *mover // used only by Run
 }
 
-// New returns an Archiver that moves nothing before Run.
+// New returns an Archiver. It moves nothing until Run is called.
 func New(host Host, store kvstore.Store, opt Options, stats *metrics.Set, log *slog.Logger) *Archiver {
 	opt.SweepAfter = cmp.Or(opt.SweepAfter, minCompacted)
 	reader := newArchiveReader(host, store, opt.Requests, stats)
@@ -99,41 +99,41 @@
 		reader: reader,
 		mover: &mover{
 			host:    host,
-			pages:   reader,
+			reader:  reader,
 			stats:   stats,
 			log:     log,
-			backlog: backlog{kept: opt.KeptJobs, minCompacted: opt.SweepAfter, log: log},
+			backlog: backlog{keptCount: opt.KeptJobs, minCompacted: opt.SweepAfter, log: log},
 		},
 	}
 }
 
-// CacheFinal remembers the final state of a job that has just left the records.
+// CacheFinal caches the final state of a job that was just removed from the records.
 func (a *Archiver) CacheFinal(id wire.JobID, r ledger.FinalRecord) { a.reader.finals.Add(id, r) }
 
-// CachedFinal returns the final state of an archived job if it is in memory.
+// CachedFinal returns the final state of an archived job if it is cached.
 func (a *Archiver) CachedFinal(id wire.JobID) (ledger.FinalRecord, bool) {
 	return a.reader.finals.Get(id)
 }
 
-// Final returns the final state of a job that is in the archive, or ErrUnknown. Call it only for a
-// job that a ledger brought up to date does not hold. Concurrent requests for one job share one
-// read; requests beyond the pace of such reads fail with ErrUnavailable.
+// Final returns the final state of an archived job, or ErrUnknown if there is none. Call it only for a
+// job that up-to-date records do not contain. Concurrent calls for one job share one read. Calls that
+// exceed the rate limit for such reads fail with ErrUnavailable.
 func (a *Archiver) Final(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	return a.reader.final(ctx, id)
 }
 
-// Workflow returns the record of a workflow that a ledger brought up to date does not hold, or nil
-// if it is not archived either.
+// Workflow returns the archived record of a workflow, or nil if there is none. Call it only for a
+// workflow that up-to-date records do not contain.
 func (a *Archiver) Workflow(ctx context.Context, id wire.WorkflowID) (*ledger.Workflow, error) {
 	return a.reader.workflow(ctx, id)
 }
 
-// Run works until ctx ends, on the leader only. It upgrades the format of the records once all
-// controllers read the new one, and moves what is over out of the records with the changes that
-// are spare.
+// Run does its work while this controller is the leader, until ctx ends. It upgrades the format of the
+// records once all controllers can read the new one, and moves finished work out of the records with
+// spare write capacity.
 func (a *Archiver) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.For(ctx, runEvery)
+		wait.For(ctx, runInterval)
 		if !a.host.Leading() {
 			a.mover.backlog.clear()
 			continue
@@ -143,7 +143,7 @@
 		if format.Format < SupportedFormat(a.opt.FormatUpTo) {
 			a.upgradeFormat(ctx, time.Now())
 		}
-		archives := a.opt.Archive && a.opt.TxnOps >= minTxnOps
+		archives := a.opt.Archive && a.opt.TxnOps >= minTxnChanges
 		if archives && format.Format >= ledger.ArchiveFormat && a.settled(format) {
 			a.moveAll(ctx)
 		}
@@ -151,14 +151,15 @@
 	return ctx.Err()
 }
 
-// settled reports whether the format was upgraded long enough ago: what a controller without the
-// archive has sent may be applied late, and is not conditioned on the archive.
+// settled reports whether Options.Settle has passed since the format upgrade. A transaction sent by a
+// controller of a version without the archive may be applied late, and is not conditioned on the
+// archive.
 func (a *Archiver) settled(format ledger.FormatRecord) bool {
 	return format.NoOlderWriters || !time.Now().Before(time.UnixMilli(int64(format.At)).Add(a.opt.Settle))
 }
 
-// moveAll moves transaction after transaction, at the pace of archiveShare, until nothing is left
-// to be moved or no change is spare.
+// moveAll commits moves, one transaction at a time and at the rate given by changeShare, until nothing
+// is left to move or there is no spare capacity.
 func (a *Archiver) moveAll(ctx context.Context) {
 	for ctx.Err() == nil {
 		changes, err := a.mover.move(ctx, time.Now())
@@ -168,12 +169,12 @@
 		if changes == 0 {
 			return
 		}
-		wait.For(ctx, time.Duration(float64(changes)/(archiveShare*a.opt.Changes)*float64(time.Second)))
+		wait.For(ctx, time.Duration(float64(changes)/(changeShare*a.opt.Changes)*float64(time.Second)))
 	}
 }
 
-// SupportedFormat returns the newest format of the records that a controller lets come about. A
-// positive upTo is an upper bound; 0 is none.
+// SupportedFormat returns the newest format to which a controller upgrades the records. A positive upTo
+// is an upper bound; 0 means no bound.
 func SupportedFormat(upTo int) int {
 	if upTo > 0 {
 		return min(upTo, ledger.NewestFormat)
@@ -181,8 +182,8 @@
 	return ledger.NewestFormat
 }
 
-// upgradeFormat makes the records' format the newest one if every controller declares that it
-// reads it.
+// upgradeFormat upgrades the records to the newest supported format if every controller has declared
+// that it can read it.
 func (a *Archiver) upgradeFormat(ctx context.Context, now time.Time) {
 	to := SupportedFormat(a.opt.FormatUpTo)
 	if !a.host.AllRead(to) {
--- a/internal/state/archiver/archiver_test.go
+++ b/internal/state/archiver/archiver_test.go
@@ -20,7 +20,7 @@
 
 var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 12, TxnBytes: kvstore.TxnBytes}
 
-// testHost is a controller that leads the fleet and has nothing else to do.
+// testHost implements Host as a leader without other work.
 type testHost struct {
 	t     *testing.T
 	store *emulator.Store
@@ -78,7 +78,7 @@
 	}
 }
 
-// commit commits a change of the records.
+// commit builds a transaction with change and commits it.
 func (h *testHost) commit(change func(*ledger.Transaction) error) {
 	h.t.Helper()
 	txn := h.records.NewTransaction()
@@ -92,7 +92,7 @@
 	h.apply(request)
 }
 
-// addJobs submits jobs from a number on and cancels all but the first active ones.
+// addJobs submits n jobs, numbered from a number on, and cancels all but the first active ones.
 func (h *testHost) addJobs(from, n, active int) {
 	h.t.Helper()
 	for i := range n {
@@ -114,7 +114,7 @@
 
 func jobID(n int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", n)) }
 
-// terminate adds terminated machines of one series.
+// terminate adds n terminated machines of one series.
 func (h *testHost) terminate(n int) {
 	h.t.Helper()
 	_, leader := h.records.Leader()
@@ -126,12 +126,12 @@
 	}
 }
 
-// newArchiver returns an archiver of the host.
+// newArchiver returns an Archiver for the host.
 func (h *testHost) newArchiver(opt Options) *Archiver {
 	return New(h, emulator.NewLink(h.store, 1), opt, metrics.New(), slog.New(slog.DiscardHandler))
 }
 
-// runFor runs an archiver for some time.
+// runFor runs an Archiver for a duration.
 func runFor(t *testing.T, a *Archiver, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
@@ -141,7 +141,7 @@
 	}
 }
 
-// testOptions are options that keep two finished jobs on record.
+// testOptions are options that keep two finished jobs in the records.
 var testOptions = Options{
 	Archive:    true,
 	KeptJobs:   2,
@@ -162,8 +162,8 @@
 	return n
 }
 
-// TestRunMovesFinished: finished jobs but the newest, and terminated machines, leave the records; any
-// controller can still tell how the jobs ended.
+// TestRunMovesFinished checks that finished jobs except the newest, and terminated machines, are moved out
+// of the records, and that every controller can still look up the final state of the jobs.
 func TestRunMovesFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newTestHost(t)
@@ -183,34 +183,35 @@
 		if got := h.records.CountTerminated(); got != 25 {
 			t.Errorf("got %d compacted machines, want 25", got)
 		}
-		other := h.newArchiver(testOptions) // with nothing in memory
+		other := h.newArchiver(testOptions) // with an empty cache
 		first := jobID(active + 1)
 		status, err := other.Final(t.Context(), first)
 		if err != nil || status.Status != wire.Cancelled || status.ID != first {
 			t.Errorf("got %+v, %v, want %s cancelled", status, err, first)
 		}
 		if _, ok := other.CachedFinal(first); !ok {
-			t.Error("a final state that was read is not in memory")
+			t.Error("a final state is not cached after it was read")
 		}
 		if _, err := other.Final(t.Context(), jobID(900_000)); !errors.Is(err, ErrUnknown) {
-			t.Errorf("a job that never was: got %v, want %v", err, ErrUnknown)
+			t.Errorf("a job that never existed: got %v, want %v", err, ErrUnknown)
 		}
 		if w, err := other.Workflow(t.Context(), "wf-000001"); w != nil || err != nil {
-			t.Errorf("a workflow that never was: got %v, %v, want nil", w, err)
+			t.Errorf("a workflow that never existed: got %v, %v, want nil", w, err)
 		}
 	})
 }
 
-// TestRunMovesNothing: nothing is moved by a controller that does not lead, without the setting, before
-// all controllers read the format, or before the format's upgrade has settled.
+// TestRunMovesNothing checks that nothing is moved by a controller that is not the leader, if archiving is
+// disabled, if transactions are too small, before all controllers can read the format, or before
+// Options.Settle has passed since the format upgrade.
 func TestRunMovesNothing(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(*testHost, *Options)
 	}{
 		{"not leading", func(h *testHost, _ *Options) { h.leading = false }},
-		{"switched off", func(_ *testHost, opt *Options) { opt.Archive = false }},
-		{"small transactions", func(_ *testHost, opt *Options) { opt.TxnOps = minTxnOps - 1 }},
+		{"disabled", func(_ *testHost, opt *Options) { opt.Archive = false }},
+		{"small transactions", func(_ *testHost, opt *Options) { opt.TxnOps = minTxnChanges - 1 }},
 		{"an older controller", func(h *testHost, _ *Options) { h.allRead = false }},
 		{"an older format", func(_ *testHost, opt *Options) { opt.FormatUpTo = ledger.OldestFormat }},
 		{"not settled", func(_ *testHost, opt *Options) { opt.Settle = time.Hour }},
@@ -229,14 +230,14 @@
 	}
 }
 
-// TestReadsAreShed: reads of the archive beyond their pace are refused, and can be retried.
+// TestReadsAreShed checks that archive reads beyond the rate limit are rejected and succeed when retried.
 func TestReadsAreShed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newTestHost(t)
 		h.addJobs(1, 30, 0)
 		runFor(t, h.newArchiver(testOptions), time.Minute)
 		opt := testOptions
-		opt.Requests = 4 // of which one per second may read the archive
+		opt.Requests = 4 // readShare of which is one archive read per second
 		a := h.newArchiver(opt)
 		var shed []error
 		for n := range 20 {
--- a/internal/state/archiver/backlog.go
+++ b/internal/state/archiver/backlog.go
@@ -12,33 +12,33 @@
 	"maddermill/wire"
 )
 
-// backlog is what a scan of the records found to be moved and what of it is left: jobs first, then
-// machines, then workflows. Its methods are called under the lock of the records.
+// backlog holds the jobs, machines and workflows that a scan of the records selected for moving and that
+// are not moved yet. They are moved in that order. The caller must hold the lock of the records.
 type backlog struct {
-	kept         int // finished jobs, and finished workflows, that stay on record
-	minCompacted int // machines of one part that are worth compacting
+	keptCount    int // number of finished jobs, and of finished workflows, to keep in the records
+	minCompacted int // smallest group of machines to compact
 	log          *slog.Logger
 
-	jobs      []wire.JobID       // in the order of their positions in the filter
-	machines  [][]wire.MachineID // in groups of one part of a series
+	jobs      []wire.JobID       // ordered by position in the filter
+	machines  [][]wire.MachineID // groups of machines in the same part of a series
 	workflows []wire.WorkflowID
 }
 
 func (b *backlog) empty() bool { return len(b.jobs)+len(b.machines)+len(b.workflows) == 0 }
 
-// clear forgets all that is left.
+// clear removes everything from the backlog.
 func (b *backlog) clear() { b.jobs, b.machines, b.workflows = nil, nil, nil }
 
-// scan adds what is to be moved.
+// scan searches the records for what can be moved and adds it to the backlog.
 func (b *backlog) scan(l *ledger.Ledger) {
 	b.findFinishedJobs(l)
 	b.findTerminatedMachines(l)
 	b.findEndedWorkflows(l)
 }
 
-// nextName drops jobs that can't be archived any more from the head of the backlog, and returns the
-// name whose page of the filter fill needs next, or "" if it needs none.
-func (b *backlog) nextName(l *ledger.Ledger) string {
+// nextFilterName removes jobs that are no longer archivable from the head of the backlog. It returns a
+// name on the filter page that the next call of fill needs, or "" if it needs none.
+func (b *backlog) nextFilterName(l *ledger.Ledger) string {
 	for len(b.jobs) > 0 && !l.Archivable(b.jobs[0]) {
 		b.jobs = b.jobs[1:]
 	}
@@ -51,20 +51,20 @@
 	return ""
 }
 
-// fill fills a transaction with what is to be moved next. What can't be moved any more is dropped;
-// what does not fit stays for the next transaction.
-func (b *backlog) fill(l *ledger.Ledger, txn *ledger.Transaction) moved {
+// fill adds the next moves to a transaction. Entries that can no longer be moved are dropped. Entries
+// that do not fit remain for the next transaction.
+func (b *backlog) fill(l *ledger.Ledger, txn *ledger.Transaction) moveCounts {
 	if len(b.jobs) > 0 {
-		return moved{jobs: b.archiveJobs(l, txn)}
+		return moveCounts{jobs: b.archiveJobs(l, txn)}
 	}
 	if n := b.compactMachines(txn); n > 0 {
-		return moved{machines: n}
+		return moveCounts{machines: n}
 	}
-	return moved{workflows: b.archiveWorkflow(txn)}
+	return moveCounts{workflows: b.archiveWorkflow(txn)}
 }
 
-// archiveJobs archives jobs of one page of the filter and returns how many. A job that has too many
-// task ranges for a transaction first loses some of them.
+// archiveJobs archives jobs on one page of the filter and returns how many. If a job has too many task
+// ranges for one transaction, the transaction deletes some of the ranges instead.
 func (b *backlog) archiveJobs(l *ledger.Ledger, txn *ledger.Transaction) int {
 	ids, end := b.jobsOfPage(l, txn.MaxChanges())
 	if len(ids) == 0 {
@@ -86,9 +86,9 @@
 	return 0
 }
 
-// jobsOfPage returns the archivable jobs at the head of the backlog that are on the first one's
-// page of the filter, about as many as a transaction may have changes, and how many jobs of the
-// backlog it passed.
+// jobsOfPage returns the archivable jobs at the head of the backlog that are on the same filter page as
+// the first one, limited to about the given number of changes. end is how many jobs of the backlog it
+// examined.
 func (b *backlog) jobsOfPage(l *ledger.Ledger, changes int) (ids []wire.JobID, end int) {
 	page := l.FilterPage(b.jobs[0])
 	for _, id := range b.jobs {
@@ -102,16 +102,16 @@
 	return ids, end
 }
 
-// dropJobsTo drops the jobs of the backlog up to and including one of them.
+// dropJobsTo removes the jobs up to and including id from the backlog.
 func (b *backlog) dropJobsTo(id wire.JobID) { b.jobs = b.jobs[slices.Index(b.jobs, id)+1:] }
 
-// compactMachines compacts as many machines of a group as the transaction takes and returns how
-// many. Groups of which it takes none are dropped.
+// compactMachines compacts as many machines of a group as fit into the transaction and returns how many.
+// It drops groups from which no machine can be compacted.
 func (b *backlog) compactMachines(txn *ledger.Transaction) int {
 	for len(b.machines) > 0 {
 		group := b.machines[0]
 		part, _ := archive.PartOfMachine(string(group[0]))
-		// Two changes are the part's and its series' head.
+		// Two changes are needed for the part and for the head of its series.
 		for n := min(len(group), max(1, txn.MaxChanges()-2)); n > 0; n-- {
 			if txn.CompactTerminated(part, group[:n]) != nil {
 				continue
@@ -126,7 +126,7 @@
 	return 0
 }
 
-// archiveWorkflow archives the first workflow that can be and returns 1, or 0 if none can.
+// archiveWorkflow archives the first archivable workflow and returns 1, or 0 if there is none.
 func (b *backlog) archiveWorkflow(txn *ledger.Transaction) int {
 	for len(b.workflows) > 0 {
 		id := b.workflows[0]
@@ -138,33 +138,33 @@
 	return 0
 }
 
-// finished is a job or workflow that is over, with the revision of its last change.
+// finished is a finished job or workflow with the revision of its last change.
 type finished[ID wire.JobID | wire.WorkflowID] struct {
 	id       ID
 	revision wire.Revision
 }
 
-// sortByAge sorts by revision, the oldest first.
+// sortByAge sorts by revision, oldest first.
 func sortByAge[ID wire.JobID | wire.WorkflowID](list []finished[ID]) {
 	slices.SortFunc(list, func(a, b finished[ID]) int { return cmp.Compare(a.revision, b.revision) })
 }
 
-// findFinishedJobs adds all finished jobs but the newest kept, once there are more than twice as
-// many.
+// findFinishedJobs adds all finished jobs except the newest keptCount, once there are more than twice
+// that many.
 func (b *backlog) findFinishedJobs(l *ledger.Ledger) {
 	known, active := l.Counts()
-	if known-active <= 2*b.kept {
+	if known-active <= 2*b.keptCount {
 		return
 	}
 	var all []finished[wire.JobID]
 	l.EachArchivable(func(id wire.JobID, revision wire.Revision) {
 		all = append(all, finished[wire.JobID]{id, revision})
 	})
-	if len(all) <= b.kept {
+	if len(all) <= b.keptCount {
 		return
 	}
 	sortByAge(all)
-	for _, job := range all[:len(all)-b.kept] {
+	for _, job := range all[:len(all)-b.keptCount] {
 		b.jobs = append(b.jobs, job.id)
 	}
 	slices.SortFunc(b.jobs, func(a, b wire.JobID) int {
@@ -172,8 +172,8 @@
 	})
 }
 
-// findTerminatedMachines adds terminated machines without claims, in groups of one part of a
-// series that have at least minCompacted.
+// findTerminatedMachines adds terminated machines without claims, grouped by part of a series. It skips
+// groups with fewer than minCompacted machines.
 func (b *backlog) findTerminatedMachines(l *ledger.Ledger) {
 	groups := map[archive.PartID][]wire.MachineID{}
 	l.MachinePhases(func(m wire.MachineID, phase ledger.MachinePhase) {
@@ -190,8 +190,8 @@
 	slices.SortFunc(b.machines, func(a, b []wire.MachineID) int { return strings.Compare(string(a[0]), string(b[0])) })
 }
 
-// findEndedWorkflows adds all workflows that are over but the newest kept, once there are more than
-// twice as many.
+// findEndedWorkflows adds all ended workflows except the newest keptCount, once there are more than
+// twice that many.
 func (b *backlog) findEndedWorkflows(l *ledger.Ledger) {
 	var all []finished[wire.WorkflowID]
 	l.EachWorkflow(func(w *ledger.Workflow) {
@@ -199,11 +199,11 @@
 			all = append(all, finished[wire.WorkflowID]{w.ID, w.Version})
 		}
 	})
-	if len(all) <= 2*b.kept {
+	if len(all) <= 2*b.keptCount {
 		return
 	}
 	sortByAge(all)
-	for _, w := range all[:len(all)-b.kept] {
+	for _, w := range all[:len(all)-b.keptCount] {
 		b.workflows = append(b.workflows, w.id)
 	}
 }
--- a/internal/state/archiver/filter.go
+++ b/internal/state/archiver/filter.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// pageAttempts is how often a page of the filter is read when the records are reloaded
-	// meanwhile.
-	pageAttempts = 3
-	// sharedDigits is how many leading digits of their pages' names two names have in common
-	// whose pages are read in one request: they are most likely on one page.
-	sharedDigits = 5
+	// maxPageAttempts limits the attempts to read a page of the filter. An attempt fails if the
+	// records are reloaded meanwhile.
+	maxPageAttempts = 3
+	// flightKeyDigits is the number of leading hex digits of a position that concurrent page reads
+	// must have in common to be merged into one request: such positions are most likely on the same
+	// page.
+	flightKeyDigits = 5
 )
 
-// mayBeArchived reports whether a job, or a workflow, may be archived. name is its name in the
-// filter. lookup is called with the records and reports whether the filter lets the name pass, and
-// whether the page of the filter with the name is known.
+// mayBeArchived reports whether a job or workflow may be archived. name is its name in the filter.
+// lookup is called with the records and reports whether the filter may contain the name, and whether
+// the filter page of the name is in memory.
 func (r *archiveReader) mayBeArchived(
 	ctx context.Context,
 	name string,
@@ -33,19 +34,19 @@
 	if err != nil {
 		return false, err
 	}
-	return may || !known, nil // where the page could not be had, the archive itself decides
+	return may || !known, nil // without the page, the archive has to be read
 }
 
-// ensurePage reads the page of the filter with a name unless known reports that the ledger has it;
-// from then on the ledger updates it as jobs are archived. It returns false if the records were
-// reloaded during each of its attempts.
+// ensurePage reads the filter page of a name unless known reports that the ledger already has it. From
+// then on the ledger updates the page as jobs are archived. It returns false if the records were
+// reloaded during every attempt.
 func (r *archiveReader) ensurePage(
 	ctx context.Context,
 	name string,
 	known func(*ledger.Ledger) bool,
 ) (bool, error) {
 	position := archive.Position(name)
-	for range pageAttempts {
+	for range maxPageAttempts {
 		var records *ledger.Ledger
 		var since uint64
 		var ok bool
@@ -56,7 +57,7 @@
 		if ok {
 			return true, nil
 		}
-		read := r.inFlight.DoChan(archive.PageName(position)[:sharedDigits], func() (any, error) {
+		read := r.inFlight.DoChan(archive.PageName(position)[:flightKeyDigits], func() (any, error) {
 			return nil, r.readPage(ctx, position, records, since)
 		})
 		select {
@@ -71,11 +72,11 @@
 	return false, nil
 }
 
-// readPage reads the page of the filter with a position and puts it into the records, unless they
-// were reloaded meanwhile. since is the number of the filter's additions before the read.
+// readPage reads the filter page that contains a position and adds it to the records, unless they were
+// reloaded meanwhile. since is the result of FilterAdditions from before the read.
 func (r *archiveReader) readPage(ctx context.Context, position uint32, records *ledger.Ledger, since uint64) error {
 	page, version := archive.FirstPage(), wire.Revision(0)
-	list, err := paced(ctx, r, func(ctx context.Context) (wire.ItemPage, error) {
+	list, err := rateLimited(ctx, r, func(ctx context.Context) (wire.ItemPage, error) {
 		return r.store.List(ctx, ledger.FilterPrefix, ledger.FilterKey(position), 1)
 	})
 	if err != nil {
@@ -88,7 +89,7 @@
 		}
 	}
 	r.host.Read(func(l *ledger.Ledger) {
-		if l == records { // reloaded records may lack additions since
+		if l == records { // reloaded records may lack additions made since
 			l.PutFilterPage(page, version, since)
 		}
 	})
--- a/internal/state/archiver/reader.go
+++ b/internal/state/archiver/reader.go
@@ -16,43 +16,43 @@
 	"maddermill/wire"
 )
 
-// Bounds of reading the archive.
+// Limits for reading the archive.
 const (
-	// maxCachedFinals is how many final states of archived jobs are held in memory.
+	// maxCachedFinals is how many final states of archived jobs are cached.
 	maxCachedFinals = 4096
-	// readShare is the part of a controller's requests that reads of the archive may take.
+	// readShare is the fraction of the controller's request rate available to archive reads.
 	readShare = 0.25
-	// maxReadDelay is how long a read may wait for its turn.
+	// maxReadDelay is how long the rate limiter may delay a read; otherwise the read is shed.
 	maxReadDelay = 800 * time.Millisecond
-	// readTimeout bounds one read, from its turn on.
+	// readTimeout is the timeout of one read, not including that delay.
 	readTimeout = 2 * time.Second
 )
 
-// archiveReader reads the archive in the state service, at a pace of its own and only for names
-// that the filter lets pass. It is safe for concurrent use.
+// archiveReader reads the archive from the state service. Its reads have their own rate limit, and it
+// reads only names that the filter may contain. It is safe for concurrent use.
 type archiveReader struct {
 	host  Host
 	store kvstore.Store
 	stats *metrics.Set
 
-	finals   *lru.Cache[wire.JobID, ledger.FinalRecord] // of jobs requested or archived recently
-	inFlight singleflight.Group                         // reads: one per job, one per range of the filter
-	pace     *rate.Limiter                              // of all reads
+	finals   *lru.Cache[wire.JobID, ledger.FinalRecord] // of recently requested or archived jobs
+	inFlight singleflight.Group                         // merges concurrent reads, by job or by range of the filter
+	limiter  *rate.Limiter                              // of all archive reads
 }
 
-// newArchiveReader returns a reader that takes readShare of so many requests per second.
+// newArchiveReader returns a reader that uses at most readShare of the given requests per second.
 func newArchiveReader(host Host, store kvstore.Store, requests float64, stats *metrics.Set) *archiveReader {
 	finals, err := lru.New[wire.JobID, ledger.FinalRecord](maxCachedFinals)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // lru.New fails only for a size below 1
 	}
 	share := requests * readShare
 	return &archiveReader{
-		host:   host,
-		store:  store,
-		stats:  stats,
-		finals: finals,
-		pace:   rate.NewLimiter(rate.Limit(share), max(1, int(share))),
+		host:    host,
+		store:   store,
+		stats:   stats,
+		finals:  finals,
+		limiter: rate.NewLimiter(rate.Limit(share), max(1, int(share))),
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// readFinal reads a job's final state and caches it. The error is ErrUnknown if there is none.
+// readFinal reads and caches the final state of a job. It returns ErrUnknown if there is none.
 func (r *archiveReader) readFinal(ctx context.Context, id wire.JobID) (ledger.FinalRecord, error) {
 	var record ledger.FinalRecord
 	item, err := r.get(ctx, ledger.FinalKey(id))
@@ -118,31 +118,31 @@
 	return w, json.Unmarshal(item.Value, &w.WorkflowRecord)
 }
 
-// get reads one key of the archive.
+// get reads a key of the archive.
 func (r *archiveReader) get(ctx context.Context, key string) (wire.Item, error) {
-	item, err := paced(ctx, r, func(ctx context.Context) (wire.Item, error) { return r.store.Get(ctx, key) })
+	item, err := rateLimited(ctx, r, func(ctx context.Context) (wire.Item, error) { return r.store.Get(ctx, key) })
 	if errors.Is(err, kvstore.ErrNotFound) {
 		r.stats.Add("archive_misses_total", 1)
 	}
 	return item, err
 }
 
-// paced calls read, which reads the archive, when the pace of such reads allows it. An error wraps
-// ErrUnavailable or is kvstore.ErrNotFound.
-func paced[T any](
+// rateLimited calls read, which reads the archive, once the rate limiter permits it. It returns an error
+// that wraps ErrUnavailable or is kvstore.ErrNotFound.
+func rateLimited[T any](
 	ctx context.Context,
 	r *archiveReader,
 	read func(context.Context) (T, error),
 ) (result T, err error) {
-	turn := r.pace.Reserve()
-	if delay := turn.Delay(); delay > maxReadDelay {
-		turn.Cancel()
+	reservation := r.limiter.Reserve()
+	if delay := reservation.Delay(); delay > maxReadDelay {
+		reservation.Cancel()
 		r.stats.Add("archive_reads_shed_total", 1)
 		return result, ErrUnavailable
 	} else if delay > 0 {
 		time.Sleep(delay)
 	}
-	// Other requests may share this read, so it does not end with the request that started it.
+	// Other callers may share this read, so it must outlive the context of the one that started it.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
 	defer cancel()
 	r.stats.Add("archive_reads_total", 1)
--- a/internal/state/backup/backup_test.go
+++ b/internal/state/backup/backup_test.go
@@ -23,21 +23,21 @@
 var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: kvstore.TxnBytes,
 	TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)}}
 
-// fixture is a state service with jobs, some of them over and archived, and machines.
+// fixture is a state service with machines and jobs, some of which are finished or archived.
 type fixture struct {
 	t       *testing.T
 	store   *emulator.Store
 	link    *emulator.Link
 	records *ledger.Ledger
-	next    int // number of the last job
+	next    int // number of the last job added
 
 	revision wire.Revision
-	state    map[string]string                   // value by key
+	state    map[string]string                   // current value by key
 	history  map[wire.Revision]map[string]string // state by revision
 }
 
-// fill returns a fixture with so many jobs.
-func fill(t *testing.T, jobs int) *fixture {
+// newFixture returns a fixture with the given number of jobs.
+func newFixture(t *testing.T, jobs int) *fixture {
 	t.Helper()
 	f := &fixture{
 		t:       t,
@@ -53,12 +53,13 @@
 	}}, nil)
 	f.commit(func(txn *ledger.Transaction) error { return txn.UpgradeFormat(ledger.ArchiveFormat, 0) })
 	for range jobs {
-		f.grow()
+		f.addJob()
 	}
 	return f
 }
 
-// apply applies a transaction and follows its changes; err is that of making the transaction.
+// apply commits a transaction and updates the fixture. err is the error from building the transaction; it
+// fails the test unless nil.
 func (f *fixture) apply(t wire.Txn, err error) {
 	f.t.Helper()
 	if err != nil {
@@ -79,7 +80,7 @@
 	f.history[rev], f.revision = maps.Clone(f.state), rev
 }
 
-// commit makes a transaction of a change and applies it.
+// commit builds a transaction with change and applies it.
 func (f *fixture) commit(change func(*ledger.Transaction) error) {
 	f.t.Helper()
 	txn := f.records.NewTransaction()
@@ -89,9 +90,9 @@
 	f.apply(txn.Request())
 }
 
-// grow adds a job; every other one is cancelled, every third archived, every tenth machine
-// comes and goes.
-func (f *fixture) grow() {
+// addJob adds a job. It cancels every second job and archives every third of the cancelled ones. With some
+// of the other jobs a machine is added and terminated; the rest are claimed.
+func (f *fixture) addJob() {
 	f.next++
 	id := wire.JobID(fmt.Sprintf("wk-%06d", f.next))
 	team := wire.Team([]string{"free", "capped"}[f.next%2])
@@ -136,7 +137,7 @@
 	}
 }
 
-// stateOf returns the durable keys of a store with their values.
+// stateOf returns the values of the durable keys of a store, by key.
 func stateOf(s *emulator.Store) map[string]string {
 	out := map[string]string{}
 	for _, it := range s.Items() {
@@ -147,17 +148,16 @@
 	return out
 }
 
-// TestExportIsOfOneRevision: while records change all the time, what an export brings into
-// another state service is what there was at the revision that it names, besides the format,
-// which gets a new era.
+// TestExportIsOfOneRevision checks that an export made while records change restores exactly the records
+// of the revision in its trailer, except for the format record, which gets a new era.
 func TestExportIsOfOneRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := fill(t, 120)
+		f := newFixture(t, 120)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			for range 150 {
-				f.grow()
+				f.addJob()
 				time.Sleep(3 * time.Millisecond)
 			}
 		}()
@@ -169,7 +169,7 @@
 		<-done
 		want := f.history[end.Revision]
 		if want == nil || end.Changes == 0 || maps.Equal(want, f.state) {
-			t.Fatalf("revision %d with %d changes is none of those in the middle", end.Revision, end.Changes)
+			t.Fatalf("revision %d with %d changes is not an intermediate revision", end.Revision, end.Changes)
 		}
 		other := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 		restore := func() error {
@@ -192,7 +192,7 @@
 			t.Errorf("got %+v, %v, want archived jobs and no problem", r, err)
 		}
 		if err := restore(); !errors.Is(err, ErrNotEmpty) {
-			t.Errorf("imported twice: got %v, want %v", err, ErrNotEmpty)
+			t.Errorf("second import: got %v, want %v", err, ErrNotEmpty)
 		}
 		if len(other.Problems) > 0 {
 			t.Error(other.Problems[0])
@@ -200,17 +200,17 @@
 	})
 }
 
-// TestDamagedExport: a stream with any byte changed, or cut anywhere, is refused as a whole
-// with the place, and nothing is written.
+// TestDamagedExport checks that a stream with any byte changed, truncated at any point, or with trailing
+// data is rejected with the position of the damage, and that nothing is written.
 func TestDamagedExport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := fill(t, 12)
+		f := newFixture(t, 12)
 		var file bytes.Buffer
 		if _, err := Export(t.Context(), f.link, &file, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		whole := file.Bytes()
-		refuse := func(what string, b []byte, at int) {
+		expectDamaged := func(what string, b []byte, at int) {
 			store := emulator.NewStore(limits.TxnOps, limits.ValueBytes)
 			_, err := Import(context.Background(), bytes.NewReader(b), emulator.NewLink(store, 1), limits, time.Now())
 			var damaged *DamagedError
@@ -222,36 +222,36 @@
 		for at := range whole {
 			b := slices.Clone(whole)
 			b[at] ^= byte(1 + rng.IntN(255))
-			refuse("changed", b, at)
-			refuse("cut", whole[:at], at)
+			expectDamaged("changed", b, at)
+			expectDamaged("cut", whole[:at], at)
 		}
-		refuse("longer", append(slices.Clone(whole), 0), len(whole))
+		expectDamaged("longer", append(slices.Clone(whole), 0), len(whole))
 	})
 }
 
-// flakyLink fails after so many transactions, and may lose the answers of some before.
+// flakyLink fails after a number of commits, and may lose the responses of some commits before that.
 type flakyLink struct {
 	*emulator.Link
-	left        int // transactions until it fails
-	losesAnswer bool
+	commitsLeft    int // number of commits until it fails
+	losesResponses bool
 }
 
 func (f *flakyLink) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
-	if f.left--; f.left < 0 {
-		return 0, errors.New("broken off")
+	if f.commitsLeft--; f.commitsLeft < 0 {
+		return 0, errors.New("connection failed")
 	}
 	rev, err := f.Link.Commit(ctx, t)
-	if f.losesAnswer && f.left%3 == 0 && err == nil {
+	if f.losesResponses && f.commitsLeft%3 == 0 && err == nil {
 		return 0, kvstore.ErrUnknown
 	}
 	return rev, err
 }
 
-// TestImportContinues: an import that ends before any of its transactions, or that loses their
-// answers, continues where it was; until it is complete the records say so.
+// TestImportContinues checks that an import that was interrupted before any of its transactions, or that
+// lost their responses, can be continued, and that controllers do not use the records until it is complete.
 func TestImportContinues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := fill(t, 40)
+		f := newFixture(t, 40)
 		var file bytes.Buffer
 		if _, err := Export(t.Context(), f.link, &file, time.Now()); err != nil {
 			t.Fatal(err)
@@ -268,7 +268,7 @@
 				break
 			}
 			if len(store.Items()) > 0 && !errors.Is(l.CheckFormat(), ledger.ErrImporting) {
-				t.Fatalf("after %d transactions controllers would serve: %v", n, err)
+				t.Fatalf("after %d transactions controllers would use the records: %v", n, err)
 			}
 			if n > 100 {
 				t.Fatal(err)
@@ -282,11 +282,11 @@
 	})
 }
 
-// openJob begins the record of a job with two tasks.
+// openJob is the beginning of the record of a job with two tasks.
 const openJob = `{"spec":{"id":"wk-900001","owner":"free","shape":"array","pieces":2,"cores":1},"at":1`
 
-// TestVerifyFinds: records that are as they must be have no problem, and each kind of mistake is
-// found under its key.
+// TestVerifyFinds checks that Verify reports no problem for valid records, and finds each kind of invalid
+// record.
 func TestVerifyFinds(t *testing.T) {
 	for _, tc := range []struct{ key, value, what string }{
 		{"", "", ""},
@@ -328,11 +328,11 @@
 	} {
 		t.Run(tc.key+" "+tc.what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := fill(t, 30)
+				f := newFixture(t, 30)
 				if tc.key != "" {
 					value := tc.value
 					if !strings.HasSuffix(value, "}") && value != "1" {
-						value = `"` + value[:1] + `"` // not a record at all
+						value = `"` + value[:1] + `"` // JSON, but not a record
 					}
 					f.apply(wire.Txn{Then: []wire.Change{{Put: tc.key, Value: []byte(value)}}}, nil)
 				}
@@ -349,10 +349,11 @@
 	}
 }
 
-// FuzzRead: no bytes that are given as an export do harm.
+// FuzzRead checks that CheckExport handles arbitrary input without panicking and returns only a
+// *DamagedError.
 func FuzzRead(f *testing.F) {
 	var file bytes.Buffer
-	w, err := newWriter(&file)
+	w, err := newStreamWriter(&file)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/state/backup/earlier_test.go
+++ b/internal/state/backup/earlier_test.go
@@ -15,14 +15,14 @@
 	"maddermill/internal/testing/golden"
 )
 
-// earlierExport is an export that the sources before the renaming of 2026 made of the records of
-// fill(t, 60).
+// earlierExport is an export of the records of newFixture(t, 60), written by the version before the
+// identifiers were renamed in 2026.
 const earlierExport = "earlier.export"
 
-// TestEarlierExportIsContinued: an export of an earlier version is read, verified and worked on. The same
-// records are still written byte for byte.
+// TestEarlierExportIsContinued checks that an export written by an earlier version can be imported, verified
+// and modified, and that an export of the same records is still byte for byte the same.
 func TestEarlierExportIsContinued(t *testing.T) {
-	written := fill(t, 60)
+	written := newFixture(t, 60)
 	var exported bytes.Buffer
 	if _, err := Export(t.Context(), written.link, &exported, time.UnixMilli(1_700_000_000_000)); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	if _, err := Import(t.Context(), file, link, limits, time.UnixMilli(1_700_000_001_000)); err != nil {
 		t.Fatal(err)
 	}
-	verify(t, link)
+	expectNoProblems(t, link)
 	continued := &fixture{
 		t:       t,
 		store:   store,
@@ -60,12 +60,12 @@
 		}
 	}
 	for range 20 {
-		continued.grow()
+		continued.addJob()
 	}
-	verify(t, link)
+	expectNoProblems(t, link)
 }
 
-func verify(t *testing.T, source Source) {
+func expectNoProblems(t *testing.T, source Source) {
 	t.Helper()
 	report, err := Verify(t.Context(), source, limits)
 	if err != nil {
--- a/internal/state/backup/export.go
+++ b/internal/state/backup/export.go
@@ -12,23 +12,23 @@
 	"maddermill/wire"
 )
 
-// Source is what is needed of a state service to read it.
+// Source is the part of the state service's interface that is needed to read it.
 type Source interface {
 	List(ctx context.Context, prefix, after string, limit int) (wire.ItemPage, error)
 	Watch(ctx context.Context, prefix string, after wire.Revision, wait time.Duration) (wire.Events, error)
 }
 
 const (
-	// pageItems is how many keys a page has at most.
+	// pageItems is the maximum number of keys on a page.
 	pageItems = 1000
-	// maxAttempts bounds how often a request is sent that is refused or not answered.
+	// maxAttempts limits how often a request is sent that is refused or whose outcome is unknown.
 	maxAttempts = 20
 	// retryDelay is added to the delay before each further attempt.
 	retryDelay = 100 * time.Millisecond
 )
 
-// retry calls f again while the state service refuses or does not answer. f must be safe to be
-// repeated.
+// retry repeats f while the state service refuses the request or its outcome is unknown, at most
+// maxAttempts times. f must be safe to repeat.
 func retry[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	for n := 1; ; n++ {
 		v, err := f()
@@ -44,10 +44,11 @@
 	}
 }
 
-// Pages calls base for every key with a prefix, page by page, and changed for every change that was
-// made meanwhile, in order. Together they are the records at the revision that is returned: a key
-// has the value of its last change or, without a change, the value that base got. Keys that only
-// say who serves now (with a lease, or transient ones) are left out.
+// Pages reads all records with a prefix at one revision, while they may change. It calls base with
+// every page of records, and changed with the changes that were made while the pages were read, in
+// order. Together they are the records at the returned revision: the value of a key is that of its last
+// change or, without a change, the one passed to base. Keys that only describe the running controllers
+// (those with a lease, and transient ones) are omitted.
 func Pages(
 	ctx context.Context,
 	s Source,
@@ -55,7 +56,7 @@
 	base func([]wire.Item) error,
 	changed func([]wire.Event) error,
 ) (wire.Revision, error) {
-	var revision wire.Revision // up to which changes were read
+	var revision wire.Revision // up to which changes have been read
 	after := ""
 	for first := true; ; first = false {
 		page, err := retry(ctx, func() (wire.ItemPage, error) { return s.List(ctx, prefix, after, pageItems) })
@@ -68,7 +69,7 @@
 		if err := base(durableItems(page.Items)); err != nil {
 			return 0, err
 		}
-		// The state service keeps changes for a short time only, so they are read after each page.
+		// The state service retains changes only for a short time, so they are read after each page.
 		changes, err := retry(ctx, func() (wire.Events, error) { return s.Watch(ctx, prefix, revision, 0) })
 		if err != nil {
 			return 0, err
@@ -86,7 +87,7 @@
 	}
 }
 
-// durableItems returns the items that are part of the records.
+// durableItems returns the items that belong to the records.
 func durableItems(items []wire.Item) []wire.Item {
 	var durable []wire.Item
 	for _, item := range items {
@@ -97,14 +98,14 @@
 	return durable
 }
 
-// durableEvents returns the events that change the records, in the same array.
+// durableEvents returns the events that change the records. It modifies events in place.
 func durableEvents(events []wire.Event) []wire.Event {
 	return slices.DeleteFunc(events, func(e wire.Event) bool { return ledger.Transient(e.Put + e.Delete) })
 }
 
-// Export writes all records at one revision.
+// Export writes all records at one revision to w.
 func Export(ctx context.Context, s Source, w io.Writer, now time.Time) (End, error) {
-	out, err := newWriter(w)
+	out, err := newStreamWriter(w)
 	if err != nil {
 		return End{}, err
 	}
@@ -115,10 +116,10 @@
 	return out.close(revision, wire.UnixMillis(now.UnixMilli()))
 }
 
-// writeBase writes a page of records.
+// writeBase writes a page of records in one or more frames.
 func (w *streamWriter) writeBase(items []wire.Item) error {
 	size := func(item wire.Item) int { return len(item.Key) + len(item.Value) }
-	for part := range frameParts(items, size) {
+	for part := range splitFrames(items, size) {
 		var f frame
 		for _, item := range part {
 			f.Base = append(f.Base, Record{item.Key, item.Value})
@@ -130,10 +131,10 @@
 	return nil
 }
 
-// writeChanges writes changes that were made while the records were read.
+// writeChanges writes changes that were made while the pages were read, in one or more frames.
 func (w *streamWriter) writeChanges(events []wire.Event) error {
 	size := func(e wire.Event) int { return len(e.Put) + len(e.Delete) + len(e.Value) }
-	for part := range frameParts(events, size) {
+	for part := range splitFrames(events, size) {
 		var f frame
 		for _, e := range part {
 			if e.Delete != "" {
@@ -149,22 +150,22 @@
 	return nil
 }
 
-// frameParts divides a list into parts of at most half a frame; an element that is larger is a part
-// of its own.
-func frameParts[T any](list []T, size func(T) int) func(yield func([]T) bool) {
+// splitFrames divides a list into parts of at most half the maximum frame size. A larger element becomes
+// a part of its own.
+func splitFrames[T any](list []T, size func(T) int) func(yield func([]T) bool) {
 	return func(yield func([]T) bool) {
-		from, sum := 0, 0
+		start, sum := 0, 0
 		for i, v := range list {
-			if n := size(v); sum+n > maxFrameBytes/2 && i > from {
-				if !yield(list[from:i]) {
+			if n := size(v); sum+n > maxFrameBytes/2 && i > start {
+				if !yield(list[start:i]) {
 					return
 				}
-				from, sum = i, 0
+				start, sum = i, 0
 			}
 			sum += size(v)
 		}
-		if from < len(list) {
-			yield(list[from:])
+		if start < len(list) {
+			yield(list[start:])
 		}
 	}
 }
--- a/internal/state/backup/import.go
+++ b/internal/state/backup/import.go
@@ -15,42 +15,43 @@
 	"maddermill/wire"
 )
 
-// CheckExport reads a whole export and returns its end. The error is a *DamagedError that says where
-// the export is not complete.
-func CheckExport(r io.Reader) (End, error) { return read(r, func(frame) error { return nil }) }
+// CheckExport reads a whole export and returns its trailer. If the export is damaged or incomplete, the
+// error is a *DamagedError with the position of the damage.
+func CheckExport(r io.Reader) (End, error) { return readStream(r, func(frame) error { return nil }) }
 
-// ErrNotEmpty is wrapped by the error of Import where the state service holds records of something
-// else.
+// ErrNotEmpty is wrapped by errors of Import if the state service contains records that are not from the
+// same export.
 var ErrNotEmpty = errors.New("backup: the state service is not empty")
 
-// marker is the record that says that an import is under way, and of which export.
-type marker struct {
+// importMarker is the record that exists while an import is in progress. It identifies the export.
+type importMarker struct {
 	Revision wire.Revision   `json:"rev"`
 	At       wire.UnixMillis `json:"at"`
 	Sum      uint64          `json:"sum"`
 }
 
-// Target is what is needed of a state service to write it.
+// Target is the part of the state service's interface that is needed to restore an export.
 type Target interface {
 	Source
 	Get(ctx context.Context, key string) (wire.Item, error)
 	Commit(ctx context.Context, t wire.Txn) (wire.Revision, error)
 }
 
-// Import puts an export into an empty state service. The file is read whole before anything is
-// written. Until the import is complete no controller serves from the records; one that broke off is
-// continued by the same call with the same file. Keys are only ever created. Revisions restart in
-// the new state service, so the format of the records gets a new era, made of now.
+// Import restores an export into an empty state service. It reads and checks the whole file before it
+// writes anything. No controller uses the records until the import is complete. An interrupted import
+// is continued by calling Import again with the same file. Import only creates keys and, at the end,
+// deletes its own marker. Revisions restart in the new state service, so the format record gets a new
+// era, which is derived from now.
 func Import(ctx context.Context, file io.ReadSeeker, s Target, limits ledger.Limits, now time.Time) (End, error) {
 	changed, end, err := readChanges(file)
 	if err != nil {
 		return end, err
 	}
-	mark, err := json.Marshal(marker{end.Revision, end.At, end.Sum})
+	marker, err := json.Marshal(importMarker{end.Revision, end.At, end.Sum})
 	if err != nil {
 		return end, err
 	}
-	if err := begin(ctx, s, mark); err != nil {
+	if err := beginImport(ctx, s, marker); err != nil {
 		return end, err
 	}
 	in := newImporter(ctx, s, limits)
@@ -63,20 +64,21 @@
 	if err := in.batch.Flush(); err != nil {
 		return end, err
 	}
-	// Names of rented machines are made from revisions, which the era makes unique.
+	// Names of rented machines are derived from revisions. The era keeps them unique although revisions
+	// restart.
 	in.format.Era = strconv.FormatInt(now.UnixMilli(), 36)
 	format, err := json.Marshal(in.format)
 	if err != nil {
 		return end, err
 	}
-	return end, finish(ctx, s, format)
+	return end, finishImport(ctx, s, format)
 }
 
-// readChanges reads an export to its end and returns the last value of each key that changed while
-// it was made; nil: deleted. These are few, unlike the rest, which is not held in memory.
+// readChanges reads a whole export and returns the last value, nil if deleted, of each key that changed
+// during the export. These are few; the other records are not held in memory.
 func readChanges(file io.Reader) (map[string][]byte, End, error) {
 	changed := map[string][]byte{}
-	end, err := read(file, func(f frame) error {
+	end, err := readStream(file, func(f frame) error {
 		for _, r := range f.Changes {
 			changed[r.Key] = r.Value
 		}
@@ -85,15 +87,15 @@
 	return changed, end, err
 }
 
-// importer writes the records of an export in batches. The format of the records is kept back: it
-// is written by finish.
+// importer writes the records of an export in batches, except for the format record, which finishImport
+// writes last.
 type importer struct {
 	batch      *ledger.Batch
-	valueBytes int // that a value may have
+	valueBytes int // maximum size of a value
 	format     ledger.FormatRecord
 }
 
-// newImporter returns an importer that creates keys in a state service.
+// newImporter returns an importer that writes to s. It only creates keys.
 func newImporter(ctx context.Context, s Target, limits ledger.Limits) *importer {
 	create := func(changes []wire.Change) error {
 		t := wire.Txn{Then: changes}
@@ -109,23 +111,23 @@
 	}
 }
 
-// add adds one record.
+// add adds a record to the batch, or keeps it if it is the format record.
 func (in *importer) add(key string, value []byte) error {
 	if key == ledger.FormatKey {
 		return json.Unmarshal(value, &in.format)
 	}
 	if len(value) > in.valueBytes {
-		return fmt.Errorf("backup: %s takes %d bytes, and values here may have %d", key, len(value), in.valueBytes)
+		return fmt.Errorf("backup: value of %s has %d bytes, limit is %d", key, len(value), in.valueBytes)
 	}
 	return in.batch.Put(key, value)
 }
 
-// addBase reads the file once more and adds the records that did not change while it was made.
+// addBase reads the file a second time and adds the records that did not change during the export.
 func (in *importer) addBase(file io.ReadSeeker, changed map[string][]byte) error {
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	_, err := read(file, func(f frame) error {
+	_, err := readStream(file, func(f frame) error {
 		for _, r := range f.Base {
 			if _, ok := changed[r.Key]; ok {
 				continue
@@ -139,7 +141,7 @@
 	return err
 }
 
-// addChanged adds the records that changed, in the order of their keys.
+// addChanged adds the records that changed during the export, ordered by key.
 func (in *importer) addChanged(changed map[string][]byte) error {
 	keys := make([]string, 0, len(changed))
 	for key, value := range changed {
@@ -156,11 +158,11 @@
 	return nil
 }
 
-// begin writes the marker that an import is under way, or finds that this import is.
-func begin(ctx context.Context, s Target, mark []byte) error {
+// beginImport writes the import marker, unless the marker of the same import exists already.
+func beginImport(ctx context.Context, s Target, marker []byte) error {
 	item, err := retry(ctx, func() (wire.Item, error) { return s.Get(ctx, ledger.ImportKey) })
 	if err == nil {
-		if !sameJSON(item.Value, mark) {
+		if !sameJSON(item.Value, marker) {
 			return fmt.Errorf("%w: another export is being imported", ErrNotEmpty)
 		}
 		return nil
@@ -177,15 +179,16 @@
 	}
 	return commitCreate(ctx, s, wire.Txn{
 		If:   []wire.Condition{{Key: ledger.ImportKey}},
-		Then: []wire.Change{{Put: ledger.ImportKey, Value: mark}},
+		Then: []wire.Change{{Put: ledger.ImportKey, Value: marker}},
 	})
 }
 
-// finish writes the records' format and deletes the marker, which lets controllers serve.
-func finish(ctx context.Context, s Target, format []byte) error {
+// finishImport writes the format record and deletes the import marker. From then on controllers use the
+// records.
+func finishImport(ctx context.Context, s Target, format []byte) error {
 	item, err := retry(ctx, func() (wire.Item, error) { return s.Get(ctx, ledger.ImportKey) })
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return nil // an earlier call finished, and its answer was lost
+		return nil // an earlier call completed the import, but its response was lost
 	}
 	if err != nil {
 		return err
@@ -196,8 +199,8 @@
 	})
 }
 
-// commitCreate commits a transaction that creates keys and may delete others. A conflict is no error
-// if the keys have the values that they are to get: an answer was lost, or an import is continued.
+// commitCreate commits a transaction that creates keys and may delete others. A conflict is not an error
+// if the keys already have the requested values, because a response was lost or an import is continued.
 func commitCreate(ctx context.Context, s Target, t wire.Txn) error {
 	_, err := retry(ctx, func() (wire.Revision, error) { return s.Commit(ctx, t) })
 	var conflict *kvstore.ConflictError
@@ -219,20 +222,20 @@
 		case err != nil:
 			return err
 		case !sameJSON(item.Value, change.Value):
-			return fmt.Errorf("%w: %s is there with another value", ErrNotEmpty, change.Put)
+			return fmt.Errorf("%w: %s already exists with a different value", ErrNotEmpty, change.Put)
 		}
 	}
 	return nil
 }
 
-// sameJSON reports whether two documents in JSON have the same content.
+// sameJSON reports whether two JSON documents have equal content.
 func sameJSON(a, b []byte) bool {
 	first, ok := canonicalJSON(a)
 	second, ok2 := canonicalJSON(b)
 	return ok && ok2 && first == second
 }
 
-// canonicalJSON returns a document in JSON with its keys sorted.
+// canonicalJSON returns a JSON document with its keys sorted, and false if it is invalid.
 func canonicalJSON(document []byte) (string, bool) {
 	var v any
 	if json.Unmarshal(document, &v) != nil {
--- a/internal/state/backup/verify.go
+++ b/internal/state/backup/verify.go
@@ -14,20 +14,20 @@
 	"maddermill/wire"
 )
 
-// Report is what Verify found.
+// Report is the result of Verify.
 type Report struct {
 	Revision wire.Revision
-	Records  int
-	Archived int
+	Records  int              // number of records on the pages, including archived ones
+	Archived int              // number of archived jobs and workflows
 	Problems []ledger.Problem // the first maxProblems
-	More     int              // problems beyond those
+	More     int              // number of problems beyond those
 }
 
-// maxProblems bounds what a report lists.
+// maxProblems limits the problems listed in a report.
 const maxProblems = 1000
 
-// Verify reads all records and checks their invariants at one revision. It only reads. What teams
-// use is checked for the teams that limits name.
+// Verify reads all records at one revision and checks their invariants. It writes nothing. Resource usage
+// is checked for the teams that have a limit in limits.
 func Verify(ctx context.Context, s Source, limits ledger.Limits) (Report, error) {
 	v := &verifier{
 		records:   map[string]ledger.Event{},
@@ -40,24 +40,24 @@
 	records, problems := ledger.Verify(v.records, limits)
 	v.add(problems...)
 	v.checkFilterPages()
-	v.checkNotPassed()
+	v.recheckFilterMisses()
 	err := v.checkNotArchived(ctx, s, records)
 	v.checkDocuments(records)
 	return v.report, err
 }
 
-// verifier is the state of one run of Verify. It holds the records but not the archive, which is
-// too large: archived jobs are checked as they are read.
+// verifier is the state of one run of Verify. It holds the records but not the archive, which is too
+// large for memory: archived jobs are checked as they are read.
 type verifier struct {
 	report    Report
 	records   map[string]ledger.Event
-	documents map[string]bool // keys of workflows' documents
+	documents map[string]bool // keys of the pieces of workflow documents
 	filter    filterPages
 
-	// notPassed are the keys of archived jobs that the filter did not let pass when they were
-	// read. Its pages come before the jobs but may change meanwhile, so these are checked
-	// again at the end.
-	notPassed []string
+	// filterMisses are the keys of archived jobs that the filter did not contain when the jobs were
+	// read. The filter pages are read before the jobs but may change meanwhile, so these jobs are
+	// checked again at the end.
+	filterMisses []string
 }
 
 // add adds problems to the report.
@@ -71,7 +71,7 @@
 	}
 }
 
-// readRecords reads everything at one revision.
+// readRecords reads all records and the archive at one revision.
 func (v *verifier) readRecords(ctx context.Context, s Source) error {
 	revision, err := Pages(ctx, s, ledger.AllPrefix, func(items []wire.Item) error {
 		v.report.Records += len(items)
@@ -91,7 +91,7 @@
 	return err
 }
 
-// visit takes one key with its value; nil means that the key was deleted.
+// visit processes a key with its value, which is nil if the key was deleted.
 func (v *verifier) visit(key string, value []byte, version wire.Revision) {
 	id, archivedJob := ledger.ArchivedJobID(key)
 	switch {
@@ -106,7 +106,7 @@
 		v.filter.put(key, page)
 	case strings.HasPrefix(key, ledger.DocumentPrefix):
 		v.documents[key] = true
-	case ledger.IsFinalKey(key): // a workflow's
+	case ledger.IsFinalKey(key): // an archived workflow
 		v.report.Archived++
 	case value == nil:
 		delete(v.records, key)
@@ -118,47 +118,47 @@
 // visitArchivedJob checks the final state of an archived job.
 func (v *verifier) visitArchivedJob(id wire.JobID, key string, value []byte) {
 	if value == nil {
-		v.add(ledger.Problem{Key: key, What: "a final state was deleted"})
+		v.add(ledger.Problem{Key: key, What: "final state of an archived job was deleted"})
 		return
 	}
 	v.report.Archived++
 	if err := ledger.CheckArchived(id, value); err != nil {
 		v.add(ledger.Problem{Key: key, What: err.Error()})
 	}
-	if !v.filter.passes(id) {
-		v.notPassed = append(v.notPassed, key)
+	if !v.filter.mayContain(id) {
+		v.filterMisses = append(v.filterMisses, key)
 	}
 }
 
-// checkFilterPages checks that the pages of the filter leave no gap and don't overlap.
+// checkFilterPages checks that the filter pages are contiguous and do not overlap.
 func (v *verifier) checkFilterPages() {
 	low := uint32(0)
 	for _, page := range v.filter.ordered {
 		if page.Low != low {
 			v.add(ledger.Problem{
 				Key:  ledger.FilterPrefix + page.Name(),
-				What: fmt.Sprintf("begins at %x, and the page before it ends before %x", page.Low, low),
+				What: fmt.Sprintf("page begins at %x, want %x after the preceding page", page.Low, low),
 			})
 		}
 		low = page.High + 1
 	}
 }
 
-// checkNotPassed checks that the filter, now that it is read, lets all archived jobs pass.
-func (v *verifier) checkNotPassed() {
-	for _, key := range v.notPassed {
-		if id, _ := ledger.ArchivedJobID(key); !v.filter.passes(id) {
-			v.add(ledger.Problem{Key: key, What: "the filter doesn't let it pass: it would be unknown to users"})
+// recheckFilterMisses checks the archived jobs in filterMisses against the final state of the filter.
+func (v *verifier) recheckFilterMisses() {
+	for _, key := range v.filterMisses {
+		if id, _ := ledger.ArchivedJobID(key); !v.filter.mayContain(id) {
+			v.add(ledger.Problem{Key: key, What: "archived job is missing in the filter: users could not look it up"})
 		}
 	}
 }
 
-// checkNotArchived checks that no job on record is archived as well, of those that the filter lets
-// pass.
+// checkNotArchived checks that no job in the records is archived as well. It reads the archive only for
+// jobs that the filter may contain.
 func (v *verifier) checkNotArchived(ctx context.Context, s Source, records *ledger.Ledger) error {
 	var err error
 	records.EachJob(func(id wire.JobID) {
-		if err != nil || !v.filter.passes(id) {
+		if err != nil || !v.filter.mayContain(id) {
 			return
 		}
 		var page wire.ItemPage
@@ -174,24 +174,24 @@
 	return err
 }
 
-// checkDocuments checks that all pieces of the workflows' documents are there.
+// checkDocuments checks that all pieces of the workflow documents exist.
 func (v *verifier) checkDocuments(records *ledger.Ledger) {
 	records.EachWorkflow(func(w *ledger.Workflow) {
 		for n := range w.Pieces {
 			if key := ledger.DocumentKey(w.Hash, n); !v.documents[key] {
-				v.add(ledger.Problem{Key: key, What: fmt.Sprintf("a document of %s is missing", w.ID)})
+				v.add(ledger.Problem{Key: key, What: fmt.Sprintf("document piece of workflow %s is missing", w.ID)})
 			}
 		}
 	})
 }
 
-// filterPages are all pages of the filter as they were read.
+// filterPages holds all pages of the filter that were read.
 type filterPages struct {
 	byKey   map[string]*archive.Page
-	ordered []*archive.Page // by position
+	ordered []*archive.Page // ordered by position
 }
 
-// put adds a page, or replaces the one with its key.
+// put adds a page or replaces the page with the same key.
 func (f *filterPages) put(key string, page *archive.Page) {
 	f.byKey[key] = page
 	f.ordered = slices.SortedFunc(
@@ -200,8 +200,8 @@
 	)
 }
 
-// passes reports whether the filter lets a job pass: it may be archived.
-func (f *filterPages) passes(id wire.JobID) bool {
+// mayContain reports whether the filter may contain a job, which means that the job may be archived.
+func (f *filterPages) mayContain(id wire.JobID) bool {
 	i, _ := slices.BinarySearchFunc(
 		f.ordered,
 		archive.Position(string(id)),
