--- a/internal/membership/peer/frame_test.go
+++ b/internal/membership/peer/frame_test.go
@@ -35,8 +35,10 @@
 	Cancelled: 6,
 	ContactMS: 12,
 	Loaded:    true,
-	Machines:  []Machine{{ID: "host-1", Type: "g", Zone: "a", Epoch: 2, Token: 9, AgeMS: 100, Usable: true}},
-	Classes:   []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}},
+	Machines: []Machine{
+		{ID: "host-1", Type: "g", Zone: "a", Epoch: 2, Token: 9, AgeMS: 100, Usable: true},
+	},
+	Classes: []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}},
 }
 
 // TestFrames checks that a written frame can be read, and that all supported versions are accepted.
--- a/internal/membership/peer/status.go
+++ b/internal/membership/peer/status.go
@@ -4,8 +4,8 @@
 // # Types
 //
 // A [Status] describes one controller: its run, the revision of its records, the machines whose
-// heartbeats it receives, and what it has observed. [Ask] probes a peer for its status at an interval and
-// [Serve] responds. An [Answer] is a status with the time at which it was requested.
+// heartbeats it receives, and what it has observed. [Probe] probes a peer for its status at an interval and
+// [Serve] responds. A [Response] is a status with the time at which it was requested.
 //
 // # Compatibility
 //
@@ -16,7 +16,7 @@
 // # Locking and goroutines
 //
 // The package has no state and no locks, and starts no goroutines. The controller runs one goroutine with
-// Ask for each peer until the context ends, and one with Serve for each connection until that ends. Both
+// Probe for each peer until the context ends, and one with Serve for each connection until that ends. Both
 // invoke their callbacks without holding a lock.
 package peer
 
@@ -79,8 +79,8 @@
 	Failures []Failure `cbor:"16,keyasint,omitempty" json:"-"`
 
 	// Cancellations that the sender of the probe does not know: the jobs and workflows cancelled after the
-	// revision Since, which is the Revision of the probe. CancellationsComplete means that the lists contain
-	// every such cancellation that this controller may have acknowledged.
+	// revision CancelledSince, which is the Revision of the probe. CancellationsComplete means that the lists
+	// contain every such cancellation that this controller may have acknowledged.
 
 	Since                 wire.Revision     `cbor:"19,keyasint,omitempty" json:"-"`
 	CancelledJobs         []wire.JobID      `cbor:"20,keyasint,omitempty" json:"-"`
@@ -182,8 +182,8 @@
 	RemainingMS int64          `cbor:"4,keyasint"` // until the reservation ends
 }
 
-// Suspect is a job in a crash loop: its tasks have failed on Machines since its count of completed tasks
-// reached Done.
+// Suspect is a job in a crash loop: its tasks have failed on Machines, and none has
+// completed since CompletedTasks of them were done.
 type Suspect struct {
 	Job       wire.JobID       `cbor:"1,keyasint"`
 	Done      int              `cbor:"2,keyasint"`
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -151,7 +151,7 @@
 	return ctx.Err()
 }
 
-// settled reports whether Options.Settle has passed since the format upgrade. A transaction sent by a
+// settled reports whether Options.SettlePeriod has passed since the format upgrade. A transaction sent by a
 // controller of a version without the archive may be applied late, and is not conditioned on the
 // archive.
 func (a *Archiver) settled(format ledger.FormatRecord) bool {
--- a/internal/state/archiver/archiver_test.go
+++ b/internal/state/archiver/archiver_test.go
@@ -203,7 +203,7 @@
 
 // TestRunMovesNothing checks that nothing is moved by a controller that is not the leader, if archiving is
 // disabled, if transactions are too small, before all controllers can read the format, or before
-// Options.Settle has passed since the format upgrade.
+// Options.SettlePeriod has passed since the format upgrade.
 func TestRunMovesNothing(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/state/backup/import.go
+++ b/internal/state/backup/import.go
@@ -17,7 +17,7 @@
 
 // CheckExport reads a whole export and returns its trailer. If the export is damaged or incomplete, the
 // error is a *DamagedError with the position of the damage.
-func CheckExport(r io.Reader) (End, error) { return readStream(r, func(frame) error { return nil }) }
+func CheckExport(r io.Reader) (End, error) { return decode(r, func(frame) error { return nil }) }
 
 // ErrNotEmpty is wrapped by errors of Import if the state service contains records that are not from the
 // same export.
@@ -78,7 +78,7 @@
 // during the export. These are few; the other records are not held in memory.
 func readChanges(file io.Reader) (map[string][]byte, End, error) {
 	changed := map[string][]byte{}
-	end, err := readStream(file, func(f frame) error {
+	end, err := decode(file, func(f frame) error {
 		for _, r := range f.Changes {
 			changed[r.Key] = r.Value
 		}
@@ -127,7 +127,7 @@
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	_, err := readStream(file, func(f frame) error {
+	_, err := decode(file, func(f frame) error {
 		for _, r := range f.Base {
 			if _, ok := changed[r.Key]; ok {
 				continue
--- a/internal/state/backup/stream.go
+++ b/internal/state/backup/stream.go
@@ -3,7 +3,7 @@
 // "Exports").
 //
 // Export writes a stream, CheckExport validates one, Import restores one, and Verify checks the
-// invariants of the records in place. Export and Verify read the records with Pages. Only Import writes
+// invariants of the records in place. Export and Verify read the records with ReadAll. Only Import writes
 // to the state service, and it only creates keys and deletes its own marker. A stream must not be used
 // unless it was read up to its trailer without a DamagedError.
 package backup
@@ -113,9 +113,9 @@
 	return w.trailer, w.write(frame{Trailer: &w.trailer})
 }
 
-// readStream calls visit for every frame of a stream except the trailer, which it returns. The error is
+// decode calls visit for every frame of a stream except the trailer, which it returns. The error is
 // a *DamagedError if the stream is damaged or incomplete, or the error returned by visit.
-func readStream(in io.Reader, visit func(frame) error) (End, error) {
+func decode(in io.Reader, visit func(frame) error) (End, error) {
 	decompressor, err := zstd.NewReader(
 		nil,
 		zstd.WithDecoderMaxMemory(maxFrameBytes),
