--- a/cmd/maddermill/quarantine.go
+++ b/cmd/maddermill/quarantine.go
@@ -93,7 +93,7 @@
 	}
 	for i := range list {
 		if list[i].Machine == machine {
-			return quarantine.Write(out, &list[i])
+			return quarantine.WriteJudgement(out, &list[i])
 		}
 	}
 	return fmt.Errorf("%s: no task failed there that this controller remembers, nor is it slow", machine)
--- a/cmd/maddermill/serve.go
+++ b/cmd/maddermill/serve.go
@@ -206,7 +206,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("--workflows: %w", err)
 	}
-	core.Workflows.Set(stepdata.Dir{Root: folder})
+	core.Workflows.Enable(stepdata.Dir{Root: folder})
 	return nil
 }
 
@@ -245,7 +245,7 @@
 	if err != nil {
 		return err
 	}
-	core.Deadlines.Set(register)
+	core.Deadlines.SetRegister(register)
 	return nil
 }
 
@@ -259,7 +259,7 @@
 	if err != nil {
 		return nil, err
 	}
-	core.TopologyTracker.Set(tree)
+	core.TopologyTracker.SetTree(tree)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	return reload, nil
@@ -270,13 +270,13 @@
 	if opt.register != "" {
 		core.Components.Add(supervise.Component{
 			Name: "register",
-			Run:  func(ctx context.Context) error { return core.Deadlines.Reload(ctx, opt.register) },
+			Run:  func(ctx context.Context) error { return core.Deadlines.WatchFile(ctx, opt.register) },
 		})
 	}
 	if opt.topology != "" {
 		core.Components.Add(supervise.Component{
 			Name: "topology",
-			Run:  func(ctx context.Context) error { return core.TopologyTracker.Reload(ctx, opt.topology, reload) },
+			Run:  func(ctx context.Context) error { return core.TopologyTracker.WatchFile(ctx, opt.topology, reload) },
 		})
 	}
 }
--- a/cmd/maddermill/state.go
+++ b/cmd/maddermill/state.go
@@ -102,7 +102,7 @@
 			report.Records-report.Archived,
 			report.Archived,
 			report.Revision,
-			len(report.Problems)+report.More,
+			len(report.Problems)+report.OmittedProblems,
 		)
 		if len(report.Problems) > 0 {
 			return errors.New("the records are not as they must be")
@@ -177,7 +177,7 @@
 
 // exportTo writes an export beside a file and gives it the file's name only once it is complete and on
 // the disk.
-func exportTo(ctx context.Context, store backup.Source, name string) (end backup.End, err error) {
+func exportTo(ctx context.Context, store backup.Source, name string) (end backup.Trailer, err error) {
 	part, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".part-*")
 	if err != nil {
 		return end, err
@@ -212,7 +212,7 @@
 		}
 		return nil
 	}
-	revision, err := backup.Pages(ctx, store, ledger.AllPrefix, count, func([]wire.Event) error { return nil })
+	revision, err := backup.ReadAll(ctx, store, ledger.AllPrefix, count, func([]wire.Event) error { return nil })
 	if err != nil {
 		return err
 	}
--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -15,7 +15,7 @@
 var (
 	_ archiver.Host       = hostAdapter{}
 	_ policymanager.Host  = hostAdapter{}
-	_ watchcache.Follower = cacheFollower{}
+	_ watchcache.Listener = cacheFollower{}
 )
 
 // hostAdapter implements the Host interfaces of the archiver and the policy manager, which declare what they
@@ -56,9 +56,9 @@
 	return others
 }
 
-// AllRead reports whether every controller of the deployment runs a version that supports a format of the
+// AllSupportFormat reports whether every controller of the deployment runs a version that supports a format of the
 // records, according to the fencing token record, which each controller updates when it starts.
-func (h hostAdapter) AllRead(format int) (all bool) {
+func (h hostAdapter) AllSupportFormat(format int) (all bool) {
 	members := []wire.MemberID{h.c.set.Member}
 	for _, p := range h.c.set.Peers {
 		members = append(members, p.Member)
--- a/internal/controller/archive_fixtures_test.go
+++ b/internal/controller/archive_fixtures_test.go
@@ -43,7 +43,7 @@
 		ids[i] = fmt.Sprintf("wk-%08d", i)
 	}
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(archive.Position(a), archive.Position(b)) })
-	pages := []*archive.Page{archive.FirstPage()}
+	pages := []*archive.Page{archive.EmptyPage()}
 	for len(pages) > 0 { // the first page gets all jobs that it covers, and is split
 		page := pages[0]
 		n := 0
@@ -63,9 +63,9 @@
 // putTerminatedMachines puts the sets of so many machines, of which some of the newer ones still run.
 func putTerminatedMachines(put func(key string, v any), machines int) {
 	terminated := archive.NewTerminatedMachines()
-	for from := 0; from < machines; from += archive.Span {
+	for from := 0; from < machines; from += archive.PartSize {
 		var names []string
-		for i := from; i < min(machines, from+archive.Span); i++ {
+		for i := from; i < min(machines, from+archive.PartSize); i++ {
 			if i%997 != 0 || i < machines/2 {
 				names = append(names, fmt.Sprintf("host-%07d", i))
 			}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -223,14 +223,14 @@
 	}
 	if cluster.archiving {
 		options := archiverOptions(c.set)
-		options.KeptJobs, options.SweepAfter, options.Settle = 0, 1, settlePeriod
+		options.KeptJobs, options.MinCompacted, options.SettlePeriod = 0, 1, settlePeriod
 		c.archiver = archiver.New(hostAdapter{c}, c.store, options, c.Stats, c.log)
 	}
 	if cluster.stepData != nil {
-		c.Workflows.Set(cluster.stepData)
+		c.Workflows.Enable(cluster.stepData)
 	}
 	if cluster.topology != nil {
-		c.TopologyTracker.Set(cluster.topology)
+		c.TopologyTracker.SetTree(cluster.topology)
 	}
 	if cluster.configure != nil {
 		cluster.configure(c)
@@ -273,7 +273,7 @@
 	asked := time.Now()
 	wait.For(ctx, 3*time.Millisecond)
 	//nolint:contextcheck // as in the product, a merge has no context
-	c.mergePeerStatus(peer.Answer{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
+	c.mergePeerStatus(peer.Response{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
 }
 
 // restart starts a controller unless it is up.
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -49,7 +49,7 @@
 		Name: "peer " + string(p.Member),
 		Run: func(ctx context.Context) error {
 			probe := func() peer.Status { return c.probe(p.Member) }
-			peer.Ask(ctx, dialer, p.Addr, probe, probeInterval, c.mergePeerStatus)
+			peer.Probe(ctx, dialer, p.Addr, probe, probeInterval, c.mergePeerStatus)
 			return ctx.Err()
 		},
 		HealthProblem: func(now time.Time) string {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -118,10 +118,10 @@
 	service, count := c.set.Cluster.State, float64(c.set.Cluster.Count)
 	c.cache = watchcache.New(
 		watchcache.Options{
-			Member:   c.set.Member,
-			Limits:   Limits(c.set),
-			Requests: service.RPS / count,
-			Reads:    archiver.SupportedFormat(c.set.Operators.FormatUpTo),
+			Member:       c.set.Member,
+			Limits:       Limits(c.set),
+			RequestRate:  service.RPS / count,
+			NewestFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo),
 		},
 		c.store,
 		cacheFollower{c},
@@ -129,7 +129,7 @@
 		c.log,
 	)
 	c.committer = committer.New(
-		committer.Options{Changes: service.WriteRPS / count, TxnOps: service.TxnOps},
+		committer.Options{WriteRate: service.WriteRPS / count, TxnOps: service.TxnOps},
 		c.cache,
 		c.store,
 		c.Stats,
@@ -149,7 +149,7 @@
 	c.spotReclaims = &estimate.SpotReclaims{}
 	c.failures = crashloop.New(c.runTimes, c.Stats, c.log)
 	if q := c.set.Operators.Quarantine; q.On {
-		c.failures.EnableQuarantine(quarantine.Priors{Faulty: q.Faulty, Wrong: q.Wrong})
+		c.failures.EnableQuarantine(quarantine.Priors{FaultyFraction: q.Faulty, FalseDiscoveryRate: q.Wrong})
 	}
 }
 
@@ -214,7 +214,7 @@
 func (c *Controller) newServers() {
 	c.Heartbeats = server.NewHeartbeatServer(
 		c.set,
-		server.HeartbeatServerDeps{
+		server.HeartbeatServerDependencies{
 			Cache:       c.cache,
 			Committer:   c.committer,
 			Membership:  c.membership,
@@ -230,7 +230,7 @@
 	)
 	c.Jobs = server.NewJobServer(
 		c.set,
-		server.JobServerDeps{
+		server.JobServerDependencies{
 			Cache:     c.cache,
 			Committer: c.committer,
 			Policies:  c.policies,
@@ -247,7 +247,7 @@
 	c.leader = leader.New(
 		c.set,
 		c.store,
-		leader.Parts{
+		leader.Dependencies{
 			Cache:        c.cache,
 			Committer:    c.committer,
 			Membership:   c.membership,
@@ -268,7 +268,7 @@
 	c.Workflows = runner.New(
 		c.set,
 		c.store,
-		runner.Parts{
+		runner.Dependencies{
 			Cache:      c.cache,
 			Committer:  c.committer,
 			Membership: c.membership,
@@ -290,7 +290,7 @@
 		ValueBytes:        state.ValueBytes,
 		CurrentValueBytes: set.CurrentStateLimits().ValueBytes,
 		TxnOps:            state.TxnOps,
-		TxnBytes:          kvstore.TxnBytes,
+		TxnBytes:          kvstore.MaxTxnBytes,
 		TeamMax:           map[wire.Team]ledger.Resources{},
 		ControllerCount:   1 + len(set.Peers),
 	}
@@ -310,10 +310,10 @@
 // membershipOptions returns the options for the view of the other controllers.
 func membershipOptions(set *settings.Settings) membership.Options {
 	options := membership.Options{
-		Self:       set.Member,
-		Count:      set.Cluster.Count,
-		Contact:    settings.StartContact,
-		ValueBytes: set.StateLimits().ValueBytes,
+		Self:            set.Member,
+		ControllerCount: set.Cluster.Count,
+		MaxSyncAge:      settings.StartContact,
+		MaxValueBytes:   set.StateLimits().ValueBytes,
 	}
 	for _, peer := range set.Peers {
 		options.Others = append(options.Others, peer.Member)
@@ -325,13 +325,13 @@
 func archiverOptions(set *settings.Settings) archiver.Options {
 	operators, service := set.Operators, set.StateLimits()
 	return archiver.Options{
-		Archive:    operators.Archive,
-		KeptJobs:   operators.KeptJobs,
-		Settle:     operators.Settle,
-		FormatUpTo: operators.FormatUpTo,
-		TxnOps:     service.TxnOps,
-		Requests:   service.RPS / float64(set.Cluster.Count),
-		Changes:    service.WriteRPS,
+		Enabled:      operators.Archive,
+		KeptJobs:     operators.KeptJobs,
+		SettlePeriod: operators.Settle,
+		FormatUpTo:   operators.FormatUpTo,
+		TxnOps:       service.TxnOps,
+		Requests:     service.RPS / float64(set.Cluster.Count),
+		Changes:      service.WriteRPS,
 	}
 }
 
--- a/internal/controller/deadlines_test.go
+++ b/internal/controller/deadlines_test.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		run.t.Fatal(err)
 	}
-	run.configure = func(c *Controller) { c.Deadlines.Set(register) }
+	run.configure = func(c *Controller) { c.Deadlines.SetRegister(register) }
 }
 
 // promisedSpec returns a random job of a gallery.
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -285,7 +285,7 @@
 		})
 	}
 	for _, status := range fleet.Peers {
-		every(time.Second, 0, func() { c.mergePeerStatus(peer.Answer{Status: status, AsOf: time.Now()}) })
+		every(time.Second, 0, func() { c.mergePeerStatus(peer.Response{Status: status, AsOf: time.Now()}) })
 		every(time.Second, 500*time.Millisecond, func() { _, _ = cbor.Marshal(c.answerProbe(status)) })
 	}
 	for ready := false; !ready; {
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -65,7 +65,7 @@
 			register := g.registers[i]
 			g.mu.Unlock()
 			if register != nil {
-				c.Deadlines.Set(register)
+				c.Deadlines.SetRegister(register)
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 	g.registers[i] = register
 	g.mu.Unlock()
 	if c := g.controller(i); c != nil {
-		c.Deadlines.Set(register)
+		c.Deadlines.SetRegister(register)
 	}
 }
 
--- a/internal/controller/gang_placement_test.go
+++ b/internal/controller/gang_placement_test.go
@@ -134,13 +134,13 @@
 		empty = append(empty, topology.MachineOption{Machine: machine.Type.ID, Block: block, Room: 2})
 	}
 	_, minCost, _ := q.tree.Pack(topology.Gang{Tasks: q.tasks[id]}, empty)
-	cost := q.tree.CostOf(blocks, counts)
+	cost := q.tree.PlacementCost(blocks, counts)
 	q.out.gangs++
 	if cost <= minCost {
 		q.out.optimal++
 	}
-	q.out.cost += cost.Stated()
-	q.out.minCost += minCost.Stated()
+	q.out.cost += cost.FileUnits()
+	q.out.minCost += minCost.FileUnits()
 	q.out.waits = append(q.out.waits, time.Since(q.submitted[id]))
 }
 
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -84,7 +84,7 @@
 		return float64(atRisk)
 	})
 	c.gauge("completions_kept", func(*ledger.Ledger) float64 { return float64(c.completions.Len()) })
-	c.gauge("completions_lost", func(*ledger.Ledger) float64 { return float64(c.completions.Lost()) })
+	c.gauge("completions_lost", func(*ledger.Ledger) float64 { return float64(c.completions.Dropped()) })
 	c.gauge("jobs_suspect", func(*ledger.Ledger) float64 { return float64(c.failures.CountCrashLooping()) })
 }
 
@@ -104,8 +104,8 @@
 		return float64(overdue)
 	})
 	c.gauge("machines_held", func(*ledger.Ledger) float64 { return float64(c.registry.Len()) })
-	c.gauge("blocks_down", func(*ledger.Ledger) float64 { return float64(c.TopologyTracker.CountDown()) })
+	c.gauge("blocks_down", func(*ledger.Ledger) float64 { return float64(c.TopologyTracker.CountFailedBlocks()) })
 	c.gauge("machines_of_unknown_place", func(*ledger.Ledger) float64 {
-		return float64(c.TopologyTracker.CountUnknown())
+		return float64(c.TopologyTracker.CountUnlocatedMachines())
 	})
 }
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -14,8 +14,8 @@
 )
 
 // withCancellations returns an answer whose status lists a cancellation since a revision.
-func withCancellations(answer peer.Answer, since wire.Revision, complete bool) peer.Answer {
-	answer.Status.Since, answer.Status.CancellationsComplete = since, complete
+func withCancellations(answer peer.Response, since wire.Revision, complete bool) peer.Response {
+	answer.Status.CancelledSince, answer.Status.CancellationsComplete = since, complete
 	answer.Status.CancelledJobs = []wire.JobID{"wk-000001"}
 	return answer
 }
@@ -28,24 +28,24 @@
 	own, older, newer := now.Add(-time.Minute), now.Add(-2*time.Second), now.Add(-time.Second)
 	for _, tc := range []struct {
 		name  string
-		peers []peer.Answer
+		peers []peer.Response
 		want  time.Time
 	}{
 		{"no answer", nil, own},
-		{"one of two answers", []peer.Answer{peerAnswer("m-1", older, 5, true, 0)}, own},
+		{"one of two answers", []peer.Response{peerAnswer("m-1", older, 5, true, 0)}, own},
 		{
 			"both confirm: the older answer counts",
-			[]peer.Answer{peerAnswer("m-1", older, 5, true, 0), peerAnswer("m-2", newer, 7, true, 0)},
+			[]peer.Response{peerAnswer("m-1", older, 5, true, 0), peerAnswer("m-2", newer, 7, true, 0)},
 			older,
 		},
 		{
 			"one has acknowledged a cancellation that these records lack",
-			[]peer.Answer{peerAnswer("m-1", older, 8, true, 0), peerAnswer("m-2", older, 7, true, 0)},
+			[]peer.Response{peerAnswer("m-1", older, 8, true, 0), peerAnswer("m-2", older, 7, true, 0)},
 			own,
 		},
 		{
 			"one lists what these records lack, since their revision",
-			[]peer.Answer{
+			[]peer.Response{
 				withCancellations(peerAnswer("m-1", older, 9, true, 0), 7, true),
 				peerAnswer("m-2", newer, 7, true, 0),
 			},
@@ -53,7 +53,7 @@
 		},
 		{
 			"one lists what newer records lack",
-			[]peer.Answer{
+			[]peer.Response{
 				withCancellations(peerAnswer("m-1", older, 9, true, 0), 8, true),
 				peerAnswer("m-2", newer, 7, true, 0),
 			},
@@ -61,7 +61,7 @@
 		},
 		{
 			"one can't list all",
-			[]peer.Answer{
+			[]peer.Response{
 				withCancellations(peerAnswer("m-1", older, 9, true, 0), 7, false),
 				peerAnswer("m-2", newer, 7, true, 0),
 			},
@@ -69,7 +69,7 @@
 		},
 		{
 			"one has restarted and not loaded its records",
-			[]peer.Answer{peerAnswer("m-1", older, 0, false, 0), peerAnswer("m-2", older, 7, true, 0)},
+			[]peer.Response{peerAnswer("m-1", older, 0, false, 0), peerAnswer("m-2", older, 7, true, 0)},
 			own,
 		},
 	} {
@@ -164,7 +164,7 @@
 	c := newTestController(t)
 	value := `{"spec":{"id":"wk-000001","pieces":1},"at":1,"state":"cancelled"}`
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
-	if got := c.status().Cancelled; got < 9 {
+	if got := c.status().LastCancellation; got < 9 {
 		t.Errorf("revision of the status: got %d, want >= 9", got)
 	}
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -129,7 +129,7 @@
 func (cluster *testCluster) filterPasses(l *ledger.Ledger, id wire.JobID) bool {
 	cluster.t.Helper()
 	if !l.FilterPageKnown(string(id)) {
-		page, version := archive.FirstPage(), wire.Revision(0)
+		page, version := archive.EmptyPage(), wire.Revision(0)
 		after := ledger.FilterKey(archive.Position(string(id)))
 		items, err := cluster.links[0].List(cluster.t.Context(), ledger.FilterPrefix, after, 1)
 		if err != nil {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -42,14 +42,14 @@
 	c.membership.ObserveProbe(probe.Member, time.Now())
 	status := c.status()
 	c.cache.Read(func(l *ledger.Ledger) {
-		c.completionExchange.Answer(probe, &status, time.Now())
-		if status.Cancelled <= probe.Revision {
+		c.completionExchange.FillResponse(probe, &status, time.Now())
+		if status.LastCancellation <= probe.Revision {
 			return
 		}
 		// The records may have advanced since the status was built. It must list every cancellation up
 		// to the revision that it confirms, so both are read here under the same lock.
 		missing, complete := l.CancelledSince(probe.Revision)
-		status.Since, status.Cancelled = probe.Revision, l.LastCancel()
+		status.CancelledSince, status.LastCancellation = probe.Revision, l.LastCancel()
 		if missing.Len() <= maxSharedCancellations {
 			status.CancelledJobs, status.CancelledWorkflows = missing.Jobs, missing.Workflows
 			status.CancellationsComplete = complete
@@ -64,7 +64,7 @@
 	probe := peer.Status{Member: c.set.Member}
 	c.cache.Read(func(l *ledger.Ledger) {
 		probe.Revision = l.Revision()
-		c.completionExchange.Request(member, &probe)
+		c.completionExchange.FillProbe(member, &probe)
 	})
 	return probe
 }
@@ -84,26 +84,26 @@
 	defer c.cache.Unlock()
 	records, now := c.cache.Records(), time.Now()
 	status := peer.Status{
-		Version:   peer.Version,
-		Member:    c.set.Member,
-		Boot:      c.startedAt.UnixMilli(),
-		Revision:  records.Revision(),
-		Cancelled: records.LastCancel(),
-		ContactMS: math.MaxInt32,
-		Loaded:    c.cache.Loaded(),
-		MaxFormat: archiver.SupportedFormat(c.set.Operators.FormatUpTo),
+		Version:          peer.Version,
+		Member:           c.set.Member,
+		Boot:             c.startedAt.UnixMilli(),
+		Revision:         records.Revision(),
+		LastCancellation: records.LastCancel(),
+		SyncAgeMS:        math.MaxInt32,
+		Loaded:           c.cache.Loaded(),
+		MaxFormat:        archiver.SupportedFormat(c.set.Operators.FormatUpTo),
 	}
 	if syncedAt := c.cache.SyncedAt(); !syncedAt.IsZero() {
-		status.ContactMS = now.Sub(syncedAt).Milliseconds()
+		status.SyncAgeMS = now.Sub(syncedAt).Milliseconds()
 	}
 	status.Failures = c.failures.FailuresToShare(now)
 	status.Classes = c.runTimes.Classes()
 	status.Modules = c.policies.Modules(records)
-	status.Suspects = c.failures.SuspectsToShare(now)
+	status.CrashLoops = c.failures.SuspectsToShare(now)
 	status.PreemptionReservations = c.scheduler.PreemptionReservations(now)
 	status.GangPartitions = c.TopologyTracker.Partitions(now)
 	status.GangReservations = c.scheduler.GangReservations(now)
-	status.RegisterEdition = c.Deadlines.RegisterEdition()
+	status.RegisterEdition = c.Deadlines.RegisterRevision()
 	c.registry.Each(func(w *reconcile.Worker) {
 		if now.Sub(w.LastHeartbeat) <= maxHeartbeatAge {
 			status.Machines = append(status.Machines, c.machineStatus(records, w, now))
@@ -116,18 +116,18 @@
 // under the cache's lock, from within registry.Each.
 func (c *Controller) machineStatus(records *ledger.Ledger, w *reconcile.Worker, now time.Time) peer.Machine {
 	machine := peer.Machine{
-		ID:            w.ID,
-		Type:          w.Type,
-		Zone:          w.Zone,
-		Spot:          w.Spot,
-		Epoch:         w.Epoch,
-		Token:         w.CommandToken,
-		Endpoint:      c.TopologyTracker.EndpointOf(w),
-		AgeMS:         now.Sub(w.LastHeartbeat).Milliseconds(),
-		Usable:        c.scheduler.Usable(w, now),
-		Faulty:        c.failures.Faulty(records, w.ID, now),
-		Slow:          c.failures.Slow(w.ID),
-		UnreachableMS: w.UnreachableFor(now).Milliseconds(),
+		ID:             w.ID,
+		Type:           w.Type,
+		Zone:           w.Zone,
+		Spot:           w.Spot,
+		Epoch:          w.Epoch,
+		Token:          w.CommandToken,
+		Endpoint:       c.TopologyTracker.EndpointOf(w),
+		HeartbeatAgeMS: now.Sub(w.LastHeartbeat).Milliseconds(),
+		Usable:         c.scheduler.Usable(w, now),
+		Faulty:         c.failures.Faulty(records, w.ID, now),
+		Slow:           c.failures.Slow(w.ID),
+		UnreachableMS:  w.UnreachableFor(now).Milliseconds(),
 	}
 	if machine.Faulty {
 		machine.QuarantineReason = c.failures.QuarantineReason(w.ID)
@@ -148,7 +148,7 @@
 }
 
 // mergePeerStatus passes a peer's response to a probe to the components that use it.
-func (c *Controller) mergePeerStatus(answer peer.Answer) {
+func (c *Controller) mergePeerStatus(answer peer.Response) {
 	status, asOf := &answer.Status, answer.AsOf
 	c.cache.Read(func(l *ledger.Ledger) {
 		l.MarkCancelling(cancellations(status))
@@ -162,7 +162,7 @@
 		// This must come after MarkCancelling: from here on the peer's status may confirm that these
 		// records include all cancellations.
 		c.membership.ObserveStatus(*status, asOf)
-		c.failures.MergeSuspects(l, status.Suspects, asOf)
+		c.failures.MergeSuspects(l, status.CrashLoops, asOf)
 		c.failures.MergeFailures(status.Failures)
 		c.TopologyTracker.MergePartitions(status.GangPartitions, asOf)
 		c.scheduler.ObservePreemptionReservations(status.Member, status.PreemptionReservations, asOf, time.Now())
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	c := newTestController(t)
-	c.TopologyTracker.Set(tree)
+	c.TopologyTracker.SetTree(tree)
 	watchcache.SetStateForTest(t, c.cache, 1, now)
 	for z, zone := range []wire.Zone{"a", "b"} {
 		for rack := 1; rack <= 4; rack++ {
@@ -76,10 +76,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.TopologyTracker.Set(tree)
+	c.TopologyTracker.SetTree(tree)
 	ctx, cancel := context.WithCancel(t.Context())
 	signals, done := make(chan os.Signal), make(chan error)
-	go func() { done <- c.TopologyTracker.Reload(ctx, path, signals) }()
+	go func() { done <- c.TopologyTracker.WatchFile(ctx, path, signals) }()
 	reload := func() {
 		signals <- os.Interrupt
 		signals <- os.Interrupt // by then the first has been dealt with
@@ -132,7 +132,7 @@
 			w.ReclaimAt = now.Add(time.Minute)
 		}},
 		{name: "a task failed", explain: func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) {
-			c.failures.Failed(j, 0, w.ID, "", now)
+			c.failures.RecordFailure(j, 0, w.ID, "", now)
 		}},
 		{name: "stopped", stopped: true},
 	} {
@@ -207,7 +207,7 @@
 			status.Machines = append(status.Machines, machine)
 		}
 	})
-	c.mergePeerStatus(peer.Answer{Status: status, AsOf: now})
+	c.mergePeerStatus(peer.Response{Status: status, AsOf: now})
 	downAfter := func(seconds int) bool {
 		for range seconds {
 			now = now.Add(time.Second)
--- a/internal/controller/workflow_bench_test.go
+++ b/internal/controller/workflow_bench_test.go
@@ -65,7 +65,7 @@
 		b.Fatal(err)
 	}
 	for over := false; !over; {
-		if _, over, err = run.Step(b.Context(), time.Now(), 100); err != nil {
+		if _, over, err = run.Advance(b.Context(), time.Now(), 100); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/controller/workflow_cases_test.go
+++ b/internal/controller/workflow_cases_test.go
@@ -121,12 +121,12 @@
 	}
 	for ready := run.Ready(1); len(ready) > 0; ready = run.Ready(1) {
 		step := ready[0]
-		id := workflow.JobOf("wf-plain", step.ID, 0)
-		order, err := json.Marshal(workflow.Order{Step: step.ID, Entry: "main.cwl", Bundle: bundle, Inputs: step.Inputs})
+		id := workflow.StepJobID("wf-plain", step.ID, 0)
+		order, err := json.Marshal(workflow.StepSpec{Step: step.ID, Entry: "main.cwl", Bundle: bundle, Inputs: step.Inputs})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := store.Put(t.Context(), workflow.OrderName(id), bytes.NewReader(order)); err != nil {
+		if _, err := store.Put(t.Context(), workflow.StepSpecName(id), bytes.NewReader(order)); err != nil {
 			t.Fatal(err)
 		}
 		if err := emulator.RunStep(t.Context(), store, id); err != nil {
--- a/internal/controller/workflow_steps_test.go
+++ b/internal/controller/workflow_steps_test.go
@@ -112,7 +112,7 @@
 	spec.Team, spec.Priority, spec.Window = team, priority, wire.MaxWindow
 	s.submitWorkflow(s.ctx, spec)
 	for i := range n {
-		ids = append(ids, workflow.JobOf(id, fmt.Sprintf("s[%d]", i), 0))
+		ids = append(ids, workflow.StepJobID(id, fmt.Sprintf("s[%d]", i), 0))
 	}
 	return ids
 }
@@ -273,7 +273,8 @@
 	add(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
 	victims := c.scheduler.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
-	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress || victims[0].OverGuarantee != victims[1].OverGuarantee ||
+	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress ||
+		victims[0].OverGuarantee != victims[1].OverGuarantee ||
 		victims[0].RunTime != victims[1].RunTime {
 		t.Fatalf("victims: got %+v, want two alike", victims)
 	}
@@ -295,7 +296,7 @@
 		if !s.runWorkflow(s.ctx, "wf-000001", chainDocument(20, echoTool), "x: r", ledger.WorkflowDone) {
 			t.Fatal("chain: got no end, want one")
 		}
-		chain := s.completionTime(from, []wire.JobID{workflow.JobOf("wf-000001", "s19", 0)}, 1)
+		chain := s.completionTime(from, []wire.JobID{workflow.StepJobID("wf-000001", "s19", 0)}, 1)
 		// When a job is done varies with the heartbeats: the average of several is taken.
 		var alone time.Duration
 		for range 8 {
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -254,7 +254,7 @@
 	}
 	for i := range 9 {
 		for attempt := range 3 {
-			job := workflow.JobOf(id, fmt.Sprintf("s[%d]", i), attempt)
+			job := workflow.StepJobID(id, fmt.Sprintf("s[%d]", i), attempt)
 			if cluster.world.Known(job) {
 				cluster.world.ObserveAnswer(job, wire.Cancelled)
 			}
@@ -302,7 +302,7 @@
 func (r *recordsOnStore) submitStep(id wire.WorkflowID, n int) func(*ledger.Transaction) error {
 	return func(txn *ledger.Transaction) error {
 		spec := &wire.JobSpec{
-			ID:       workflow.JobOf(id, fmt.Sprint("s", n), 0),
+			ID:       workflow.StepJobID(id, fmt.Sprint("s", n), 0),
 			Team:     "free",
 			Shape:    wire.Array,
 			Priority: wire.Normal,
@@ -336,7 +336,7 @@
 		_, err := txn.SetWorkflowState(r.Workflow(spec.ID), ledger.WorkflowCancelled, "")
 		return err
 	})
-	job := r.Job(workflow.JobOf(spec.ID, "s0", 0))
+	job := r.Job(workflow.StepJobID(spec.ID, "s0", 0))
 	if job.State != ledger.Active || job.Pending() > 0 {
 		t.Errorf("step of a cancelled workflow: got state %v, %d tasks pending; want active, 0", job.State, job.Pending())
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -29,7 +29,7 @@
 // # Main types and locking
 //
 // Leader is the component, which lives as long as its controller. term is the state of one leadership
-// term; it is rebuilt from the records, the heartbeats and the cloud's list. The lock of Parts.Cache
+// term; it is rebuilt from the records, the heartbeats and the cloud's list. The lock of Dependencies.Cache
 // guards the records, the state of the members, and the fields marked as guarded by it. It must not be
 // held during a request to the store or the cloud.
 package leader
@@ -79,8 +79,8 @@
 	campaignRetryDelay = time.Second
 )
 
-// Parts holds the components that the leader depends on.
-type Parts struct {
+// Dependencies holds the components that the leader depends on.
+type Dependencies struct {
 	Cache        *watchcache.Cache
 	Committer    *committer.Committer
 	Membership   *membership.Membership
@@ -97,7 +97,7 @@
 type Leader struct {
 	set   *settings.Settings
 	store kvstore.Store
-	Parts
+	Dependencies
 	stats     *metrics.Set
 	log       *slog.Logger
 	startedAt time.Time
@@ -106,8 +106,10 @@
 }
 
 // New returns a Leader, which starts to campaign in Run.
-func New(set *settings.Settings, store kvstore.Store, parts Parts, stats *metrics.Set, log *slog.Logger) *Leader {
-	return &Leader{set: set, store: store, Parts: parts, stats: stats, log: log, startedAt: time.Now()}
+func New(
+	set *settings.Settings, store kvstore.Store, parts Dependencies, stats *metrics.Set, log *slog.Logger,
+) *Leader {
+	return &Leader{set: set, store: store, Dependencies: parts, stats: stats, log: log, startedAt: time.Now()}
 }
 
 // BootingMachines returns how many provisioned machines have not sent a heartbeat yet, and how many of
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -17,7 +17,7 @@
 func newTestLeader(tb testing.TB) *Leader {
 	tb.Helper()
 	components := controllertest.New(tb, 0)
-	parts := Parts{
+	parts := Dependencies{
 		Cache:        components.Cache,
 		Committer:    components.Committer,
 		Membership:   components.Membership,
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -22,11 +22,13 @@
 	quarantineReason string        // the evidence; set only if quarantine is enabled
 	unreachableFor   time.Duration // how long it has received no response to its heartbeats
 
-	reclaimCounted bool // counted in Parts.SpotReclaims
+	reclaimCounted bool // counted in Dependencies.SpotReclaims
 }
 
 // kind returns the machine's type and zone, by which boot times and faulty machines are counted.
-func (m *machine) kind() estimate.Kind { return estimate.Kind{Type: m.Type, Zone: m.Zone} }
+func (m *machine) kind() estimate.MachineKind {
+	return estimate.MachineKind{Type: m.Type, Zone: m.Zone}
+}
 
 // booting reports whether no heartbeat of the machine has been received yet.
 func (m *machine) booting() bool { return m.lastHeartbeat.IsZero() }
--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -170,14 +170,14 @@
 			m.idleSince = now
 		}
 	}
-	l.SpotReclaims.CountMachineTime(spotMachines, now)
+	l.SpotReclaims.AddMachineTime(spotMachines, now)
 }
 
 // countReclaim counts the reclaim of a spot machine, once per machine.
 func (t *term) countReclaim(m *machine) {
 	if m.Spot && !m.reclaimCounted {
 		m.reclaimCounted = true
-		t.leader.SpotReclaims.Observe()
+		t.leader.SpotReclaims.RecordReclaim()
 	}
 }
 
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -49,13 +49,13 @@
 	// Machines, and state about them that is not in their own fields.
 	machines         map[wire.MachineID]*machine
 	bootTimes        estimate.BootTimes
-	silentZonesUntil map[wire.Zone]time.Time                        // zones that are not scaled out into until then
-	observingSince   time.Time                                      // missing heartbeats before this time don't count
-	returnedFaulty   map[estimate.Kind]map[wire.MachineID]time.Time // when machines were terminated as faulty, by kind
-	phaseChanges     map[phaseKey]*committer.Change                 // enqueued, and possibly not yet in the records
-	returnConfirmed  map[wire.MachineID]bool                        // machines whose termination the cloud has confirmed
-	claimReleases    map[wire.MachineID][]*committer.Change         // releases of the claims on terminated machines
-	machineTypes     map[wire.MachineTypeName]wire.MachineType      // with current prices
+	silentZonesUntil map[wire.Zone]time.Time                               // zones that are not scaled out into until then
+	observingSince   time.Time                                             // missing heartbeats count from then on
+	returnedFaulty   map[estimate.MachineKind]map[wire.MachineID]time.Time // when machines were terminated as faulty
+	phaseChanges     map[phaseKey]*committer.Change                        // enqueued, and possibly not yet in the records
+	returnConfirmed  map[wire.MachineID]bool                               // termination confirmed by the cloud
+	claimReleases    map[wire.MachineID][]*committer.Change                // releases of the claims on terminated machines
+	machineTypes     map[wire.MachineTypeName]wire.MachineType             // with current prices
 
 	// Scale-out.
 	requestCount      int                                   // number of requests so far, part of their IDs
@@ -150,7 +150,7 @@
 		observingSince:   now,
 		machines:         map[wire.MachineID]*machine{},
 		silentZonesUntil: map[wire.Zone]time.Time{},
-		returnedFaulty:   map[estimate.Kind]map[wire.MachineID]time.Time{},
+		returnedFaulty:   map[estimate.MachineKind]map[wire.MachineID]time.Time{},
 		phaseChanges:     map[phaseKey]*committer.Change{},
 		returnConfirmed:  map[wire.MachineID]bool{},
 		claimReleases:    map[wire.MachineID][]*committer.Change{},
--- a/internal/membership/completion/exchange.go
+++ b/internal/membership/completion/exchange.go
@@ -43,14 +43,14 @@
 		!slices.ContainsFunc(x.peers, func(id wire.MemberID) bool { return !x.cursors[id].complete })
 }
 
-// Request sets the read position in the peer's log in a probe.
-func (x *Exchange) Request(to wire.MemberID, probe *peer.Status) {
+// FillProbe sets the read position in the peer's log in a probe.
+func (x *Exchange) FillProbe(to wire.MemberID, probe *peer.Status) {
 	read := x.cursors[to]
 	probe.CompletionsBoot, probe.LastCompletion = read.boot, read.number
 }
 
-// Answer adds the log entries that the peer has not read yet to the response to its probe.
-func (x *Exchange) Answer(probe peer.Status, response *peer.Status, now time.Time) {
+// FillResponse adds the log entries that the peer has not read yet to the response to its probe.
+func (x *Exchange) FillResponse(probe peer.Status, response *peer.Status, now time.Time) {
 	number := uint64(0)
 	if probe.CompletionsBoot == x.startedAt.UnixMilli() {
 		number = probe.LastCompletion
--- a/internal/membership/completion/log.go
+++ b/internal/membership/completion/log.go
@@ -69,8 +69,8 @@
 // Len returns the number of completions in the log.
 func (l *Log) Len() int { return len(l.entries) }
 
-// Lost returns how many completions were dropped because the log was full.
-func (l *Log) Lost() int { return l.dropped }
+// Dropped returns how many completions were dropped because the log was full.
+func (l *Log) Dropped() int { return l.dropped }
 
 // Add adds a completion unless the log already has it. unsynced means that this controller has lost
 // contact with the state service. A full log drops its oldest entry.
@@ -131,7 +131,7 @@
 // longer in the records. The records must contain everything committed before syncedAt.
 func (l *Log) Prune(records *ledger.Ledger, syncedAt time.Time) {
 	l.entries = slices.DeleteFunc(l.entries, func(e entry) bool {
-		if !e.addedAt.Before(syncedAt) || Claimed(records, e.Completion) {
+		if !e.addedAt.Before(syncedAt) || HasClaim(records, e.Completion) {
 			return false
 		}
 		delete(l.known, e.Completion)
@@ -139,8 +139,8 @@
 	})
 }
 
-// Claimed reports whether the records contain the claim of a completion.
-func Claimed(records *ledger.Ledger, c peer.Completion) bool {
+// HasClaim reports whether the records contain the claim of a completion.
+func HasClaim(records *ledger.Ledger, c peer.Completion) bool {
 	_, ok := ClaimOf(records, c)
 	return ok
 }
--- a/internal/membership/completion/log_test.go
+++ b/internal/membership/completion/log_test.go
@@ -64,8 +64,8 @@
 		l.Add(completed(i, 1), false, at(float64(i)))
 		l.Add(completed(i, 1), false, at(float64(i))) // duplicate
 	}
-	if l.Len() != 3 || l.Lost() != 2 {
-		t.Errorf("%d kept, %d dropped; want 3 and 2", l.Len(), l.Lost())
+	if l.Len() != 3 || l.Dropped() != 2 {
+		t.Errorf("%d kept, %d dropped; want 3 and 2", l.Len(), l.Dropped())
 	}
 	shared, number := l.Since(0, 10, at(60))
 	if number != 5 || len(shared) != 3 || shared[0].Task != 2 {
@@ -88,8 +88,8 @@
 // probe sends a probe to another run, merges the response, and returns how many completions it contained.
 func (r *run) probe(to *run, now time.Time) int {
 	probe, response := peer.Status{Member: r.id}, peer.Status{Member: to.id}
-	r.exchange.Request(to.id, &probe)
-	to.exchange.Answer(probe, &response, now)
+	r.exchange.FillProbe(to.id, &probe)
+	to.exchange.FillResponse(probe, &response, now)
 	r.exchange.Merge(&response, all, false, now)
 	return len(response.Completions)
 }
@@ -164,7 +164,7 @@
 		t.Errorf("%d kept by records from before, want 2", l.Len())
 	}
 	l.Prune(records, at(2))
-	if l.Len() != 1 || !Claimed(records, completed(0, 5)) {
+	if l.Len() != 1 || !HasClaim(records, completed(0, 5)) {
 		t.Errorf("%d kept by newer records, want 1, which is claimed", l.Len())
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -38,11 +38,11 @@
 
 // Options are the settings of a Membership.
 type Options struct {
-	Self       wire.MemberID
-	Others     []wire.MemberID // the other configured controllers
-	Count      int             // number of controllers in the deployment
-	Contact    time.Duration   // maximum age of the last sync for a controller to start work
-	ValueBytes int             // maximum size of a stored value
+	Self            wire.MemberID
+	Others          []wire.MemberID // the other configured controllers
+	ControllerCount int             // number of controllers in the deployment
+	MaxSyncAge      time.Duration   // maximum age of the last sync for a controller to start work
+	MaxValueBytes   int             // maximum size of a stored value
 }
 
 // Membership holds what one controller knows about the others. It is safe for concurrent use.
--- a/internal/membership/peer/frame_test.go
+++ b/internal/membership/peer/frame_test.go
@@ -28,17 +28,17 @@
 func read(frame []byte) (*Status, error) { return readFrame(bufio.NewReader(bytes.NewReader(frame))) }
 
 var example = Status{
-	Version:   Version,
-	Member:    "m-1",
-	Boot:      5,
-	Revision:  7,
-	Cancelled: 6,
-	ContactMS: 12,
-	Loaded:    true,
+	Version:          Version,
+	Member:           "m-1",
+	Boot:             5,
+	Revision:         7,
+	LastCancellation: 6,
+	SyncAgeMS:        12,
+	Loaded:           true,
 	Machines: []Machine{
-		{ID: "host-1", Type: "g", Zone: "a", Epoch: 2, Token: 9, AgeMS: 100, Usable: true},
+		{ID: "host-1", Type: "g", Zone: "a", Epoch: 2, Token: 9, HeartbeatAgeMS: 100, Usable: true},
 	},
-	Classes: []ClassRunTimes{{Class: "c", Ran: 10, Estimated: 20, Count: 2}},
+	Classes: []ClassRunTimes{{Class: "c", ActualSeconds: 10, EstimatedSeconds: 20, Count: 2}},
 }
 
 // TestFrames checks that a written frame can be read, and that all supported versions are accepted.
@@ -114,13 +114,13 @@
 	s.Machines = nil
 	for i := range 10_000 {
 		m := Machine{
-			ID:     wire.MachineID(fmt.Sprintf("host-%06d", i)),
-			Type:   "darkgreen48",
-			Zone:   "southern",
-			Epoch:  1000,
-			Token:  100_000,
-			AgeMS:  5000,
-			Usable: true,
+			ID:             wire.MachineID(fmt.Sprintf("host-%06d", i)),
+			Type:           "darkgreen48",
+			Zone:           "southern",
+			Epoch:          1000,
+			Token:          100_000,
+			HeartbeatAgeMS: 5000,
+			Usable:         true,
 		}
 		for k := range 10 {
 			m.Images = append(m.Images, wire.Image(fmt.Sprintf("image-%06d", i*10+k)))
--- a/internal/membership/peer/mesh.go
+++ b/internal/membership/peer/mesh.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// Ask probes a peer at each interval until ctx ends and calls onResponse with each response. newProbe
+// Probe probes a peer at each interval until ctx ends and calls onResponse with each response. newProbe
 // returns the status to send as the probe.
-func Ask(
+func Probe(
 	ctx context.Context,
 	d *transport.Dialer,
 	addr string,
 	newProbe func() Status,
 	interval time.Duration,
-	onResponse func(Answer),
+	onResponse func(Response),
 ) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -61,7 +61,7 @@
 	addr string,
 	newProbe func() Status,
 	tick <-chan time.Time,
-	onResponse func(Answer),
+	onResponse func(Response),
 ) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		onResponse(Answer{Status: *s, AsOf: sentAt})
+		onResponse(Response{Status: *s, AsOf: sentAt})
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/membership/peer/status.go
+++ b/internal/membership/peer/status.go
@@ -48,10 +48,10 @@
 	Boot int64 `cbor:"3,keyasint" json:"b"`
 	// Revision is the revision of its records.
 	Revision wire.Revision `cbor:"4,keyasint" json:"rev"`
-	// Cancelled is the revision of the newest cancellation that it has acknowledged.
-	Cancelled wire.Revision `cbor:"5,keyasint" json:"cx"`
-	// ContactMS is the time since the controller's last sync with the state service, in milliseconds.
-	ContactMS int64 `cbor:"6,keyasint" json:"ct"`
+	// LastCancellation is the revision of the newest cancellation that it has acknowledged.
+	LastCancellation wire.Revision `cbor:"5,keyasint" json:"cx"`
+	// SyncAgeMS is the time since the controller's last sync with the state service, in milliseconds.
+	SyncAgeMS int64 `cbor:"6,keyasint" json:"ct"`
 	// Loaded is true once the controller has read all records.
 	Loaded bool `cbor:"7,keyasint" json:"ld"`
 
@@ -61,8 +61,8 @@
 	Machines []Machine `cbor:"8,keyasint" json:"m,omitempty"`
 	// Classes are the run times that it has observed, by class of jobs.
 	Classes []ClassRunTimes `cbor:"9,keyasint" json:"cl,omitempty"`
-	// Suspects are the jobs in a crash loop.
-	Suspects []Suspect `cbor:"10,keyasint,omitempty" json:"-"`
+	// CrashLoops are the jobs in a crash loop.
+	CrashLoops []CrashLoop `cbor:"10,keyasint,omitempty" json:"-"`
 	// PreemptionReservations are the machines that it, as the leader, asks their controllers to drain by
 	// preempting tasks.
 	PreemptionReservations []Reservation `cbor:"11,keyasint,omitempty" json:"-"`
@@ -82,7 +82,7 @@
 	// revision CancelledSince, which is the Revision of the probe. CancellationsComplete means that the lists
 	// contain every such cancellation that this controller may have acknowledged.
 
-	Since                 wire.Revision     `cbor:"19,keyasint,omitempty" json:"-"`
+	CancelledSince        wire.Revision     `cbor:"19,keyasint,omitempty" json:"-"`
 	CancelledJobs         []wire.JobID      `cbor:"20,keyasint,omitempty" json:"-"`
 	CancelledWorkflows    []wire.WorkflowID `cbor:"22,keyasint,omitempty" json:"-"`
 	CancellationsComplete bool              `cbor:"21,keyasint,omitempty" json:"-"`
@@ -105,7 +105,7 @@
 // ConfirmsCancellations reports whether every cancellation that the controller has acknowledged to a user
 // is contained in records at revision r into which the cancellations in the status have been merged.
 func (s *Status) ConfirmsCancellations(r wire.Revision) bool {
-	return s.Loaded && (s.Cancelled <= r || s.CancellationsComplete && s.Since <= r)
+	return s.Loaded && (s.LastCancellation <= r || s.CancellationsComplete && s.CancelledSince <= r)
 }
 
 // Machine is a machine whose heartbeats a controller receives.
@@ -116,9 +116,9 @@
 	Spot  bool                 `cbor:"4,keyasint,omitempty" json:"l,omitempty"`
 	Epoch wire.AgentEpoch      `cbor:"5,keyasint" json:"s"`
 	Token wire.FencingToken    `cbor:"6,keyasint" json:"k"`
-	// AgeMS is the time since the machine's last heartbeat, in milliseconds.
-	AgeMS  int64 `cbor:"7,keyasint" json:"a"`
-	Usable bool  `cbor:"8,keyasint,omitempty" json:"u,omitempty"`
+	// HeartbeatAgeMS is the time since the machine's last heartbeat, in milliseconds.
+	HeartbeatAgeMS int64 `cbor:"7,keyasint" json:"a"`
+	Usable         bool  `cbor:"8,keyasint,omitempty" json:"u,omitempty"`
 	// ReclaimMS is the time until the machine's spot reclaim, in milliseconds; 0 means no reclaim notice.
 	ReclaimMS int64 `cbor:"9,keyasint,omitempty" json:"r,omitempty"`
 	// Faulty means that the machine is considered the cause of errors of its tasks. QuarantineReason is a
@@ -163,8 +163,8 @@
 
 // Module is a plug-in module that a controller has loaded or failed to load.
 type Module struct {
-	Hash  wire.ModuleHash `cbor:"1,keyasint"`
-	Fault string          `cbor:"2,keyasint,omitempty"` // why the module failed to load; empty if it is loaded
+	Hash      wire.ModuleHash `cbor:"1,keyasint"`
+	LoadError string          `cbor:"2,keyasint,omitempty"` // why the module failed to load; empty if it is loaded
 }
 
 // GangPartition is a gang that lost contact with some members although all its machines send heartbeats.
@@ -182,28 +182,28 @@
 	RemainingMS int64          `cbor:"4,keyasint"` // until the reservation ends
 }
 
-// Suspect is a job in a crash loop: its tasks have failed on Machines, and none has
+// CrashLoop is a job in a crash loop: its tasks have failed on Machines, and none has
 // completed since CompletedTasks of them were done.
-type Suspect struct {
-	Job       wire.JobID       `cbor:"1,keyasint"`
-	Done      int              `cbor:"2,keyasint"`
-	Machines  []wire.MachineID `cbor:"3,keyasint"`
-	Rounds    int              `cbor:"4,keyasint"`
-	BackoffMS int64            `cbor:"5,keyasint"` // until the next retry
+type CrashLoop struct {
+	Job            wire.JobID       `cbor:"1,keyasint"`
+	CompletedTasks int              `cbor:"2,keyasint"`
+	Machines       []wire.MachineID `cbor:"3,keyasint"`
+	FailureRounds  int              `cbor:"4,keyasint"`
+	BackoffMS      int64            `cbor:"5,keyasint"` // until the next retry
 }
 
 // ClassRunTimes are the decaying sums of the actual and the estimated run times, in seconds, that a
 // controller has observed for a class of jobs.
 type ClassRunTimes struct {
-	Class     wire.Class `cbor:"1,keyasint" json:"n"`
-	Ran       float64    `cbor:"2,keyasint" json:"r"`
-	Estimated float64    `cbor:"3,keyasint" json:"e"`
-	Count     float64    `cbor:"4,keyasint" json:"c"`
+	Class            wire.Class `cbor:"1,keyasint" json:"n"`
+	ActualSeconds    float64    `cbor:"2,keyasint" json:"r"`
+	EstimatedSeconds float64    `cbor:"3,keyasint" json:"e"`
+	Count            float64    `cbor:"4,keyasint" json:"c"`
 }
 
-// Answer is a peer's status with the time at which it was requested, the latest time for which the status
+// Response is a peer's status with the time at which it was requested, the latest time for which the status
 // is known to hold.
-type Answer struct {
+type Response struct {
 	Status Status
 	AsOf   time.Time
 }
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -25,7 +25,7 @@
 
 // HeartbeatAt returns when the peer last received a heartbeat from a machine in its status.
 func (p *Peer) HeartbeatAt(m *peer.Machine) time.Time {
-	return p.AsOf.Add(-time.Duration(m.AgeMS) * time.Millisecond)
+	return p.AsOf.Add(-time.Duration(m.HeartbeatAgeMS) * time.Millisecond)
 }
 
 // recent reports whether the status counts as current.
@@ -87,13 +87,13 @@
 }
 
 // allConfigured reports whether the configuration names every other controller of the deployment.
-func (m *Membership) allConfigured() bool { return len(m.opt.Others) == m.opt.Count-1 }
+func (m *Membership) allConfigured() bool { return len(m.opt.Others) == m.opt.ControllerCount-1 }
 
 // ReachablePeers returns the peers that workers can be moved to, ordered by name.
 func (m *Membership) ReachablePeers(now time.Time) []wire.MemberID {
 	var reachable []wire.MemberID
 	for _, p := range m.Peers() {
-		if p.recent(now) && p.Status.Loaded && p.Status.ContactMS < m.opt.Contact.Milliseconds()/2 {
+		if p.recent(now) && p.Status.Loaded && p.Status.SyncAgeMS < m.opt.MaxSyncAge.Milliseconds()/2 {
 			reachable = append(reachable, p.Status.Member)
 		}
 	}
@@ -103,7 +103,7 @@
 // PeersReachStore reports whether at least one peer is currently connected to the state service.
 func (m *Membership) PeersReachStore(now time.Time) bool {
 	return slices.ContainsFunc(m.Peers(), func(p *Peer) bool {
-		return p.recent(now) && p.Status.Loaded && p.Status.ContactMS < maxStoreSyncAgeMS
+		return p.recent(now) && p.Status.Loaded && p.Status.SyncAgeMS < maxStoreSyncAgeMS
 	})
 }
 
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -48,7 +48,7 @@
 		if !ok {
 			continue
 		}
-		value, err := encodeStatus(s, m.opt.ValueBytes)
+		value, err := encodeStatus(s, m.opt.MaxValueBytes)
 		if err != nil {
 			return fmt.Errorf("membership: encode the status to publish: %w", err)
 		}
--- a/internal/membership/publish_test.go
+++ b/internal/membership/publish_test.go
@@ -30,7 +30,7 @@
 // newMembership returns the Membership of controller m-0 with m-1 as its only peer.
 func newMembership(t *testing.T) *Membership {
 	t.Helper()
-	opt := Options{Self: "m-0", Others: []wire.MemberID{"m-1"}, Count: 2, ValueBytes: 2048}
+	opt := Options{Self: "m-0", Others: []wire.MemberID{"m-1"}, ControllerCount: 2, MaxValueBytes: 2048}
 	return New(opt, metrics.New(), slog.New(slog.DiscardHandler))
 }
 
--- a/internal/plugin/policymanager/manager.go
+++ b/internal/plugin/policymanager/manager.go
@@ -221,10 +221,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if record.Next != "" && !m.options.On {
-		return []peer.Module{{Hash: record.Next, Fault: "plug-ins are switched off"}}
+		return []peer.Module{{Hash: record.Next, LoadError: "plug-ins are switched off"}}
 	}
 	for hash, loaded := range m.modules {
-		out = append(out, peer.Module{Hash: hash, Fault: loaded.fault})
+		out = append(out, peer.Module{Hash: hash, LoadError: loaded.fault})
 	}
 	return out
 }
--- a/internal/plugin/policymanager/swap.go
+++ b/internal/plugin/policymanager/swap.go
@@ -106,8 +106,8 @@
 		}
 		loaded := false
 		for _, module := range c.Modules {
-			if module.Hash == record.Next && module.Fault != "" {
-				outcome.fault = fmt.Sprintf("%s: %s", c.Member, module.Fault)
+			if module.Hash == record.Next && module.LoadError != "" {
+				outcome.fault = fmt.Sprintf("%s: %s", c.Member, module.LoadError)
 			} else if module.Hash == record.Next {
 				loaded = true
 			}
--- a/internal/scheduler/crashloop/failures.go
+++ b/internal/scheduler/crashloop/failures.go
@@ -45,7 +45,7 @@
 }
 
 // merge adds failures that a peer shared, as of the given time.
-func (f *failures) merge(shared *peer.Suspect, asOf time.Time) {
+func (f *failures) merge(shared *peer.CrashLoop, asOf time.Time) {
 	if f.machines == nil {
 		f.machines = map[wire.MachineID]time.Time{}
 	}
@@ -54,7 +54,7 @@
 			f.machines[machine] = asOf
 		}
 	}
-	f.rounds = max(f.rounds, shared.Rounds)
+	f.rounds = max(f.rounds, shared.FailureRounds)
 	until := asOf.Add(time.Duration(shared.BackoffMS) * time.Millisecond)
 	if shared.BackoffMS > 0 && until.After(f.backoffUntil) {
 		f.backoffUntil = until
@@ -116,13 +116,13 @@
 }
 
 // toSuspect converts the job's failures to the message that is sent to peers.
-func (s *jobState) toSuspect(id wire.JobID, now time.Time) peer.Suspect {
+func (s *jobState) toSuspect(id wire.JobID, now time.Time) peer.CrashLoop {
 	machines := slices.Sorted(maps.Keys(s.failures.machines))
-	return peer.Suspect{
-		Job:       id,
-		Done:      s.doneAtClear,
-		Machines:  machines[:min(len(machines), minDistinctFailures)],
-		Rounds:    s.failures.rounds,
-		BackoffMS: max(0, s.failures.backoffUntil.Sub(now).Milliseconds()),
+	return peer.CrashLoop{
+		Job:            id,
+		CompletedTasks: s.doneAtClear,
+		Machines:       machines[:min(len(machines), minDistinctFailures)],
+		FailureRounds:  s.failures.rounds,
+		BackoffMS:      max(0, s.failures.backoffUntil.Sub(now).Milliseconds()),
 	}
 }
--- a/internal/scheduler/crashloop/tracker.go
+++ b/internal/scheduler/crashloop/tracker.go
@@ -60,8 +60,8 @@
 	return state
 }
 
-// Failed records a task's failure on a machine. block is the machine's topology block; "" if none is declared.
-func (t *Tracker) Failed(
+// RecordFailure records a task's failure on a machine. block is the machine's topology block; "" if none is declared.
+func (t *Tracker) RecordFailure(
 	j *ledger.Job,
 	task wire.TaskIndex,
 	machine wire.MachineID,
@@ -98,9 +98,9 @@
 		"rests", time.Until(state.failures.backoffUntil).Round(time.Second))
 }
 
-// Completed records that a task completed on a machine, which clears the machine's failures. ran is the run
+// RecordCompletion records that a task completed on a machine, which clears the machine's failures. ran is the run
 // time of the task; 0: unknown.
-func (t *Tracker) Completed(
+func (t *Tracker) RecordCompletion(
 	j *ledger.Job,
 	task wire.TaskIndex,
 	machine wire.MachineID,
@@ -111,7 +111,7 @@
 	delete(t.failedOn, machine)
 	if t.detector != nil {
 		outcome := newOutcome(j, task, machine, block, now)
-		outcome.Ran, outcome.Expected = ran, t.runTimes.Expected(j)
+		outcome.Ran, outcome.Expected = ran, t.runTimes.ExpectedRunTime(j)
 		t.detector.Observe(outcome)
 	}
 	if ran > 0 && j.Spec.Estimate > 0 {
@@ -119,20 +119,20 @@
 	}
 }
 
-// Avoid keeps a job off a machine for avoidPeriod.
-func (t *Tracker) Avoid(job wire.JobID, machine wire.MachineID, now time.Time) {
+// AvoidMachine keeps a job off a machine for avoidPeriod.
+func (t *Tracker) AvoidMachine(job wire.JobID, machine wire.MachineID, now time.Time) {
 	t.ensureJob(job).avoided[machine] = now
 }
 
-// Retry sets the earliest time of a job's next start.
-func (t *Tracker) Retry(job wire.JobID, at time.Time) { t.ensureJob(job).retryAt = at }
+// SetRetryTime sets the earliest time of a job's next start.
+func (t *Tracker) SetRetryTime(job wire.JobID, at time.Time) { t.ensureJob(job).retryAt = at }
 
 // RetryState holds the current constraints on starting a job's tasks.
 type RetryState struct {
-	CrashLooping bool                      // the job fails on every machine, as far as known
-	Retry        time.Time                 // no start before this time
-	BackedOff    int                       // tasks that failed on several machines and must not be retried yet
-	Avoid        func(wire.MachineID) bool // reports whether to avoid a machine; nil: none
+	CrashLooping   bool                      // the job fails on every machine, as far as known
+	NotBefore      time.Time                 // no start before this time
+	BackedOffTasks int                       // tasks that failed on several machines and must not be retried yet
+	Avoid          func(wire.MachineID) bool // reports whether to avoid a machine; nil: none
 }
 
 // RetryState returns the current constraints on starting a job's tasks. It clears the failures of a job once one
@@ -142,7 +142,7 @@
 	state := t.ensureJob(j.ID)
 	state.clearOnProgress(j)
 	maps.DeleteFunc(state.avoided, func(_ wire.MachineID, since time.Time) bool { return now.Sub(since) > avoidPeriod })
-	retry := RetryState{Retry: state.retryAt, BackedOff: state.countBackedOff(now)}
+	retry := RetryState{NotBefore: state.retryAt, BackedOffTasks: state.countBackedOff(now)}
 	if len(state.avoided) > 0 {
 		retry.Avoid = func(m wire.MachineID) bool {
 			_, avoided := state.avoided[m]
@@ -151,8 +151,8 @@
 	}
 	if state.failures.crashLooping() {
 		retry.CrashLooping = true
-		if state.failures.backoffUntil.After(retry.Retry) {
-			retry.Retry = state.failures.backoffUntil
+		if state.failures.backoffUntil.After(retry.NotBefore) {
+			retry.NotBefore = state.failures.backoffUntil
 		}
 	}
 	return retry
@@ -186,16 +186,16 @@
 	return n
 }
 
-// Failing reports whether a task of a job has failed since a task of the job last completed.
-func (t *Tracker) Failing(id wire.JobID) bool {
+// HasFailures reports whether a task of a job has failed since a task of the job last completed.
+func (t *Tracker) HasFailures(id wire.JobID) bool {
 	state := t.jobs[id]
 	return state != nil && len(state.failures.machines) > 0
 }
 
 // SuspectsToShare returns the failing jobs to be sent to peers. It includes jobs that failed on one machine
 // only, since a peer may know of a failure on another.
-func (t *Tracker) SuspectsToShare(now time.Time) []peer.Suspect {
-	var out []peer.Suspect
+func (t *Tracker) SuspectsToShare(now time.Time) []peer.CrashLoop {
+	var out []peer.CrashLoop
 	for id, state := range t.jobs {
 		if len(out) == maxSharedSuspects {
 			break
@@ -209,11 +209,11 @@
 
 // MergeSuspects adds the failing jobs that a peer shared, as of the given time. It skips jobs that are no longer
 // active and jobs of which a task has completed since.
-func (t *Tracker) MergeSuspects(l *ledger.Ledger, list []peer.Suspect, asOf time.Time) {
+func (t *Tracker) MergeSuspects(l *ledger.Ledger, list []peer.CrashLoop, asOf time.Time) {
 	for i := range list {
 		shared := &list[i]
 		j := l.Job(shared.Job)
-		if j == nil || j.State != ledger.Active || j.Done > shared.Done {
+		if j == nil || j.State != ledger.Active || j.Done > shared.CompletedTasks {
 			continue
 		}
 		state := t.ensureJob(shared.Job)
--- a/internal/scheduler/crashloop_test.go
+++ b/internal/scheduler/crashloop_test.go
@@ -54,7 +54,7 @@
 
 // fail records the failure of a task.
 func (c *crashLoopCase) fail(j *ledger.Job, m wire.MachineID, task wire.TaskIndex, at time.Time) {
-	c.parts.Failures.Failed(j, task, m, "", at)
+	c.parts.Failures.RecordFailure(j, task, m, "", at)
 }
 
 // faulty reports whether a machine is considered faulty.
@@ -108,7 +108,7 @@
 		c.t.Error("healthy machine not marked faulty after failures of two jobs that are not known to fail elsewhere")
 	}
 	// A peer reports that one job also failed elsewhere; the other job is cancelled by its user.
-	suspects := []peer.Suspect{{Job: c.failingJob.ID, Machines: []wire.MachineID{"host-far"}}}
+	suspects := []peer.CrashLoop{{Job: c.failingJob.ID, Machines: []wire.MachineID{"host-far"}}}
 	c.parts.Failures.MergeSuspects(c.records, suspects, c.now)
 	if _, looping := c.parts.Failures.CrashLooping(c.failingJob.ID); !looping || c.faulty(healthyMachine) {
 		c.t.Errorf("crash-looping %v, machine faulty %v after a peer reported a second machine; want true, false",
@@ -197,7 +197,7 @@
 	now := time.Now()
 	j := controllertest.AddJob(records, 1, wire.Array, 8)
 	for i := range 3 {
-		c.Failures.Failed(j, 5, wire.MachineID(fmt.Sprint("host-", i)), "", now)
+		c.Failures.RecordFailure(j, 5, wire.MachineID(fmt.Sprint("host-", i)), "", now)
 	}
 	records.Apply(ledger.Event{
 		Key:     "mm1/j/wk-000001",
@@ -215,7 +215,7 @@
 	if got != 6 || err != nil {
 		t.Errorf("%d tasks claimed (%v), want 6: all except the completed one and the one backed off", got, err)
 	}
-	backedOff := func(after time.Duration) int { return c.Failures.RetryState(j, now.Add(after)).BackedOff }
+	backedOff := func(after time.Duration) int { return c.Failures.RetryState(j, now.Add(after)).BackedOffTasks }
 	if backedOff(time.Second) != 1 || backedOff(10*time.Second) != 0 {
 		t.Errorf("%d tasks backed off after 1s and %d after 10s, want 1 and 0",
 			backedOff(time.Second), backedOff(10*time.Second))
--- a/internal/scheduler/deadlines_test.go
+++ b/internal/scheduler/deadlines_test.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Deadlines.Set(r)
+		p.Deadlines.SetRegister(r)
 	}
 	date := now.Add(100 * time.Second).UnixMilli()
 	records.Apply(ledger.Event{
--- a/internal/scheduler/deadlinetracker/reconciler.go
+++ b/internal/scheduler/deadlinetracker/reconciler.go
@@ -36,7 +36,7 @@
 // consider themselves the reconciler, their changes only conflict. The caller holds the cache's lock.
 func (t *Tracker) isReconciler(now time.Time) bool {
 	leader, _ := t.records().Leader()
-	newest, reconciler, leaderRevision := t.RegisterEdition(), t.settings.Member, t.RegisterEdition()
+	newest, reconciler, leaderRevision := t.RegisterRevision(), t.settings.Member, t.RegisterRevision()
 	for _, p := range t.Membership.Peers() {
 		if now.Sub(p.AsOf) > peerStatusMaxAge {
 			continue
@@ -86,7 +86,7 @@
 	if format, _ := t.records().Format(); format.Format < ledger.GalleryFormat {
 		return
 	}
-	t.Reconcile(now)
+	t.UpdateRemainingWork(now)
 	p := &pass{
 		Tracker: t,
 		now:     now,
--- a/internal/scheduler/deadlinetracker/tracker.go
+++ b/internal/scheduler/deadlinetracker/tracker.go
@@ -89,8 +89,8 @@
 // records returns the cached records. The caller holds the cache's lock while it uses them.
 func (t *Tracker) records() *ledger.Ledger { return t.Cache.Records() }
 
-// Set replaces the register. It takes the cache's lock.
-func (t *Tracker) Set(r *deadline.Register) {
+// SetRegister replaces the register. It takes the cache's lock.
+func (t *Tracker) SetRegister(r *deadline.Register) {
 	t.Cache.Lock()
 	defer t.Cache.Unlock()
 	t.register, t.assignedAt = r, time.Time{}
@@ -108,9 +108,9 @@
 	return configfile.Read(path, func(text []byte) (*deadline.Register, error) { return deadline.Parse(text, teams) })
 }
 
-// Reload reads the register file whenever it changes, until ctx ends. If the file is invalid or missing, the last
+// WatchFile reads the register file whenever it changes, until ctx ends. If the file is invalid or missing, the last
 // valid register stays in force.
-func (t *Tracker) Reload(ctx context.Context, path string) error {
+func (t *Tracker) WatchFile(ctx context.Context, path string) error {
 	return configfile.Follow(ctx, path, nil, func() {
 		r, err := Read(path, t.settings)
 		if err != nil {
@@ -118,13 +118,13 @@
 			t.log.Error("register not taken; the one before stays", "err", strings.ReplaceAll(err.Error(), "\n", "; "))
 			return
 		}
-		t.Set(r)
+		t.SetRegister(r)
 		t.log.Info("register read", "file", path, "register", r.String())
 	})
 }
 
-// RegisterEdition returns the revision of the register, 0 if none has been set.
-func (t *Tracker) RegisterEdition() int {
+// RegisterRevision returns the revision of the register, 0 if none has been set.
+func (t *Tracker) RegisterRevision() int {
 	if t.register == nil {
 		return 0
 	}
@@ -144,15 +144,15 @@
 	return nil
 }
 
-// Reconcile recomputes the remaining work of all galleries from the active jobs.
-func (t *Tracker) Reconcile(now time.Time) {
+// UpdateRemainingWork recomputes the remaining work of all galleries from the active jobs.
+func (t *Tracker) UpdateRemainingWork(now time.Time) {
 	clear(t.remaining)
 	t.records().EachActive(func(j *ledger.Job) {
 		if j.Gallery == "" {
 			return
 		}
 		machineType, pending := t.machineTypeFor(j), j.Pending()
-		duration := t.RunTimes.Expected(j) * runTimeMarginNum / runTimeMarginDen
+		duration := t.RunTimes.ExpectedRunTime(j) * runTimeMarginNum / runTimeMarginDen
 		if pending > 0 {
 			duration += placement.FetchTime(j.Spec.ImageGB, machineType.FetchGBps)
 		}
--- a/internal/scheduler/deadlinetracker/tracker_test.go
+++ b/internal/scheduler/deadlinetracker/tracker_test.go
@@ -42,7 +42,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Deadlines.Reconcile(now)
+				p.Deadlines.UpdateRemainingWork(now)
 			}
 		})
 	}
--- a/internal/scheduler/estimate/boot_times.go
+++ b/internal/scheduler/estimate/boot_times.go
@@ -14,9 +14,9 @@
 	"maddermill/wire"
 )
 
-// Kind identifies machines whose boot times are comparable. Spot and on-demand machines of a type boot alike, so
+// MachineKind identifies machines whose boot times are comparable. Spot and on-demand machines of a type boot alike, so
 // it doesn't distinguish them.
-type Kind struct {
+type MachineKind struct {
 	Type wire.MachineTypeName
 	Zone wire.Zone
 }
@@ -27,7 +27,7 @@
 // long, a few never come up, and at times all machines of a zone are late. A machine is overdue when others
 // requested along with it are up and it isn't: a replacement then saves time. While all machines are late, a
 // replacement would be just as late.
-type BootTimes struct{ histories map[Kind]*bootHistory }
+type BootTimes struct{ histories map[MachineKind]*bootHistory }
 
 // bootHistory holds the latest boots of a kind of machine.
 type bootHistory struct {
@@ -45,13 +45,13 @@
 
 // Observe records when a machine was requested and when it sent its first heartbeat. Machines known from their
 // heartbeat alone, for which both times are the same, are ignored.
-func (b *BootTimes) Observe(k Kind, requestedAt, firstHeartbeat time.Time) {
+func (b *BootTimes) Observe(k MachineKind, requestedAt, firstHeartbeat time.Time) {
 	bootTime := firstHeartbeat.Sub(requestedAt)
 	if bootTime <= 0 {
 		return
 	}
 	if b.histories == nil {
-		b.histories = map[Kind]*bootHistory{}
+		b.histories = map[MachineKind]*bootHistory{}
 	}
 	history := b.histories[k]
 	if history == nil {
@@ -67,7 +67,7 @@
 
 // typicalBootTime returns the boot time that five sixths of the latest machines of a kind didn't exceed, but at
 // least nominal, the boot time configured for their type.
-func (b *BootTimes) typicalBootTime(k Kind, nominal time.Duration) time.Duration {
+func (b *BootTimes) typicalBootTime(k MachineKind, nominal time.Duration) time.Duration {
 	history := b.histories[k]
 	if history == nil || len(history.durations) < minSamples {
 		return nominal * 3 / 2
@@ -78,7 +78,7 @@
 
 // Overdue reports whether a machine that was requested at requestedAt and isn't up yet should be replaced. nominal
 // is the boot time configured for its type; 0 if it is unknown.
-func (b *BootTimes) Overdue(k Kind, requestedAt time.Time, nominal time.Duration, now time.Time) bool {
+func (b *BootTimes) Overdue(k MachineKind, requestedAt time.Time, nominal time.Duration, now time.Time) bool {
 	history := b.histories[k]
 	if history == nil || nominal <= 0 || requestedAt.After(history.latestRequest.Add(batchWindow)) {
 		return false
@@ -88,6 +88,6 @@
 
 // BootTimeout returns how long a machine may take to boot before it is given up and returned. nominal is the boot
 // time configured for its type.
-func (b *BootTimes) BootTimeout(k Kind, nominal time.Duration) time.Duration {
+func (b *BootTimes) BootTimeout(k MachineKind, nominal time.Duration) time.Duration {
 	return max(3*nominal, 2*b.typicalBootTime(k, nominal))
 }
--- a/internal/scheduler/estimate/boot_times_test.go
+++ b/internal/scheduler/estimate/boot_times_test.go
@@ -10,7 +10,7 @@
 func TestBootTimes(t *testing.T) {
 	const nominal = 40 * time.Second
 	now := time.Now()
-	kind := Kind{Type: "g2", Zone: "a"}
+	kind := MachineKind{Type: "g2", Zone: "a"}
 	for _, tc := range []struct {
 		name           string
 		othersAge      time.Duration // how long ago four other machines were requested; 0: no others
--- a/internal/scheduler/estimate/run_times.go
+++ b/internal/scheduler/estimate/run_times.go
@@ -64,8 +64,8 @@
 		observed = &peer.ClassRunTimes{Class: class}
 		r.classes[class] = observed
 	}
-	observed.Ran = observed.Ran*observationDecay + ran.Seconds()
-	observed.Estimated = observed.Estimated*observationDecay + estimate.Seconds()
+	observed.ActualSeconds = observed.ActualSeconds*observationDecay + ran.Seconds()
+	observed.EstimatedSeconds = observed.EstimatedSeconds*observationDecay + estimate.Seconds()
 	observed.Count = observed.Count*observationDecay + 1
 }
 
@@ -83,8 +83,8 @@
 func (r *RunTimes) correctionFactor(class wire.Class) float64 {
 	var ran, estimated, count float64 // sums: seconds, seconds, tasks
 	add := func(observed *peer.ClassRunTimes) {
-		ran += observed.Ran
-		estimated += observed.Estimated
+		ran += observed.ActualSeconds
+		estimated += observed.EstimatedSeconds
 		count += observed.Count
 	}
 	if observed := r.classes[class]; observed != nil {
@@ -104,13 +104,13 @@
 	return min(maxCorrection, max(minCorrection, (ran+prior)/(estimated+prior)))
 }
 
-// Expected returns the expected run time of a job's task.
-func (r *RunTimes) Expected(j *ledger.Job) time.Duration {
+// ExpectedRunTime returns the expected run time of a job's task.
+func (r *RunTimes) ExpectedRunTime(j *ledger.Job) time.Duration {
 	return time.Duration(float64(j.Spec.Estimate.Duration()) * r.correctionFactor(j.Spec.Class))
 }
 
-// ClaimedSince returns when this controller first saw a claim, which is now if it hasn't seen it before.
-func (r *RunTimes) ClaimedSince(h ledger.HeldClaim, now time.Time) time.Time {
+// FirstSeen returns when this controller first saw a claim, which is now if it hasn't seen it before.
+func (r *RunTimes) FirstSeen(h ledger.HeldClaim, now time.Time) time.Time {
 	key := claimKey{machine: h.Machine, job: h.Job.ID, attempt: h.Attempt, first: h.First}
 	since, seen := r.firstSeen[key]
 	if !seen {
@@ -120,13 +120,13 @@
 	return since
 }
 
-// Until returns when a claim's tasks are expected to end. A claim that has exceeded its expected run time is
+// ExpectedEnd returns when a claim's tasks are expected to end. A claim that has exceeded its expected run time is
 // expected to go on for half the time by which it has exceeded it, plus minOverrunRemaining.
-func (r *RunTimes) Until(h ledger.HeldClaim, now time.Time) time.Time {
+func (r *RunTimes) ExpectedEnd(h ledger.HeldClaim, now time.Time) time.Time {
 	if h.Job.Spec.Shape == wire.Service {
 		return now.Add(serviceHorizon)
 	}
-	end := r.ClaimedSince(h, now).Add(r.Expected(h.Job))
+	end := r.FirstSeen(h, now).Add(r.ExpectedRunTime(h.Job))
 	if overrun := now.Sub(end); overrun > 0 {
 		end = now.Add(overrun/2 + minOverrunRemaining)
 	}
--- a/internal/scheduler/estimate/spot_reclaims.go
+++ b/internal/scheduler/estimate/spot_reclaims.go
@@ -25,9 +25,9 @@
 	countedAt    time.Time
 }
 
-// CountMachineTime records that the given number of spot machines has been up since the last call. At most
+// AddMachineTime records that the given number of spot machines has been up since the last call. At most
 // maxCountedGap of that time counts, since this process may have been paused during a longer gap.
-func (s *SpotReclaims) CountMachineTime(machines int, now time.Time) {
+func (s *SpotReclaims) AddMachineTime(machines int, now time.Time) {
 	if elapsed := now.Sub(s.countedAt); !s.countedAt.IsZero() && elapsed > 0 {
 		decay := math.Exp2(-float64(elapsed) / float64(reclaimHalfLife))
 		s.reclaims, s.machineHours = s.reclaims*decay, s.machineHours*decay
@@ -36,8 +36,8 @@
 	s.countedAt = now
 }
 
-// Observe records the reclaim of a spot machine.
-func (s *SpotReclaims) Observe() { s.reclaims++ }
+// RecordReclaim records the reclaim of a spot machine.
+func (s *SpotReclaims) RecordReclaim() { s.reclaims++ }
 
 // PerHour returns the estimated number of reclaims per machine and hour.
 func (s *SpotReclaims) PerHour() float64 {
--- a/internal/scheduler/estimate/spot_reclaims_test.go
+++ b/internal/scheduler/estimate/spot_reclaims_test.go
@@ -14,9 +14,9 @@
 		due := 0.0
 		for range int(length / time.Second) {
 			now = now.Add(time.Second)
-			s.CountMachineTime(machines, now)
+			s.AddMachineTime(machines, now)
 			for due += float64(machines) * perHour / 3600; due >= 1; due-- {
-				s.Observe()
+				s.RecordReclaim()
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 	wantBetween("many reclaims", 11, 15)
 	before := s.machineHours
 	now = now.Add(time.Hour)
-	s.CountMachineTime(600, now)
+	s.AddMachineTime(600, now)
 	if s.machineHours > before {
 		t.Errorf("after a pause of an hour: got %.1f machine hours, want at most %.1f", s.machineHours, before)
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -19,7 +19,8 @@
 	_, known := s.records().MachineType(w.Type)
 	return known && w.TokenAccepted && !w.Unreachable() && w.ReclaimAt.IsZero() && s.records().MachinePhase(w.ID) == "" &&
 		!now.Before(w.CordonedUntil) &&
-		(s.quarantineSuspended[estimate.Kind{Type: w.Type, Zone: w.Zone}] || !s.failures.Faulty(s.records(), w.ID, now))
+		(s.quarantineSuspended[estimate.MachineKind{Type: w.Type, Zone: w.Zone}] ||
+			!s.failures.Faulty(s.records(), w.ID, now))
 }
 
 // MachineSnapshot returns the placement snapshot of a machine that reports to this controller.
@@ -86,7 +87,7 @@
 	var out []placement.ExpectedRelease
 	for _, h := range s.records().ClaimsOn(id) {
 		out = append(out, placement.ExpectedRelease{
-			At:        s.runTimes.Until(h, now),
+			At:        s.runTimes.ExpectedEnd(h, now),
 			Resources: ledger.Resources{}.Add(h.Job.Need, h.Count),
 		})
 	}
@@ -148,9 +149,9 @@
 	if !q.On {
 		return
 	}
-	kinds := map[estimate.Kind]*machineCounts{}
+	kinds := map[estimate.MachineKind]*machineCounts{}
 	for _, m := range machines {
-		k := estimate.Kind{Type: m.Type, Zone: m.Zone}
+		k := estimate.MachineKind{Type: m.Type, Zone: m.Zone}
 		n := kinds[k]
 		if n == nil {
 			n = new(machineCounts)
@@ -166,14 +167,14 @@
 	}
 	s.updateQuarantineSuspension(kinds)
 	for _, m := range machines {
-		n := kinds[estimate.Kind{Type: m.Type, Zone: m.Zone}]
+		n := kinds[estimate.MachineKind{Type: m.Type, Zone: m.Zone}]
 		m.Slow = m.Slow && n.slow <= q.MaxQuarantined(n.total)
 	}
 }
 
 // updateQuarantineSuspension suspends quarantine for each machine type and zone with too many
 // faulty machines, and resumes it for the others.
-func (s *Scheduler) updateQuarantineSuspension(kinds map[estimate.Kind]*machineCounts) {
+func (s *Scheduler) updateQuarantineSuspension(kinds map[estimate.MachineKind]*machineCounts) {
 	for k, n := range kinds {
 		if n.faulty == 0 {
 			continue
--- a/internal/scheduler/placement/topology_packing.go
+++ b/internal/scheduler/placement/topology_packing.go
@@ -39,7 +39,7 @@
 
 // topologyGang converts a gang to the input of topology packing.
 func topologyGang(j *ledger.Job) topology.Gang {
-	return topology.Gang{Tasks: j.GangSize(), OneZone: j.Spec.OneZone, MostIn: maxPerZone(j)}
+	return topology.Gang{Tasks: j.GangSize(), OneZone: j.Spec.OneZone, MaxPerZone: maxPerZone(j)}
 }
 
 // packGang places a gang's tasks as close together as possible. If the topology puts images first,
@@ -49,7 +49,7 @@
 func (s *Snapshot) packGang(e *Entry, options []gangOption) gangPlacement {
 	g := topologyGang(e.Job)
 	first := rankCached
-	if s.Tree.First == topology.ClosenessFirst {
+	if s.Tree.Priority == topology.ClosenessFirst {
 		first = rankContended
 	}
 	slices.SortFunc(options, func(a, b gangOption) int {
@@ -122,7 +122,8 @@
 	var in []topology.MachineOption
 	for _, m := range s.Machines {
 		s.Examined++
-		if n := m.Total.CountFitting(j.Need, g.Tasks); n > 0 && m.Usable && ledger.PlacementAllowed(j.Spec, m.Type, m.Zone, m.Spot) {
+		if n := m.Total.CountFitting(j.Need, g.Tasks); n > 0 && m.Usable &&
+			ledger.PlacementAllowed(j.Spec, m.Type, m.Zone, m.Spot) {
 			in = append(in, topology.MachineOption{Machine: m.ID, Block: m.Block, Room: n})
 		}
 	}
@@ -196,7 +197,7 @@
 				Machine: o.m.ID,
 				Block:   o.m.Block,
 				Room:    o.room,
-				Order:   min(int64(o.loss.Seconds()), topology.MostOrder),
+				Order:   min(int64(o.loss.Seconds()), topology.MaxOrder),
 			})
 			chosen = append(chosen, o)
 		}
--- a/internal/scheduler/placement/topology_packing_test.go
+++ b/internal/scheduler/placement/topology_packing_test.go
@@ -112,7 +112,7 @@
 	for _, p := range g.Parts {
 		on, counts = append(on, v.Machine(p.Target.Machine).Block), append(counts, p.Count)
 	}
-	return v.Tree.CostOf(on, counts)
+	return v.Tree.PlacementCost(on, counts)
 }
 
 // TestTopologyPacksGangsClosely verifies that gangs placed with a topology cost at most half of
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -159,7 +159,7 @@
 			Held:          h,
 			Protected:     !s.canRestart(h.Job, now),
 			SavesProgress: spec.Checkpoint > 0,
-			RunTime:       now.Sub(s.runTimes.ClaimedSince(h, now)),
+			RunTime:       now.Sub(s.runTimes.FirstSeen(h, now)),
 			OverGuarantee: t == nil || OverGuarantee(t, used),
 		})
 	}
@@ -181,7 +181,7 @@
 	if machineType, ok := s.records().MachineType(s.firstMachineType(j)); ok {
 		restart = now.Add(machineType.Boot.Duration())
 	}
-	if !s.latestStartForObjectives(j, false, s.runTimes.Expected(j), restart).IsZero() {
+	if !s.latestStartForObjectives(j, false, s.runTimes.ExpectedRunTime(j), restart).IsZero() {
 		return true
 	}
 	if !j.DueBy().IsZero() {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -31,7 +31,7 @@
 		p.Cache.Records().Apply(ledger.Event{Key: ledger.LeaderKey, Version: 1, Value: []byte(`{"by":"m-1","token":5}`)})
 		p.Registry.Register(&wire.Heartbeat{Machine: "host-1"}, now)
 		j := controllertest.AddJob(p.Cache.Records(), 2, wire.Gang, 4)
-		answer := peer.Answer{
+		answer := peer.Response{
 			AsOf: tc.asked,
 			Status: peer.Status{
 				Member: tc.from,
--- a/internal/scheduler/quarantine/detector.go
+++ b/internal/scheduler/quarantine/detector.go
@@ -181,7 +181,7 @@
 }
 
 // logOddsThreshold returns the log odds required to consider a machine faulty or slow.
-func (d *Detector) logOddsThreshold() float64 { return math.Log(1/d.priors.Wrong - 1) }
+func (d *Detector) logOddsThreshold() float64 { return math.Log(1/d.priors.FalseDiscoveryRate - 1) }
 
 // Diagnosis is the result of the detection for a machine.
 type Diagnosis struct {
@@ -195,11 +195,11 @@
 	d.runInference()
 	b := d.beliefs[machineCause(m)]
 	if b == nil {
-		return Diagnosis{Probability: d.priors.Faulty}
+		return Diagnosis{Probability: d.priors.FaultyFraction}
 	}
 	confirmed := !b.confirmedSince.IsZero() && d.now.Sub(b.confirmedSince) >= confirmationPeriod
 	return Diagnosis{
-		Faulty:      confirmed && b.probability > 1-d.priors.Wrong,
+		Faulty:      confirmed && b.probability > 1-d.priors.FalseDiscoveryRate,
 		Probability: b.probability,
 		FailureRate: b.rate,
 	}
--- a/internal/scheduler/quarantine/explain.go
+++ b/internal/scheduler/quarantine/explain.go
@@ -27,8 +27,8 @@
 	machine := machineCause(m)
 	out := wire.Judgement{
 		Machine:           m,
-		PriorFaulty:       d.priors.Faulty,
-		ProbabilityFaulty: d.priors.Faulty,
+		PriorFaulty:       d.priors.FaultyFraction,
+		ProbabilityFaulty: d.priors.FaultyFraction,
 		Completed:         int(d.completed[machine]),
 		BackgroundRate:    d.backgroundRate,
 	}
@@ -91,8 +91,8 @@
 	return text
 }
 
-// Write writes a judgement as text, with a table of the evidence. It returns the errors of w.
-func Write(w io.Writer, j *wire.Judgement) error {
+// WriteJudgement writes a judgement as text, with a table of the evidence. It returns the errors of w.
+func WriteJudgement(w io.Writer, j *wire.Judgement) error {
 	var text strings.Builder
 	writeDiagnosis(&text, j)
 	if len(j.Failures) > 0 {
--- a/internal/scheduler/quarantine/explain_test.go
+++ b/internal/scheduler/quarantine/explain_test.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		var b strings.Builder
-		if err := Write(&b, &judgement); err != nil {
+		if err := WriteJudgement(&b, &judgement); err != nil {
 			t.Fatal(err)
 		}
 		failures, text = len(judgement.Failures), b.String()
--- a/internal/scheduler/quarantine/inference.go
+++ b/internal/scheduler/quarantine/inference.go
@@ -119,7 +119,7 @@
 func (d *Detector) prior(k CauseKind) float64 {
 	switch k {
 	case CauseMachine:
-		return d.priors.Faulty
+		return d.priors.FaultyFraction
 	case CauseJob, CauseTask:
 		return min(maxLearnedPrior, max(faultPriors[k], d.learnedPriors[k]))
 	}
@@ -266,7 +266,7 @@
 	switch {
 	case b.probability < likelyThreshold:
 		b.confirmedSince = time.Time{}
-	case b.probability > 1-d.priors.Wrong && b.confirmedSince.IsZero():
+	case b.probability > 1-d.priors.FalseDiscoveryRate && b.confirmedSince.IsZero():
 		b.confirmedSince = d.now
 	}
 }
--- a/internal/scheduler/quarantine/model.go
+++ b/internal/scheduler/quarantine/model.go
@@ -127,13 +127,13 @@
 
 // Priors are the probabilities configured by operators.
 type Priors struct {
-	Faulty float64 // prior probability that a machine is faulty
-	Wrong  float64 // acceptable share of healthy machines among those considered faulty
+	FaultyFraction     float64 // prior probability that a machine is faulty
+	FalseDiscoveryRate float64 // acceptable share of healthy machines among those considered faulty
 }
 
 // DefaultPriors apply to clusters without settings of their own: one machine in 100 is faulty, and one machine in
 // 250 that is considered faulty is not.
-var DefaultPriors = Priors{Faulty: 1.0 / 100, Wrong: 1.0 / 250}
+var DefaultPriors = Priors{FaultyFraction: 1.0 / 100, FalseDiscoveryRate: 1.0 / 250}
 
 // failureRates are the rates at which a faulty cause may fail its tasks.
 var failureRates = [...]float64{0.08, 0.2, 0.5, 0.9, 0.999}
--- a/internal/scheduler/quarantine/speed.go
+++ b/internal/scheduler/quarantine/speed.go
@@ -104,7 +104,7 @@
 // Slow reports whether tasks take longer on a machine than elsewhere, and by what factor; 1 if they don't.
 func (d *Detector) Slow(m wire.MachineID) (slow bool, factor float64) {
 	test := d.slownessTests[m]
-	if test == nil || test.tasks < minSlowTasks || test.score < d.logOddsThreshold()-math.Log(d.priors.Faulty) {
+	if test == nil || test.tasks < minSlowTasks || test.score < d.logOddsThreshold()-math.Log(d.priors.FaultyFraction) {
 		return false, 1
 	}
 	return true, math.Exp(test.residuals / test.tasks)
--- a/internal/scheduler/quarantine_test.go
+++ b/internal/scheduler/quarantine_test.go
@@ -41,10 +41,10 @@
 			j := controllertest.AddJob(records, n, wire.Array, 1)
 			at = at.Add(10 * time.Second)
 			for i := range faulty {
-				p.Failures.Failed(j, 0, name(i), "", at)
+				p.Failures.RecordFailure(j, 0, name(i), "", at)
 			}
 			for i := range 4 {
-				p.Failures.Completed(j, 0, name(faulty+(4*n+i)%(20-faulty)), "", 0, at)
+				p.Failures.RecordCompletion(j, 0, name(faulty+(4*n+i)%(20-faulty)), "", 0, at)
 			}
 			p.Failures.Faulty(records, name(0), at)
 		}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -14,11 +14,11 @@
 func (s *Scheduler) queue(now time.Time) []placement.Entry {
 	entries := s.pendingJobs(now)
 	s.prune(now)
-	s.deadlines.Reconcile(now)
+	s.deadlines.UpdateRemainingWork(now)
 	s.markOverGuarantee(entries)
 	for i := range entries {
 		e := &entries[i]
-		e.ExpectedRunTime = s.runTimes.Expected(e.Job)
+		e.ExpectedRunTime = s.runTimes.ExpectedRunTime(e.Job)
 		start := s.startUrgency(e, now)
 		e.LatestStart, e.Overdue, e.AlmostOverdue = start.latestStart, start.overdue, start.almostOverdue
 		e.NeedsNoAccelerator = !e.Overdue && placement.RunsWithoutAccelerator(e.Job, s.records().MachineTypes())
@@ -42,10 +42,10 @@
 		}
 		entries = append(entries, placement.Entry{
 			Job:           j,
-			RetryAt:       retry.Retry,
+			RetryAt:       retry.NotBefore,
 			Waiting:       now.Sub(state.pendingSince),
 			StartsPlanned: &state.startsPlanned,
-			BackedOff:     retry.BackedOff,
+			BackedOff:     retry.BackedOffTasks,
 			Avoid:         retry.Avoid,
 			CrashLooping:  retry.CrashLooping,
 		})
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -74,7 +74,7 @@
 
 	// quarantineSuspended holds the machine types and zones with too many faulty machines for
 	// quarantine to apply.
-	quarantineSuspended map[estimate.Kind]bool
+	quarantineSuspended map[estimate.MachineKind]bool
 	// headReservations are the machines reserved for the head of the queue.
 	headReservations map[wire.MachineID]wire.JobID
 	// preempting holds the machines with preemption in progress, on any controller.
@@ -107,7 +107,7 @@
 		stats:                stats,
 		log:                  log,
 		jobs:                 map[wire.JobID]*jobState{},
-		quarantineSuspended:  map[estimate.Kind]bool{},
+		quarantineSuspended:  map[estimate.MachineKind]bool{},
 		headReservations:     map[wire.MachineID]wire.JobID{},
 		preempting:           map[wire.MachineID]preemptionReservation{},
 		requestedPreemptions: map[wire.MachineID]preemptionReservation{},
--- a/internal/scheduler/topology/pack.go
+++ b/internal/scheduler/topology/pack.go
@@ -16,22 +16,23 @@
 	Order   int64 // from 0 to MaxOrder; lower values are preferred among equally close machines
 }
 
-// MostOrder is the upper bound of MachineOption.Order.
-const MostOrder = 1 << 20
+// MaxOrder is the upper bound of MachineOption.Order.
+const MaxOrder = 1 << 20
 
 // Gang describes a gang to be placed.
 type Gang struct {
-	Tasks   int
-	OneZone bool // all tasks must be in one zone
-	MostIn  int  // maximum number of tasks per zone; 0: no limit
+	Tasks      int
+	OneZone    bool // all tasks must be in one zone
+	MaxPerZone int  // maximum number of tasks per zone; 0: no limit
 }
 
-// CostOf returns the cost of a placement: the sum of PairCost over all pairs of tasks that are on different machines.
+// PlacementCost returns the cost of a placement: the sum of PairCost over all pairs of tasks that are on
+// different machines.
 //
 //	cost = Σ over pairs {i,j} on machines x ≠ y of ( 1 + Σ over levels l, block_l(x) ≠ block_l(y) of cost_l )
 //
 // blocks and counts hold the block and the number of tasks of each machine used.
-func (t *Tree) CostOf(blocks []Block, counts []int) Cost {
+func (t *Tree) PlacementCost(blocks []Block, counts []int) Cost {
 	var sum Cost
 	for i := range blocks {
 		for k := range i {
@@ -60,7 +61,7 @@
 const (
 	// leftoverWeight is the waste per task that still fits into a block in use. It outweighs the machines' orders,
 	// so that a small gang fills up a partly used block and leaves empty ones to larger gangs.
-	leftoverWeight = MostOrder << 8
+	leftoverWeight = MaxOrder << 8
 	// maxLeftover bounds the leftover room that counts, in tasks.
 	maxLeftover = 1 << 12
 )
@@ -155,7 +156,7 @@
 	parent := p.blockNode(option.Block)
 	p.nodes = append(p.nodes, node{option: i, room: room, uncappedRoom: option.Room})
 	m := len(p.nodes) - 1
-	kind := machineKind{room, min(max(option.Order, 0), MostOrder)}
+	kind := machineKind{room, min(max(option.Order, 0), MaxOrder)}
 	best := p.machineScores[kind]
 	if best == nil {
 		best = make([]score, room+1)
@@ -211,8 +212,8 @@
 		child := &p.nodes[c]
 		n.uncappedRoom += child.uncappedRoom
 		maxTasks := child.room
-		if n.block == 0 && p.gang.MostIn > 0 {
-			maxTasks = min(maxTasks, p.gang.MostIn)
+		if n.block == 0 && p.gang.MaxPerZone > 0 {
+			maxTasks = min(maxTasks, p.gang.MaxPerZone)
 		}
 		next := spare[:min(p.gang.Tasks, len(best)-1+maxTasks)+1]
 		choice := p.newChoices(len(next))
--- a/internal/scheduler/topology/pack_test.go
+++ b/internal/scheduler/topology/pack_test.go
@@ -52,7 +52,7 @@
 	var try func(i, left int)
 	try = func(i, left int) {
 		if left == 0 {
-			if c := t.CostOf(on, counts); isValidPlacement(t, g, options, counts) && (best < 0 || c < best) {
+			if c := t.PlacementCost(on, counts); isValidPlacement(t, g, options, counts) && (best < 0 || c < best) {
 				best = c
 			}
 			return
@@ -83,7 +83,7 @@
 		sum += k
 	}
 	for _, k := range zones {
-		if g.MostIn > 0 && k > g.MostIn || g.OneZone && k != g.Tasks {
+		if g.MaxPerZone > 0 && k > g.MaxPerZone || g.OneZone && k != g.Tasks {
 			return false
 		}
 	}
@@ -117,7 +117,7 @@
 		case 0:
 			g.OneZone = true
 		case 1:
-			g.MostIn = (g.Tasks + 1) / 2
+			g.MaxPerZone = (g.Tasks + 1) / 2
 		}
 		want := bruteForceMinCost(tree, g, options)
 		counts, cost, ok := tree.Pack(g, options)
@@ -132,7 +132,7 @@
 		for i := range options {
 			on[i] = options[i].Block
 		}
-		if !isValidPlacement(tree, g, options, counts) || tree.CostOf(on, counts) != cost {
+		if !isValidPlacement(tree, g, options, counts) || tree.PlacementCost(on, counts) != cost {
 			t.Fatalf("%+v in %+v: %v breaks a rule or does not cost %d", g, options, counts, cost)
 		}
 		if cost != want {
--- a/internal/scheduler/topology/parse.go
+++ b/internal/scheduler/topology/parse.go
@@ -100,7 +100,7 @@
 func (p *fileParser) parsePriority(m *topologypb.Topology, nodes []*ast.Node) {
 	switch m.GetFirst() {
 	case topologypb.First_CLOSENESS:
-		p.tree.First = ClosenessFirst
+		p.tree.Priority = ClosenessFirst
 	case topologypb.First_IMAGE, topologypb.First_FIRST_UNSPECIFIED:
 	default:
 		node := nodeAt(configfile.Fields(nodes, "first"), 0)
--- a/internal/scheduler/topology/tree.go
+++ b/internal/scheduler/topology/tree.go
@@ -25,8 +25,8 @@
 // costUnit is the Cost of one unit of the topology file.
 const costUnit = 1000
 
-// Stated returns the cost in the unit of the topology file.
-func (c Cost) Stated() float64 { return float64(c) / costUnit }
+// FileUnits returns the cost in the unit of the topology file.
+func (c Cost) FileUnits() float64 { return float64(c) / costUnit }
 
 // Level is a level of the tree, such as all racks.
 type Level struct {
@@ -54,7 +54,7 @@
 
 // Tree is a declared topology. It is immutable.
 type Tree struct {
-	First      PlacementPriority
+	Priority   PlacementPriority
 	CloserWait time.Duration // how long a gang waits for a closer placement than is possible now
 
 	levels    []Level
--- a/internal/scheduler/topologytracker/partitions.go
+++ b/internal/scheduler/topologytracker/partitions.go
@@ -28,7 +28,7 @@
 // ObservePartition records that a gang's task lost its peers, unless the gang was preempted or one of its tasks
 // failed, either of which explains the loss.
 func (t *Tracker) ObservePartition(j *ledger.Job, attempt wire.Attempt, now time.Time) {
-	if t.tree == nil || j.Stop >= attempt || t.failures.Failing(j.ID) {
+	if t.tree == nil || j.Stop >= attempt || t.failures.HasFailures(j.ID) {
 		return
 	}
 	isPending := func(g gangPartition) bool { return g.job == j.ID }
@@ -50,7 +50,7 @@
 		if now.Sub(g.at) < 2*t.settings.SilentAfter() {
 			return false
 		}
-		if block, ok := t.commonBlock(&g, all); ok && block != 0 && !t.failures.Failing(g.job) {
+		if block, ok := t.commonBlock(&g, all); ok && block != 0 && !t.failures.HasFailures(g.job) {
 			g.block = block
 			t.health.ObservePartition(g.block, g.job, g.at)
 			t.attributedPartitions = append(t.attributedPartitions, g)
--- a/internal/scheduler/topologytracker/tracker.go
+++ b/internal/scheduler/topologytracker/tracker.go
@@ -75,19 +75,19 @@
 // Tree returns the declared topology, nil if there is none.
 func (t *Tracker) Tree() *topology.Tree { return t.tree }
 
-// CountDown returns the number of failed blocks.
-func (t *Tracker) CountDown() int {
+// CountFailedBlocks returns the number of failed blocks.
+func (t *Tracker) CountFailedBlocks() int {
 	if t.tree == nil {
 		return 0
 	}
 	return len(t.health.DownBlocks())
 }
 
-// CountUnknown returns the number of machines that the topology does not locate.
-func (t *Tracker) CountUnknown() int { return t.unlocatedMachines }
+// CountUnlocatedMachines returns the number of machines that the topology does not locate.
+func (t *Tracker) CountUnlocatedMachines() int { return t.unlocatedMachines }
 
-// Set replaces the topology and resets the health of its blocks. Silent machines still get no work in the meantime.
-func (t *Tracker) Set(tree *topology.Tree) {
+// SetTree replaces the topology and resets the health of its blocks. Silent machines still get no work in the meantime.
+func (t *Tracker) SetTree(tree *topology.Tree) {
 	t.cache.Lock()
 	defer t.cache.Unlock()
 	t.tree, t.health = tree, topology.NewHealth(tree, t.settings.SilentAfter())
@@ -104,9 +104,9 @@
 	return b, !t.health.Down(b)
 }
 
-// Reload reads the topology file whenever it changes or a signal arrives on reload, until ctx ends. If the file is
+// WatchFile reads the topology file whenever it changes or a signal arrives on reload, until ctx ends. If the file is
 // invalid or missing, the last valid topology stays in force.
-func (t *Tracker) Reload(ctx context.Context, path string, reload <-chan os.Signal) error {
+func (t *Tracker) WatchFile(ctx context.Context, path string, reload <-chan os.Signal) error {
 	return configfile.Follow(ctx, path, reload, func() {
 		tree, err := Read(path, t.settings.Cluster.Zones)
 		if err != nil {
@@ -114,7 +114,7 @@
 			t.log.Error("topology not taken; the one before stays", "err", strings.ReplaceAll(err.Error(), "\n", "; "))
 			return
 		}
-		t.Set(tree)
+		t.SetTree(tree)
 		t.stats.Add("topology_reloads_total", 1)
 		t.log.Info("topology read", "file", path, "blocks", len(tree.Blocks()))
 	})
--- a/internal/scheduler/topologytracker/view.go
+++ b/internal/scheduler/topologytracker/view.go
@@ -110,6 +110,6 @@
 	for _, b := range blocks {
 		common = v.tree.Common(common, b)
 	}
-	g.Block, g.Cost = v.tree.Path(common), v.tree.CostOf(blocks, counts).Stated()
+	g.Block, g.Cost = v.tree.Path(common), v.tree.PlacementCost(blocks, counts).FileUnits()
 	v.view.Gangs = append(v.view.Gangs, g)
 }
--- a/internal/server/api/responses.go
+++ b/internal/server/api/responses.go
@@ -98,7 +98,7 @@
 func (s *Server) workflowErrorResponse(err error) *http1.Response {
 	var problems cwl.Problems
 	switch {
-	case errors.Is(err, runner.ErrNoWorkflows):
+	case errors.Is(err, runner.ErrDisabled):
 		return errorResponse(404, err)
 	case errors.Is(err, runner.ErrNotFailed):
 		return errorResponse(409, err)
--- a/internal/server/completions.go
+++ b/internal/server/completions.go
@@ -45,7 +45,7 @@
 // completes, or they are not loaded, or they may be too old to contain that claim. The caller must hold the
 // cache lock.
 func (s *HeartbeatServer) MayLackCompletion(done peer.Completion) bool {
-	return !s.Cache.SyncedWithin(time.Now(), settings.StartContact) || completion.Claimed(s.records(), done)
+	return !s.Cache.SyncedWithin(time.Now(), settings.StartContact) || completion.HasClaim(s.records(), done)
 }
 
 // observeExits logs and counts the exits that a heartbeat proves, and passes them to the trackers of failures,
@@ -59,24 +59,24 @@
 		s.stats.Add("exits_total", 1)
 		switch exit.Cause {
 		case wire.CauseDone:
-			s.Failures.Completed(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.RunTime, now)
+			s.Failures.RecordCompletion(job, exit.Task, w.ID, s.Topology.BlockOf(w), exit.RunTime, now)
 			if exit.Held.Epoch == w.Epoch {
 				images.RecordUse(job.Spec.Image, job.Spec.ImageGB)
 			} else {
 				s.stats.Add("completions_recalled_total", 1)
 			}
 		case wire.CauseError:
-			s.Failures.Failed(job, exit.Task, w.ID, s.Topology.BlockOf(w), now)
+			s.Failures.RecordFailure(job, exit.Task, w.ID, s.Topology.BlockOf(w), now)
 		case wire.CauseInsufficientRoom:
 			w.CordonedUntil = now.Add(2 * s.set.Cluster.Workers.Report.Duration())
 		case wire.CauseBusy:
-			s.Failures.Avoid(job.ID, w.ID, now)
+			s.Failures.AvoidMachine(job.ID, w.ID, now)
 		case wire.CauseNotFound:
-			s.Failures.Retry(job.ID, now.Add(notFoundBackoff))
+			s.Failures.SetRetryTime(job.ID, now.Add(notFoundBackoff))
 		case wire.CauseGangPeerLost:
 			s.Topology.ObservePartition(job, exit.Held.Attempt, now)
 		case wire.CauseGangIncomplete:
-			s.Failures.Retry(job.ID, now.Add(gangIncompleteBackoff))
+			s.Failures.SetRetryTime(job.ID, now.Add(gangIncompleteBackoff))
 		case wire.CausePreempted:
 			// No tracker is involved: the records already cause the job to be placed again.
 		}
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -64,8 +64,8 @@
 // unavailable is the answer of a controller that may not command the worker now.
 var unavailable = HeartbeatAnswer{Status: statusUnavailable}
 
-// HeartbeatServerDeps are the components that a HeartbeatServer uses.
-type HeartbeatServerDeps struct {
+// HeartbeatServerDependencies are the components that a HeartbeatServer uses.
+type HeartbeatServerDependencies struct {
 	Cache       *watchcache.Cache
 	Committer   *committer.Committer
 	Membership  *membership.Membership
@@ -80,7 +80,7 @@
 // HeartbeatServer answers the heartbeats of workers.
 type HeartbeatServer struct {
 	set *settings.Settings
-	HeartbeatServerDeps
+	HeartbeatServerDependencies
 	stats *metrics.Set
 	log   *slog.Logger
 
@@ -92,11 +92,11 @@
 // NewHeartbeatServer returns a server for workers' heartbeats.
 func NewHeartbeatServer(
 	set *settings.Settings,
-	p HeartbeatServerDeps,
+	p HeartbeatServerDependencies,
 	stats *metrics.Set,
 	log *slog.Logger,
 ) *HeartbeatServer {
-	return &HeartbeatServer{set: set, HeartbeatServerDeps: p, stats: stats, log: log}
+	return &HeartbeatServer{set: set, HeartbeatServerDependencies: p, stats: stats, log: log}
 }
 
 // records returns the replicated records. The caller must hold the cache lock while using them.
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -30,8 +30,8 @@
 // loadWait is how long a submission waits for a controller that has just started to load its records.
 const loadWait = time.Second
 
-// JobServerDeps are the components that a JobServer uses.
-type JobServerDeps struct {
+// JobServerDependencies are the components that a JobServer uses.
+type JobServerDependencies struct {
 	Cache     *watchcache.Cache
 	Committer *committer.Committer
 	Policies  *policymanager.Manager
@@ -44,14 +44,14 @@
 // and the user should retry.
 type JobServer struct {
 	set *settings.Settings
-	JobServerDeps
+	JobServerDependencies
 	stats *metrics.Set
 	log   *slog.Logger
 }
 
 // NewJobServer returns a server for users' requests.
-func NewJobServer(set *settings.Settings, p JobServerDeps, stats *metrics.Set, log *slog.Logger) *JobServer {
-	return &JobServer{set: set, JobServerDeps: p, stats: stats, log: log}
+func NewJobServer(set *settings.Settings, p JobServerDependencies, stats *metrics.Set, log *slog.Logger) *JobServer {
+	return &JobServer{set: set, JobServerDependencies: p, stats: stats, log: log}
 }
 
 // records returns the replicated records. The caller must hold the cache lock while using them.
--- a/internal/server/rebalance.go
+++ b/internal/server/rebalance.go
@@ -34,7 +34,7 @@
 		theirs := 0
 		peer := s.Membership.Peer(id)
 		for i := range peer.Status.Machines {
-			if peer.Status.Machines[i].AgeMS < recent.Milliseconds() {
+			if peer.Status.Machines[i].HeartbeatAgeMS < recent.Milliseconds() {
 				theirs++
 			}
 		}
--- a/internal/server/rebalance_test.go
+++ b/internal/server/rebalance_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	p := controllertest.New(t, 0)
 	watchcache.SetStateForTest(t, p.Cache, 1, time.Now())
-	parts := HeartbeatServerDeps{
+	parts := HeartbeatServerDependencies{
 		Cache:       p.Cache,
 		Committer:   p.Committer,
 		Membership:  p.Membership,
--- a/internal/state/archive/example_test.go
+++ b/internal/state/archive/example_test.go
@@ -10,17 +10,17 @@
 func ExampleFilter() {
 	// The leader archives two jobs, which updates the stored page of the filter.
 	const valueBytes = 4096
-	pages, _ := archive.FirstPage().With([]string{"wk-000001", "wk-000002"}, valueBytes)
+	pages, _ := archive.EmptyPage().With([]string{"wk-000001", "wk-000002"}, valueBytes)
 
 	// Another controller reads that page while a third job is archived.
 	var filter archive.Filter
-	since := filter.Added()
+	since := filter.Additions()
 	filter.Add("wk-000003")
 	filter.Put(pages[0], 7, since)
 
 	for _, job := range []string{"wk-000001", "wk-000003", "wk-000004"} {
 		page, _ := filter.Page(job)
-		fmt.Println(job, "may be archived:", page.MayHold(job))
+		fmt.Println(job, "may be archived:", page.MayContain(job))
 	}
 	// Output:
 	// wk-000001 may be archived: true
--- a/internal/state/archive/filter.go
+++ b/internal/state/archive/filter.go
@@ -60,8 +60,8 @@
 	return nil, 0
 }
 
-// Pages returns the number of cached pages.
-func (f *Filter) Pages() int { return len(f.pages) }
+// PageCount returns the number of cached pages.
+func (f *Filter) PageCount() int { return len(f.pages) }
 
 // Add adds the name of an archived job or workflow.
 func (f *Filter) Add(name string) {
@@ -75,9 +75,9 @@
 	}
 }
 
-// Added returns the number of names added so far. Callers read it before they read a page from the
+// Additions returns the number of names added so far. Callers read it before they read a page from the
 // state service, and pass it to Put.
-func (f *Filter) Added() uint64 { return f.added }
+func (f *Filter) Additions() uint64 { return f.added }
 
 // Put caches a page that was read or written, and evicts the pages that it overlaps. since is the result
 // of Additions before the read: names added later may be missing in the page, and Put adds them to its
@@ -87,7 +87,7 @@
 	if missing > uint64(len(f.recent)) {
 		return false
 	}
-	f.Drop(p)
+	f.DropOverlapping(p)
 	p = p.clone()
 	for _, name := range f.recent[len(f.recent)-int(missing):] {
 		if p.Covers(name) {
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Drop evicts the cached pages that overlap a page.
-func (f *Filter) Drop(p *Page) {
+// DropOverlapping evicts the cached pages that overlap a page.
+func (f *Filter) DropOverlapping(p *Page) {
 	f.pages = slices.DeleteFunc(f.pages, func(cached cachedPage) bool {
 		return cached.Low <= p.High && p.Low <= cached.High
 	})
--- a/internal/state/archive/filter_test.go
+++ b/internal/state/archive/filter_test.go
@@ -27,7 +27,7 @@
 
 // page returns the page that covers an ID.
 func (s pageStore) page(id string) *Page {
-	best := FirstPage()
+	best := EmptyPage()
 	for name, p := range s {
 		if name >= PageName(Position(id)) && name <= best.Name() {
 			best = p
@@ -84,11 +84,11 @@
 		// A controller's copy, which it loads one page at a time.
 		var f Filter
 		contains := func(id string) bool {
-			if p, _ := f.Page(id); p == nil && !f.Put(s.page(id), 1, f.Added()) {
+			if p, _ := f.Page(id); p == nil && !f.Put(s.page(id), 1, f.Additions()) {
 				t.Fatal("Put rejected a page")
 			}
 			p, _ := f.Page(id)
-			return p.MayHold(id)
+			return p.MayContain(id)
 		}
 		for _, id := range names(0, tc.ids) {
 			if !contains(id) {
@@ -105,8 +105,8 @@
 			t.Errorf("%d IDs in values of %d bytes: false positive rate %.4f, want at most %.4f",
 				tc.ids, tc.valueBytes, got, tc.maxFalsePositives)
 		}
-		if f.Pages() != max(1, len(s)) {
-			t.Errorf("%d pages cached, %d stored", f.Pages(), len(s))
+		if f.PageCount() != max(1, len(s)) {
+			t.Errorf("%d pages cached, %d stored", f.PageCount(), len(s))
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func TestFullFilter(t *testing.T) {
 	const valueBytes = 4096
 	minRange := uint32(lastPosition+1) / (maxFilterBytes / valueBytes)
-	p := &Page{0, minRange - 1, 0, FirstPage().bitmap}
+	p := &Page{0, minRange - 1, 0, EmptyPage().bitmap}
 	var ids []string
 	for i := 0; len(ids) < 6000; i++ {
 		if id := fmt.Sprintf("wk-%09d", i); p.Covers(id) {
@@ -131,7 +131,7 @@
 		}
 		p = roundTrip(t, pages[0], valueBytes)
 		for _, id := range ids[:n] {
-			if !p.MayHold(id) {
+			if !p.MayContain(id) {
 				t.Fatalf("no match for %s, which was added", id)
 			}
 		}
@@ -146,26 +146,26 @@
 // Put rejects the page if the filter no longer retains all of these IDs.
 func TestAddedWhileRead(t *testing.T) {
 	var f Filter
-	since := f.Added()
+	since := f.Additions()
 	for _, id := range names(0, 50) {
 		f.Add(id)
 	}
-	if !f.Put(FirstPage(), 0, since) {
+	if !f.Put(EmptyPage(), 0, since) {
 		t.Fatal("Put rejected the page")
 	}
 	for _, id := range names(0, 50) {
-		if p, _ := f.Page(id); !p.MayHold(id) {
+		if p, _ := f.Page(id); !p.MayContain(id) {
 			t.Errorf("no match for %s, which was added during the read", id)
 		}
 	}
-	since = f.Added()
+	since = f.Additions()
 	for _, id := range names(100, 3*minRecentNames) {
 		f.Add(id)
 	}
-	if f.Put(FirstPage(), 1, since) {
+	if f.Put(EmptyPage(), 1, since) {
 		t.Error("Put accepted a page although names added since its read are no longer retained")
 	}
-	if p, _ := f.Page("wk-000000149"); p == nil || !p.MayHold("wk-000000149") {
+	if p, _ := f.Page("wk-000000149"); p == nil || !p.MayContain("wk-000000149") {
 		t.Error("the page cached before lacks a name added since")
 	}
 }
--- a/internal/state/archive/page.go
+++ b/internal/state/archive/page.go
@@ -38,8 +38,8 @@
 // Name returns the page's name.
 func (p *Page) Name() string { return PageName(p.High) }
 
-// FirstPage returns the page of an empty filter, which covers all positions.
-func FirstPage() *Page { return &Page{High: lastPosition, bitmap: roaring.New()} }
+// EmptyPage returns the page of an empty filter, which covers all positions.
+func EmptyPage() *Page { return &Page{High: lastPosition, bitmap: roaring.New()} }
 
 // pageRecord is the stored form of a Page.
 type pageRecord struct {
@@ -101,9 +101,9 @@
 	return p.Low <= position && position <= p.High
 }
 
-// MayHold reports whether a name that the page covers may be archived. It has no false negatives and few
+// MayContain reports whether a name that the page covers may be archived. It has no false negatives and few
 // false positives.
-func (p *Page) MayHold(name string) bool { return p.bitmap.Contains(Position(name) >> p.Shift) }
+func (p *Page) MayContain(name string) bool { return p.bitmap.Contains(Position(name) >> p.Shift) }
 
 // maxEncodedSize returns an upper bound of the size of the encoded page: the bitmap in base64 and the
 // other fields.
--- a/internal/state/archive/series.go
+++ b/internal/state/archive/series.go
@@ -45,9 +45,9 @@
 	return s, err
 }
 
-// Span is the number of machine numbers in one part of a series. The bitmap of a part takes little more
+// PartSize is the number of machine numbers in one part of a series. The bitmap of a part takes little more
 // than a kilobyte, whichever of its machines are terminated.
-const Span = 8192
+const PartSize = 8192
 
 // PartID identifies a part of a series: the machine numbers from Number*PartSize up to, but not
 // including, (Number+1)*PartSize.
@@ -77,5 +77,5 @@
 // PartOfMachine returns the part that a machine belongs to; ok is false if its name is in no series.
 func PartOfMachine(name string) (id PartID, ok bool) {
 	s, n, ok := SplitName(name)
-	return PartID{s, n / Span}, ok
+	return PartID{s, n / PartSize}, ok
 }
--- a/internal/state/archive/terminated.go
+++ b/internal/state/archive/terminated.go
@@ -49,27 +49,27 @@
 	return MachineNumbers{changed}
 }
 
-// Head is the summary of a series that is stored besides its parts. It is written whenever machines of
+// SeriesHead is the summary of a series that is stored besides its parts. It is written whenever machines of
 // the series are added, so its version changes together with that of each part.
-type Head struct {
-	Gone  int            `json:"n"` // number of terminated machines in all parts, complete or not
-	Whole MachineNumbers `json:"w"` // numbers of the parts all of whose machines are terminated
+type SeriesHead struct {
+	MachineCount  int            `json:"n"` // number of terminated machines in all parts, complete or not
+	CompleteParts MachineNumbers `json:"w"` // numbers of the parts all of whose machines are terminated
 }
 
 // TerminatedMachines is the set of terminated machines, grouped by series and part. It can't contain
 // machines whose names belong to no series.
 type TerminatedMachines struct {
-	heads map[Series]Head
+	heads map[Series]SeriesHead
 	parts map[PartID]MachineNumbers // incomplete parts only
 }
 
 // NewTerminatedMachines returns an empty set.
 func NewTerminatedMachines() *TerminatedMachines {
-	return &TerminatedMachines{map[Series]Head{}, map[PartID]MachineNumbers{}}
+	return &TerminatedMachines{map[Series]SeriesHead{}, map[PartID]MachineNumbers{}}
 }
 
 // SetHead replaces the head of a series.
-func (t *TerminatedMachines) SetHead(s Series, h Head) { t.heads[s] = h }
+func (t *TerminatedMachines) SetHead(s Series, h SeriesHead) { t.heads[s] = h }
 
 // SetPart replaces a part; an empty one is removed.
 func (t *TerminatedMachines) SetPart(id PartID, numbers MachineNumbers) {
@@ -89,18 +89,18 @@
 	if !ok {
 		return false
 	}
-	if h := t.heads[s]; h.Whole.numbers != nil && h.Whole.numbers.Contains(n/Span) {
+	if h := t.heads[s]; h.CompleteParts.numbers != nil && h.CompleteParts.numbers.Contains(n/PartSize) {
 		return true
 	}
-	part, ok := t.parts[PartID{s, n / Span}]
-	return ok && part.numbers.Contains(n%Span)
+	part, ok := t.parts[PartID{s, n / PartSize}]
+	return ok && part.numbers.Contains(n%PartSize)
 }
 
 // Count returns the number of machines in the set.
 func (t *TerminatedMachines) Count() int {
 	n := 0
 	for _, h := range t.heads {
-		n += h.Gone
+		n += h.MachineCount
 	}
 	return n
 }
@@ -108,29 +108,29 @@
 // With returns the replacements for a part and the head of its series when machines of that part are
 // added. It does not modify the set. A part that becomes complete is returned as empty and listed in
 // the head's CompleteParts.
-func (t *TerminatedMachines) With(id PartID, names []string) (Head, MachineNumbers) {
+func (t *TerminatedMachines) With(id PartID, names []string) (SeriesHead, MachineNumbers) {
 	head, part := t.heads[id.Series], t.parts[id]
 	before := part.Len()
 	var numbers []uint32
 	for _, name := range names {
-		if s, n, ok := SplitName(name); ok && s == id.Series && n/Span == id.Number {
-			numbers = append(numbers, n%Span)
+		if s, n, ok := SplitName(name); ok && s == id.Series && n/PartSize == id.Number {
+			numbers = append(numbers, n%PartSize)
 		}
 	}
 	part = part.with(numbers...)
-	head.Gone += part.Len() - before
-	head.Whole = head.Whole.with()
-	if part.Len() == Span {
-		head.Whole, part = head.Whole.with(id.Number), MachineNumbers{}
+	head.MachineCount += part.Len() - before
+	head.CompleteParts = head.CompleteParts.with()
+	if part.Len() == PartSize {
+		head.CompleteParts, part = head.CompleteParts.with(id.Number), MachineNumbers{}
 	}
 	return head, part
 }
 
 // Head returns the head of a series.
-func (t *TerminatedMachines) Head(s Series) Head { return t.heads[s] }
+func (t *TerminatedMachines) Head(s Series) SeriesHead { return t.heads[s] }
 
 // Part returns the number of machines stored in a part, and whether the part is complete. A complete part
 // is stored as a number in the head of its series and has no machines stored itself.
 func (t *TerminatedMachines) Part(id PartID) (n int, complete bool) {
-	return t.parts[id].Len(), t.heads[id.Series].Whole.bitmap().Contains(id.Number)
+	return t.parts[id].Len(), t.heads[id.Series].CompleteParts.bitmap().Contains(id.Number)
 }
--- a/internal/state/archive/terminated_test.go
+++ b/internal/state/archive/terminated_test.go
@@ -11,7 +11,7 @@
 func randomMachine(rng *rand.Rand) string {
 	switch rng.IntN(3) {
 	case 0:
-		return fmt.Sprintf("host-%06d", rng.IntN(3*Span))
+		return fmt.Sprintf("host-%06d", rng.IntN(3*PartSize))
 	case 1:
 		return fmt.Sprintf("host-%d", rng.IntN(30))
 	}
@@ -42,9 +42,9 @@
 		addStored(t, set, name)
 		want[name] = true
 	}
-	complete := make([]string, 0, Span)
-	for i := range Span {
-		name := fmt.Sprintf("host-%06d", Span+i)
+	complete := make([]string, 0, PartSize)
+	for i := range PartSize {
+		name := fmt.Sprintf("host-%06d", PartSize+i)
 		complete = append(complete, name)
 		want[name] = true
 	}
@@ -69,7 +69,7 @@
 
 // FuzzRecords checks that no stored bytes cause a panic, and that a decoded page can be encoded again.
 func FuzzRecords(f *testing.F) {
-	pages, _ := FirstPage().With(names(0, 3), 4096)
+	pages, _ := EmptyPage().With(names(0, 3), 4096)
 	p, _ := json.Marshal(pages[0])
 	_, s := NewTerminatedMachines().With(PartID{Series{"host-", 6}, 0}, []string{"host-000007"})
 	set, _ := json.Marshal(s)
@@ -79,12 +79,12 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var page Page
 		if json.Unmarshal(in, &page) == nil && page.bitmap != nil {
-			page.MayHold("wk-000001")
+			page.MayContain("wk-000001")
 			roundTrip(t, &page, 1<<30)
 		}
-		var h Head
+		var h SeriesHead
 		if json.Unmarshal(in, &h) == nil {
-			h.Whole.Len()
+			h.CompleteParts.Len()
 		}
 		var set MachineNumbers
 		if json.Unmarshal(in, &set) == nil {
--- a/internal/state/archiver/archiver.go
+++ b/internal/state/archiver/archiver.go
@@ -43,8 +43,8 @@
 	Read(f func(l *ledger.Ledger))
 	// Leading reports whether this controller is the leader, as of its last sync.
 	Leading() bool
-	// AllRead reports whether every controller has declared that it can read a format of the records.
-	AllRead(format int) bool
+	// AllSupportFormat reports whether every controller has declared that it can read a format of the records.
+	AllSupportFormat(format int) bool
 	// SpareCapacity returns how many changes a transaction may contain now without delaying other
 	// work, 0 if none.
 	SpareCapacity() int
@@ -54,20 +54,20 @@
 
 // Options are the settings of an Archiver.
 type Options struct {
-	Archive    bool          // move jobs, workflows and machines; lookups work regardless
-	KeptJobs   int           // number of finished jobs, and of finished workflows, to keep in the records
-	Settle     time.Duration // delay after a format upgrade before anything is moved
-	FormatUpTo int           // newest format to upgrade the records to; 0 means the newest known
-	SweepAfter int           // terminated machines of one part from which on they are compacted; 0 means minCompacted
-	TxnOps     int           // maximum number of changes in a transaction
-	Requests   float64       // state service requests per second available to this controller
-	Changes    float64       // changes per second available to all controllers together
+	Enabled      bool          // move jobs, workflows and machines; lookups work regardless
+	KeptJobs     int           // number of finished jobs, and of finished workflows, to keep in the records
+	SettlePeriod time.Duration // delay after a format upgrade before anything is moved
+	FormatUpTo   int           // newest format to upgrade the records to; 0 means the newest known
+	MinCompacted int           // terminated machines of one part from which on they are compacted; 0 means minCompacted
+	TxnOps       int           // maximum number of changes in a transaction
+	Requests     float64       // state service requests per second available to this controller
+	Changes      float64       // changes per second available to all controllers together
 }
 
 const (
 	// runInterval is the delay between iterations of Run.
 	runInterval = time.Second
-	// changeShare is the fraction of Options.Changes that moving uses when nothing else needs it.
+	// changeShare is the fraction of Options.WriteRate that moving uses when nothing else needs it.
 	changeShare = 0.25
 	// minTxnChanges is the smallest transaction limit with which archiving works: a job's record,
 	// its final state, and the changes that split a page of the filter.
@@ -90,7 +90,7 @@
 
 // New returns an Archiver. It moves nothing until Run is called.
 func New(host Host, store kvstore.Store, opt Options, stats *metrics.Set, log *slog.Logger) *Archiver {
-	opt.SweepAfter = cmp.Or(opt.SweepAfter, minCompacted)
+	opt.MinCompacted = cmp.Or(opt.MinCompacted, minCompacted)
 	reader := newArchiveReader(host, store, opt.Requests, stats)
 	return &Archiver{
 		host:   host,
@@ -102,7 +102,7 @@
 			reader:  reader,
 			stats:   stats,
 			log:     log,
-			backlog: backlog{keptCount: opt.KeptJobs, minCompacted: opt.SweepAfter, log: log},
+			backlog: backlog{keptCount: opt.KeptJobs, minCompacted: opt.MinCompacted, log: log},
 		},
 	}
 }
@@ -143,7 +143,7 @@
 		if format.Format < SupportedFormat(a.opt.FormatUpTo) {
 			a.upgradeFormat(ctx, time.Now())
 		}
-		archives := a.opt.Archive && a.opt.TxnOps >= minTxnChanges
+		archives := a.opt.Enabled && a.opt.TxnOps >= minTxnChanges
 		if archives && format.Format >= ledger.ArchiveFormat && a.settled(format) {
 			a.moveAll(ctx)
 		}
@@ -155,7 +155,7 @@
 // controller of a version without the archive may be applied late, and is not conditioned on the
 // archive.
 func (a *Archiver) settled(format ledger.FormatRecord) bool {
-	return format.NoOlderWriters || !time.Now().Before(time.UnixMilli(int64(format.At)).Add(a.opt.Settle))
+	return format.NoOlderWriters || !time.Now().Before(time.UnixMilli(int64(format.At)).Add(a.opt.SettlePeriod))
 }
 
 // moveAll commits moves, one transaction at a time and at the rate given by changeShare, until nothing
@@ -186,7 +186,7 @@
 // that it can read it.
 func (a *Archiver) upgradeFormat(ctx context.Context, now time.Time) {
 	to := SupportedFormat(a.opt.FormatUpTo)
-	if !a.host.AllRead(to) {
+	if !a.host.AllSupportFormat(to) {
 		return
 	}
 	var request wire.Txn
--- a/internal/state/archiver/archiver_test.go
+++ b/internal/state/archiver/archiver_test.go
@@ -18,7 +18,7 @@
 	"maddermill/wire"
 )
 
-var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 12, TxnBytes: kvstore.TxnBytes}
+var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 12, TxnBytes: kvstore.MaxTxnBytes}
 
 // testHost implements Host as a leader without other work.
 type testHost struct {
@@ -53,9 +53,9 @@
 	f(h.records)
 }
 
-func (h *testHost) Leading() bool      { return h.leading }
-func (h *testHost) AllRead(int) bool   { return h.allRead }
-func (h *testHost) SpareCapacity() int { return limits.TxnOps }
+func (h *testHost) Leading() bool             { return h.leading }
+func (h *testHost) AllSupportFormat(int) bool { return h.allRead }
+func (h *testHost) SpareCapacity() int        { return limits.TxnOps }
 
 func (h *testHost) Commit(_ context.Context, t wire.Txn) (wire.Revision, error) {
 	h.mu.Lock()
@@ -143,12 +143,12 @@
 
 // testOptions are options that keep two finished jobs in the records.
 var testOptions = Options{
-	Archive:    true,
-	KeptJobs:   2,
-	SweepAfter: 10,
-	TxnOps:     limits.TxnOps,
-	Requests:   100,
-	Changes:    100,
+	Enabled:      true,
+	KeptJobs:     2,
+	MinCompacted: 10,
+	TxnOps:       limits.TxnOps,
+	Requests:     100,
+	Changes:      100,
 }
 
 // archivedKeys returns how many jobs are in the archive.
@@ -210,11 +210,11 @@
 		change func(*testHost, *Options)
 	}{
 		{"not leading", func(h *testHost, _ *Options) { h.leading = false }},
-		{"disabled", func(_ *testHost, opt *Options) { opt.Archive = false }},
+		{"disabled", func(_ *testHost, opt *Options) { opt.Enabled = false }},
 		{"small transactions", func(_ *testHost, opt *Options) { opt.TxnOps = minTxnChanges - 1 }},
 		{"an older controller", func(h *testHost, _ *Options) { h.allRead = false }},
 		{"an older format", func(_ *testHost, opt *Options) { opt.FormatUpTo = ledger.OldestFormat }},
-		{"not settled", func(_ *testHost, opt *Options) { opt.Settle = time.Hour }},
+		{"not settled", func(_ *testHost, opt *Options) { opt.SettlePeriod = time.Hour }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/state/archiver/filter.go
+++ b/internal/state/archiver/filter.go
@@ -75,7 +75,7 @@
 // readPage reads the filter page that contains a position and adds it to the records, unless they were
 // reloaded meanwhile. since is the result of FilterAdditions from before the read.
 func (r *archiveReader) readPage(ctx context.Context, position uint32, records *ledger.Ledger, since uint64) error {
-	page, version := archive.FirstPage(), wire.Revision(0)
+	page, version := archive.EmptyPage(), wire.Revision(0)
 	list, err := rateLimited(ctx, r, func(ctx context.Context) (wire.ItemPage, error) {
 		return r.store.List(ctx, ledger.FilterPrefix, ledger.FilterKey(position), 1)
 	})
--- a/internal/state/backup/backup_test.go
+++ b/internal/state/backup/backup_test.go
@@ -20,7 +20,7 @@
 	"maddermill/wire"
 )
 
-var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: kvstore.TxnBytes,
+var limits = ledger.Limits{ValueBytes: 2048, TxnOps: 8, TxnBytes: kvstore.MaxTxnBytes,
 	TeamMax: map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)}}
 
 // fixture is a state service with machines and jobs, some of which are finished or archived.
@@ -113,7 +113,7 @@
 		f.commit(func(txn *ledger.Transaction) error { _, err := txn.Cancel(f.records.Job(id)); return err })
 		if f.next%3 == 0 {
 			if !f.records.FilterPageKnown(string(id)) {
-				f.records.PutFilterPage(archive.FirstPage(), 0, f.records.FilterAdditions())
+				f.records.PutFilterPage(archive.EmptyPage(), 0, f.records.FilterAdditions())
 			}
 			var archived *ledger.Transaction
 			f.commit(func(txn *ledger.Transaction) error {
--- a/internal/state/backup/earlier_test.go
+++ b/internal/state/backup/earlier_test.go
@@ -52,7 +52,7 @@
 	for _, item := range store.Items() {
 		continued.records.Apply(ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version})
 		if strings.HasPrefix(item.Key, ledger.FilterPrefix) {
-			page := archive.FirstPage()
+			page := archive.EmptyPage()
 			if err := json.Unmarshal(item.Value, page); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/state/backup/export.go
+++ b/internal/state/backup/export.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// Pages reads all records with a prefix at one revision, while they may change. It calls base with
+// ReadAll reads all records with a prefix at one revision, while they may change. It calls base with
 // every page of records, and changed with the changes that were made while the pages were read, in
 // order. Together they are the records at the returned revision: the value of a key is that of its last
 // change or, without a change, the one passed to base. Keys that only describe the running controllers
 // (those with a lease, and transient ones) are omitted.
-func Pages(
+func ReadAll(
 	ctx context.Context,
 	s Source,
 	prefix string,
@@ -104,14 +104,14 @@
 }
 
 // Export writes all records at one revision to w.
-func Export(ctx context.Context, s Source, w io.Writer, now time.Time) (End, error) {
+func Export(ctx context.Context, s Source, w io.Writer, now time.Time) (Trailer, error) {
 	out, err := newStreamWriter(w)
 	if err != nil {
-		return End{}, err
+		return Trailer{}, err
 	}
-	revision, err := Pages(ctx, s, ledger.AllPrefix, out.writeBase, out.writeChanges)
+	revision, err := ReadAll(ctx, s, ledger.AllPrefix, out.writeBase, out.writeChanges)
 	if err != nil {
-		return End{}, err
+		return Trailer{}, err
 	}
 	return out.close(revision, wire.UnixMillis(now.UnixMilli()))
 }
--- a/internal/state/backup/import.go
+++ b/internal/state/backup/import.go
@@ -17,7 +17,7 @@
 
 // CheckExport reads a whole export and returns its trailer. If the export is damaged or incomplete, the
 // error is a *DamagedError with the position of the damage.
-func CheckExport(r io.Reader) (End, error) { return decode(r, func(frame) error { return nil }) }
+func CheckExport(r io.Reader) (Trailer, error) { return decode(r, func(frame) error { return nil }) }
 
 // ErrNotEmpty is wrapped by errors of Import if the state service contains records that are not from the
 // same export.
@@ -42,7 +42,7 @@
 // is continued by calling Import again with the same file. Import only creates keys and, at the end,
 // deletes its own marker. Revisions restart in the new state service, so the format record gets a new
 // era, which is derived from now.
-func Import(ctx context.Context, file io.ReadSeeker, s Target, limits ledger.Limits, now time.Time) (End, error) {
+func Import(ctx context.Context, file io.ReadSeeker, s Target, limits ledger.Limits, now time.Time) (Trailer, error) {
 	changed, end, err := readChanges(file)
 	if err != nil {
 		return end, err
@@ -76,7 +76,7 @@
 
 // readChanges reads a whole export and returns the last value, nil if deleted, of each key that changed
 // during the export. These are few; the other records are not held in memory.
-func readChanges(file io.Reader) (map[string][]byte, End, error) {
+func readChanges(file io.Reader) (map[string][]byte, Trailer, error) {
 	changed := map[string][]byte{}
 	end, err := decode(file, func(f frame) error {
 		for _, r := range f.Changes {
--- a/internal/state/backup/stream.go
+++ b/internal/state/backup/stream.go
@@ -43,11 +43,11 @@
 type frame struct {
 	Base    []Record `cbor:"1,keyasint,omitempty"`
 	Changes []Record `cbor:"2,keyasint,omitempty"`
-	Trailer *End     `cbor:"3,keyasint,omitempty"`
+	Trailer *Trailer `cbor:"3,keyasint,omitempty"`
 }
 
-// End is the trailer of a stream.
-type End struct {
+// Trailer is the trailer of a stream.
+type Trailer struct {
 	Revision wire.Revision   `cbor:"1,keyasint"` // revision of the records
 	At       wire.UnixMillis `cbor:"2,keyasint"` // time of the export
 	Base     int             `cbor:"3,keyasint"` // number of records from pages
@@ -72,7 +72,7 @@
 	out        io.Writer
 	compressor *zstd.Encoder
 	checksum   *xxhash.Digest // of all headers
-	trailer    End
+	trailer    Trailer
 }
 
 // newStreamWriter writes the magic number and returns a writer for the frames.
@@ -108,40 +108,40 @@
 }
 
 // close writes the trailer and returns it.
-func (w *streamWriter) close(revision wire.Revision, at wire.UnixMillis) (End, error) {
+func (w *streamWriter) close(revision wire.Revision, at wire.UnixMillis) (Trailer, error) {
 	w.trailer.Revision, w.trailer.At, w.trailer.Sum = revision, at, w.checksum.Sum64()
 	return w.trailer, w.write(frame{Trailer: &w.trailer})
 }
 
 // decode calls visit for every frame of a stream except the trailer, which it returns. The error is
 // a *DamagedError if the stream is damaged or incomplete, or the error returned by visit.
-func decode(in io.Reader, visit func(frame) error) (End, error) {
+func decode(in io.Reader, visit func(frame) error) (Trailer, error) {
 	decompressor, err := zstd.NewReader(
 		nil,
 		zstd.WithDecoderMaxMemory(maxFrameBytes),
 		zstd.WithDecoderConcurrency(1),
 	)
 	if err != nil {
-		return End{}, err
+		return Trailer{}, err
 	}
 	defer decompressor.Close()
 	r := &streamReader{in: bufio.NewReader(in), decompressor: decompressor, checksum: xxhash.New()}
 	if err := r.readMagic(); err != nil {
-		return End{}, err
+		return Trailer{}, err
 	}
 	for {
 		f, err := r.next()
 		if err != nil {
-			return End{}, err
+			return Trailer{}, err
 		}
 		if f.Trailer != nil {
 			if err := r.expectEOF(); err != nil {
-				return End{}, err
+				return Trailer{}, err
 			}
 			return *f.Trailer, nil
 		}
 		if err := visit(f); err != nil {
-			return End{}, err
+			return Trailer{}, err
 		}
 	}
 }
--- a/internal/state/backup/verify.go
+++ b/internal/state/backup/verify.go
@@ -16,11 +16,11 @@
 
 // Report is the result of Verify.
 type Report struct {
-	Revision wire.Revision
-	Records  int              // number of records on the pages, including archived ones
-	Archived int              // number of archived jobs and workflows
-	Problems []ledger.Problem // the first maxProblems
-	More     int              // number of problems beyond those
+	Revision        wire.Revision
+	Records         int              // number of records on the pages, including archived ones
+	Archived        int              // number of archived jobs and workflows
+	Problems        []ledger.Problem // the first maxProblems
+	OmittedProblems int              // number of problems beyond those
 }
 
 // maxProblems limits the problems listed in a report.
@@ -66,14 +66,14 @@
 		if len(v.report.Problems) < maxProblems {
 			v.report.Problems = append(v.report.Problems, p)
 		} else {
-			v.report.More++
+			v.report.OmittedProblems++
 		}
 	}
 }
 
 // readRecords reads all records and the archive at one revision.
 func (v *verifier) readRecords(ctx context.Context, s Source) error {
-	revision, err := Pages(ctx, s, ledger.AllPrefix, func(items []wire.Item) error {
+	revision, err := ReadAll(ctx, s, ledger.AllPrefix, func(items []wire.Item) error {
 		v.report.Records += len(items)
 		for _, item := range items {
 			v.visit(item.Key, item.Value, item.Version)
@@ -207,5 +207,5 @@
 		archive.Position(string(id)),
 		func(page *archive.Page, position uint32) int { return cmp.Compare(page.High, position) },
 	)
-	return i < len(f.ordered) && f.ordered[i].Covers(string(id)) && f.ordered[i].MayHold(string(id))
+	return i < len(f.ordered) && f.ordered[i].Covers(string(id)) && f.ordered[i].MayContain(string(id))
 }
--- a/internal/state/committer/budget.go
+++ b/internal/state/committer/budget.go
@@ -21,7 +21,7 @@
 // batchInterval returns how long changes are collected for a batch: the time in which the write budget
 // grows by one, but between 100 and 500 ms.
 func (c *Committer) batchInterval() time.Duration {
-	return time.Duration(float64(time.Second) / min(10, max(2, c.opt.Changes)))
+	return time.Duration(float64(time.Second) / min(10, max(2, c.opt.WriteRate)))
 }
 
 // minBatchWrites returns how many writes must be available for a batch. It is small: when the budget is
@@ -35,7 +35,7 @@
 // rateFraction returns the writes per second divided by divisor, limited to the possible sizes of a
 // transaction.
 func (c *Committer) rateFraction(divisor float64) int {
-	return max(minTxnWrites, min(c.opt.TxnOps, int(c.opt.Changes/divisor)))
+	return max(minTxnWrites, min(c.opt.TxnOps, int(c.opt.WriteRate/divisor)))
 }
 
 // reservedWrites returns how many writes best-effort changes leave in the budget, so that a start of other
--- a/internal/state/committer/committer.go
+++ b/internal/state/committer/committer.go
@@ -93,8 +93,8 @@
 
 // Options are the settings of a Committer.
 type Options struct {
-	Changes float64 // this controller's share of the state service's writes per second
-	TxnOps  int     // maximum number of writes of a transaction
+	WriteRate float64 // this controller's share of the state service's writes per second
+	TxnOps    int     // maximum number of writes of a transaction
 }
 
 // Committer makes one controller's changes durable. Run must be called once; all other methods may be called
--- a/internal/state/committer/committer_test.go
+++ b/internal/state/committer/committer_test.go
@@ -42,8 +42,8 @@
 // newCommitter returns a committer on a store whose transactions have at most ops writes, and the ledger
 // that it reads.
 func newCommitter(s *fakeStore, ops int) (*Committer, *ledger.Ledger) {
-	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: kvstore.TxnBytes})
-	opt := Options{Changes: 40.0 / 3, TxnOps: ops}
+	l := ledger.New(ledger.Limits{ValueBytes: 4096, TxnOps: ops, TxnBytes: kvstore.MaxTxnBytes})
+	opt := Options{WriteRate: 40.0 / 3, TxnOps: ops}
 	return New(opt, fixedRecords{l}, s, metrics.New(), slog.New(slog.DiscardHandler)), l
 }
 
--- a/internal/state/kvstore/store.go
+++ b/internal/state/kvstore/store.go
@@ -86,6 +86,6 @@
 	RenewLease(ctx context.Context, id wire.LeaseID) error
 }
 
-// TxnBytes is the maximum encoded size of a transaction: below the service's limit of 64 KiB, with room for
+// MaxTxnBytes is the maximum encoded size of a transaction: below the service's limit of 64 KiB, with room for
 // framing.
-const TxnBytes = 60 << 10
+const MaxTxnBytes = 60 << 10
--- a/internal/state/ledger/apply.go
+++ b/internal/state/ledger/apply.go
@@ -115,7 +115,7 @@
 	if err != nil || e.Version < index.headVersions[series] || e.Value == nil {
 		return err
 	}
-	var head archive.Head
+	var head archive.SeriesHead
 	if err := json.Unmarshal(e.Value, &head); err != nil {
 		return err
 	}
--- a/internal/state/ledger/archive_test.go
+++ b/internal/state/ledger/archive_test.go
@@ -179,7 +179,7 @@
 func (r *archiveRace) missing() int {
 	missing := 0
 	for _, id := range r.ids {
-		if p, _ := readPage(r.store, id); !p.Covers(string(id)) || !p.MayHold(string(id)) {
+		if p, _ := readPage(r.store, id); !p.Covers(string(id)) || !p.MayContain(string(id)) {
 			missing++
 		}
 	}
--- a/internal/state/ledger/claims_test.go
+++ b/internal/state/ledger/claims_test.go
@@ -132,7 +132,7 @@
 // for only thirty tasks, and claiming tasks for one machine took nine changes.
 func TestHugeArray(t *testing.T) {
 	const tasks = 5000
-	f := newFixture(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.TxnBytes})
+	f := newFixture(ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.MaxTxnBytes})
 	f.ledger.Apply(ledger.Event{Key: ledger.MachineTypeKey("g4"), Version: 1,
 		Value: []byte(`{"sku":"g4","cores":48,"accelerators":4,"ram_gb":288,"yards":["a","b"]}`)})
 	spec := arraySpec("wk-000001", tasks)
--- a/internal/state/ledger/division_test.go
+++ b/internal/state/ledger/division_test.go
@@ -17,9 +17,9 @@
 // usualLimits are the limits of a state service as earlier versions know them; loweredLimits are those after the
 // service lowered its limits, as the current version knows them.
 var (
-	usualLimits   = ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: kvstore.TxnBytes}
+	usualLimits   = ledger.Limits{ValueBytes: 32 << 10, TxnOps: 40, TxnBytes: kvstore.MaxTxnBytes}
 	loweredLimits = ledger.Limits{
-		ValueBytes: 2048, CurrentValueBytes: 32 << 10, TxnOps: 4, TxnBytes: kvstore.TxnBytes,
+		ValueBytes: 2048, CurrentValueBytes: 32 << 10, TxnOps: 4, TxnBytes: kvstore.MaxTxnBytes,
 	}
 )
 
--- a/internal/state/ledger/filter.go
+++ b/internal/state/ledger/filter.go
@@ -24,12 +24,12 @@
 		return false, true // nothing is archived in this format
 	}
 	p, _ := l.archived.filter.Page(name)
-	return p != nil && p.MayHold(name), p != nil
+	return p != nil && p.MayContain(name), p != nil
 }
 
 // FilterAdditions returns how many names were added to the filter as the ledger saw them archived. Call it
 // before reading a filter page from the store, and pass the result to PutFilterPage.
-func (l *Ledger) FilterAdditions() uint64 { return l.archived.filter.Added() }
+func (l *Ledger) FilterAdditions() uint64 { return l.archived.filter.Additions() }
 
 // PutFilterPage loads a filter page that was read from the store, and reports whether it did. From then on
 // the ledger adds the names that it sees archived. since is what FilterAdditions of the same ledger
@@ -41,7 +41,7 @@
 // DropFilterPage unloads the filter page of a name, so that it is read again.
 func (l *Ledger) DropFilterPage(name string) {
 	if p, _ := l.archived.filter.Page(name); p != nil {
-		l.archived.filter.Drop(p)
+		l.archived.filter.DropOverlapping(p)
 	}
 }
 
@@ -58,7 +58,7 @@
 }
 
 // CountFilterPages returns how many filter pages are loaded.
-func (l *Ledger) CountFilterPages() int { return l.archived.filter.Pages() }
+func (l *Ledger) CountFilterPages() int { return l.archived.filter.PageCount() }
 
 // addToFilter adds names, which must all belong to one page, to the filter. A page that grows too large is
 // split. It returns ErrFilterPageNotLoaded if the page is not loaded.
--- a/internal/state/ledger/helpers_test.go
+++ b/internal/state/ledger/helpers_test.go
@@ -18,7 +18,7 @@
 var limits = ledger.Limits{
 	ValueBytes: 2048,
 	TxnOps:     8,
-	TxnBytes:   kvstore.TxnBytes,
+	TxnBytes:   kvstore.MaxTxnBytes,
 	TeamMax:    map[wire.Team]ledger.Resources{"capped": ledger.NewResources(0, 4, 0)},
 }
 
@@ -58,7 +58,7 @@
 			return p, it.Version
 		}
 	}
-	return archive.FirstPage(), 0
+	return archive.EmptyPage(), 0
 }
 
 // readPages loads the filter pages of jobs into a ledger, unless they are already loaded.
--- a/internal/state/ledger/keys.go
+++ b/internal/state/ledger/keys.go
@@ -46,7 +46,7 @@
 	machineTypePrefix = Prefix + "f/" // wire.MachineType ("flavor"), by quoted name
 	workflowPrefix    = Prefix + "w/" // WorkflowRecord, by workflow
 	modulePrefix      = Prefix + "q/" // ModuleRecord, by hash
-	seriesHeadPrefix  = Prefix + "g/" // archive.Head of the terminated ("gone") machines of a series
+	seriesHeadPrefix  = Prefix + "g/" // archive.SeriesHead of the terminated ("gone") machines of a series
 	seriesPartPrefix  = Prefix + "h/" // archive.MachineNumbers of a part of a series
 
 	// GalleryPrefix is the prefix of galleries ("promises") that are not archived: GalleryRecord, by name.
--- a/internal/state/ledger/transaction_archive.go
+++ b/internal/state/ledger/transaction_archive.go
@@ -10,8 +10,8 @@
 )
 
 // ArchiveJobs moves finished jobs to the archive, starting with the first, as many as fit into the transaction, and
-// returns how many it moved. All jobs must belong to one page of the filter; it returns ErrNoPage if that page
-// is not loaded. Their records are deleted and their final records written in one transaction, so at every
+// returns how many it moved. All jobs must belong to one page of the filter; it returns ErrFilterPageNotLoaded
+// if that page is not loaded. Their records are deleted and their final records written in one transaction, so at every
 // revision each job is either in the live records or in the archive, and the filter contains every archived
 // job.
 func (txn *Transaction) ArchiveJobs(ids []wire.JobID) (int, error) {
--- a/internal/state/ledger/transaction_galleries.go
+++ b/internal/state/ledger/transaction_galleries.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// AddPromise adds a promise with a new date, as given in a revision of the register. It returns ErrManyDates if
+// AddPromise adds a promise with a new date, as given in a revision of the register. It returns ErrDateLimit if
 // the gallery already has maxPromises promises.
 func (txn *Transaction) AddPromise(g *Gallery, p Promise, register int) error {
 	switch {
--- a/internal/state/ledger/verify.go
+++ b/internal/state/ledger/verify.go
@@ -116,8 +116,8 @@
 	}
 	for s := range index.headVersions {
 		h := index.terminated.Head(s)
-		if n := inParts[s] + h.Whole.Len()*archive.Span; n != h.Gone {
-			v.report(seriesHeadPrefix+s.String(), "counts %d terminated machines, but its parts have %d", h.Gone, n)
+		if n := inParts[s] + h.CompleteParts.Len()*archive.PartSize; n != h.MachineCount {
+			v.report(seriesHeadPrefix+s.String(), "counts %d terminated machines, but its parts have %d", h.MachineCount, n)
 		}
 	}
 }
--- a/internal/state/watchcache/cache.go
+++ b/internal/state/watchcache/cache.go
@@ -42,9 +42,9 @@
 	"maddermill/wire"
 )
 
-// Follower is notified of changes to the records. Its methods are called with the cache's lock held and
+// Listener is notified of changes to the records. Its methods are called with the cache's lock held and
 // must not block.
-type Follower interface {
+type Listener interface {
 	// Loaded is called after all records were reloaded into a new ledger.
 	Loaded()
 	// Advanced is called after the records advanced to a newer revision.
@@ -55,10 +55,10 @@
 
 // Options are the settings of a Cache.
 type Options struct {
-	Member   wire.MemberID // ID of this controller in the token record
-	Limits   ledger.Limits
-	Requests float64 // this controller's share of the state service's requests per second
-	Reads    int     // newest format of records that this controller supports
+	Member       wire.MemberID // ID of this controller in the token record
+	Limits       ledger.Limits
+	RequestRate  float64 // this controller's share of the state service's requests per second
+	NewestFormat int     // newest format of records that this controller supports
 }
 
 // Cache is one controller's copy of the records. Watch, ServeReadIndex and AcquireTokens must be called
@@ -68,7 +68,7 @@
 	store    kvstore.Store
 	stats    *metrics.Set
 	log      *slog.Logger
-	listener Follower
+	listener Listener
 
 	mu       sync.Mutex // guards the fields below
 	records  *ledger.Ledger
@@ -82,7 +82,7 @@
 }
 
 // New returns a cache that has not loaded any records yet.
-func New(opt Options, store kvstore.Store, listener Follower, stats *metrics.Set, log *slog.Logger) *Cache {
+func New(opt Options, store kvstore.Store, listener Listener, stats *metrics.Set, log *slog.Logger) *Cache {
 	return &Cache{
 		opt:          opt,
 		store:        store,
--- a/internal/state/watchcache/cache_test.go
+++ b/internal/state/watchcache/cache_test.go
@@ -39,8 +39,8 @@
 func start(t *testing.T, member wire.MemberID, store kvstore.Store) *instance {
 	t.Helper()
 	in := &instance{}
-	limits := ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.TxnBytes}
-	opt := watchcache.Options{Member: member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat}
+	limits := ledger.Limits{ValueBytes: 4096, TxnOps: 12, TxnBytes: kvstore.MaxTxnBytes}
+	opt := watchcache.Options{Member: member, Limits: limits, RequestRate: 60, NewestFormat: ledger.NewestFormat}
 	in.Cache = watchcache.New(opt, store, &in.listener, metrics.New(), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	in.cancel = cancel
--- a/internal/state/watchcache/read_index.go
+++ b/internal/state/watchcache/read_index.go
@@ -75,7 +75,7 @@
 // ServeReadIndex serves the callers of ReadIndex, with one read of the revision at a time, until ctx is
 // done. It also reads the revision every readIndexInterval without a caller, to keep SyncedAt recent.
 func (c *Cache) ServeReadIndex(ctx context.Context) error {
-	limiter := rate.NewLimiter(rate.Limit(c.opt.Requests*readIndexShare), readIndexBurst)
+	limiter := rate.NewLimiter(rate.Limit(c.opt.RequestRate*readIndexShare), readIndexBurst)
 	idle := time.NewTicker(readIndexInterval)
 	defer idle.Stop()
 	for {
--- a/internal/state/watchcache/tokens.go
+++ b/internal/state/watchcache/tokens.go
@@ -89,12 +89,12 @@
 	c.Lock()
 	record, version := c.records.Token()
 	c.Unlock()
-	if record.FormatByMember[c.opt.Member] == c.opt.Reads {
+	if record.FormatByMember[c.opt.Member] == c.opt.NewestFormat {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
-	revision, err := c.commitToken(ctx, record.WithDeclaredFormat(c.opt.Member, c.opt.Reads), version)
+	revision, err := c.commitToken(ctx, record.WithDeclaredFormat(c.opt.Member, c.opt.NewestFormat), version)
 	if err != nil {
 		return fmt.Errorf("watchcache: declare supported record format: %w", err)
 	}
@@ -130,7 +130,7 @@
 	last, version := c.records.Token()
 	c.Unlock()
 	token := max(last.Last, above) + 1
-	revision, err := c.commitToken(ctx, last.Next(token, c.opt.Member, c.opt.Reads), version)
+	revision, err := c.commitToken(ctx, last.Next(token, c.opt.Member, c.opt.NewestFormat), version)
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		return errors.Join(err, c.WaitForRevision(ctx, conflict.Revision))
--- a/internal/testing/controllertest/parts.go
+++ b/internal/testing/controllertest/parts.go
@@ -65,26 +65,26 @@
 		Log:   slog.New(slog.DiscardHandler),
 	}
 	state := set.StateLimits()
-	limits := ledger.Limits{ValueBytes: state.ValueBytes, TxnOps: state.TxnOps, TxnBytes: kvstore.TxnBytes}
+	limits := ledger.Limits{ValueBytes: state.ValueBytes, TxnOps: state.TxnOps, TxnBytes: kvstore.MaxTxnBytes}
 	p.Cache = watchcache.New(
-		watchcache.Options{Member: set.Member, Limits: limits, Requests: 60, Reads: ledger.NewestFormat},
+		watchcache.Options{Member: set.Member, Limits: limits, RequestRate: 60, NewestFormat: ledger.NewestFormat},
 		p.Store,
 		follower{p},
 		p.Stats,
 		p.Log,
 	)
-	p.Committer = committer.New(committer.Options{Changes: 13, TxnOps: limits.TxnOps}, p.Cache, p.Store, p.Stats, p.Log)
+	p.Committer = committer.New(committer.Options{WriteRate: 13, TxnOps: limits.TxnOps}, p.Cache, p.Store, p.Stats, p.Log)
 	others := []wire.MemberID{}
 	for _, o := range set.Peers {
 		others = append(others, o.Member)
 	}
 	p.Membership = membership.New(
 		membership.Options{
-			Self:       set.Member,
-			Others:     others,
-			Count:      3,
-			Contact:    settings.StartContact,
-			ValueBytes: limits.ValueBytes,
+			Self:            set.Member,
+			Others:          others,
+			ControllerCount: 3,
+			MaxSyncAge:      settings.StartContact,
+			MaxValueBytes:   limits.ValueBytes,
 		},
 		p.Stats,
 		p.Log,
@@ -131,13 +131,13 @@
 // leads, and there are no others.
 type follower struct{ p *Parts }
 
-// Loaded implements watchcache.Follower.
+// Loaded implements watchcache.Listener.
 func (f follower) Loaded() { f.p.Scheduler.InvalidateSnapshot() }
 
-// Advanced implements watchcache.Follower.
+// Advanced implements watchcache.Listener.
 func (f follower) Advanced(now time.Time) { f.p.Scheduler.RefreshChangedMachines(now) }
 
-// JobArchived implements watchcache.Follower.
+// JobArchived implements watchcache.Listener.
 func (follower) JobArchived(wire.JobID, ledger.FinalRecord) {}
 
 // Read implements policymanager.Host.
--- a/internal/testing/controllertest/records.go
+++ b/internal/testing/controllertest/records.go
@@ -34,7 +34,7 @@
 	cancelled wire.Revision,
 	loaded bool,
 	contact time.Duration,
-) peer.Answer {
-	return peer.Answer{AsOf: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
-		Cancelled: cancelled, ContactMS: contact.Milliseconds()}}
+) peer.Response {
+	return peer.Response{AsOf: asked, Status: peer.Status{Version: peer.Version, Member: member, Loaded: loaded,
+		LastCancellation: cancelled, SyncAgeMS: contact.Milliseconds()}}
 }
--- a/internal/testing/emulator/steps.go
+++ b/internal/testing/emulator/steps.go
@@ -22,11 +22,11 @@
 // standard output), cat (the contents of files), touch (makes empty files) and exit (exits with a
 // code). It does nothing for a job that is not a step.
 func RunStep(ctx context.Context, store stepdata.Store, job wire.JobID) error {
-	b, _, err := store.Get(ctx, workflow.OrderName(job))
+	b, _, err := store.Get(ctx, workflow.StepSpecName(job))
 	if err != nil {
 		return nil
 	}
-	var order workflow.Order
+	var order workflow.StepSpec
 	if err := json.Unmarshal(b, &order); err != nil {
 		return err
 	}
@@ -46,7 +46,9 @@
 }
 
 // runTool runs an order's tool and returns its outputs.
-func runTool(ctx context.Context, store stepdata.Store, job wire.JobID, order *workflow.Order) (map[string]any, error) {
+func runTool(
+	ctx context.Context, store stepdata.Store, job wire.JobID, order *workflow.StepSpec,
+) (map[string]any, error) {
 	p, _, err := cwl.Load(order.Bundle, order.Entry)
 	if err != nil {
 		return nil, err
--- a/internal/workflow/runner/documents.go
+++ b/internal/workflow/runner/documents.go
@@ -29,7 +29,7 @@
 
 // writeChunks writes the chunks of packed documents under their hash, which makes repeated writes idempotent.
 func (r *Runner) writeChunks(ctx context.Context, hash string, chunks []string) error {
-	limits := ledger.Limits{TxnOps: r.settings.StateLimits().TxnOps, TxnBytes: kvstore.TxnBytes}
+	limits := ledger.Limits{TxnOps: r.settings.StateLimits().TxnOps, TxnBytes: kvstore.MaxTxnBytes}
 	batch := ledger.Batch{Limits: limits, Commit: func(changes []wire.Change) error {
 		_, err := r.keyValues.Commit(ctx, wire.Txn{Then: changes})
 		return err
--- a/internal/workflow/runner/runner.go
+++ b/internal/workflow/runner/runner.go
@@ -34,8 +34,8 @@
 	"maddermill/wire"
 )
 
-// Parts holds the components of the controller that a Runner uses.
-type Parts struct {
+// Dependencies holds the components of the controller that a Runner uses.
+type Dependencies struct {
 	Cache      *watchcache.Cache
 	Committer  *committer.Committer
 	Membership *membership.Membership
@@ -50,7 +50,7 @@
 type Runner struct {
 	settings  *settings.Settings
 	keyValues kvstore.Store
-	Parts
+	Dependencies
 	stats *metrics.Set
 	log   *slog.Logger
 
@@ -64,11 +64,11 @@
 func New(
 	cfg *settings.Settings,
 	keyValues kvstore.Store,
-	p Parts,
+	p Dependencies,
 	stats *metrics.Set,
 	log *slog.Logger,
 ) *Runner {
-	return &Runner{settings: cfg, keyValues: keyValues, Parts: p, stats: stats, log: log}
+	return &Runner{settings: cfg, keyValues: keyValues, Dependencies: p, stats: stats, log: log}
 }
 
 // records returns the ledger. The caller holds the watch cache's lock.
@@ -113,14 +113,14 @@
 
 // Errors returned to users.
 var (
-	// ErrNoWorkflows means that workflows are disabled in this service.
-	ErrNoWorkflows = errors.New("workflows are disabled")
+	// ErrDisabled means that workflows are disabled in this service.
+	ErrDisabled = errors.New("workflows are disabled")
 	// ErrNotFailed means that a workflow can't be resumed because it has not failed.
 	ErrNotFailed = errors.New("only a workflow that failed can be resumed")
 )
 
-// Set enables workflows, with the store of their steps' data. It is called before Run.
-func (r *Runner) Set(store stepdata.Store) {
+// Enable enables workflows, with the store of their steps' data. It is called before Run.
+func (r *Runner) Enable(store stepdata.Store) {
 	r.store, r.driven, r.inspected = store, map[wire.WorkflowID]*drivenRun{}, map[wire.WorkflowID]*inspection{}
 }
 
@@ -210,7 +210,7 @@
 		maxSubmitted = 0
 	}
 	d.archiveReadFailed.Store(false)
-	submitted, ended, err := d.run.Step(ctx, now, maxSubmitted)
+	submitted, ended, err := d.run.Advance(ctx, now, maxSubmitted)
 	if w.State == ledger.WorkflowCancelled && ctx.Err() == nil {
 		err = cmp.Or(r.cancelSteps(ctx, w, d), err)
 	}
--- a/internal/workflow/runner/status.go
+++ b/internal/workflow/runner/status.go
@@ -21,7 +21,7 @@
 // can't be determined before ctx ends, the status says why they are missing (docs/cwl.md, "Status").
 func (r *Runner) Status(ctx context.Context, id wire.WorkflowID) (wire.WorkflowStatus, error) {
 	if r.store == nil {
-		return wire.WorkflowStatus{}, ErrNoWorkflows
+		return wire.WorkflowStatus{}, ErrDisabled
 	}
 	if err := r.Cache.ReadIndex(ctx); err != nil {
 		return wire.WorkflowStatus{}, err
@@ -132,7 +132,7 @@
 	}
 	for {
 		inspected.archiveReadFailed.Store(false)
-		_, _, err := inspected.run.Step(ctx, now, 0)
+		_, _, err := inspected.run.Advance(ctx, now, 0)
 		switch {
 		case ctx.Err() != nil:
 			return nil, errInspectionTimeout
--- a/internal/workflow/runner/submit.go
+++ b/internal/workflow/runner/submit.go
@@ -19,7 +19,7 @@
 	spec *wire.WorkflowSpec,
 ) (st wire.WorkflowStatus, created bool, err error) {
 	if r.store == nil {
-		return st, false, ErrNoWorkflows
+		return st, false, ErrDisabled
 	}
 	if !r.Jobs.Loaded() {
 		return st, false, kvstore.ErrUnreachable
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -58,8 +58,8 @@
 	Inputs json.RawMessage   `json:"inputs"`
 }
 
-// Order describes a step to the machine that runs it. It is stored under StepSpecName.
-type Order struct {
+// StepSpec describes a step to the machine that runs it. It is stored under StepSpecName.
+type StepSpec struct {
 	Workflow wire.WorkflowID `json:"workflow"`
 	Step     string          `json:"step"` // the id of cwl.Task
 	Entry    string          `json:"entry"`
@@ -76,8 +76,8 @@
 	Outputs map[string]any `json:"outputs,omitempty"`
 }
 
-// OrderName is the name under which the specification of a step's job is stored.
-func OrderName(id wire.JobID) string { return "orders/" + string(id) + ".json" }
+// StepSpecName is the name under which the specification of a step's job is stored.
+func StepSpecName(id wire.JobID) string { return "orders/" + string(id) + ".json" }
 
 // ResultName is the name under which the result of a step's job is stored.
 func ResultName(id wire.JobID) string { return "results/" + string(id) + ".json" }
@@ -94,10 +94,10 @@
 	return err
 }
 
-// JobOf is the id of the job for an attempt of a step. It is the same on every controller and after every restart.
+// StepJobID is the id of the job for an attempt of a step. It is the same on every controller and after every restart.
 // 17 digits of a hash make it unique among the steps of all workflows. The leading 9 avoids collisions with the ids
 // that users assign by counting up.
-func JobOf(id wire.WorkflowID, step string, attempt int) wire.JobID {
+func StepJobID(id wire.WorkflowID, step string, attempt int) wire.JobID {
 	hash := sha256.Sum256(fmt.Appendf(nil, "%s\x00%s\x00%d", id, step, attempt))
 	return wire.JobID(fmt.Sprintf("wk-9%017d", binary.BigEndian.Uint64(hash[:8])%1e17))
 }
@@ -199,10 +199,10 @@
 	return r, nil
 }
 
-// Step makes one pass: it polls the jobs of the steps in flight, submits up to limit ready steps, and ends the
+// Advance makes one pass: it polls the jobs of the steps in flight, submits up to limit ready steps, and ends the
 // workflow when no step is left. It returns how many steps it submitted and whether the workflow has ended. After
 // an error, the next pass continues.
-func (r *Run) Step(ctx context.Context, now time.Time, limit int) (submitted int, ended bool, err error) {
+func (r *Run) Advance(ctx context.Context, now time.Time, limit int) (submitted int, ended bool, err error) {
 	start := time.Now()
 	r.run.Enough = func() bool { return ctx.Err() != nil || time.Since(start) > maxPassTime }
 	err = r.pollSteps(ctx, now)
@@ -232,7 +232,7 @@
 		}
 		r.inFlightIDs = slices.DeleteFunc(r.inFlightIDs, func(id string) bool { return r.inFlight[id] == nil })
 		for _, t := range r.run.Ready(r.window() - len(r.inFlightIDs)) {
-			r.inFlight[t.ID] = &step{task: t, jobID: JobOf(r.ID, t.ID, 0)}
+			r.inFlight[t.ID] = &step{task: t, jobID: StepJobID(r.ID, t.ID, 0)}
 			r.inFlightIDs = append(r.inFlightIDs, t.ID)
 			progress = true
 		}
@@ -331,7 +331,7 @@
 // nextAttempt prepares a step's next attempt, which is a job of its own.
 func (s *step) nextAttempt(id wire.WorkflowID) {
 	s.attempt++
-	s.jobID, s.specStored, s.doneAt = JobOf(id, s.task.ID, s.attempt), false, time.Time{}
+	s.jobID, s.specStored, s.doneAt = StepJobID(id, s.task.ID, s.attempt), false, time.Time{}
 }
 
 // failStep fails a step for good, or starts its next attempt if the workflow was resumed after this failure.
@@ -356,8 +356,8 @@
 		if err := putJSON(
 			ctx,
 			r.store,
-			OrderName(s.jobID),
-			Order{r.ID, s.task.ID, r.Spec.Entry, bundle, s.task.Inputs},
+			StepSpecName(s.jobID),
+			StepSpec{r.ID, s.task.ID, r.Spec.Entry, bundle, s.task.Inputs},
 		); err != nil {
 			return err
 		}
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -31,7 +31,7 @@
 func (s *scriptedJobs) outcomeOf(id wire.JobID) (name, outcome string, attempt int) {
 	for step, outcomes := range s.steps {
 		for i := range outcomes {
-			if JobOf("wf-000001", step, i) == id {
+			if StepJobID("wf-000001", step, i) == id {
 				return step, outcomes[i], i
 			}
 		}
@@ -121,7 +121,7 @@
 				t.Fatal(err)
 			}
 		}
-		if _, over, _ := r.Step(t.Context(), now, 10); over {
+		if _, over, _ := r.Advance(t.Context(), now, 10); over {
 			return
 		}
 		now = now.Add(time.Second)
@@ -218,7 +218,7 @@
 `
 		s := &slowJobs{&scriptedJobs{cancelled: map[wire.JobID]bool{}}, map[wire.JobID]bool{}}
 		for i := 95; i < 100; i++ {
-			s.active[JobOf("wf-000001", fmt.Sprintf("s[%d]", i), 0)] = true
+			s.active[StepJobID("wf-000001", fmt.Sprintf("s[%d]", i), 0)] = true
 		}
 		w := &ledger.Workflow{ID: "wf-000001"}
 		w.Spec = &wire.WorkflowSpec{ID: w.ID, Team: "t", Entry: "main.cwl", Window: 10}
@@ -228,7 +228,7 @@
 			t.Fatal(err)
 		}
 		for pass := 1; ; pass++ {
-			if _, _, err := r.Step(t.Context(), time.Now(), 0); err != nil || pass > 50 {
+			if _, _, err := r.Advance(t.Context(), time.Now(), 0); err != nil || pass > 50 {
 				t.Fatal(pass, err)
 			}
 			allEnded, err := r.Cancel(t.Context())
