--- a/internal/workflow/cwl/cases_test.go
+++ b/internal/workflow/cwl/cases_test.go
@@ -18,7 +18,7 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// suite is a file of cases made from the standard's text; see testdata/README.md.
+// suite is a file of test cases derived from the text of the standard; see testdata/README.md.
 type suite struct {
 	Expressions []expressionCase
 	Documents   []documentCase
@@ -27,7 +27,7 @@
 	Runs        []runCase
 }
 
-// expressionCase is an evaluation of one text, with what it must give.
+// expressionCase evaluates the expressions in one string.
 type expressionCase struct {
 	Name, Text string
 	JS         bool
@@ -38,17 +38,17 @@
 	Error      string
 }
 
-// documentCase is a load of one document or bundle, with what it must give.
+// documentCase loads one document or bundle.
 type documentCase struct {
 	Name   string
 	Doc    string
 	Bundle map[string]string
 	Entry  string
-	Errors []string // each a part of a problem's line, in order
+	Errors []string // substrings of the expected problems, in order
 	Warn   []string
 }
 
-// commandCase is the command line of one tool, with what it must give.
+// commandCase builds the command line of one tool.
 type commandCase struct {
 	Name   string
 	Doc    string
@@ -62,7 +62,7 @@
 	Error  string
 }
 
-// outputCase is the outputs of one tool, collected from files, with what it must give.
+// outputCase collects the outputs of one tool from the given files.
 type outputCase struct {
 	Name   string
 	Doc    string
@@ -72,7 +72,7 @@
 	Error  string
 }
 
-// runCase is a run of one process to its end, with what it must give.
+// runCase runs one process to its end.
 type runCase struct {
 	Name   string
 	Doc    string
@@ -82,15 +82,15 @@
 	Want   any
 	States string // "a done, b failed"
 	Error  string
-	Tasks  int // tools that ran, 0: not looked at
+	Tasks  int // number of tools that ran; 0 if not checked
 }
 
-// suitesOf reads the suites in testdata, by file.
-func suitesOf(tb testing.TB) map[string]suite {
+// loadSuites reads the suites in testdata and returns them by file.
+func loadSuites(tb testing.TB) map[string]suite {
 	tb.Helper()
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
-		tb.Fatal("no cases", err)
+		tb.Fatal("no test suites in testdata:", err)
 	}
 	out := map[string]suite{}
 	for _, f := range files {
@@ -109,8 +109,8 @@
 	return out
 }
 
-// normal is a value as JSON would have it, for comparing.
-func normal(v any) any {
+// normalizeJSON returns a value after a round trip through JSON, for comparison.
+func normalizeJSON(v any) any {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
@@ -119,8 +119,8 @@
 	return out
 }
 
-// judge compares a result with what a case wants.
-func judge(t *testing.T, got any, err error, want any, wantErr string) {
+// checkResult compares a result with the value or the error that a case expects.
+func checkResult(t *testing.T, got any, err error, want any, wantErr string) {
 	t.Helper()
 	switch {
 	case wantErr != "":
@@ -129,12 +129,12 @@
 		}
 	case err != nil:
 		t.Error(err)
-	case !reflect.DeepEqual(normal(got), normal(want)):
+	case !reflect.DeepEqual(normalizeJSON(got), normalizeJSON(want)):
 		t.Errorf("got %s, want %s", jsonText(got), jsonText(want))
 	}
 }
 
-// memDir is a working directory in memory.
+// memDir is an in-memory working directory.
 type memDir map[string]string
 
 func (d memDir) value(name string) map[string]any {
@@ -155,12 +155,12 @@
 	return out, nil
 }
 
-func (d memDir) Read(name string, most int) ([]byte, error) {
+func (d memDir) Read(name string, limit int) ([]byte, error) {
 	text, ok := d[name]
 	if !ok {
 		return nil, fmt.Errorf("there is no %q", name)
 	}
-	return []byte(text[:min(most, len(text))]), nil
+	return []byte(text[:min(limit, len(text))]), nil
 }
 
 func (d memDir) Stat(name string) (map[string]any, error) {
@@ -170,9 +170,9 @@
 	return d.value(name), nil
 }
 
-// pretend runs a tool as cases have them: echo writes its arguments to its standard output,
-// touch makes empty files, exit ends with a code.
-func pretend(ctx context.Context, task Task) (map[string]any, error) {
+// simulateTool simulates the tools that test cases use: echo writes its arguments to its standard
+// output, touch creates empty files, and exit ends with the given code.
+func simulateTool(ctx context.Context, task Task) (map[string]any, error) {
 	cmd, err := task.Tool.Command(ctx, task.Inputs, map[string]any{"cores": int64(1)})
 	if err != nil {
 		return nil, err
@@ -196,7 +196,7 @@
 	return task.Tool.Collect(ctx, task.Inputs, cmd, dir, nil)
 }
 
-func load(doc string, bundle map[string]string, entry string) (*Process, Problems, error) {
+func loadDocument(doc string, bundle map[string]string, entry string) (*Process, Problems, error) {
 	b := Bundle{}
 	for name, text := range bundle {
 		b[name] = []byte(text)
@@ -213,7 +213,7 @@
 // TestCases checks every case of the suites in testdata.
 func TestCases(t *testing.T) {
 	count := 0
-	for file, s := range suitesOf(t) {
+	for file, s := range loadSuites(t) {
 		base := strings.TrimSuffix(filepath.Base(file), ".yaml")
 		run := func(name string, check func(t *testing.T)) {
 			count++
@@ -240,29 +240,29 @@
 
 func (c expressionCase) check(t *testing.T) {
 	t.Helper()
-	var n Needs
+	var n Requirements
 	if c.JS || c.Lib != nil {
 		n.JavaScript = &JavaScript{Lib: c.Lib}
 	}
-	inputs, _ := normal(c.Inputs).(map[string]any)
+	inputs, _ := normalizeJSON(c.Inputs).(map[string]any)
 	got, err := n.Eval(
 		t.Context(),
 		c.Text,
-		Scope{Inputs: inputs, Self: normal(c.Self), Runtime: map[string]any{"cores": int64(4)}},
+		Scope{Inputs: inputs, Self: normalizeJSON(c.Self), Runtime: map[string]any{"cores": int64(4)}},
 	)
-	judge(t, got, err, c.Want, c.Error)
+	checkResult(t, got, err, c.Want, c.Error)
 }
 
 func (c documentCase) check(t *testing.T) {
 	t.Helper()
-	_, warnings, err := load(c.Doc, c.Bundle, c.Entry)
+	_, warnings, err := loadDocument(c.Doc, c.Bundle, c.Entry)
 	var problems Problems
 	if errors.As(err, &problems); len(problems) != len(c.Errors) {
 		t.Fatalf("%d problems, want %d: %v", len(problems), len(c.Errors), err)
 	}
 	for i, want := range c.Errors {
 		if got := problems[i].String(); !strings.Contains(got, want) {
-			t.Errorf("problem %q, want %q in it", got, want)
+			t.Errorf("problem %q does not contain %q", got, want)
 		}
 	}
 	if len(warnings) != len(c.Warn) || len(c.Warn) > 0 && !strings.Contains(warnings.Error(), c.Warn[0]) {
@@ -272,12 +272,12 @@
 
 func (c commandCase) check(t *testing.T) {
 	t.Helper()
-	got, err := command(t.Context(), c.Doc, c.Inputs)
+	got, err := buildCommand(t.Context(), c.Doc, c.Inputs)
 	if c.Error != "" || err != nil {
-		judge(t, got, err, nil, c.Error)
+		checkResult(t, got, err, nil, c.Error)
 		return
 	}
-	judge(t, got.Args, nil, c.Args, "")
+	checkResult(t, got.Args, nil, c.Args, "")
 	if got.Stdin != c.Stdin || c.Stdout != "" && got.Stdout != c.Stdout ||
 		c.Env != nil && !maps.Equal(got.Env, c.Env) {
 		t.Errorf("stdin %q, stdout %q, environment %v", got.Stdin, got.Stdout, got.Env)
@@ -297,7 +297,7 @@
 
 func (c outputCase) check(t *testing.T) {
 	t.Helper()
-	p, _, err := load(c.Doc, nil, "")
+	p, _, err := loadDocument(c.Doc, nil, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,31 +310,31 @@
 		t.Fatal(err)
 	}
 	got, err := p.Collect(t.Context(), in, cmd, memDir(c.Files), nil)
-	judge(t, got, err, c.Want, c.Error)
+	checkResult(t, got, err, c.Want, c.Error)
 }
 
 func (c runCase) check(t *testing.T) {
 	t.Helper()
-	p, _, err := load(c.Doc, c.Bundle, c.Entry)
+	p, _, err := loadDocument(c.Doc, c.Bundle, c.Entry)
 	if err != nil {
 		t.Fatal(err)
 	}
 	in := map[string]any{}
 	if c.Inputs != "" {
 		if in, err = p.ReadInputs("in.yml", []byte(c.Inputs)); err != nil {
-			judge(t, nil, err, nil, c.Error)
+			checkResult(t, nil, err, nil, c.Error)
 			return
 		}
 	}
 	r, err := Start(t.Context(), p, in)
 	if err != nil {
-		judge(t, nil, err, nil, c.Error)
+		checkResult(t, nil, err, nil, c.Error)
 		return
 	}
 	tasks := runTasks(t, r)
-	out, err, over := r.Over()
-	if !over {
-		t.Fatal("nothing is ready and it isn't over")
+	out, err, ended := r.Over()
+	if !ended {
+		t.Fatal("no task is ready, but the run has not ended")
 	}
 	if got := stepStates(r); c.States != "" && got != c.States {
 		t.Errorf("steps: %s; want %s", got, c.States)
@@ -346,22 +346,22 @@
 		for _, f := range r.Failures() {
 			err = errors.Join(err, fmt.Errorf("%s: %w", f.ID, f.Err))
 		}
-		judge(t, nil, err, nil, c.Error)
+		checkResult(t, nil, err, nil, c.Error)
 		err = nil
 	}
-	judge(t, out, err, c.Want, "")
+	checkResult(t, out, err, c.Want, "")
 }
 
 // runTasks runs the tasks of a run until none is ready, and returns how many there were.
 func runTasks(t *testing.T, r *Run) int {
 	t.Helper()
 	tasks := 0
-	for work := r.Ready(3); len(work) > 0; work = r.Ready(3) {
-		for _, task := range work {
+	for ready := r.Ready(3); len(ready) > 0; ready = r.Ready(3) {
+		for _, task := range ready {
 			tasks++
-			out, err := pretend(t.Context(), task)
+			out, err := simulateTool(t.Context(), task)
 			r.Finish(task.ID, out, err)
-			r.Finish(task.ID, nil, errors.New("told twice")) // changes nothing
+			r.Finish(task.ID, nil, errors.New("duplicate result")) // must be ignored
 		}
 	}
 	return tasks
@@ -374,8 +374,8 @@
 	return strings.Join(states, ", ")
 }
 
-func command(ctx context.Context, doc, inputs string) (*Command, error) {
-	p, _, err := load(doc, nil, "")
+func buildCommand(ctx context.Context, doc, inputs string) (*Command, error) {
+	p, _, err := loadDocument(doc, nil, "")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/workflow/cwl/command.go
+++ b/internal/workflow/cwl/command.go
@@ -10,23 +10,23 @@
 	"strings"
 )
 
-// Command is a tool's command line with what belongs to it, all expressions evaluated.
+// Command is a tool's command line and execution environment, with all expressions evaluated.
 type Command struct {
 	Args                  []string
-	Stdin, Stdout, Stderr string // paths; the latter two relative to the working directory
+	Stdin, Stdout, Stderr string // paths; Stdout and Stderr are relative to the working directory
 	Env                   map[string]string
-	Files                 []WorkFile // put into the working directory first
+	Files                 []WorkFile // placed in the working directory before the tool runs
 	Image                 string
 	Cores, RAM            float64 // RAM in MiB
 	Accelerators          float64
-	TimeLimit             float64 // seconds, 0: none
+	TimeLimit             float64 // in seconds; 0 if unlimited
 }
 
-// WorkFile is a file that is put into a tool's working directory before it runs.
+// WorkFile is a file that is placed in a tool's working directory before the tool runs.
 type WorkFile struct {
 	Name     string
 	Contents string
-	From     map[string]any // a File or Directory instead of contents
+	From     map[string]any // a File or Directory object; if set, Contents is not used
 	Writable bool
 }
 
@@ -36,23 +36,23 @@
 	defaultRAM   = 256 // MiB
 )
 
-// boundValue is a value with its place on the command line.
+// boundValue is one or more command-line arguments with their sort key.
 type boundValue struct {
-	key  []any // ints and strings, as "Input binding" sorts them
+	key  []any // ints and strings, in the order of comparison ("Input binding")
 	args []string
 }
 
-// Command builds the command line of a tool from its inputs, which Complete has checked
-// ("Input binding").
+// Command builds the command line of a tool ("Input binding"). inputs are those that
+// CompleteInputs returns.
 func (p *Process) Command(ctx context.Context, inputs map[string]any, runtime map[string]any) (*Command, error) {
-	needs := &p.Needs
+	reqs := &p.Needs
 	scope := Scope{Inputs: inputs, Runtime: runtime}
-	command := &Command{Env: map[string]string{}, Image: needs.Image}
+	command := &Command{Env: map[string]string{}, Image: reqs.Image}
 	var err error
 	if command.Cores, command.RAM, command.Accelerators, err = p.Resources(ctx, inputs); err != nil {
 		return nil, err
 	}
-	if command.TimeLimit, err = needs.EvalNumber(ctx, needs.TimeLimit, scope, 0); err != nil {
+	if command.TimeLimit, err = reqs.EvalNumber(ctx, reqs.TimeLimit, scope, 0); err != nil {
 		return nil, err
 	}
 	if command.TimeLimit < 0 {
@@ -67,16 +67,16 @@
 		return nil, err
 	}
 	parts = append(parts, inputParts...)
-	slices.SortStableFunc(parts, func(a, b boundValue) int { return slices.CompareFunc(a.key, b.key, compareKeys) })
-	command.Args = slices.Clone(p.Tool.Command)
+	slices.SortStableFunc(parts, func(a, b boundValue) int { return slices.CompareFunc(a.key, b.key, compareKeyParts) })
+	command.Args = slices.Clone(p.Tool.BaseCommand)
 	for _, part := range parts {
 		command.Args = append(command.Args, part.args...)
 	}
 	if err := p.setStreams(ctx, command, scope); err != nil {
 		return nil, err
 	}
-	for _, variable := range needs.Env {
-		if command.Env[variable.Name], err = needs.EvalText(ctx, variable.Value, scope); err != nil {
+	for _, variable := range reqs.Env {
+		if command.Env[variable.Name], err = reqs.EvalString(ctx, variable.Value, scope); err != nil {
 			return nil, fmt.Errorf("EnvVarRequirement: %s: %w", variable.Name, err)
 		}
 	}
@@ -84,12 +84,12 @@
 	return command, err
 }
 
-// bindArguments returns the parts of the command line that the tool's arguments field gives.
+// bindArguments returns the parts of the command line defined by the tool's arguments field.
 func (p *Process) bindArguments(ctx context.Context, scope Scope) ([]boundValue, error) {
 	var parts []boundValue
 	for i, argument := range p.Tool.Arguments {
 		if argument.Binding == nil {
-			text, err := p.Needs.EvalText(ctx, argument.Text, scope)
+			text, err := p.Needs.EvalString(ctx, argument.Text, scope)
 			if err != nil {
 				return nil, err
 			}
@@ -105,7 +105,7 @@
 	return parts, nil
 }
 
-// bindInputs returns the parts of the command line that the tool's inputs give. An input of
+// bindInputs returns the parts of the command line defined by the tool's inputs. An input of
 // type stdin sets the command's standard input.
 func (p *Process) bindInputs(ctx context.Context, command *Command, scope Scope) ([]boundValue, error) {
 	var parts []boundValue
@@ -123,8 +123,9 @@
 	return parts, nil
 }
 
-// setStreams sets the files of the standard streams. An output of type stdout or stderr
-// gets a file with a fixed name if the tool names none.
+// setStreams sets the files of the standard streams. If the tool has an output of type stdout
+// or stderr but names no file for that stream, the file name defaults to "stdout.txt" or
+// "stderr.txt".
 func (p *Process) setStreams(ctx context.Context, command *Command, scope Scope) error {
 	for _, stream := range []struct {
 		text string
@@ -134,7 +135,7 @@
 			continue
 		}
 		var err error
-		if *stream.to, err = p.Needs.EvalText(ctx, stream.text, scope); err != nil {
+		if *stream.to, err = p.Needs.EvalString(ctx, stream.text, scope); err != nil {
 			return err
 		}
 	}
@@ -146,21 +147,21 @@
 		}
 	}
 	for _, name := range []string{command.Stdout, command.Stderr} {
-		if name != "" && !localPath(name) {
+		if name != "" && !isLocalPath(name) {
 			return fmt.Errorf("%q leads out of the working directory", name)
 		}
 	}
 	return nil
 }
 
-// localPath reports whether a relative path stays where it starts.
-func localPath(name string) bool {
+// isLocalPath reports whether a path is relative and has no leading ".." once cleaned.
+func isLocalPath(name string) bool {
 	clean := path.Clean(name)
 	return !path.IsAbs(name) && clean != ".." && !strings.HasPrefix(clean, "../")
 }
 
-// compareKeys orders parts of sorting keys: numbers before names.
-func compareKeys(a, b any) int {
+// compareKeyParts compares two elements of sort keys. Numbers sort before strings.
+func compareKeyParts(a, b any) int {
 	x, xNum := a.(int)
 	y, yNum := b.(int)
 	switch {
@@ -174,22 +175,22 @@
 	return cmp.Compare(a.(string), b.(string))
 }
 
-// Resources returns what an instance of a tool needs: cores, memory in MiB and the number of
-// accelerators.
+// Resources returns the resources that a tool needs for one task: cores, memory in MiB and the
+// number of accelerators.
 func (p *Process) Resources(
 	ctx context.Context,
 	inputs map[string]any,
 ) (cores, ram, accelerators float64, err error) {
-	needs, scope := &p.Needs, Scope{Inputs: inputs}
-	cores, coresErr := needs.minimum(ctx, scope, "cores", needs.Resources.CoresMin, needs.Resources.CoresMax, defaultCores)
-	ram, ramErr := needs.minimum(ctx, scope, "ram", needs.Resources.RAMMin, needs.Resources.RAMMax, defaultRAM)
-	accelerators, acceleratorsErr := needs.EvalNumber(ctx, needs.Accelerator, scope, 0)
+	reqs, scope := &p.Needs, Scope{Inputs: inputs}
+	cores, coresErr := reqs.minimum(ctx, scope, "cores", reqs.Resources.CoresMin, reqs.Resources.CoresMax, defaultCores)
+	ram, ramErr := reqs.minimum(ctx, scope, "ram", reqs.Resources.RAMMin, reqs.Resources.RAMMax, defaultRAM)
+	accelerators, acceleratorsErr := reqs.EvalNumber(ctx, reqs.Accelerator, scope, 0)
 	return cores, ram, accelerators, cmp.Or(coresErr, ramErr, acceleratorsErr)
 }
 
-// minimum evaluates the range of one resource and returns its lower end, fallback if
-// neither end is stated.
-func (n *Needs) minimum(
+// minimum evaluates the range of one resource and returns its lower bound. Without a lower
+// bound it returns fallback, limited by the upper bound if there is one.
+func (n *Requirements) minimum(
 	ctx context.Context,
 	scope Scope,
 	field, lower, upper string,
@@ -211,9 +212,9 @@
 	return low, nil
 }
 
-// bind returns the arguments for one value with their sorting keys. binding may be nil; the
-// last part of key is the value's own name or index, before which its position is put.
-func (n *Needs) bind(
+// bind returns the arguments for one value with their sort keys. binding may be nil. The last
+// element of key is the name or index of the value; its position is inserted before it.
+func (n *Requirements) bind(
 	ctx context.Context,
 	binding *Binding,
 	t *Type,
@@ -255,14 +256,14 @@
 	return binding.bindScalar(value, key), nil
 }
 
-// mayBind reports whether a value of the type can have a place on the command line without
-// a binding around it.
+// mayBind reports whether a value of the type can appear on the command line although the
+// input, field or array that holds it has no binding.
 func (t *Type) mayBind() bool {
 	return t.Binding != nil || t.Kind == KindRecord || t.Kind == KindArray
 }
 
-// bindingPosition evaluates the position of a binding, 0 if it has none.
-func (n *Needs) bindingPosition(ctx context.Context, binding *Binding, scope Scope) (int, error) {
+// bindingPosition evaluates the position of a binding. The default is 0.
+func (n *Requirements) bindingPosition(ctx context.Context, binding *Binding, scope Scope) (int, error) {
 	if binding.Position == "" {
 		return 0, nil
 	}
@@ -271,8 +272,8 @@
 }
 
 // bindScalar returns the arguments for a value that is neither a list nor a record. The
-// receiver may be nil: without a binding the value is not on the command line. A boolean
-// gives the prefix alone, if it is true.
+// receiver may be nil: without a binding the value does not appear on the command line. A
+// boolean adds only the prefix, and only if it is true.
 func (b *Binding) bindScalar(value any, key []any) []boundValue {
 	if b == nil {
 		return nil
@@ -283,11 +284,11 @@
 		}
 		return []boundValue{{key, []string{b.Prefix}}}
 	}
-	return []boundValue{{key, b.join(textOf(value))}}
+	return []boundValue{{key, b.join(argumentText(value))}}
 }
 
-// alternativeFor returns the alternative of a union that a value is of, the type itself if
-// it is no union, and Any if no alternative fits.
+// alternativeFor returns the first alternative of a union that accepts the value, or Any if
+// none does. If the type is not a union, it returns the type itself.
 func (t *Type) alternativeFor(value any) *Type {
 	if t.Kind != KindUnion {
 		return t
@@ -300,7 +301,7 @@
 	return &Type{Kind: KindAny}
 }
 
-// join returns the prefix and a value's text as one argument or two.
+// join returns the prefix and the text of a value as one or two arguments.
 func (b *Binding) join(text string) []string {
 	switch {
 	case b.Prefix == "":
@@ -311,9 +312,9 @@
 	return []string{b.Prefix, text}
 }
 
-// bindList returns the arguments for a list: one joined by the item separator, or the
-// prefix followed by those of each item.
-func (n *Needs) bindList(
+// bindList returns the arguments for a list: a single argument with the items joined by the
+// item separator, or the prefix followed by the arguments of each item.
+func (n *Requirements) bindList(
 	ctx context.Context,
 	binding *Binding,
 	t *Type,
@@ -327,11 +328,11 @@
 	if binding != nil && binding.ItemSeparator != nil {
 		texts := make([]string, len(list))
 		for i, item := range list {
-			texts[i] = textOf(item)
+			texts[i] = argumentText(item)
 		}
 		return []boundValue{{key, binding.join(strings.Join(texts, *binding.ItemSeparator))}}, nil
 	}
-	if binding == nil && t.Binding == nil && !t.bindsWithin() {
+	if binding == nil && t.Binding == nil && !t.hasNestedBinding() {
 		return nil, nil
 	}
 	parts := binding.prefixPart(key)
@@ -353,8 +354,8 @@
 	return parts, nil
 }
 
-// prefixPart returns the prefix as a part of its own, none if there is no prefix. The
-// receiver may be nil.
+// prefixPart returns the prefix as a separate part, or nil if there is no prefix. The receiver
+// may be nil.
 func (b *Binding) prefixPart(key []any) []boundValue {
 	if b == nil || b.Prefix == "" {
 		return nil
@@ -362,22 +363,22 @@
 	return []boundValue{{key, []string{b.Prefix}}}
 }
 
-// bindsWithin reports whether something inside a type has a binding of its own.
-func (t *Type) bindsWithin() bool {
+// hasNestedBinding reports whether the type, or any type nested in it, has its own binding.
+func (t *Type) hasNestedBinding() bool {
 	switch t.Kind {
 	case KindArray:
-		return t.Binding != nil || t.Items.bindsWithin()
+		return t.Binding != nil || t.Items.hasNestedBinding()
 	case KindRecord:
 		return t.Binding != nil ||
-			slices.ContainsFunc(t.Fields, func(f Field) bool { return f.Binding != nil || f.Type.bindsWithin() })
+			slices.ContainsFunc(t.Fields, func(f Field) bool { return f.Binding != nil || f.Type.hasNestedBinding() })
 	case KindUnion:
-		return slices.ContainsFunc(t.Union, (*Type).bindsWithin)
+		return slices.ContainsFunc(t.Union, (*Type).hasNestedBinding)
 	}
 	return false
 }
 
-// bindRecord returns the arguments for a record: the prefix followed by those of each field.
-func (n *Needs) bindRecord(
+// bindRecord returns the arguments for a record: the prefix followed by the arguments of each field.
+func (n *Requirements) bindRecord(
 	ctx context.Context,
 	binding *Binding,
 	t *Type,
@@ -396,8 +397,8 @@
 	return parts, nil
 }
 
-// textOf returns a value as an argument: a file or a directory is its path.
-func textOf(v any) string {
+// argumentText returns a value as a command-line argument. Files and directories become their path.
+func argumentText(v any) string {
 	switch x := v.(type) {
 	case string:
 		return x
@@ -414,7 +415,7 @@
 	return fmt.Sprint(v)
 }
 
-// workFiles returns the files that InitialWorkDirRequirement puts into the working directory.
+// workFiles returns the files that InitialWorkDirRequirement places in the working directory.
 func (p *Process) workFiles(ctx context.Context, scope Scope) ([]WorkFile, error) {
 	workDir := p.Needs.WorkDir
 	if workDir == nil {
@@ -427,13 +428,13 @@
 		}
 		list, ok := listing.([]any)
 		if !ok {
-			return nil, fmt.Errorf("InitialWorkDirRequirement: expected a list, found %s", describe(listing))
+			return nil, fmt.Errorf("InitialWorkDirRequirement: expected a list, found %s", describeValue(listing))
 		}
 		return listedWorkFiles(list, false)
 	}
 	var files []WorkFile
 	for _, entry := range workDir.Entries {
-		name, err := p.Needs.EvalText(ctx, entry.Name, scope)
+		name, err := p.Needs.EvalString(ctx, entry.Name, scope)
 		if err != nil {
 			return nil, err
 		}
@@ -450,13 +451,13 @@
 	return files, nil
 }
 
-// listedWorkFiles returns the files and directories of a list under their own names. Nulls
-// are passed over.
+// listedWorkFiles returns the files and directories of a list under their own names. Null items
+// are skipped.
 func listedWorkFiles(list []any, writable bool) ([]WorkFile, error) {
 	var files []WorkFile
 	for _, item := range list {
 		if classOf(item) == "" && item != nil {
-			return nil, fmt.Errorf("InitialWorkDirRequirement: expected files, found %s", describe(item))
+			return nil, fmt.Errorf("InitialWorkDirRequirement: expected files, found %s", describeValue(item))
 		}
 		if file, ok := item.(map[string]any); ok {
 			files = append(files, WorkFile{Name: baseName(file), From: file, Writable: writable})
@@ -465,8 +466,8 @@
 	return files, nil
 }
 
-// entryWorkFiles returns the files that one evaluated entry gives. name is its entryname,
-// "" for a list of files or a file that keeps its own.
+// entryWorkFiles returns the files for one evaluated entry. name is its entryname; it is empty
+// for a list of files, or for a file that keeps its own name.
 func entryWorkFiles(value any, name string, writable bool) ([]WorkFile, error) {
 	if list, ok := value.([]any); ok && name == "" {
 		return listedWorkFiles(list, writable)
@@ -477,7 +478,7 @@
 		return nil, nil
 	case string:
 		if name == "" {
-			return nil, fmt.Errorf("InitialWorkDirRequirement: entryname is missing for a text")
+			return nil, fmt.Errorf("InitialWorkDirRequirement: entryname is required for a string entry")
 		}
 		file.Contents = x
 	case map[string]any:
@@ -490,13 +491,13 @@
 	default:
 		file.Contents = jsonText(value)
 	}
-	if !localPath(file.Name) || file.Name == "" {
+	if !isLocalPath(file.Name) || file.Name == "" {
 		return nil, fmt.Errorf("InitialWorkDirRequirement: %q is not a name in the working directory", file.Name)
 	}
 	return []WorkFile{file}, nil
 }
 
-// baseName returns the name of a File or a Directory without its folder.
+// baseName returns the base name of a File or Directory object.
 func baseName(file map[string]any) string {
 	if name, _ := file["basename"].(string); name != "" {
 		return name
--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -8,79 +8,80 @@
 	"strings"
 )
 
-// Run is the progress of one process: which tools are ready to run with which inputs, and
-// their results. It runs nothing and stores nothing; the same results, reported in any order,
-// give the same outputs. It is not safe for concurrent use.
+// Run tracks the execution of one process: which tasks are ready, with which inputs, and their
+// results. It executes no tools and persists nothing. The outputs do not depend on the order in
+// which results are reported. A Run is not safe for concurrent use.
 type Run struct {
-	// Enough, if not nil, makes Ready return early once it reports true: evaluating
-	// expressions may take long.
+	// Enough, if not nil, is called by Ready between elements; once it returns true, Ready
+	// returns early. It bounds the time spent in a call, since evaluating expressions may take
+	// long.
 	Enough func() bool
-	// Contents reads a file's first bytes, for loadContents in steps. If it is nil, a step
-	// that uses loadContents fails.
+	// Contents reads the beginning of a file, for loadContents in step inputs. If it is nil, a
+	// step that uses loadContents fails.
 	Contents func(file map[string]any) (string, error)
 
 	ctx          context.Context
 	root         *workflowRun
-	startedSteps []*stepRun          // with elements not yet returned by Ready, oldest first
-	handedOut    map[string]*element // returned by Ready and not finished, by id
+	startedSteps []*stepRun          // steps with elements that Ready has not started yet, oldest first
+	dispatched   map[string]*element // elements returned by Ready and not yet finished, by id
 	outputs      map[string]any
 	err          error // why the run as a whole failed
 	ended        bool
 	failures     []Failure
 }
 
-// Failure is a step that failed.
+// Failure is the failure of a step or of one of its elements.
 type Failure struct {
 	ID  string
 	Err error
 }
 
-// Task is one run of a command line tool.
+// Task is one execution of a command line tool.
 type Task struct {
-	ID     string // "read", "check[3]", "sub/pay": the same in every run with the same inputs
+	ID     string // such as "read", "check[3]" or "sub/pay"; the same in every run with the same inputs
 	Tool   *Process
-	Inputs map[string]any // complete
+	Inputs map[string]any // checked, with defaults filled in
 }
 
-// StepState is how far a step has come.
+// StepState is the execution state of a step.
 type StepState string
 
 // The states of steps.
 const (
-	StepWaiting StepState = "waiting" // for what it depends on
+	StepWaiting StepState = "waiting" // some of its dependencies have not ended
 	StepRunning StepState = "running"
 	StepDone    StepState = "done"
 	StepSkipped StepState = "skipped" // its condition was false
 	StepFailed  StepState = "failed"
-	StepDropped StepState = "dropped" // what it depends on failed
+	StepDropped StepState = "dropped" // not run, since a dependency failed or was dropped
 )
 
-// workflowRun is the progress of a workflow: of the run as a whole, or of one in a step.
+// workflowRun tracks the execution of the top-level workflow or of a subworkflow.
 type workflowRun struct {
-	id        string // of the element that it runs in, "" for the run as a whole
+	id        string // id of the element that it runs in; "" for the top-level workflow
 	process   *Process
-	inputs    map[string]any      // complete
-	steps     map[string]*stepRun // by the step's id
-	remaining int                 // steps that have not ended; -1 once the workflow has ended
+	inputs    map[string]any      // checked, with defaults filled in
+	steps     map[string]*stepRun // by step id
+	remaining int                 // number of steps that have not ended; -1 once the workflow has ended
 	failed    bool                // a step has failed
-	parent    *element            // the element that it runs in, nil for the run as a whole
+	parent    *element            // the element that it runs in; nil for the top-level workflow
 }
 
-// stepRun is the progress of a step, with one element or, scattered, any number.
+// stepRun tracks the execution of a step. It has one element, or any number if it is scattered.
 type stepRun struct {
 	workflow     *workflowRun
 	step         *Step
 	state        StepState
-	linkedInputs map[string]any // inputs before scattering
-	lengths      []int          // of the lists that it is scattered over
+	linkedInputs map[string]any // inputs after merging and defaults, before scattering
+	lengths      []int          // lengths of the lists that it is scattered over
 	next         int            // index of the first element not yet started
 	total        int            // number of elements
-	remaining    int            // elements that have not ended
-	elements     []*element     // by index, nil if not yet started
-	skipped      int            // elements whose condition was false
+	remaining    int            // number of elements that have not ended
+	elements     []*element     // by index; nil if not yet started
+	skipped      int            // number of elements whose condition was false
 }
 
-// element is one run of a step's process: the only one, or one of a scatter.
+// element is one execution of a step's process: the only one, or one of a scatter.
 type element struct {
 	step    *stepRun
 	index   int
@@ -89,22 +90,22 @@
 	err     error
 }
 
-// Start begins a run. inputs are as ReadInputs gives them.
+// Start begins a run. inputs are those that ReadInputs returns.
 func Start(ctx context.Context, p *Process, inputs map[string]any) (*Run, error) {
 	full, err := p.Complete(inputs)
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{ctx: ctx, handedOut: map[string]*element{}}
+	r := &Run{ctx: ctx, dispatched: map[string]*element{}}
 	if p.Class != classWorkflow {
-		p = asWorkflow(p)
+		p = wrapInWorkflow(p)
 	}
 	r.root = r.startWorkflow(p, "", full, nil)
 	return r, nil
 }
 
-// asWorkflow returns a workflow whose only step, "main", runs a tool.
-func asWorkflow(tool *Process) *Process {
+// wrapInWorkflow returns a workflow whose only step, "main", runs the given tool.
+func wrapInWorkflow(tool *Process) *Process {
 	step := &Step{ID: "main", Run: tool}
 	workflow := &Process{Class: classWorkflow, Inputs: tool.Inputs, Steps: []*Step{step}}
 	for _, input := range tool.Inputs {
@@ -120,8 +121,9 @@
 	return workflow
 }
 
-// startWorkflow starts a workflow with complete inputs and the steps of it that can start.
-// parent is the element of a step that it runs in, nil for the run as a whole.
+// startWorkflow starts a workflow and those of its steps that are ready. inputs must be checked
+// and have defaults filled in. parent is the element that the workflow runs in, nil for the
+// top-level workflow.
 func (r *Run) startWorkflow(p *Process, id string, inputs map[string]any, parent *element) *workflowRun {
 	w := &workflowRun{
 		id:        id,
@@ -138,8 +140,8 @@
 	return w
 }
 
-// advance starts the steps of a workflow whose sources are there, and ends the workflow
-// once all are over.
+// advance starts the steps of a workflow whose dependencies have ended, drops those with a
+// failed dependency, and ends the workflow once all steps have ended.
 func (r *Run) advance(w *workflowRun) {
 	for again := true; again; {
 		again = false
@@ -165,8 +167,8 @@
 	}
 }
 
-// ready reports whether all that a step depends on has ended, and dropped whether some of it
-// failed, so that the step can't run.
+// ready reports whether all dependencies of a step have ended. dropped reports whether one of
+// them failed or was dropped, so that the step can't run.
 func (w *workflowRun) ready(s *Step) (ready, dropped bool) {
 	ready = true
 	for _, in := range s.In {
@@ -187,7 +189,7 @@
 	return ready, false
 }
 
-// source returns the value of a source: an input, or "step/output" of a step that has ended.
+// source returns the value of a source: a workflow input, or "step/output" of a step that has ended.
 func (w *workflowRun) source(src string) any {
 	id, out, ok := strings.Cut(src, "/")
 	if !ok {
@@ -196,8 +198,8 @@
 	return w.steps[id].output(out)
 }
 
-// link returns the value of an input from its sources, merged and picked
-// ("WorkflowStepInput"), nil if it has none.
+// link returns the value of a link from its sources, after linkMerge and pickValue
+// ("WorkflowStepInput"). It returns nil if there are no sources.
 func (w *workflowRun) link(sources []string, merge, pick string) (any, error) {
 	if len(sources) == 0 {
 		return nil, nil
@@ -222,21 +224,21 @@
 	}
 	list, ok := v.([]any)
 	if !ok {
-		return nil, fmt.Errorf("pickValue needs a list, found %s", describe(v))
+		return nil, fmt.Errorf("pickValue needs a list, found %s", describeValue(v))
 	}
-	full := slices.DeleteFunc(slices.Clone(list), func(x any) bool { return x == nil })
+	nonNull := slices.DeleteFunc(slices.Clone(list), func(x any) bool { return x == nil })
 	switch {
 	case pick == PickAll:
-		return full, nil
-	case len(full) == 0:
+		return nonNull, nil
+	case len(nonNull) == 0:
 		return nil, fmt.Errorf("pickValue: %s: all are null", pick)
-	case pick == PickOnly && len(full) > 1:
-		return nil, fmt.Errorf("pickValue: %s: %d are not null", pick, len(full))
+	case pick == PickOnly && len(nonNull) > 1:
+		return nil, fmt.Errorf("pickValue: %s: %d are not null", pick, len(nonNull))
 	}
-	return full[0], nil
+	return nonNull[0], nil
 }
 
-// startStep starts a step whose sources are there: it works out its inputs and its elements.
+// startStep starts a step whose dependencies have ended: it computes its inputs and elements.
 func (r *Run) startStep(st *stepRun) {
 	st.state, st.total = StepRunning, 1
 	var err error
@@ -257,8 +259,8 @@
 	r.startedSteps = append(r.startedSteps, st)
 }
 
-// linkedInputs returns a step's inputs before scattering, from its links and defaults. On an
-// error it returns those before the one that failed.
+// linkedInputs returns a step's inputs before scattering, from its sources and defaults. On an
+// error it returns the inputs that precede the failed one.
 func (r *Run) linkedInputs(st *stepRun) (map[string]any, error) {
 	inputs := map[string]any{}
 	for i := range st.step.In {
@@ -280,14 +282,14 @@
 	return inputs, nil
 }
 
-// scatter sets how many elements a step has, from its linked inputs. total is one before, and
-// stays so if the step is not scattered. A product has one for each combination, a dotproduct one for each index. On an
-// error total is what it was computed to so far.
+// scatter sets the number of elements of a step from its linked inputs. total must be 1 and is
+// left unchanged if the step is not scattered. A cross product has one element per combination,
+// a dotproduct one per index. On an error total keeps the value computed so far.
 func (st *stepRun) scatter() error {
 	for _, name := range st.step.Scatter {
 		list, ok := st.linkedInputs[name].([]any)
 		if !ok {
-			return fmt.Errorf("%s: scattered over %s; expected a list", name, describe(st.linkedInputs[name]))
+			return fmt.Errorf("%s: scattered over %s; expected a list", name, describeValue(st.linkedInputs[name]))
 		}
 		st.lengths = append(st.lengths, len(list))
 	}
@@ -296,19 +298,19 @@
 	}
 	st.total = st.lengths[0]
 	for _, n := range st.lengths[1:] {
-		if st.step.Method != DotProduct {
+		if st.step.ScatterMethod != DotProduct {
 			st.total *= n
 		} else if n != st.total {
-			return fmt.Errorf("scattered over lists of %v elements; a dotproduct takes lists of one length", st.lengths)
+			return fmt.Errorf("scattered over lists of lengths %v; a dotproduct takes lists of one length", st.lengths)
 		}
 	}
 	return nil
 }
 
-// loadContents returns a copy of a file with its contents.
+// loadContents returns a copy of a File object with its contents field set.
 func (r *Run) loadContents(f map[string]any) (any, error) {
 	if r.Contents == nil {
-		return nil, errors.New("loadContents: files can't be read here")
+		return nil, errors.New("loadContents: no function to read file contents is configured")
 	}
 	text, err := r.Contents(f)
 	if err != nil {
@@ -322,7 +324,7 @@
 	return out, nil
 }
 
-// failStep ends a step that could not be started.
+// failStep marks a step that could not be started as failed.
 func (r *Run) failStep(st *stepRun, err error) {
 	st.state = StepFailed
 	st.workflow.remaining--
@@ -330,7 +332,7 @@
 	r.failures = append(r.failures, Failure{st.id(), err})
 }
 
-// id returns the step's id with those of the steps around it: "sub/pay".
+// id returns the step's id, prefixed with those of the enclosing steps: "sub/pay".
 func (st *stepRun) id() string {
 	if st.workflow.id == "" {
 		return st.step.ID
@@ -338,11 +340,11 @@
 	return st.workflow.id + "/" + st.step.ID
 }
 
-// indices returns the indices of element i in the lists that the step is scattered over.
+// indices returns the index of element i in each of the lists that the step is scattered over.
 func (st *stepRun) indices(i int) []int {
 	out := make([]int, len(st.lengths))
 	for k := len(st.lengths) - 1; k >= 0; k-- {
-		if st.step.Method == NestedCrossProduct || st.step.Method == FlatCrossProduct {
+		if st.step.ScatterMethod == NestedCrossProduct || st.step.ScatterMethod == FlatCrossProduct {
 			out[k] = i % st.lengths[k]
 			i /= st.lengths[k]
 		} else {
@@ -352,9 +354,9 @@
 	return out
 }
 
-// Ready returns up to limit tasks whose inputs are complete, those of earlier steps first.
-// It evaluates expression tools and conditions, and starts workflows in steps, on the way.
-// Each task is returned once.
+// Ready returns up to limit tasks that can run now, those of the steps that started first
+// coming first. Along the way it evaluates expression tools and conditions and starts
+// subworkflows. Each task is returned once.
 func (r *Run) Ready(limit int) []Task {
 	var out []Task
 	for len(out) < limit && len(r.startedSteps) > 0 && (r.Enough == nil || !r.Enough()) {
@@ -369,7 +371,7 @@
 		}
 		st.elements[st.next] = e
 		st.next++
-		inputs, run, err := r.inputsOf(e)
+		inputs, run, err := r.elementInputs(e)
 		switch {
 		case err != nil:
 			r.finishElement(e, nil, err)
@@ -379,19 +381,19 @@
 		case st.step.Run.Class == classWorkflow:
 			r.startWorkflow(st.step.Run, e.id, inputs, e)
 		case st.step.Run.Class == classExpressionTool:
-			v, err := r.expression(st.step.Run, inputs)
+			v, err := r.evalExpressionTool(st.step.Run, inputs)
 			r.finishElement(e, v, err)
 		default:
-			r.handedOut[e.id] = e
+			r.dispatched[e.id] = e
 			out = append(out, Task{e.id, st.step.Run, inputs})
 		}
 	}
 	return out
 }
 
-// inputsOf returns an element's inputs, after scattering and valueFrom, and whether its
-// condition lets it run ("when").
-func (r *Run) inputsOf(e *element) (map[string]any, bool, error) {
+// elementInputs returns an element's inputs after scattering and valueFrom, and whether its
+// condition ("when") is true.
+func (r *Run) elementInputs(e *element) (map[string]any, bool, error) {
 	st := e.step
 	values := make(map[string]any, len(st.linkedInputs))
 	for k, v := range st.linkedInputs {
@@ -410,20 +412,20 @@
 			continue
 		}
 		before.Self = before.Inputs[in.ID]
-		v, err := st.step.Needs.Eval(r.ctx, in.ValueFrom, before)
+		v, err := st.step.Requirements.Eval(r.ctx, in.ValueFrom, before)
 		if err != nil {
 			return nil, false, fmt.Errorf("%s: %w", in.ID, err)
 		}
 		values[in.ID] = v
 	}
 	if st.step.When != "" {
-		v, err := st.step.Needs.Eval(r.ctx, st.step.When, Scope{Inputs: values})
+		v, err := st.step.Requirements.Eval(r.ctx, st.step.When, Scope{Inputs: values})
 		if err != nil {
 			return nil, false, fmt.Errorf("when: %w", err)
 		}
 		yes, ok := v.(bool)
 		if !ok {
-			return nil, false, fmt.Errorf("when: expected true or false, found %s", describe(v))
+			return nil, false, fmt.Errorf("when: expected true or false, found %s", describeValue(v))
 		}
 		if !yes {
 			return nil, false, nil
@@ -433,15 +435,15 @@
 	return full, true, err
 }
 
-// expression evaluates an expression tool to its outputs.
-func (r *Run) expression(p *Process, inputs map[string]any) (map[string]any, error) {
+// evalExpressionTool evaluates an expression tool and returns its outputs.
+func (r *Run) evalExpressionTool(p *Process, inputs map[string]any) (map[string]any, error) {
 	v, err := p.Needs.Eval(r.ctx, p.Expression, Scope{Inputs: inputs})
 	if err != nil {
 		return nil, err
 	}
 	m, ok := v.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("expression: expected outputs by name, found %s", describe(v))
+		return nil, fmt.Errorf("expression: expected outputs by name, found %s", describeValue(v))
 	}
 	out := map[string]any{}
 	for _, o := range p.Outputs {
@@ -451,16 +453,16 @@
 }
 
 // Finish records the result of a task that Ready has returned: its outputs, or the error that
-// it failed with for good. For another task, or one that has a result, it does nothing.
+// it finally failed with. It does nothing if the task is unknown or already has a result.
 func (r *Run) Finish(id string, outputs map[string]any, err error) {
-	if e := r.handedOut[id]; e != nil {
-		delete(r.handedOut, id)
+	if e := r.dispatched[id]; e != nil {
+		delete(r.dispatched, id)
 		r.finishElement(e, outputs, err)
 	}
 }
 
-// finishElement records the result of an element. The last of a step ends the step and starts
-// those that wait for it.
+// finishElement records the result of an element. The last element to end also ends its step,
+// and the steps that depend on it are started.
 func (r *Run) finishElement(e *element, outputs map[string]any, err error) {
 	st := e.step
 	e.outputs, e.err = outputs, err
@@ -481,8 +483,8 @@
 	r.advance(st.workflow)
 }
 
-// output returns an output of a step that has ended. That of a scattered step is a list, nested
-// as its method says. It is null where the step's condition was false.
+// output returns an output of a step that has ended. For a scattered step it is a list, nested
+// according to the scatter method. It is null where the step's condition was false.
 func (st *stepRun) output(name string) any {
 	if len(st.lengths) == 0 && len(st.step.Scatter) == 0 {
 		return st.elements[0].outputs[name]
@@ -491,13 +493,13 @@
 	for i, e := range st.elements {
 		flat[i] = e.outputs[name]
 	}
-	if st.step.Method != NestedCrossProduct {
+	if st.step.ScatterMethod != NestedCrossProduct {
 		return flat
 	}
 	return nest(flat, st.lengths)
 }
 
-// nest splits a list into lists within lists of the lengths given, the outermost first.
+// nest splits a list into nested lists of the given lengths, outermost first.
 func nest(flat []any, lengths []int) []any {
 	if len(lengths) == 1 {
 		return flat
@@ -510,8 +512,8 @@
 	return out
 }
 
-// finishWorkflow ends a workflow whose steps have all ended: the run as a whole, or an
-// element of a step.
+// finishWorkflow ends a workflow whose steps have all ended. It then ends the run, or for a
+// subworkflow the element that the workflow runs in.
 func (r *Run) finishWorkflow(w *workflowRun) {
 	out, errs := map[string]any{}, []error(nil)
 	for i := range w.process.Outputs {
@@ -520,7 +522,7 @@
 			id, _, ok := strings.Cut(src, "/")
 			return ok && (w.steps[id].state == StepFailed || w.steps[id].state == StepDropped)
 		}) {
-			continue // the other outputs are still returned
+			continue // outputs that don't depend on a failed step are still returned
 		}
 		v, err := w.link(output.Source, output.LinkMerge, output.PickValue)
 		if err == nil {
@@ -534,7 +536,7 @@
 	}
 	err := errors.Join(errs...)
 	if err == nil && w.failed {
-		err = errors.New("a step of it failed")
+		err = errors.New("a step of the workflow failed")
 	}
 	if w.parent != nil {
 		r.finishElement(w.parent, out, err)
@@ -543,28 +545,29 @@
 	r.outputs, r.err, r.ended = out, err, true
 }
 
-// Over reports whether the run has ended, with its outputs and, if a step or an output failed,
-// an error. The outputs of steps that succeeded are there in either case.
+// Over returns the outputs of the run and whether it is over. The error is not nil if a step
+// or an output failed; outputs that could still be computed are returned in that case too.
 func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.ended }
 
-// Failures returns the steps that have failed so far, in the order of their failures.
+// Failures returns the failures so far, in the order in which they occurred.
 func (r *Run) Failures() []Failure { return r.failures }
 
-// Steps calls f for each step of the whole, in the document's order, with its state, how
-// many of its elements are over, how many there are, and the step that it waits for, if any.
-func (r *Run) Steps(f func(id string, state StepState, over, total int, behind string)) {
+// Steps calls f for each step of the top-level workflow, in document order, with its state, the
+// number of elements that have ended, the total number of elements, and the id of the step that
+// it waits for, if any.
+func (r *Run) Steps(f func(id string, state StepState, ended, total int, waitsFor string)) {
 	for _, s := range r.root.process.Steps {
 		st := r.root.steps[s.ID]
-		behind := ""
+		waitsFor := ""
 		if st.state == StepWaiting {
-			behind = r.root.waitsFor(s)
+			waitsFor = r.root.firstPendingSource(s)
 		}
-		f(s.ID, st.state, st.total-st.remaining, st.total, behind)
+		f(s.ID, st.state, st.total-st.remaining, st.total, waitsFor)
 	}
 }
 
-// waitsFor is the first step that a step waits for.
-func (w *workflowRun) waitsFor(s *Step) string {
+// firstPendingSource returns the id of the first step that s waits for, "" if there is none.
+func (w *workflowRun) firstPendingSource(s *Step) string {
 	for _, in := range s.In {
 		for _, src := range in.Source {
 			id, _, ok := strings.Cut(src, "/")
--- a/internal/workflow/cwl/expr.go
+++ b/internal/workflow/cwl/expr.go
@@ -15,40 +15,41 @@
 	"github.com/dop251/goja"
 )
 
-// Scope holds the values that expressions can refer to ("Runtime environment", "Expressions").
+// Scope holds the variables that expressions can refer to ("Runtime environment", "Expressions").
 type Scope struct {
 	Inputs  map[string]any
 	Self    any
 	Runtime map[string]any
 }
 
-// Limits of one evaluation. Memory is the growth of the whole process's heap meanwhile, in
-// bytes, sampled every few milliseconds: it stops runaway expressions and is not exact.
+// Limits for one evaluation. Memory is measured as the growth of the heap of the whole Go
+// process during the evaluation, in bytes, sampled every few milliseconds: it stops runaway
+// expressions and is not exact.
 const (
 	maxExprTime   = 2 * time.Second
 	maxExprMemory = 64 << 20
 	maxExprStack  = 512
-	maxExprResult = 1 << 20 // bytes, as JSON
+	maxExprResult = 1 << 20 // in bytes, encoded as JSON
 )
 
-// Errors of expressions that exceed a limit. They are wrapped with the expression.
+// Errors for expressions that exceed a limit. They are returned wrapped with the expression.
 var (
 	ErrExprTime   = errors.New("the expression takes too long")
 	ErrExprMemory = errors.New("the expression takes too much memory")
 	ErrExprSize   = errors.New("the expression's result is too large")
 )
 
-// piece is a part of a text: as it stands, or an expression.
-type piece struct {
+// segment is a part of a string with expressions: literal text or an expression.
+type segment struct {
 	text string
-	expr string // with its brackets
-	body bool   // "${...}"
+	expr string // with its brackets, without the "$"
+	body bool   // a function body: "${...}"
 }
 
-// split finds the expressions in a text. A backslash before "$(" or "${" keeps them as
-// they are, and one before a backslash before them is a backslash ("Parameter references").
-func split(s string) ([]piece, error) {
-	var out []piece
+// splitExpressions splits a string into literal text and expressions. A backslash escapes "$("
+// and "${", and "\\" stands for one backslash ("Parameter references").
+func splitExpressions(s string) ([]segment, error) {
+	var out []segment
 	var lit strings.Builder
 	for i := 0; i < len(s); {
 		rest := s[i:]
@@ -60,15 +61,15 @@
 			lit.WriteString(rest[1:3])
 			i += 3
 		case strings.HasPrefix(rest, "$(") || strings.HasPrefix(rest, "${"):
-			n, err := closing(rest[1:])
+			n, err := bracketedLength(rest[1:])
 			if err != nil {
 				return nil, err
 			}
 			if lit.Len() > 0 {
-				out = append(out, piece{text: lit.String()})
+				out = append(out, segment{text: lit.String()})
 				lit.Reset()
 			}
-			out = append(out, piece{expr: rest[1 : 1+n], body: rest[1] == '{'})
+			out = append(out, segment{expr: rest[1 : 1+n], body: rest[1] == '{'})
 			i += 1 + n
 		default:
 			lit.WriteByte(s[i])
@@ -76,22 +77,22 @@
 		}
 	}
 	if lit.Len() > 0 {
-		out = append(out, piece{text: lit.String()})
+		out = append(out, segment{text: lit.String()})
 	}
 	return out, nil
 }
 
-// closing returns the length of the bracketed part that a text begins with. Strings,
-// comments and inner brackets are passed over.
-func closing(s string) (int, error) {
+// bracketedLength returns the length of the bracketed expression at the start of s, up to and
+// including the matching closing bracket. Brackets in string literals and comments are ignored.
+func bracketedLength(s string) (int, error) {
 	var open []byte
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; c {
 		case '(', '[', '{':
 			open = append(open, c)
 		case ')', ']', '}':
-			if len(open) == 0 || open[len(open)-1] != openingOf[c] {
-				return 0, fmt.Errorf("the brackets of the expression %q don't match", shorten(s))
+			if len(open) == 0 || open[len(open)-1] != openingBracket[c] {
+				return 0, fmt.Errorf("the brackets of the expression %q don't match", truncate(s))
 			}
 			if open = open[:len(open)-1]; len(open) == 0 {
 				return i + 1, nil
@@ -101,19 +102,19 @@
 		case '/':
 			end, ok := endOfComment(s, i)
 			if !ok {
-				return 0, fmt.Errorf("a comment in the expression %q does not end", shorten(s))
+				return 0, fmt.Errorf("unterminated comment in the expression %q", truncate(s))
 			}
 			i = end
 		}
 	}
-	return 0, fmt.Errorf("the expression %q does not end", shorten(s))
+	return 0, fmt.Errorf("the expression %q does not end", truncate(s))
 }
 
-// openingOf is the opening bracket of each closing one.
-var openingOf = map[byte]byte{')': '(', ']': '[', '}': '{'}
+// openingBracket maps each closing bracket to its opening bracket.
+var openingBracket = map[byte]byte{')': '(', ']': '[', '}': '{'}
 
-// endOfString returns the index of the quote that ends the JavaScript string whose opening
-// quote is at start, an index behind the text if there is none.
+// endOfString returns the index of the closing quote of the JavaScript string whose opening
+// quote is at start. If the string is unterminated, the index is at or past the end of s.
 func endOfString(s string, start int) int {
 	quote, i := s[start], start+1
 	for ; i < len(s) && s[i] != quote; i++ {
@@ -124,9 +125,9 @@
 	return i
 }
 
-// endOfComment returns the index of the last byte of the comment that begins with the slash
-// at start: the line's end, or the slash behind the star. A slash that begins no comment is
-// its own end. It reports false if the comment does not end.
+// endOfComment returns the index of the last byte of the comment that starts with the slash at
+// start: the line break, or the slash of the closing "*/". If the slash does not start a
+// comment, it returns start. It returns false if the comment is unterminated.
 func endOfComment(s string, start int) (int, bool) {
 	rest := s[start:]
 	switch {
@@ -142,27 +143,27 @@
 	return start, true
 }
 
-// HasExpression reports whether a text has expressions in it.
+// HasExpression reports whether a string may contain expressions. It does not consider escapes.
 func HasExpression(s string) bool { return strings.Contains(s, "$(") || strings.Contains(s, "${") }
 
-// Syntax checks the expressions in a text without evaluating them.
-func Syntax(s string, javascript bool) error {
+// CheckSyntax checks the syntax of the expressions in a string without evaluating them.
+func CheckSyntax(s string, javascript bool) error {
 	if !HasExpression(s) {
 		return nil
 	}
-	pieces, err := split(s)
+	segments, err := splitExpressions(s)
 	if err != nil {
 		return err
 	}
-	for _, p := range pieces {
+	for _, p := range segments {
 		switch {
 		case p.expr == "":
 		case javascript:
-			if _, err := goja.Compile("", program(p), true); err != nil {
-				return fmt.Errorf("%q is not JavaScript: %w", shorten(p.expr), err)
+			if _, err := goja.Compile("", javaScriptSource(p), true); err != nil {
+				return fmt.Errorf("%q is not JavaScript: %w", truncate(p.expr), err)
 			}
 		case p.body:
-			return fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", shorten(p.expr))
+			return fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", truncate(p.expr))
 		default:
 			if _, err := parseReference(p.expr); err != nil {
 				return err
@@ -172,40 +173,40 @@
 	return nil
 }
 
-// program returns the JavaScript text of an expression: a value, or a function's body.
-func program(p piece) string {
+// javaScriptSource returns the source code of an expression, with a function body wrapped in a call.
+func javaScriptSource(p segment) string {
 	if p.body {
 		return "(function()" + p.expr + ")()"
 	}
 	return p.expr
 }
 
-// Eval evaluates the expressions in a text. A text that is one expression has its value;
-// one with others around it is a string, with values in it as JSON where they are no
-// strings. Without expressions it is the text.
-func (n *Needs) Eval(ctx context.Context, s string, scope Scope) (any, error) {
+// Eval evaluates the expressions in a string. If the string consists of a single expression, the
+// result is its value. Otherwise the result is a string in which each expression is replaced by
+// its value, encoded as JSON unless it is a string itself.
+func (n *Requirements) Eval(ctx context.Context, s string, scope Scope) (any, error) {
 	if !HasExpression(s) {
 		return s, nil
 	}
-	pieces, err := split(s)
+	segments, err := splitExpressions(s)
 	if err != nil {
 		return nil, err
 	}
-	if trimmed := strings.TrimSpace(s); len(pieces) > 1 && trimmed != s {
-		if alone, err := split(trimmed); err == nil && len(alone) == 1 && alone[0].expr != "" {
-			pieces = alone // white space around one expression does not make it a string
+	if trimmed := strings.TrimSpace(s); len(segments) > 1 && trimmed != s {
+		if single, err := splitExpressions(trimmed); err == nil && len(single) == 1 && single[0].expr != "" {
+			segments = single // whitespace around a single expression does not turn its value into a string
 		}
 	}
-	if len(pieces) == 1 && pieces[0].expr != "" {
-		return n.evalOne(ctx, pieces[0], scope)
+	if len(segments) == 1 && segments[0].expr != "" {
+		return n.evalExpression(ctx, segments[0], scope)
 	}
 	var b strings.Builder
-	for _, p := range pieces {
+	for _, p := range segments {
 		if p.expr == "" {
 			b.WriteString(p.text)
 			continue
 		}
-		v, err := n.evalOne(ctx, p, scope)
+		v, err := n.evalExpression(ctx, p, scope)
 		if err != nil {
 			return nil, err
 		}
@@ -222,21 +223,22 @@
 	return b.String(), nil
 }
 
-// EvalText evaluates a text that must become a string.
-func (n *Needs) EvalText(ctx context.Context, s string, scope Scope) (string, error) {
+// EvalString evaluates the expressions in a string and requires the result to be a string.
+func (n *Requirements) EvalString(ctx context.Context, s string, scope Scope) (string, error) {
 	v, err := n.Eval(ctx, s, scope)
 	if err != nil {
 		return "", err
 	}
 	text, ok := v.(string)
 	if !ok {
-		return "", fmt.Errorf("%q: expected a string, found %s", shorten(s), describe(v))
+		return "", fmt.Errorf("%q: expected a string, found %s", truncate(s), describeValue(v))
 	}
 	return text, nil
 }
 
-// EvalNumber evaluates a text that must become a number; otherwise is for an empty one.
-func (n *Needs) EvalNumber(ctx context.Context, s string, scope Scope, fallback float64) (float64, error) {
+// EvalNumber evaluates the expressions in a string and requires the result to be a number or
+// a string that holds one. It returns fallback if the string is empty or the result is null.
+func (n *Requirements) EvalNumber(ctx context.Context, s string, scope Scope, fallback float64) (float64, error) {
 	if s == "" {
 		return fallback, nil
 	}
@@ -256,14 +258,15 @@
 	case nil:
 		return fallback, nil
 	}
-	return 0, fmt.Errorf("%q: expected a number, found %s", shorten(s), describe(v))
+	return 0, fmt.Errorf("%q: expected a number, found %s", truncate(s), describeValue(v))
 }
 
-// evalOne evaluates one expression: as a parameter reference if it is one, else as JavaScript.
-func (n *Needs) evalOne(ctx context.Context, p piece, scope Scope) (any, error) {
+// evalExpression evaluates one expression: as a parameter reference if possible, otherwise as
+// JavaScript.
+func (n *Requirements) evalExpression(ctx context.Context, p segment, scope Scope) (any, error) {
 	if !p.body {
 		if path, err := parseReference(p.expr); err == nil {
-			v, err := path.follow(scope)
+			v, err := path.evaluate(scope)
 			if err == nil || n.JavaScript == nil {
 				return v, err
 			}
@@ -272,23 +275,24 @@
 		}
 	}
 	if n.JavaScript == nil {
-		return nil, fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", shorten(p.expr))
+		return nil, fmt.Errorf("%q uses JavaScript without InlineJavascriptRequirement", truncate(p.expr))
 	}
 	return n.JavaScript.run(ctx, p, scope)
 }
 
-// reference is a parameter reference: a root and what is selected in it.
+// reference is a parsed parameter reference: a root variable and the selectors applied to it.
 type reference struct {
 	text string
 	root string
-	path []any // string: a field, int: an index
+	path []any // selectors: a string is a field name, an int is a list index
 }
 
-// parseReference reads "(inputs.reads[0]['left file'].size)" ("Parameter references").
+// parseReference parses a parameter reference such as "(inputs.reads[0]['left file'].size)"
+// ("Parameter references").
 func parseReference(expr string) (*reference, error) {
 	invalid := fmt.Errorf(
 		"%q is not a parameter reference, and there is no InlineJavascriptRequirement",
-		shorten("$"+expr),
+		truncate("$"+expr),
 	)
 	rest := strings.TrimSpace(strings.TrimSuffix(strings.TrimPrefix(expr, "("), ")"))
 	root, rest := cutIdentifier(rest)
@@ -299,12 +303,12 @@
 	}
 	parsed := &reference{text: expr, root: root}
 	for rest != "" {
-		selector, behind, ok := cutSelector(rest)
+		selector, remainder, ok := cutSelector(rest)
 		if !ok {
 			return nil, invalid
 		}
 		parsed.path = append(parsed.path, selector)
-		rest = behind
+		rest = remainder
 	}
 	if parsed.root == "null" && len(parsed.path) > 0 {
 		return nil, invalid
@@ -312,8 +316,7 @@
 	return parsed, nil
 }
 
-// cutIdentifier returns the identifier that a text begins with, "" if there is none, and
-// what is behind it.
+// cutIdentifier returns the identifier at the start of s, "" if there is none, and the rest of s.
 func cutIdentifier(s string) (identifier, rest string) {
 	i := 0
 	for i < len(s) && isIdentifierByte(s[i]) {
@@ -322,15 +325,15 @@
 	return s[:i], s[i:]
 }
 
-// isIdentifierByte reports whether a byte may be in an identifier. Any part of a character
-// outside ASCII may.
+// isIdentifierByte reports whether a byte may be part of an identifier. All bytes of non-ASCII
+// characters are accepted.
 func isIdentifierByte(c byte) bool {
 	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c >= 0x80
 }
 
-// cutSelector returns the selector that a text begins with, and what is behind it. ".name"
-// and "['name']" are a string, "[0]" is an int. It reports false if there is no selector.
-// The text must not be empty.
+// cutSelector returns the selector at the start of s and the rest of s. The selector is a string
+// for ".name" and "['name']", and an int for "[0]". It returns false if there is no valid
+// selector. s must not be empty.
 func cutSelector(s string) (selector any, rest string, ok bool) {
 	switch {
 	case s[0] == '.':
@@ -346,8 +349,8 @@
 	return nil, "", false
 }
 
-// cutQuotedSelector returns the name in a selector such as "['left file']", with a backslash
-// before a byte that stands for itself, and what is behind the selector.
+// cutQuotedSelector returns the name in a selector such as "['left file']" and the rest of s. A
+// backslash in the name escapes the byte that follows it.
 func cutQuotedSelector(s string) (selector, rest string, ok bool) {
 	quote := s[1]
 	var b strings.Builder
@@ -362,8 +365,8 @@
 	return b.String(), rest, ok
 }
 
-// follow returns the value that the reference selects in a scope.
-func (r *reference) follow(scope Scope) (any, error) {
+// evaluate returns the value that the reference selects from a scope.
+func (r *reference) evaluate(scope Scope) (any, error) {
 	var value any
 	switch r.root {
 	case "inputs":
@@ -389,14 +392,14 @@
 				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("%q: %s has no %v", "$"+r.text, describe(value), selector)
+			return nil, fmt.Errorf("%q: %s has no %v", "$"+r.text, describeValue(value), selector)
 		}
 	}
 	return value, nil
 }
 
-// selectInList returns an element of a list, or its length where the selector "length" is
-// the last.
+// selectInList returns an element of a list, or the length of the list if the selector is
+// "length" and the last one of the reference.
 func (r *reference) selectInList(list []any, selector any, isLast bool) (any, error) {
 	if index, ok := selector.(int); ok {
 		if index >= len(list) {
@@ -410,9 +413,9 @@
 	return int64(len(list)), nil
 }
 
-// run evaluates JavaScript in a new runtime, without input or output, within the limits of
-// time, memory, stack depth and result size.
-func (j *JavaScript) run(ctx context.Context, p piece, scope Scope) (any, error) {
+// run evaluates JavaScript in a new runtime without I/O, limiting time, memory, stack depth and
+// the size of the result.
+func (j *JavaScript) run(ctx context.Context, p segment, scope Scope) (any, error) {
 	vm := goja.New()
 	vm.SetMaxCallStackSize(maxExprStack)
 	for name, v := range map[string]any{"inputs": scope.Inputs, "self": scope.Self, "runtime": scope.Runtime} {
@@ -424,14 +427,14 @@
 			return nil, err
 		}
 	}
-	stop := watch(ctx, vm)
+	stop := enforceLimits(ctx, vm)
 	defer stop()
 	for _, lib := range j.Lib {
 		if _, err := vm.RunString(lib); err != nil {
 			return nil, exprError(p, err)
 		}
 	}
-	v, err := vm.RunString(program(p))
+	v, err := vm.RunString(javaScriptSource(p))
 	if err != nil {
 		return nil, exprError(p, err)
 	}
@@ -444,37 +447,37 @@
 		return nil, nil
 	}
 	if len(text.String()) > maxExprResult {
-		return nil, fmt.Errorf("%q: %w", shorten(p.expr), ErrExprSize)
+		return nil, fmt.Errorf("%q: %w", truncate(p.expr), ErrExprSize)
 	}
 	return fromJSON([]byte(text.String()))
 }
 
-// exprError adds the expression to an error of the JavaScript runtime. Of an interrupt it
-// returns the cause.
-func exprError(p piece, err error) error {
+// exprError wraps an error of the JavaScript runtime with the expression. An interrupt is
+// replaced by its cause.
+func exprError(p segment, err error) error {
 	var stopped *goja.InterruptedError
 	if errors.As(err, &stopped) {
 		if cause, ok := stopped.Value().(error); ok {
 			err = cause
 		}
 	}
-	return fmt.Errorf("%q: %w", shorten("$"+p.expr), err)
+	return fmt.Errorf("%q: %w", truncate("$"+p.expr), err)
 }
 
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-// heap returns how many bytes the live and the unswept objects of the heap take.
-func heap() uint64 {
+// heapBytes returns the size of the live and not yet swept heap objects, in bytes.
+func heapBytes() uint64 {
 	s := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(s)
 	return s[0].Value.Uint64()
 }
 
-// watch interrupts a runtime that exceeds its limits of time and memory, or whose context
-// ends, until stop is called. stop may be called more than once.
-func watch(ctx context.Context, vm *goja.Runtime) (stop func()) {
+// enforceLimits interrupts a runtime that exceeds its time or memory limit, or whose context
+// ends. It monitors the runtime until stop is called; stop may be called more than once.
+func enforceLimits(ctx context.Context, vm *goja.Runtime) (stop func()) {
 	done := make(chan struct{})
-	started, before := time.Now(), heap()
+	started, before := time.Now(), heapBytes()
 	go func() {
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
@@ -490,7 +493,7 @@
 					vm.Interrupt(ErrExprTime)
 					return
 				}
-				if now := heap(); now > before+maxExprMemory {
+				if now := heapBytes(); now > before+maxExprMemory {
 					vm.Interrupt(ErrExprMemory)
 					return
 				}
@@ -500,7 +503,7 @@
 	return sync.OnceFunc(func() { close(done) })
 }
 
-// toJS copies a value into a runtime, so that an expression can't change the original.
+// toJS copies a value into a runtime, so that expressions can't modify the original.
 func toJS(vm *goja.Runtime, v any) (goja.Value, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -510,7 +513,7 @@
 	return parse(goja.Undefined(), vm.ToValue(string(b)))
 }
 
-// fromJSON reads a value from JSON, whole numbers as int64.
+// fromJSON decodes a JSON value, with integers as int64.
 func fromJSON(b []byte) (any, error) {
 	d := json.NewDecoder(strings.NewReader(string(b)))
 	d.UseNumber()
@@ -521,8 +524,8 @@
 	return Whole(v), nil
 }
 
-// Whole turns the whole numbers in a value read from JSON into int64, the others into float64.
-// Lists and mappings are changed in place.
+// Whole converts the numbers in a decoded JSON value: integers to int64, others to float64.
+// Lists and maps are modified in place.
 func Whole(v any) any {
 	switch x := v.(type) {
 	case json.Number:
--- a/internal/workflow/cwl/fuzz_test.go
+++ b/internal/workflow/cwl/fuzz_test.go
@@ -8,7 +8,7 @@
 
 // FuzzLoad checks that no document makes Load, Start or Ready panic or hang.
 func FuzzLoad(f *testing.F) {
-	for _, s := range suitesOf(f) {
+	for _, s := range loadSuites(f) {
 		for _, c := range s.Documents {
 			f.Add([]byte(c.Doc))
 		}
@@ -29,15 +29,15 @@
 	})
 }
 
-// FuzzEval checks that no expression panics, takes long, or changes its inputs.
+// FuzzEval checks that no expression makes Eval panic, run for too long, or modify its inputs.
 func FuzzEval(f *testing.F) {
-	for _, s := range suitesOf(f) {
+	for _, s := range loadSuites(f) {
 		for _, c := range s.Expressions {
 			f.Add(c.Text, c.JS)
 		}
 	}
 	f.Fuzz(func(t *testing.T, text string, js bool) {
-		var n Needs
+		var n Requirements
 		if js {
 			n.JavaScript = &JavaScript{}
 		}
--- a/internal/workflow/cwl/inputs.go
+++ b/internal/workflow/cwl/inputs.go
@@ -12,8 +12,8 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// InputSchema is the JSON schema of a process's inputs, for clients that offer a form and
-// for ReadInputs.
+// InputSchema returns the JSON schema of a process's inputs. Clients use it to build input
+// forms, and ReadInputs to validate inputs.
 func (p *Process) InputSchema() map[string]any {
 	props, required := map[string]any{}, []any{}
 	for i := range p.Inputs {
@@ -37,13 +37,13 @@
 	}
 }
 
-// sourceFields are the fields, one of which a File or a Directory must have.
+// sourceFields lists, for File and Directory, the fields of which at least one must be present.
 var sourceFields = map[Kind][]string{
 	KindFile:      {"location", "path", "contents"},
 	KindDirectory: {"location", "path", "listing"},
 }
 
-// schema returns the JSON schema of the values of a type.
+// schema returns the JSON schema for values of the type.
 func (t *Type) schema() map[string]any {
 	is := func(name string) map[string]any { return map[string]any{"type": name} }
 	switch t.Kind {
@@ -93,23 +93,25 @@
 	return map[string]any{"not": is("null")} // Any
 }
 
-// ReadInputs reads inputs in YAML or JSON and checks them. The error is Problems, with the
-// place in the text of each. Defaults are not filled in.
+// ReadInputs parses inputs in YAML or JSON and validates them. Validation errors are returned as
+// Problems with their position in the file. Defaults are not filled in.
 func (p *Process) ReadInputs(file string, b []byte) (map[string]any, error) {
 	document, err := parseYAML(file, b)
 	if err != nil {
 		return nil, err
 	}
 	l := &loader{bundle: Bundle{}}
-	if document, err = l.directives(file, document, 0); err != nil {
+	if document, err = l.resolveDirectives(file, document, 0); err != nil {
 		return nil, Problems{{File: file, Reason: err.Error()}}
 	}
-	v, ok := value(document).(map[string]any)
+	v, ok := decodeValue(document).(map[string]any)
 	if !ok {
-		return nil, Problems{place{file: file, node: document}.problem("expected inputs by name, found %s", kindOf(document))}
+		return nil, Problems{
+			location{file: file, node: document}.problem("expected inputs by name, found %s", describeNode(document)),
+		}
 	}
 	compiler := jsonschema.NewCompiler()
-	if err := compiler.AddResource("inputs.json", jsonValue(p.InputSchema())); err != nil {
+	if err := compiler.AddResource("inputs.json", schemaValue(p.InputSchema())); err != nil {
 		return nil, err
 	}
 	schema, err := compiler.Compile("inputs.json")
@@ -117,8 +119,8 @@
 		return nil, err
 	}
 	var invalid *jsonschema.ValidationError
-	if err := schema.Validate(jsonValue(v)); errors.As(err, &invalid) {
-		return nil, p.problems(file, document, v, invalid)
+	if err := schema.Validate(schemaValue(v)); errors.As(err, &invalid) {
+		return nil, p.schemaProblems(file, document, v, invalid)
 	} else if err != nil {
 		return nil, err
 	}
@@ -130,31 +132,31 @@
 	return v, nil
 }
 
-// jsonValue turns whole numbers into what the schema library counts as integers.
-func jsonValue(v any) any {
+// schemaValue returns a copy of a value with int64 converted to int, as the JSON schema library expects.
+func schemaValue(v any) any {
 	switch x := v.(type) {
 	case int64:
 		return int(x)
 	case []any:
 		out := make([]any, len(x))
 		for i := range x {
-			out[i] = jsonValue(x[i])
+			out[i] = schemaValue(x[i])
 		}
 		return out
 	case map[string]any:
 		out := make(map[string]any, len(x))
 		for k := range x {
-			out[k] = jsonValue(x[k])
+			out[k] = schemaValue(x[k])
 		}
 		return out
 	}
 	return v
 }
 
-// problems returns what the schema found as problems, at most one an input, worded by
-// Type.Check where it finds the same: for a union the library lists an error for each
-// alternative.
-func (p *Process) problems(
+// schemaProblems converts schema validation errors to Problems, at most one per input. Where
+// Type.Check rejects the value too, its message is used, because for a union the library reports
+// one error per alternative.
+func (p *Process) schemaProblems(
 	file string,
 	document *yaml.Node,
 	v map[string]any,
@@ -175,12 +177,12 @@
 	reported := map[string]bool{}
 	for _, path := range slices.Sorted(maps.Keys(leaves)) {
 		e := leaves[path]
-		at := place{file: file, node: document}
+		at := location{file: file, node: document}
 		for _, part := range e.InstanceLocation {
 			at = at.child(part)
 		}
 		if len(e.InstanceLocation) == 0 {
-			out = append(out, p.missing(at, v)...)
+			out = append(out, p.inputNameProblems(at, v)...)
 			continue
 		}
 		id := e.InstanceLocation[0]
@@ -190,7 +192,7 @@
 		reported[id] = true
 		if in := p.input(id); in != nil {
 			if err := in.Type.Check(v[id]); err != nil {
-				at := place{file: file, node: document}.child(id)
+				at := location{file: file, node: document}.child(id)
 				out = append(out, at.problem("%v", err))
 				continue
 			}
@@ -202,8 +204,8 @@
 	return out
 }
 
-// missing returns a problem for each input that is not given and for each that is not known.
-func (p *Process) missing(at place, v map[string]any) Problems {
+// inputNameProblems returns a problem for each missing required input and for each unknown input.
+func (p *Process) inputNameProblems(at location, v map[string]any) Problems {
 	var out Problems
 	for _, in := range p.Inputs {
 		if _, ok := v[in.ID]; !ok && in.Default == nil && !in.Type.Optional() {
@@ -218,8 +220,8 @@
 	return out
 }
 
-// child returns the place of a field or an element, the place itself if there is none.
-func (at place) child(part string) place {
+// child returns the location of a field or an element, or the receiver if there is none.
+func (at location) child(part string) location {
 	if at.node == nil {
 		return at
 	}
@@ -238,8 +240,8 @@
 	return at
 }
 
-// Complete returns the inputs that a process runs with: those given, with defaults for those
-// that are missing or null. The error names each that is not of its type.
+// Complete returns the inputs that a process runs with: the given ones, with defaults for those
+// that are missing or null. The error lists each input that does not match its type.
 func (p *Process) Complete(v map[string]any) (map[string]any, error) {
 	out := make(map[string]any, len(p.Inputs))
 	var errs []error
--- a/internal/workflow/cwl/model.go
+++ b/internal/workflow/cwl/model.go
@@ -2,118 +2,117 @@
 
 import "strings"
 
-// The classes of processes.
+// Values of the class field of a process.
 const (
 	classTool           = "CommandLineTool"
 	classExpressionTool = "ExpressionTool"
 	classWorkflow       = "Workflow"
 )
 
-// Process is a tool, an expression tool or a workflow.
+// Process is a command line tool, an expression tool or a workflow.
 type Process struct {
 	Class   string // "CommandLineTool", "ExpressionTool" or "Workflow"
-	ID      string // within its file, "" if it has none
+	ID      string // local to its file; "" if it has none
 	Label   string
 	Inputs  []Parameter
 	Outputs []Parameter
-	Needs   Needs
+	Needs   Requirements
 
-	Tool       *Tool  // of a command line tool
-	Expression string // of an expression tool
+	Tool       *Tool  // set for a command line tool
+	Expression string // set for an expression tool
 	Steps      []*Step
 
-	where place
+	where location
 }
 
 // Parameter is an input or an output of a process.
 type Parameter struct {
 	ID             string
 	Type           *Type
-	Default        any // nil: none
+	Default        any // nil if there is none
 	SecondaryFiles []SecondaryFile
 	Format         []string
 	LoadContents   bool
 	Binding        *Binding       // of a tool's input
 	OutputBinding  *OutputBinding // of a tool's output
-	Stream         string         // "stdin", "stdout" or "stderr" where the type is that
+	Stream         string         // "stdin", "stdout" or "stderr" if the type is one of these, otherwise ""
 
 	Source    []string // of a workflow's output
 	LinkMerge string
 	PickValue string
 
-	where place
+	where location
 }
 
-// SecondaryFile is a file that goes with another ("SecondaryFileSchema").
+// SecondaryFile describes a file that accompanies a primary file ("SecondaryFileSchema").
 type SecondaryFile struct {
 	Pattern  string
 	Required string // "", "true", "false" or an expression
 }
 
-// Binding puts a value on a command line ("CommandLineBinding").
+// Binding describes how a value is added to the command line ("CommandLineBinding").
 type Binding struct {
 	Position      string // a number or an expression
 	Prefix        string
-	NoSeparate    bool // the prefix and the value are one argument
+	NoSeparate    bool // the prefix and the value form one argument
 	ItemSeparator *string
 	ValueFrom     string
 	LoadContents  bool
 	NoShellQuote  bool
 
-	where place
+	where location
 }
 
-// OutputBinding finds a tool's output ("CommandOutputBinding").
+// OutputBinding describes how an output of a tool is found ("CommandOutputBinding").
 type OutputBinding struct {
 	Glob         []string
 	LoadContents bool
 	OutputEval   string
 }
 
-// Argument is a fixed part of a command line.
+// Argument is an element of a tool's arguments field: a string or a binding.
 type Argument struct {
 	Text    string
-	Binding *Binding // nil: only the text
+	Binding *Binding // if nil, Text is the argument
 }
 
-// Tool is what is particular to a command line tool.
+// Tool holds the fields that are specific to command line tools.
 type Tool struct {
-	Command                []string
-	Arguments              []Argument
-	Stdin, Stdout, Stderr  string
-	Success, Retry, Failed []int // exit codes; 0 alone is success if none are given
+	BaseCommand                                          []string
+	Arguments                                            []Argument
+	Stdin, Stdout, Stderr                                string
+	SuccessCodes, TemporaryFailCodes, PermanentFailCodes []int // exit codes; if SuccessCodes is empty, only 0 is success
 }
 
 // Step is a step of a workflow.
 type Step struct {
-	ID      string
-	In      []StepInput
-	Out     []string
-	Run     *Process
-	When    string
-	Scatter []string
-	Method  string // of the scatter
-	Needs   Needs
+	ID            string
+	In            []StepInput
+	Out           []string
+	Run           *Process
+	When          string
+	Scatter       []string
+	ScatterMethod string
+	Requirements  Requirements
 
-	where place
+	where location
 }
 
-// StepInput is where a step's input comes from.
+// StepInput is an input of a step and the source of its value.
 type StepInput struct {
 	ID           string
 	Source       []string
-	List         bool // the source was written as a list, of one perhaps
+	SourceIsList bool // the source was written as a list, even if it has only one item
 	LinkMerge    string
 	PickValue    string
 	Default      any
 	ValueFrom    string
 	LoadContents bool
 
-	where place
+	where location
 }
 
-// The ways of merging and picking links ("WorkflowStepInput") and of scattering
-// ("WorkflowStep").
+// Values of linkMerge and pickValue ("WorkflowStepInput") and of scatterMethod ("WorkflowStep").
 const (
 	MergeNested    = "merge_nested"
 	MergeFlattened = "merge_flattened"
@@ -127,51 +126,52 @@
 	FlatCrossProduct   = "flat_crossproduct"
 )
 
-// Needs are the requirements and hints that apply to a process.
-type Needs struct {
-	JavaScript  *JavaScript
-	StepInputs  bool // StepInputExpressionRequirement
-	Scatter     bool
-	Subworkflow bool
-	MultiInput  bool
-	Image       string // DockerRequirement: what the machine must have
-	ImageHinted bool
-	Env         []EnvVar
-	Resources   Resources
-	TimeLimit   string // seconds, a number or an expression
-	Reuse       string // WorkReuse, "" if not stated
-	Network     string
-	Shell       bool
-	WorkDir     *WorkDir
-	Accelerator string // number of accelerators, from the common CUDA extension
-}
-
-// JavaScript allows expressions in it.
+// Requirements holds the requirements and hints that apply to a process.
+type Requirements struct {
+	JavaScript          *JavaScript
+	StepInputExpression bool // StepInputExpressionRequirement
+	Scatter             bool
+	Subworkflow         bool
+	MultipleInput       bool
+	Image               string // DockerRequirement: the image that the machine must provide
+	ImageHinted         bool
+	Env                 []EnvVar
+	Resources           Resources
+	TimeLimit           string // in seconds, a number or an expression
+	EnableReuse         string // WorkReuse, "" if not stated
+	NetworkAccess       string
+	Shell               bool
+	WorkDir             *WorkDir
+	Accelerator         string // number of accelerators, from the widely used CUDARequirement extension
+}
+
+// JavaScript enables JavaScript expressions (InlineJavascriptRequirement). Lib is evaluated before
+// each expression.
 type JavaScript struct{ Lib []string }
 
-// EnvVar is one of EnvVarRequirement.
+// EnvVar is an environment variable of EnvVarRequirement.
 type EnvVar struct{ Name, Value string }
 
-// Resources are those of ResourceRequirement: numbers or expressions, "" if not stated.
-// Cores are a number; the others are in MiB.
+// Resources holds the fields of ResourceRequirement: numbers or expressions, "" if not stated.
+// Cores are a count; the other values are in MiB.
 type Resources struct {
 	CoresMin, CoresMax, RAMMin, RAMMax, TmpMin, TmpMax, OutMin, OutMax string
 }
 
-// WorkDir is InitialWorkDirRequirement: an expression for all, or entries.
+// WorkDir is InitialWorkDirRequirement: one expression for the whole listing, or a list of entries.
 type WorkDir struct {
 	Listing string
 	Entries []Dirent
 }
 
-// Dirent puts a file into the working directory.
+// Dirent describes a file, or several files, to place in the working directory.
 type Dirent struct {
-	Name     string // "" if the entry gives files with names of their own
+	Name     string // "" if the entry evaluates to files that keep their own names
 	Entry    string
 	Writable bool
 }
 
-// input finds an input by name, nil if there is none.
+// input returns the input with the given id, or nil if there is none.
 func (p *Process) input(id string) *Parameter {
 	for i := range p.Inputs {
 		if p.Inputs[i].ID == id {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// output finds an output by name, nil if there is none.
+// output returns the output with the given id, or nil if there is none.
 func (p *Process) output(id string) *Parameter {
 	for i := range p.Outputs {
 		if p.Outputs[i].ID == id {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// Step finds a step by name, nil if there is none.
+// Step returns the step with the given id, or nil if there is none.
 func (p *Process) Step(id string) *Step {
 	for _, s := range p.Steps {
 		if s.ID == id {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// ToolAt finds the tool of a task by the task's id, as Run gives it; nil if there is none.
+// ToolAt returns the tool that the task with the given Task.ID runs, or nil if there is none.
 func (p *Process) ToolAt(id string) *Process {
 	if p.Class != classWorkflow {
 		return p
--- a/internal/workflow/cwl/needs.go
+++ b/internal/workflow/cwl/needs.go
@@ -8,10 +8,10 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// needs reads requirements, or hints, over those that already apply. A requirement that
-// is not supported is a mistake; a hint that is not is passed over with a warning. What
-// is hinted does not replace what is required.
-func (l *loader) needs(n *Needs, at place, required bool) {
+// readRequirements parses requirements, or hints, and applies them on top of those in n. An
+// unsupported requirement is an error; an unsupported hint is ignored with a warning. Hints
+// should not replace requirements, but only setImage enforces this.
+func (l *loader) readRequirements(n *Requirements, at location, required bool) {
 	if isNull(at.node) {
 		return
 	}
@@ -27,37 +27,38 @@
 	case yaml.SequenceNode:
 		for i, node := range at.node.Content {
 			item := at.in(fmt.Sprintf("[%d]", i), node)
-			class := l.textField(item, "class")
+			class := l.readStringField(item, "class")
 			if class == "" {
-				l.fail(item, "class is missing")
+				l.errorf(item, "class is missing")
 				continue
 			}
 			l.applyRequirement(n, class, item, required)
 		}
 	default:
-		l.fail(at, "expected a list or a mapping, found %s", kindOf(at.node))
+		l.errorf(at, "expected a list or a mapping, found %s", describeNode(at.node))
 	}
 }
 
-// applyRequirement reads one requirement, or hint, and applies it to n.
-func (l *loader) applyRequirement(n *Needs, class string, at place, required bool) {
-	apply := l.need(class, at, n, required)
+// applyRequirement parses one requirement, or hint, and applies it to n.
+func (l *loader) applyRequirement(n *Requirements, class string, at location, required bool) {
+	apply := l.requirementSetter(class, at, n, required)
 	switch {
 	case apply == nil && required:
-		l.fail(at, "requirement %s is not supported", class)
+		l.errorf(at, "requirement %s is not supported", class)
 	case apply == nil:
-		l.warn(at, "hint %s is not supported and passed over", class)
+		l.warnf(at, "hint %s is not supported and passed over", class)
 	default:
 		apply()
 	}
 }
 
-// need returns what a requirement changes, nil if it isn't supported.
-func (l *loader) need(class string, at place, n *Needs, required bool) func() {
+// requirementSetter returns a function that applies a requirement to n, or nil if the class is not
+// supported.
+func (l *loader) requirementSetter(class string, at location, n *Requirements, required bool) func() {
 	if i := strings.LastIndexAny(class, "#:"); i >= 0 {
 		class = class[i+1:]
 	}
-	known := func(names ...string) map[string]place { return l.fields(at, append(names, "class")...) }
+	known := func(names ...string) map[string]location { return l.fields(at, append(names, "class")...) }
 	if feature := n.feature(class); feature != nil {
 		known()
 		return func() { *feature = true }
@@ -65,7 +66,7 @@
 	switch class {
 	case "InlineJavascriptRequirement":
 		f := known("expressionLib")
-		return func() { n.JavaScript = &JavaScript{Lib: l.texts(f["expressionLib"])} }
+		return func() { n.JavaScript = &JavaScript{Lib: l.readStrings(f["expressionLib"])} }
 	case "SchemaDefRequirement":
 		f := known("types")
 		return func() { l.defineTypes(f["types"]) }
@@ -77,43 +78,43 @@
 		return func() { l.setEnv(n, f["envDef"]) }
 	case "ResourceRequirement":
 		f := known("coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax")
-		return func() { n.Resources = l.resources(f) }
+		return func() { n.Resources = l.readResources(f) }
 	case "CUDARequirement":
 		f := known("cudaVersionMin", "cudaComputeCapability", "cudaDeviceCountMin", "cudaDeviceCountMax")
-		return func() { n.Accelerator = l.accelerators(f) }
+		return func() { n.Accelerator = l.readAccelerators(f) }
 	case "ToolTimeLimit":
 		f := known("timelimit")
-		return func() { n.TimeLimit = l.scalar(f["timelimit"]) }
+		return func() { n.TimeLimit = l.readScalar(f["timelimit"]) }
 	case "WorkReuse":
 		f := known("enableReuse")
-		return func() { n.Reuse = valueOr(f, "enableReuse", "true") }
+		return func() { n.EnableReuse = valueOr(f, "enableReuse", "true") }
 	case "NetworkAccess":
 		f := known("networkAccess")
-		return func() { n.Network = valueOr(f, "networkAccess", n.Network) }
+		return func() { n.NetworkAccess = valueOr(f, "networkAccess", n.NetworkAccess) }
 	case "InitialWorkDirRequirement":
 		f := known("listing")
-		return func() { n.WorkDir = l.workDir(f["listing"].orSelf(at)) }
+		return func() { n.WorkDir = l.readWorkDir(f["listing"].orElse(at)) }
 	}
 	return nil
 }
 
-// feature returns the flag that a requirement without fields sets, nil for other requirements.
-func (n *Needs) feature(class string) *bool {
+// feature returns the flag that a requirement without fields sets, or nil for other requirements.
+func (n *Requirements) feature(class string) *bool {
 	switch class {
 	case "StepInputExpressionRequirement":
-		return &n.StepInputs
+		return &n.StepInputExpression
 	case "ScatterFeatureRequirement":
 		return &n.Scatter
 	case "SubworkflowFeatureRequirement":
 		return &n.Subworkflow
 	case "MultipleInputFeatureRequirement":
-		return &n.MultiInput
+		return &n.MultipleInput
 	}
 	return nil
 }
 
-// valueOr returns the text of a field as it is written, fallback if the field is missing.
-func valueOr(f map[string]place, field, fallback string) string {
+// valueOr returns the raw text of a field, or fallback if the field is missing.
+func valueOr(f map[string]location, field, fallback string) string {
 	if x, ok := f[field]; ok {
 		return x.node.Value
 	}
@@ -122,10 +123,10 @@
 
 // setImage applies the fields of DockerRequirement. A hint does not replace an image that a
 // requirement names.
-func (l *loader) setImage(n *Needs, f map[string]place, required bool) {
+func (l *loader) setImage(n *Requirements, f map[string]location, required bool) {
 	for _, field := range []string{"dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"} {
 		if x, ok := f[field]; ok && required {
-			l.fail(x, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
+			l.errorf(x, "is not supported; dockerPull or dockerImageId names the image that the machine must have")
 		}
 	}
 	image := f["dockerPull"]
@@ -136,14 +137,14 @@
 		return
 	}
 	if required || n.Image == "" || n.ImageHinted {
-		n.Image, n.ImageHinted = l.text(image), !required
+		n.Image, n.ImageHinted = l.readString(image), !required
 	}
 }
 
-// setEnv applies the definitions of EnvVarRequirement, over those of the same name. The
-// slice that n had is shared with the process around it and is not changed.
-func (l *loader) setEnv(n *Needs, definitions place) {
-	l.named(definitions, "envName", "envValue", func(envName string, x place) {
+// setEnv applies the definitions of EnvVarRequirement, replacing variables of the same name. The
+// slice n.Env is shared with the enclosing process, so it is cloned before it is modified.
+func (l *loader) setEnv(n *Requirements, definitions location) {
+	l.forEachNamed(definitions, "envName", "envValue", func(envName string, x location) {
 		f := l.fields(x, "envName", "envValue")
 		variable := EnvVar{Name: envName, Value: valueOr(f, "envValue", "")}
 		n.Env = slices.Clone(n.Env)
@@ -155,78 +156,78 @@
 	})
 }
 
-// resources reads the fields of ResourceRequirement.
-func (l *loader) resources(f map[string]place) Resources {
+// readResources parses the fields of ResourceRequirement.
+func (l *loader) readResources(f map[string]location) Resources {
 	return Resources{
-		CoresMin: l.scalar(f["coresMin"]),
-		CoresMax: l.scalar(f["coresMax"]),
-		RAMMin:   l.scalar(f["ramMin"]),
-		RAMMax:   l.scalar(f["ramMax"]),
-		TmpMin:   l.scalar(f["tmpdirMin"]),
-		TmpMax:   l.scalar(f["tmpdirMax"]),
-		OutMin:   l.scalar(f["outdirMin"]),
-		OutMax:   l.scalar(f["outdirMax"]),
+		CoresMin: l.readScalar(f["coresMin"]),
+		CoresMax: l.readScalar(f["coresMax"]),
+		RAMMin:   l.readScalar(f["ramMin"]),
+		RAMMax:   l.readScalar(f["ramMax"]),
+		TmpMin:   l.readScalar(f["tmpdirMin"]),
+		TmpMax:   l.readScalar(f["tmpdirMax"]),
+		OutMin:   l.readScalar(f["outdirMin"]),
+		OutMax:   l.readScalar(f["outdirMax"]),
 	}
 }
 
-// accelerators reads the number of accelerators of CUDARequirement, one if it is not stated.
-func (l *loader) accelerators(f map[string]place) string {
+// readAccelerators reads the number of accelerators of CUDARequirement. The default is one.
+func (l *loader) readAccelerators(f map[string]location) string {
 	if count, ok := f["cudaDeviceCountMin"]; ok {
-		return l.scalar(count)
+		return l.readScalar(count)
 	}
 	return "1"
 }
 
-// workDir reads the listing of InitialWorkDirRequirement: an expression or a list of entries.
-func (l *loader) workDir(at place) *WorkDir {
+// readWorkDir parses the listing of InitialWorkDirRequirement: an expression or a list of entries.
+func (l *loader) readWorkDir(at location) *WorkDir {
 	if at.node.Kind == yaml.ScalarNode {
-		return &WorkDir{Listing: l.text(at)}
+		return &WorkDir{Listing: l.readString(at)}
 	}
 	w := &WorkDir{}
 	if at.node.Kind != yaml.SequenceNode {
-		l.fail(at, "expected an expression or a list, found %s", kindOf(at.node))
+		l.errorf(at, "expected an expression or a list, found %s", describeNode(at.node))
 		return w
 	}
 	for i, node := range at.node.Content {
 		x := at.in(fmt.Sprintf("[%d]", i), node)
 		if node.Kind == yaml.ScalarNode {
-			w.Entries = append(w.Entries, Dirent{Entry: l.text(x)})
+			w.Entries = append(w.Entries, Dirent{Entry: l.readString(x)})
 			continue
 		}
 		f := l.fields(x, "class", "entryname", "entry", "writable")
-		entry := Dirent{Writable: l.boolean(f["writable"], false)}
+		entry := Dirent{Writable: l.readBool(f["writable"], false)}
 		if e, ok := f["entry"]; ok {
-			entry.Entry = l.text(e)
+			entry.Entry = l.readString(e)
 		} else {
-			l.fail(x, "entry is missing")
+			l.errorf(x, "entry is missing")
 		}
 		if e, ok := f["entryname"]; ok {
-			entry.Name = l.text(e)
+			entry.Name = l.readString(e)
 		}
 		w.Entries = append(w.Entries, entry)
 	}
 	return w
 }
 
-// defineTypes reads the named types of SchemaDefRequirement, for the file they stand in.
-func (l *loader) defineTypes(at place) {
+// defineTypes parses the named types of SchemaDefRequirement and registers them for their file.
+func (l *loader) defineTypes(at location) {
 	if isNull(at.node) {
 		return
 	}
 	if at.node.Kind != yaml.SequenceNode {
-		l.fail(at, "expected a list, found %s", kindOf(at.node))
+		l.errorf(at, "expected a list, found %s", describeNode(at.node))
 		return
 	}
 	for i, c := range at.node.Content {
 		x := at.in(fmt.Sprintf("[%d]", i), c)
 		list := []*yaml.Node{c}
-		if c.Kind == yaml.SequenceNode { // what was imported may be a list
+		if c.Kind == yaml.SequenceNode { // $import may have inserted a list of types
 			list = c.Content
 		}
 		for _, n := range list {
-			t := l.readType(place{x.file, x.field, n}, 0)
+			t := l.readType(location{x.file, x.field, n}, 0)
 			if t.Name == "" {
-				l.fail(x, "name is missing in a type's definition")
+				l.errorf(x, "name is missing in a type's definition")
 				continue
 			}
 			l.types[at.file+"#"+t.Name] = t
--- a/internal/workflow/cwl/outputs.go
+++ b/internal/workflow/cwl/outputs.go
@@ -11,49 +11,49 @@
 
 // Dir is a tool's working directory after it has run.
 type Dir interface {
-	// Glob lists what a pattern matches, in the order of names: values of class File or
-	// Directory with at least path and basename.
+	// Glob returns the files and directories that match a pattern, sorted by name, as objects of
+	// class File or Directory with at least path and basename.
 	Glob(pattern string) ([]map[string]any, error)
-	// Read returns a file's first bytes, at most limit.
+	// Read returns at most limit bytes from the start of a file.
 	Read(path string, limit int) ([]byte, error)
-	// Stat returns the value of a path, nil if nothing is there.
+	// Stat returns the File or Directory object for a path, or nil if the path does not exist.
 	Stat(path string) (map[string]any, error)
 }
 
-// Limits of what is read of files, in bytes.
+// Limits for reading files, in bytes.
 const (
-	// maxContents is how much of a file loadContents reads; a larger one is an error
+	// maxContents is the maximum size of a file for loadContents; a larger file is an error
 	// ("loadContents").
 	maxContents = 64 << 10
-	// maxOutputObject is how much of the output object is read.
+	// maxOutputObject is the number of bytes read from the output object file.
 	maxOutputObject = 16 << 20
 )
 
-// outputObject is the file that, where a tool writes it, takes the place of all bindings
-// ("Output binding").
+// outputObject is the name of the file that a tool may write to define its outputs itself. If it
+// exists, output bindings are not evaluated ("Output binding").
 const outputObject = "cwl.output.json"
 
-// ErrNotSuccess is the error of a tool whose exit code is not one of success.
+// ErrNotSuccess is returned for a tool whose exit code does not indicate success.
 type ErrNotSuccess struct { //nolint:errname // other packages use the name
 	Code  int
-	Retry bool // another try may help
+	Retry bool // the failure is temporary; a retry may succeed
 }
 
-// Error says which code the tool ended with.
+// Error returns a message with the exit code.
 func (e *ErrNotSuccess) Error() string { return fmt.Sprintf("the tool ended with code %d", e.Code) }
 
-// Exit returns nil if an exit code is one of success by the codes that the tool states, else
-// an *ErrNotSuccess. A code that the tool does not state is a failure, 0 excepted where no
-// codes of success are stated.
+// Exit returns nil if an exit code indicates success according to the tool's exit codes, and an
+// *ExitError otherwise. A code that the tool does not list is a permanent failure, except that 0
+// is success if the tool lists no success codes.
 func (t *Tool) Exit(code int) error {
-	success := t.Success
+	success := t.SuccessCodes
 	if len(success) == 0 {
 		success = []int{0}
 	}
 	switch {
-	case slices.Contains(t.Retry, code):
+	case slices.Contains(t.TemporaryFailCodes, code):
 		return &ErrNotSuccess{code, true}
-	case slices.Contains(t.Failed, code):
+	case slices.Contains(t.PermanentFailCodes, code):
 		return &ErrNotSuccess{code, false}
 	case slices.Contains(success, code):
 		return nil
@@ -61,7 +61,7 @@
 	return &ErrNotSuccess{code, false}
 }
 
-// Collect finds a tool's outputs in its working directory. cmd is what Command built.
+// Collect finds the outputs of a tool in its working directory. cmd is the result of Command.
 func (p *Process) Collect(
 	ctx context.Context,
 	inputs map[string]any,
@@ -73,7 +73,7 @@
 	if f, err := dir.Stat(outputObject); err != nil {
 		return nil, err
 	} else if f != nil {
-		return p.outputsFrom(dir)
+		return p.readOutputObject(dir)
 	}
 	out := map[string]any{}
 	for i := range p.Outputs {
@@ -82,7 +82,7 @@
 		if o.Stream != "" {
 			b = &OutputBinding{Glob: []string{map[string]string{"stdout": cmd.Stdout, "stderr": cmd.Stderr}[o.Stream]}}
 		}
-		v, err := p.collect(ctx, o.Type, b, o.SecondaryFiles, scope, dir)
+		v, err := p.collectOutput(ctx, o.Type, b, o.SecondaryFiles, scope, dir)
 		if err != nil {
 			return nil, fmt.Errorf("output %s: %w", o.ID, err)
 		}
@@ -91,7 +91,7 @@
 	return out, p.checkOutputs(out)
 }
 
-// checkOutputs returns an error for each output that is not of its type.
+// checkOutputs returns an error that lists each output that does not match its type.
 func (p *Process) checkOutputs(out map[string]any) error {
 	var errs []error
 	for i := range p.Outputs {
@@ -102,8 +102,8 @@
 	return errors.Join(errs...)
 }
 
-// outputsFrom reads the outputs from the object that the tool has written itself.
-func (p *Process) outputsFrom(dir Dir) (map[string]any, error) {
+// readOutputObject reads the outputs from the output object file that the tool has written.
+func (p *Process) readOutputObject(dir Dir) (map[string]any, error) {
 	b, err := dir.Read(outputObject, maxOutputObject)
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	}
 	object, ok := v.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("%s: expected outputs by name, found %s", outputObject, describe(v))
+		return nil, fmt.Errorf("%s: expected outputs by name, found %s", outputObject, describeValue(v))
 	}
 	out := map[string]any{}
 	for _, output := range p.Outputs {
@@ -125,8 +125,8 @@
 	return out, p.checkOutputs(out)
 }
 
-// completeFiles completes the files of a value with what dir has of them. Lists and records
-// in it are changed in place. A file that does not exist is an error.
+// completeFiles adds the fields that dir returns to all File and Directory objects in a value.
+// Lists and records are modified in place. A file that does not exist is an error.
 func completeFiles(v any, dir Dir) (any, error) {
 	var err error
 	switch x := v.(type) {
@@ -149,8 +149,8 @@
 	return v, nil
 }
 
-// completeFile returns what dir has of a File or a Directory, with the fields of file that
-// it does not state.
+// completeFile returns the object that dir has for a File or Directory, extended by the fields
+// that only file has.
 func completeFile(file map[string]any, dir Dir) (any, error) {
 	name, _ := file["path"].(string)
 	if name == "" {
@@ -161,7 +161,7 @@
 		return nil, err
 	}
 	if actual == nil {
-		return nil, fmt.Errorf("there is no %q", shorten(name))
+		return nil, fmt.Errorf("there is no %q", truncate(name))
 	}
 	for k, v := range file {
 		if _, ok := actual[k]; !ok {
@@ -171,9 +171,9 @@
 	return actual, nil
 }
 
-// collect finds the value of one output, or of one field of an output that is a record.
-// Without a binding the value is null.
-func (p *Process) collect(
+// collectOutput returns the value of one output, or of one field of a record output. Without a
+// binding the value is null, except that a record is collected field by field.
+func (p *Process) collectOutput(
 	ctx context.Context,
 	t *Type,
 	binding *OutputBinding,
@@ -200,7 +200,7 @@
 		scope.Self = list
 		value, err = p.Needs.Eval(ctx, binding.OutputEval, scope)
 	} else {
-		value, err = t.fromMatches(list, binding.Glob)
+		value, err = t.valueFromMatches(list, binding.Glob)
 	}
 	if err != nil {
 		return nil, err
@@ -211,11 +211,11 @@
 	return value, p.addSecondary(ctx, value, secondary, scope, dir)
 }
 
-// collectRecord finds the fields of an output that is a record.
+// collectRecord collects the fields of a record output.
 func (p *Process) collectRecord(ctx context.Context, t *Type, scope Scope, dir Dir) (any, error) {
 	record := map[string]any{}
 	for _, field := range t.Fields {
-		v, err := p.collect(ctx, field.Type, field.OutputBinding, field.SecondaryFiles, scope, dir)
+		v, err := p.collectOutput(ctx, field.Type, field.OutputBinding, field.SecondaryFiles, scope, dir)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", field.Name, err)
 		}
@@ -224,13 +224,13 @@
 	return record, nil
 }
 
-// outputFiles returns files as a value, with their contents if those are to be loaded.
+// outputFiles returns files as a list value and loads their contents if loadContents is set.
 func outputFiles(files []map[string]any, loadContents bool, dir Dir) ([]any, error) {
 	list := make([]any, len(files))
 	for i, file := range files {
 		if loadContents {
 			name, _ := file["path"].(string)
-			text, err := contents(dir, name)
+			text, err := readContents(dir, name)
 			if err != nil {
 				return nil, err
 			}
@@ -241,11 +241,11 @@
 	return list, nil
 }
 
-// fromMatches returns the value of the type that the files matched by patterns make: all of
-// them if a list is one, else the only one, or null if there is none.
-func (t *Type) fromMatches(files []any, patterns []string) (any, error) {
+// valueFromMatches converts the files that match an output's patterns to a value of the type: the
+// list of files if the type accepts a list, otherwise the only file, or null if there is none.
+func (t *Type) valueFromMatches(files []any, patterns []string) (any, error) {
 	switch {
-	case t.takesList():
+	case t.acceptsList():
 		return files, nil
 	case len(files) == 0:
 		return nil, nil
@@ -255,13 +255,13 @@
 	return nil, fmt.Errorf("%s matches %d files, and the type is %s", strings.Join(patterns, ", "), len(files), t)
 }
 
-// takesList reports whether a list is a value of the type.
-func (t *Type) takesList() bool {
+// acceptsList reports whether a value of the type may be a list.
+func (t *Type) acceptsList() bool {
 	return t.Kind == KindArray || t.Kind == KindAny ||
-		t.Kind == KindUnion && slices.ContainsFunc(t.Union, (*Type).takesList)
+		t.Kind == KindUnion && slices.ContainsFunc(t.Union, (*Type).acceptsList)
 }
 
-// globAll returns the files that the patterns of a binding match, in the patterns' order.
+// globAll returns the files that match the patterns of a binding, in the order of the patterns.
 func (p *Process) globAll(
 	ctx context.Context,
 	binding *OutputBinding,
@@ -280,8 +280,8 @@
 		}
 		for _, x := range patterns {
 			pattern, ok := x.(string)
-			if !ok || !localPath(pattern) {
-				return nil, fmt.Errorf("glob: %s is not a pattern within the working directory", describe(x))
+			if !ok || !isLocalPath(pattern) {
+				return nil, fmt.Errorf("glob: %s is not a pattern within the working directory", describeValue(x))
 			}
 			files, err := dir.Glob(pattern)
 			if err != nil {
@@ -293,20 +293,20 @@
 	return out, nil
 }
 
-// contents returns the text of a file that loadContents may read whole.
-func contents(dir Dir, name string) (string, error) {
+// readContents returns the contents of a file, or an error if the file exceeds maxContents.
+func readContents(dir Dir, name string) (string, error) {
 	b, err := dir.Read(name, maxContents+1)
 	if err != nil {
 		return "", err
 	}
 	if len(b) > maxContents {
-		return "", fmt.Errorf("%q has more than the %d bytes that loadContents reads", name, maxContents)
+		return "", fmt.Errorf("file %q exceeds the loadContents limit of %d bytes", name, maxContents)
 	}
 	return string(b), nil
 }
 
-// addSecondary adds to a file, or to each file of a list, the files that go with it. Other
-// values stay as they are.
+// addSecondary sets the secondary files of a file, or of each file in a list. Other values are
+// left unchanged.
 func (p *Process) addSecondary(
 	ctx context.Context,
 	value any,
@@ -337,8 +337,8 @@
 	return nil
 }
 
-// addSecondaryTo adds the files that one pattern gives to a file. One that does not exist is
-// an error if it is required.
+// addSecondaryTo adds the secondary files that match one pattern to a file. A missing secondary
+// file is an error if it is required.
 func (p *Process) addSecondaryTo(
 	ctx context.Context,
 	file map[string]any,
@@ -377,8 +377,8 @@
 	return nil
 }
 
-// SecondaryName applies a pattern to a file's name: each ^ in front takes an extension
-// away, the rest is put behind ("SecondaryFileSchema").
+// SecondaryName applies a pattern to a file name: each leading ^ removes one extension, and the
+// rest of the pattern is appended ("SecondaryFileSchema").
 func SecondaryName(name, pattern string) string {
 	for strings.HasPrefix(pattern, "^") {
 		pattern = pattern[1:]
@@ -390,8 +390,8 @@
 	return name + pattern
 }
 
-// secondaryNames returns the paths that a pattern gives for the file with the path filePath.
-// Names that an expression gives are in the file's folder.
+// secondaryNames returns the paths of the secondary files that a pattern gives for the file at
+// filePath. Names returned by an expression are relative to the directory of the file.
 func (p *Process) secondaryNames(
 	ctx context.Context,
 	secondary SecondaryFile,
@@ -422,13 +422,13 @@
 			out = append(out, name)
 		case nil:
 		default:
-			return nil, fmt.Errorf("secondaryFiles: expected names, found %s", describe(x))
+			return nil, fmt.Errorf("secondaryFiles: expected names, found %s", describeValue(x))
 		}
 	}
 	return out, nil
 }
 
-// jsonText returns a value as JSON. Values of expressions and inputs can always be encoded.
+// jsonText returns a value as JSON. Encoding can't fail for expression results and inputs.
 func jsonText(v any) string {
 	b, _ := json.Marshal(v)
 	return string(b)
--- a/internal/workflow/cwl/source.go
+++ b/internal/workflow/cwl/source.go
@@ -11,15 +11,15 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// Problem is one mistake in a document or in inputs, or a warning about one.
+// Problem is an error or a warning about a document or its inputs.
 type Problem struct {
 	File         string
-	Line, Column int    // from 1; 0 if unknown
-	Field        string // "steps.read.run"
-	Reason       string // what was found and what was expected
+	Line, Column int    // 1-based; 0 if unknown
+	Field        string // path of the field, such as "steps.read.run"
+	Reason       string // description of the problem
 }
 
-// String is the problem on one line: FILE:LINE:COLUMN: FIELD: REASON.
+// String returns the problem on one line: FILE:LINE:COLUMN: FIELD: REASON.
 func (p Problem) String() string {
 	where := p.File
 	if p.Line > 0 {
@@ -31,10 +31,10 @@
 	return where + ": " + p.Reason
 }
 
-// Problems are all that is wrong, in the order of the text.
+// Problems is a list of problems in the order in which they were found.
 type Problems []Problem //nolint:errname // a list that is also an error; other packages use the name
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -43,45 +43,45 @@
 	return strings.Join(lines, "\n")
 }
 
-// Bundle is a set of files by their slash-separated relative paths. References between
-// documents are resolved within it only.
+// Bundle maps slash-separated relative paths to file contents. References between documents are
+// resolved only within the bundle.
 type Bundle map[string][]byte
 
-// Limits of documents.
+// Limits for documents.
 const (
 	maxBundleBytes = 16 << 20 // bytes
-	maxNodes       = 200_000  // YAML nodes read, aliases counted each time
-	maxNesting     = 64       // processes within processes, and nodes within nodes
+	maxNodes       = 200_000  // YAML nodes, with aliased nodes counted at each use
+	maxNesting     = 64       // depth of nested processes, YAML nodes and types
 )
 
-// loader holds the state of one load: what has been parsed, and the problems found so far.
+// loader holds the state of one Load call: parsed files and the problems found so far.
 type loader struct {
 	bundle   Bundle
 	parsed   map[string]*yaml.Node
 	nodes    int
 	problems Problems
 	warnings Problems
-	types    map[string]*Type // of SchemaDefRequirement, by file and name
+	types    map[string]*Type // types of SchemaDefRequirement, by "file#name"
 }
 
-// place is a node of a file with the name of its field, for messages. A missing field is the
-// zero place.
-type place struct {
+// location is a YAML node with its file and field path, for messages. The zero location stands
+// for a missing field.
+type location struct {
 	file  string
 	field string
 	node  *yaml.Node
 }
 
-// in returns the place of a field, or of an element such as "[0]", within this one.
-func (at place) in(field string, n *yaml.Node) place {
+// in returns the location of a field, or of an element such as "[0]", within this one.
+func (at location) in(field string, n *yaml.Node) location {
 	if at.field != "" && !strings.HasPrefix(field, "[") {
 		field = "." + field
 	}
-	return place{at.file, at.field + field, n}
+	return location{at.file, at.field + field, n}
 }
 
-// problem returns a problem at the place.
-func (at place) problem(format string, args ...any) Problem {
+// problem returns a Problem at the location.
+func (at location) problem(format string, args ...any) Problem {
 	p := Problem{File: at.file, Field: at.field, Reason: fmt.Sprintf(format, args...)}
 	if at.node != nil {
 		p.Line, p.Column = at.node.Line, at.node.Column
@@ -89,23 +89,23 @@
 	return p
 }
 
-// fail reports a mistake at a place, once.
-func (l *loader) fail(at place, format string, args ...any) {
+// errorf records a problem at a location, unless the same problem is already recorded.
+func (l *loader) errorf(at location, format string, args ...any) {
 	p := at.problem(format, args...)
 	if !slices.Contains(l.problems, p) {
 		l.problems = append(l.problems, p)
 	}
 }
 
-// warn reports a warning at a place.
-func (l *loader) warn(at place, format string, args ...any) {
+// warnf records a warning at a location.
+func (l *loader) warnf(at location, format string, args ...any) {
 	l.warnings = append(l.warnings, at.problem(format, args...))
 }
 
 var errTooLarge = errors.New("the document is too large or too deeply nested")
 
-// open parses a file of the bundle, once.
-func (l *loader) open(name string) (*yaml.Node, error) {
+// parseFile parses a file of the bundle and caches the result.
+func (l *loader) parseFile(name string) (*yaml.Node, error) {
 	if n, ok := l.parsed[name]; ok {
 		return n, nil
 	}
@@ -117,14 +117,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if n, err = l.directives(name, n, 0); err != nil {
+	if n, err = l.resolveDirectives(name, n, 0); err != nil {
 		return nil, err
 	}
 	l.parsed[name] = n
 	return n, nil
 }
 
-// parseYAML reads one YAML or JSON document.
+// parseYAML parses one YAML or JSON document.
 func parseYAML(name string, b []byte) (*yaml.Node, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(b, &doc); err != nil {
@@ -143,9 +143,9 @@
 	return doc.Content[0], nil
 }
 
-// directives follows aliases and carries out $import and $include (Schema Salad, "Import"
-// and "Include"), within the bundle. What it returns shares nothing with its input.
-func (l *loader) directives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
+// resolveDirectives expands aliases, $import and $include within the bundle (Schema Salad,
+// "Import" and "Include"). The result is a copy that shares no nodes with n.
+func (l *loader) resolveDirectives(file string, n *yaml.Node, depth int) (*yaml.Node, error) {
 	if l.nodes++; l.nodes > maxNodes || depth > maxNesting {
 		return nil, errTooLarge
 	}
@@ -158,13 +158,13 @@
 	if n.Kind == yaml.MappingNode && len(n.Content) == 2 {
 		directive, ref := n.Content[0].Value, n.Content[1]
 		if directive == "$import" || directive == "$include" {
-			return l.insert(place{file, directive, ref}, directive, depth)
+			return l.resolveDirective(location{file, directive, ref}, directive, depth)
 		}
 	}
 	out := *n
 	out.Alias, out.Anchor, out.Content = nil, "", nil
 	for _, child := range n.Content {
-		x, err := l.directives(file, child, depth+1)
+		x, err := l.resolveDirectives(file, child, depth+1)
 		if err != nil {
 			return nil, err
 		}
@@ -173,10 +173,10 @@
 	return &out, nil
 }
 
-// insert returns what the directive $import or $include at a place stands for: the parsed
-// document, or the text of the file, that it refers to.
-func (l *loader) insert(ref place, directive string, depth int) (*yaml.Node, error) {
-	target, _, err := resolve(ref.file, ref.node.Value)
+// resolveDirective returns the node that replaces an $import or $include directive: the parsed
+// document, or the text of the file as a string.
+func (l *loader) resolveDirective(ref location, directive string, depth int) (*yaml.Node, error) {
+	target, _, err := resolveRef(ref.file, ref.node.Value)
 	if err != nil {
 		return nil, Problems{ref.problem("%v", err)}
 	}
@@ -191,59 +191,59 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.directives(target, imported, depth+1)
+	return l.resolveDirectives(target, imported, depth+1)
 }
 
-// stringNode returns a string that stands where position does.
+// stringNode returns a string node with the line and column of position.
 func stringNode(text string, position *yaml.Node) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text, Line: position.Line, Column: position.Column}
 }
 
-// emptyMapping returns a mapping without fields that stands where position does.
+// emptyMapping returns an empty mapping node with the line and column of position.
 func emptyMapping(position *yaml.Node) *yaml.Node {
 	return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Line: position.Line, Column: position.Column}
 }
 
-// resolve is the file and fragment that a reference in a file leads to.
-func resolve(file, ref string) (name, fragment string, err error) {
+// resolveRef resolves a reference in a file to the name of a file in the bundle and a fragment.
+func resolveRef(file, ref string) (name, fragment string, err error) {
 	name, fragment, _ = strings.Cut(ref, "#")
 	if strings.Contains(name, "://") && !strings.HasPrefix(name, "file://") || strings.HasPrefix(name, "file://") ||
 		path.IsAbs(name) {
-		return "", "", fmt.Errorf("%q leads out of the bundle; only relative paths within it are read", ref)
+		return "", "", fmt.Errorf("%q leads out of the bundle; only relative paths within it are allowed", ref)
 	}
 	if name == "" {
 		return file, fragment, nil
 	}
 	name = path.Join(path.Dir(file), name)
 	if name == ".." || strings.HasPrefix(name, "../") {
-		return "", "", fmt.Errorf("%q leads out of the bundle; only relative paths within it are read", ref)
+		return "", "", fmt.Errorf("%q leads out of the bundle; only relative paths within it are allowed", ref)
 	}
 	return name, fragment, nil
 }
 
-// entry is one field of a mapping.
+// entry is a key and value of a mapping node.
 type entry struct {
 	key  *yaml.Node
 	node *yaml.Node
 }
 
-// fields reads a mapping. Fields outside known that have no namespace are mistakes; what
-// is in a namespace is an extension and passed over ("Extensions and metadata").
-func (l *loader) fields(at place, known ...string) map[string]place {
-	out := map[string]place{}
+// fields returns the fields of a mapping by name. An unknown field is an error, unless its name
+// has a namespace prefix: such extension fields are ignored ("Extensions and metadata").
+func (l *loader) fields(at location, known ...string) map[string]location {
+	out := map[string]location{}
 	if at.node == nil || at.node.Kind != yaml.MappingNode {
-		l.fail(at, "expected fields and values, found %s", kindOf(at.node))
+		l.errorf(at, "expected a mapping, found %s", describeNode(at.node))
 		return out
 	}
 	for _, e := range entries(at.node) {
 		k := e.key.Value
 		if _, twice := out[k]; twice {
-			l.fail(at.in(k, e.key), "is given twice")
+			l.errorf(at.in(k, e.key), "is given twice")
 			continue
 		}
 		if len(known) > 0 && !slices.Contains(known, k) {
 			if !strings.Contains(k, ":") && !strings.HasPrefix(k, "$") {
-				l.fail(at.in(k, e.key), "no such field; expected one of %s", strings.Join(known, ", "))
+				l.errorf(at.in(k, e.key), "no such field; expected one of %s", strings.Join(known, ", "))
 			}
 			continue
 		}
@@ -252,7 +252,7 @@
 	return out
 }
 
-// entries returns the fields of a mapping in the order of the text.
+// entries returns the fields of a mapping in document order.
 func entries(n *yaml.Node) []entry {
 	var out []entry
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -261,14 +261,14 @@
 	return out
 }
 
-// kindOf names what a node is, for messages.
-func kindOf(n *yaml.Node) string {
+// describeNode returns the kind of a node, or the text of a string, for messages.
+func describeNode(n *yaml.Node) string {
 	if n == nil {
 		return "nothing"
 	}
 	switch n.Kind {
 	case yaml.MappingNode:
-		return "fields"
+		return "a mapping"
 	case yaml.SequenceNode:
 		return "a list"
 	}
@@ -280,11 +280,11 @@
 	case "!!int", "!!float":
 		return "a number"
 	}
-	return fmt.Sprintf("%q", shorten(n.Value))
+	return fmt.Sprintf("%q", truncate(n.Value))
 }
 
-// shorten cuts a text for messages to 60 bytes.
-func shorten(s string) string {
+// truncate limits a string to 60 bytes for messages.
+func truncate(s string) string {
 	if len(s) > 60 {
 		return s[:57] + "..."
 	}
@@ -296,40 +296,40 @@
 	return n == nil || n.Kind == yaml.ScalarNode && n.ShortTag() == "!!null"
 }
 
-// text reads a string.
-func (l *loader) text(at place) string {
+// readString reads a string. It returns "" if the field is missing or not a string.
+func (l *loader) readString(at location) string {
 	if at.node == nil {
 		return ""
 	}
 	if at.node.Kind != yaml.ScalarNode || at.node.ShortTag() != "!!str" {
-		l.fail(at, "expected a string, found %s", kindOf(at.node))
+		l.errorf(at, "expected a string, found %s", describeNode(at.node))
 		return ""
 	}
 	return at.node.Value
 }
 
-// texts reads a string or a list of strings.
-func (l *loader) texts(at place) []string {
+// readStrings reads a string or a list of strings.
+func (l *loader) readStrings(at location) []string {
 	if isNull(at.node) {
 		return nil
 	}
 	if at.node.Kind != yaml.SequenceNode {
-		return []string{l.text(at)}
+		return []string{l.readString(at)}
 	}
 	out := []string{}
 	for i, c := range at.node.Content {
-		out = append(out, l.text(at.in(fmt.Sprintf("[%d]", i), c)))
+		out = append(out, l.readString(at.in(fmt.Sprintf("[%d]", i), c)))
 	}
 	return out
 }
 
-// boolean reads true or false, fallback if the field is missing or null.
-func (l *loader) boolean(at place, fallback bool) bool {
+// readBool reads a boolean. It returns fallback if the field is missing, null or not a boolean.
+func (l *loader) readBool(at location, fallback bool) bool {
 	if isNull(at.node) {
 		return fallback
 	}
 	if at.node.ShortTag() != "!!bool" {
-		l.fail(at, "expected true or false, found %s", kindOf(at.node))
+		l.errorf(at, "expected true or false, found %s", describeNode(at.node))
 		return fallback
 	}
 	var v bool
@@ -337,20 +337,20 @@
 	return v
 }
 
-// ints reads a list of whole numbers.
-func (l *loader) ints(at place) []int {
+// readInts reads a list of integers.
+func (l *loader) readInts(at location) []int {
 	var out []int
 	if isNull(at.node) {
 		return nil
 	}
 	if at.node.Kind != yaml.SequenceNode {
-		l.fail(at, "expected a list of whole numbers, found %s", kindOf(at.node))
+		l.errorf(at, "expected a list of integers, found %s", describeNode(at.node))
 		return nil
 	}
 	for i, c := range at.node.Content {
 		var v int
 		if c.ShortTag() != "!!int" || c.Decode(&v) != nil {
-			l.fail(at.in(fmt.Sprintf("[%d]", i), c), "expected a whole number, found %s", kindOf(c))
+			l.errorf(at.in(fmt.Sprintf("[%d]", i), c), "expected an integer, found %s", describeNode(c))
 			continue
 		}
 		out = append(out, v)
@@ -358,42 +358,43 @@
 	return out
 }
 
-// oneOf reads a string out of those allowed, "" if the field is missing or has another value.
-func (l *loader) oneOf(at place, allowed ...string) string {
+// readOneOf reads one of the allowed strings. It returns "" if the field is missing or has another
+// value.
+func (l *loader) readOneOf(at location, allowed ...string) string {
 	if isNull(at.node) {
 		return ""
 	}
 	if at.node.Kind != yaml.ScalarNode || !slices.Contains(allowed, at.node.Value) {
-		l.fail(at, "expected one of %s, found %s", strings.Join(allowed, ", "), kindOf(at.node))
+		l.errorf(at, "expected one of %s, found %s", strings.Join(allowed, ", "), describeNode(at.node))
 		return ""
 	}
 	return at.node.Value
 }
 
-// named reads a list of things with an id, or the same as a mapping from ids ("Identifier
-// maps"), and calls f for each. key is the field that has the id; a value in a mapping that
-// isn't a mapping itself stands for the field that predicate names, "" for none.
-func (l *loader) named(at place, key, predicate string, f func(id string, at place)) {
+// forEachNamed calls f for each item of a list of objects with an id, or of the equivalent
+// mapping by id ("Identifier maps"). key is the field that holds the id. In a mapping by id, a
+// value that isn't a mapping itself is the value of the field predicate, unless predicate is "".
+func (l *loader) forEachNamed(at location, key, predicate string, f func(id string, at location)) {
 	if isNull(at.node) {
 		return
 	}
 	switch at.node.Kind {
 	case yaml.MappingNode:
-		l.namedInMapping(at, predicate, f)
+		l.forEachNamedInMapping(at, predicate, f)
 	case yaml.SequenceNode:
-		l.namedInList(at, key, f)
+		l.forEachNamedInList(at, key, f)
 	default:
-		l.fail(at, "expected a list or a mapping, found %s", kindOf(at.node))
+		l.errorf(at, "expected a list or a mapping, found %s", describeNode(at.node))
 	}
 }
 
-// namedInMapping is named for a mapping from ids.
-func (l *loader) namedInMapping(at place, predicate string, f func(id string, at place)) {
+// forEachNamedInMapping implements forEachNamed for a mapping by id.
+func (l *loader) forEachNamedInMapping(at location, predicate string, f func(id string, at location)) {
 	seen := map[string]bool{}
 	for _, e := range entries(at.node) {
 		id := e.key.Value
 		if seen[id] {
-			l.fail(at.in(id, e.key), "is given twice")
+			l.errorf(at.in(id, e.key), "is given twice")
 			continue
 		}
 		seen[id] = true
@@ -410,39 +411,39 @@
 	}
 }
 
-// namedInList is named for a list.
-func (l *loader) namedInList(at place, key string, f func(id string, at place)) {
+// forEachNamedInList implements forEachNamed for a list.
+func (l *loader) forEachNamedInList(at location, key string, f func(id string, at location)) {
 	for i, node := range at.node.Content {
 		item := at.in(fmt.Sprintf("[%d]", i), node)
 		if node.Kind != yaml.MappingNode {
-			l.fail(item, "expected fields and values, found %s", kindOf(node))
+			l.errorf(item, "expected a mapping, found %s", describeNode(node))
 			continue
 		}
-		id := l.textField(item, key)
+		id := l.readStringField(item, key)
 		if id == "" {
-			l.fail(item, "%s is missing", key)
+			l.errorf(item, "%s is missing", key)
 			continue
 		}
 		f(localName(id), at.in(localName(id), node))
 	}
 }
 
-// textField reads one field of a mapping as a string, "" if the field is missing or a is no
-// mapping. Of a field given several times it is the last.
-func (l *loader) textField(at place, field string) string {
+// readStringField reads one field of a mapping as a string. It returns "" if the field is missing
+// or the node is not a mapping. If the field occurs several times, the last one is used.
+func (l *loader) readStringField(at location, field string) string {
 	text := ""
 	if at.node.Kind != yaml.MappingNode {
 		return text
 	}
 	for _, e := range entries(at.node) {
 		if e.key.Value == field {
-			text = l.text(at.in(field, e.node))
+			text = l.readString(at.in(field, e.node))
 		}
 	}
 	return text
 }
 
-// localName is the last part of an identifier: "#main/read" is "read".
+// localName returns the last part of an identifier: "read" for "#main/read".
 func localName(id string) string {
 	if i := strings.LastIndexAny(id, "#/"); i >= 0 {
 		return id[i+1:]
@@ -450,9 +451,9 @@
 	return id
 }
 
-// References lists the files that a document refers to by run, $import or $include, as
-// paths in its bundle, for clients that put a bundle together. References that lead out of it,
-// or can't be read, are left out: Load reports them.
+// References returns the files that a document refers to by run, $import or $include, as paths
+// in its bundle, for clients that assemble a bundle. References that lead out of the bundle or
+// can't be resolved are omitted: Load reports them.
 func References(file string, b []byte) []string {
 	n, err := parseYAML(file, b)
 	if err != nil {
@@ -469,7 +470,7 @@
 			for _, e := range entries(n) {
 				k := e.key.Value
 				if (k == "run" || k == "$import" || k == "$include") && e.node.Kind == yaml.ScalarNode {
-					if name, _, err := resolve(file, e.node.Value); err == nil && name != file && !slices.Contains(out, name) {
+					if name, _, err := resolveRef(file, e.node.Value); err == nil && name != file && !slices.Contains(out, name) {
 						out = append(out, name)
 					}
 				}
--- a/internal/workflow/cwl/types.go
+++ b/internal/workflow/cwl/types.go
@@ -9,10 +9,10 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// Kind is what a type is.
+// Kind is the kind of a type.
 type Kind string
 
-// The kinds (CommandLineTool, "CWLType").
+// Kinds of types (CommandLineTool, "CWLType").
 const (
 	KindNull      Kind = "null"
 	KindBoolean   Kind = "boolean"
@@ -30,8 +30,8 @@
 	KindUnion     Kind = "union"
 )
 
-// plainKinds are the kinds that a name alone gives.
-var plainKinds = []Kind{
+// builtinKinds lists the kinds that are written as a name alone.
+var builtinKinds = []Kind{
 	KindNull,
 	KindBoolean,
 	KindInt,
@@ -44,19 +44,19 @@
 	KindAny,
 }
 
-// Type is a type of values.
+// Type is a CWL type.
 type Type struct {
 	Kind    Kind
-	Name    string // of a record or an enum, if given
+	Name    string // of a record or an enum; "" if it has none
 	Items   *Type  // of an array
 	Fields  []Field
 	Symbols []string
 	Union   []*Type
 
-	Binding *Binding // of an array's items or a record as a whole, on a command line
+	Binding *Binding // command line binding of the items of an array, or of a record as a whole
 }
 
-// Field is one of a record.
+// Field is a field of a record.
 type Field struct {
 	Name           string
 	Type           *Type
@@ -70,7 +70,7 @@
 	return t.Kind == KindNull || t.Kind == KindUnion && slices.ContainsFunc(t.Union, (*Type).Optional)
 }
 
-// String is the type as it would be written.
+// String returns the type in a short readable form, for messages.
 func (t *Type) String() string {
 	switch t.Kind {
 	case KindArray:
@@ -102,28 +102,29 @@
 	return string(t.Kind)
 }
 
-// readType reads a type in any of its forms ("Type DSL" of Schema Salad: "File?", "int[]").
-// depth is how many types it is in. What can't be read is reported, and Any stands for it.
-func (l *loader) readType(at place, depth int) *Type {
+// readType parses a type in any of its forms, including the Schema Salad "Type DSL" ("File?",
+// "int[]"). depth is the nesting depth of the type. If the type is invalid, it reports a problem
+// and uses Any in its place.
+func (l *loader) readType(at location, depth int) *Type {
 	if depth > maxNesting {
-		l.fail(at, "is nested too deeply")
+		l.errorf(at, "is nested too deeply")
 		return &Type{Kind: KindAny}
 	}
 	if isNull(at.node) {
-		l.fail(at, "the type is missing")
+		l.errorf(at, "the type is missing")
 		return &Type{Kind: KindAny}
 	}
 	switch at.node.Kind {
 	case yaml.ScalarNode:
-		return l.typeName(at, at.node.Value)
+		return l.readTypeName(at, at.node.Value)
 	case yaml.SequenceNode:
 		return l.readUnion(at, depth)
 	}
 	return l.readTypeDefinition(at, depth)
 }
 
-// readUnion reads a list of types, a union within it as its alternatives.
-func (l *loader) readUnion(at place, depth int) *Type {
+// readUnion parses a list of types as a union. Nested unions are flattened.
+func (l *loader) readUnion(at location, depth int) *Type {
 	union := &Type{Kind: KindUnion}
 	for i, node := range at.node.Content {
 		alternative := l.readType(at.in(fmt.Sprintf("[%d]", i), node), depth+1)
@@ -135,7 +136,7 @@
 	}
 	switch len(union.Union) {
 	case 0:
-		l.fail(at, "a union of no types has no values")
+		l.errorf(at, "a union of no types has no values")
 		return &Type{Kind: KindAny}
 	case 1:
 		return union.Union[0]
@@ -143,9 +144,9 @@
 	return union
 }
 
-// readTypeDefinition reads a type written as a mapping: an array, an enum, a record, or a
-// type of another form in the field type.
-func (l *loader) readTypeDefinition(at place, depth int) *Type {
+// readTypeDefinition parses a type written as a mapping: an array, an enum, a record, or a
+// mapping whose type field holds a type in another form.
+func (l *loader) readTypeDefinition(at location, depth int) *Type {
 	f := l.fields(
 		at,
 		"type", "items", "fields", "symbols", "name", "label", "doc", "inputBinding",
@@ -157,7 +158,7 @@
 	}
 	t := &Type{Kind: kind}
 	if typeName, ok := f["name"]; ok {
-		t.Name = localName(l.text(typeName))
+		t.Name = localName(l.readString(typeName))
 	}
 	if binding, ok := f["inputBinding"]; ok {
 		t.Binding = l.readBinding(binding)
@@ -166,33 +167,33 @@
 	case KindArray:
 		items, ok := f["items"]
 		if !ok {
-			l.fail(at, "items is missing in an array")
+			l.errorf(at, "items is missing in an array")
 			return &Type{Kind: KindAny}
 		}
 		t.Items = l.readType(items, depth+1)
 	case KindEnum:
-		for _, symbol := range l.texts(f["symbols"]) {
+		for _, symbol := range l.readStrings(f["symbols"]) {
 			t.Symbols = append(t.Symbols, localName(symbol))
 		}
 		if len(t.Symbols) == 0 {
-			l.fail(at, "symbols is missing in an enum")
+			l.errorf(at, "symbols is missing in an enum")
 		}
 	case KindRecord:
-		l.named(f["fields"], "name", "type", func(fieldName string, x place) {
+		l.forEachNamed(f["fields"], "name", "type", func(fieldName string, x location) {
 			t.Fields = append(t.Fields, l.readRecordField(fieldName, x, depth))
 		})
 	default:
 		if inner, ok := f["type"]; ok {
 			return l.readType(inner, depth+1)
 		}
-		l.fail(at, "the type is missing")
+		l.errorf(at, "the type is missing")
 		return &Type{Kind: KindAny}
 	}
 	return t
 }
 
-// readRecordField reads one field of a record at the given depth.
-func (l *loader) readRecordField(fieldName string, at place, depth int) Field {
+// readRecordField parses one field of a record. depth is the nesting depth of the record.
+func (l *loader) readRecordField(fieldName string, at location, depth int) Field {
 	f := l.fields(
 		at,
 		"name", "type", "label", "doc", "inputBinding", "outputBinding", "secondaryFiles",
@@ -200,8 +201,8 @@
 	)
 	field := Field{
 		Name:           fieldName,
-		Type:           l.readType(f["type"].or(at), depth+1),
-		SecondaryFiles: l.readSecondary(f["secondaryFiles"]),
+		Type:           l.readType(f["type"].orMissingType(at), depth+1),
+		SecondaryFiles: l.readSecondaryFiles(f["secondaryFiles"]),
 	}
 	if binding, ok := f["inputBinding"]; ok {
 		field.Binding = l.readBinding(binding)
@@ -212,19 +213,19 @@
 	return field
 }
 
-// or returns the place, and where the field is missing its name within parent.
-func (at place) or(parent place) place {
+// orMissingType returns the location, or the location of the missing type field in parent.
+func (at location) orMissingType(parent location) location {
 	if at.node == nil {
-		return place{parent.file, parent.field + ".type", nil}
+		return location{parent.file, parent.field + ".type", nil}
 	}
 	return at
 }
 
-// typeName reads a type's name, with "?" for optional or "[]" for an array of it behind it:
-// one of the language's own, or one that SchemaDefRequirement defines.
-func (l *loader) typeName(at place, name string) *Type {
+// readTypeName parses the name of a built-in type or of one defined by SchemaDefRequirement,
+// optionally followed by "?" (optional) or "[]" (array).
+func (l *loader) readTypeName(at location, name string) *Type {
 	if base, ok := strings.CutSuffix(name, "?"); ok {
-		t := l.typeName(at, base)
+		t := l.readTypeName(at, base)
 		if t.Optional() {
 			return t
 		}
@@ -234,13 +235,13 @@
 		return &Type{Kind: KindUnion, Union: []*Type{{Kind: KindNull}, t}}
 	}
 	if base, ok := strings.CutSuffix(name, "[]"); ok {
-		return &Type{Kind: KindArray, Items: l.typeName(at, base)}
+		return &Type{Kind: KindArray, Items: l.readTypeName(at, base)}
 	}
-	if slices.Contains(plainKinds, Kind(name)) {
+	if slices.Contains(builtinKinds, Kind(name)) {
 		return &Type{Kind: Kind(name)}
 	}
-	if file, fragment, err := resolve(at.file, name); err == nil && fragment != "" {
-		for _, at := range []string{file, at.file} { // where it was defined, or imported to
+	if file, fragment, err := resolveRef(at.file, name); err == nil && fragment != "" {
+		for _, at := range []string{file, at.file} { // the file that defines it, or the file that imports it
 			if t := l.types[at+"#"+localName(fragment)]; t != nil {
 				return t
 			}
@@ -249,30 +250,29 @@
 	if t := l.types[at.file+"#"+name]; t != nil {
 		return t
 	}
-	l.fail(at, "no such type %q; expected a type's name, with ? or [] behind it, or a definition", shorten(name))
+	l.errorf(at, "no such type %q; expected a type name with an optional ? or [] suffix, or a definition", truncate(name))
 	return &Type{Kind: KindAny}
 }
 
-// mayFlow reports whether a value of one type may be one of another: whether a source can
-// be connected to a sink ("Workflow", WorkflowStepInput). Where that depends on the value
-// it may.
-func mayFlow(from, to *Type) bool {
+// isAssignable reports whether a source of type from can be connected to a sink of type to
+// ("Workflow", WorkflowStepInput). If that depends on the value, it returns true.
+func isAssignable(from, to *Type) bool {
 	if from.Kind == KindAny || to.Kind == KindAny {
 		return from.Kind != KindNull
 	}
 	if from.Kind == KindUnion {
-		return slices.ContainsFunc(from.Union, func(u *Type) bool { return mayFlow(u, to) })
+		return slices.ContainsFunc(from.Union, func(u *Type) bool { return isAssignable(u, to) })
 	}
 	if to.Kind == KindUnion {
-		return slices.ContainsFunc(to.Union, func(u *Type) bool { return mayFlow(from, u) })
+		return slices.ContainsFunc(to.Union, func(u *Type) bool { return isAssignable(from, u) })
 	}
 	switch to.Kind {
 	case KindLong, KindFloat, KindDouble:
-		return from.Kind == to.Kind || slices.Contains(narrowerKinds[to.Kind], from.Kind)
+		return from.Kind == to.Kind || slices.Contains(convertibleKinds[to.Kind], from.Kind)
 	case KindArray:
-		return from.Kind == KindArray && mayFlow(from.Items, to.Items)
+		return from.Kind == KindArray && isAssignable(from.Items, to.Items)
 	case KindRecord:
-		return recordMayFlow(from, to)
+		return isRecordAssignable(from, to)
 	case KindEnum:
 		return from.Kind == KindString ||
 			from.Kind == KindEnum &&
@@ -283,29 +283,29 @@
 	return from.Kind == to.Kind
 }
 
-// narrowerKinds are the kinds of number, by kind, that may become one of it.
-var narrowerKinds = map[Kind][]Kind{
+// convertibleKinds maps each numeric kind to the other kinds that can be assigned to it.
+var convertibleKinds = map[Kind][]Kind{
 	KindLong:   {KindInt},
 	KindFloat:  {KindInt, KindLong, KindDouble},
 	KindDouble: {KindInt, KindLong, KindFloat},
 }
 
-// recordMayFlow reports whether a value may be one of the record type to: whether it is a
-// record with the fields that are required, each of a type that may flow.
-func recordMayFlow(from, to *Type) bool {
+// isRecordAssignable reports whether from is a record type with all required fields of the record
+// type to, and all fields that both have are assignable.
+func isRecordAssignable(from, to *Type) bool {
 	if from.Kind != KindRecord {
 		return false
 	}
 	for _, field := range to.Fields {
 		i := slices.IndexFunc(from.Fields, func(f Field) bool { return f.Name == field.Name })
-		if i < 0 && !field.Type.Optional() || i >= 0 && !mayFlow(from.Fields[i].Type, field.Type) {
+		if i < 0 && !field.Type.Optional() || i >= 0 && !isAssignable(from.Fields[i].Type, field.Type) {
 			return false
 		}
 	}
 	return true
 }
 
-// Check returns an error that says why a value is not one of the type, nil if it is.
+// Check returns nil if a value is of the type, or an error that explains why it is not.
 func (t *Type) Check(v any) error {
 	switch t.Kind {
 	case KindArray:
@@ -321,11 +321,11 @@
 			return nil
 		}
 	default:
-		if t.Kind.holds(v) && (t.Kind != KindEnum || slices.Contains(t.Symbols, v.(string))) {
+		if t.Kind.accepts(v) && (t.Kind != KindEnum || slices.Contains(t.Symbols, v.(string))) {
 			return nil
 		}
 	}
-	return fmt.Errorf("expected %s, found %s", t, describe(v))
+	return fmt.Errorf("expected %s, found %s", t, describeValue(v))
 }
 
 // checkItems checks the items of a list against an array type.
@@ -348,9 +348,9 @@
 	return nil
 }
 
-// holds reports whether a value is of a kind without parts. For an enum it reports whether
-// the value is a string; symbols are not looked up. A kind that is not known holds all.
-func (k Kind) holds(v any) bool {
+// accepts reports whether a value is of a kind that is not composite. For an enum it only checks
+// that the value is a string; it does not look at the symbols. An unknown kind accepts all values.
+func (k Kind) accepts(v any) bool {
 	switch k {
 	case KindAny:
 		return v != nil
@@ -380,15 +380,15 @@
 	return true
 }
 
-// classOf returns the class of a File or a Directory, "" for other values.
+// classOf returns the class of a File or Directory object, "" for other values.
 func classOf(v any) string {
 	m, _ := v.(map[string]any)
 	c, _ := m["class"].(string)
 	return c
 }
 
-// describe names a value in a message: its kind, and a number or a text itself.
-func describe(v any) string {
+// describeValue returns the kind of a value for messages, and for integers and strings the value.
+func describeValue(v any) string {
 	switch x := v.(type) {
 	case nil:
 		return "null"
@@ -397,9 +397,9 @@
 	case int64:
 		return fmt.Sprintf("the whole number %d", x)
 	case float64:
-		return "a number with decimals"
+		return "a floating-point number"
 	case string:
-		return fmt.Sprintf("%q", shorten(x))
+		return fmt.Sprintf("%q", truncate(x))
 	case []any:
 		return "a list"
 	}
