--- a/internal/workflow/cwl/engine.go
+++ b/internal/workflow/cwl/engine.go
@@ -545,9 +545,10 @@
 	r.outputs, r.err, r.ended = out, err, true
 }
 
-// Over returns the outputs of the run and whether it is over. The error is not nil if a step
-// or an output failed; outputs that could still be computed are returned in that case too.
-func (r *Run) Over() (outputs map[string]any, err error, over bool) { return r.outputs, r.err, r.ended }
+// Over returns the outputs of the run; ok is false until the run has ended. The error is not nil
+// if a step or an output failed; outputs that could still be computed are returned in that case
+// too.
+func (r *Run) Over() (outputs map[string]any, err error, ok bool) { return r.outputs, r.err, r.ended }
 
 // Failures returns the failures so far, in the order in which they occurred.
 func (r *Run) Failures() []Failure { return r.failures }
