--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics keeps counters, gauges and latency histograms, and writes them in the text format that
-// Prometheus reads. The names of metrics get the prefix "maddermill_".
+// Package metrics keeps counters, gauges and latency histograms, and exports them in the Prometheus text
+// format. Metric names get the prefix "maddermill_".
 //
-// A [Set] has one lock. It is not held while gauges are read, which may take locks of their own.
+// A [Set] has one lock. It is not held while gauges are read, because their functions may take other locks.
 package metrics
 
 import (
@@ -15,13 +15,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxMicroseconds is the longest duration that a histogram distinguishes: a minute.
+// maxMicroseconds is the largest value that a histogram records: one minute.
 const maxMicroseconds = 60_000_000
 
-// significantDigits is the precision of histograms.
+// significantDigits is the number of significant decimal digits that a histogram keeps of a value.
 const significantDigits = 2
 
-// Set is a set of metrics.
+// Set holds the metrics of a process. It is safe for concurrent use.
 type Set struct {
 	mu         sync.Mutex // guards the fields below
 	counters   map[string]int64
@@ -38,22 +38,22 @@
 	}
 }
 
-// Add adds n to a counter, which starts at zero.
+// Add adds n to a counter. Counters start at zero.
 func (s *Set) Add(name string, n int64) {
 	s.mu.Lock()
 	s.counters[name] += n
 	s.mu.Unlock()
 }
 
-// Gauge registers a value that is read when the metrics are written. A later registration of the same
-// name replaces an earlier one.
+// Gauge registers a function that Text calls for the gauge's current value. A later registration under
+// the same name replaces an earlier one.
 func (s *Set) Gauge(name string, read func() float64) {
 	s.mu.Lock()
 	s.gauges[name] = read
 	s.mu.Unlock()
 }
 
-// Observe adds a duration to a histogram. Durations out of the range of 1 µs to a minute count as its
+// Observe records a duration in a histogram. Durations below 1 µs or above one minute are clamped to these
 // bounds.
 func (s *Set) Observe(name string, d time.Duration) {
 	s.mu.Lock()
@@ -62,12 +62,12 @@
 		h = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 		s.histograms[name] = h
 	}
-	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds)) // can't fail: the value is in range
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds)) // can't fail: the value is clamped to the range
 	s.mu.Unlock()
 }
 
-// Text returns the metrics in the text format: counters, histograms as summaries in seconds, and gauges,
-// each by name.
+// Text returns the metrics in the Prometheus text format: counters, histograms as summaries in seconds, and
+// gauges, each group sorted by name.
 func (s *Set) Text() []byte {
 	s.mu.Lock()
 	gauges := maps.Clone(s.gauges)
--- a/internal/settings/configfile/configfile.go
+++ b/internal/settings/configfile/configfile.go
@@ -1,6 +1,6 @@
-// Package configfile helps to read the files in which operators declare the topology and deadlines,
-// in protobuf text format. Line, Fields and FieldError report mistakes with the line of a field, Read
-// adds the file's name to errors, and Follow reports when a file changes.
+// Package configfile has helpers for reading the operators' topology and deadline files, which are in
+// protobuf text format. Line, Fields and FieldError locate errors by the line of a field, Read adds the
+// file name to errors, and Follow watches a file for changes.
 package configfile
 
 import (
@@ -13,11 +13,13 @@
 	"github.com/protocolbuffers/txtpbfmt/ast"
 )
 
-// Line returns the line of a field itself: its node starts with the comments before it.
+// Line returns the line number of a field. The field's node starts at the comments before it, which are
+// skipped.
 func Line(n *ast.Node) int { return int(n.Start.Line) + len(n.PreComments) }
 
-// Fields returns the fields of a message with a name, in order. An element of a repeated field that is
-// written as a list is a field of its own; for a list of scalars, it is the node of the list.
+// Fields returns the fields of a message that have the given name, in order. A repeated field written as a
+// list counts once per element: for a list of messages, each element's node is returned, for a list of
+// scalars, the list's node is returned once per element.
 func Fields(nodes []*ast.Node, name string) []*ast.Node {
 	var fields []*ast.Node
 	for _, n := range nodes {
@@ -36,7 +38,8 @@
 	return fields
 }
 
-// FieldError returns an error that names a field and the reason, and its line unless n is nil.
+// FieldError returns an error with the name of a field and a formatted reason, preceded by the field's line
+// unless n is nil.
 func FieldError(n *ast.Node, field, format string, args ...any) error {
 	line := ""
 	if n != nil {
@@ -45,13 +48,13 @@
 	return fmt.Errorf("%s%s: %s", line, field, fmt.Sprintf(format, args...))
 }
 
-// Read reads a file and parses it. An error of parse gets the file's name in front of each of its lines
-// and wraps the original.
+// Read reads and parses a file. An error from parse is wrapped so that each line of its message starts with
+// the file name.
 func Read[T any](path string, parse func([]byte) (T, error)) (T, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
 	parsed, err := parse(content)
 	if err != nil {
@@ -60,7 +63,7 @@
 	return parsed, err
 }
 
-// fileError is an error of a file's content.
+// fileError is a parse error of a file, which may have several lines.
 type fileError struct {
 	path string
 	err  error
@@ -72,11 +75,11 @@
 
 func (e *fileError) Unwrap() error { return e.err }
 
-// pollInterval is how often Follow checks a file.
+// pollInterval is the time between Follow's checks of a file.
 const pollInterval = 2 * time.Second
 
-// Follow calls changed whenever the file has changed since the last check, or reload receives a signal,
-// until ctx ends. It returns the error of ctx.
+// Follow polls a file and calls changed whenever the file has changed since the last check or reload
+// receives a signal. It returns ctx.Err() when ctx is done.
 func Follow(ctx context.Context, path string, reload <-chan os.Signal, changed func()) error {
 	last := fingerprint(path)
 	tick := time.NewTicker(pollInterval)
@@ -97,8 +100,8 @@
 	}
 }
 
-// fingerprint returns a string that differs when a file was changed, replaced by a file of another time
-// or size, or became unreadable.
+// fingerprint returns a string that changes with the modification time, mode or size of a file, and when
+// the file becomes unreadable or readable.
 func fingerprint(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/settings/configfile/configfile_test.go
+++ b/internal/settings/configfile/configfile_test.go
@@ -13,8 +13,8 @@
 	"github.com/protocolbuffers/txtpbfmt/parser"
 )
 
-// TestFields: each element of a repeated field counts, however it is written, and its line is that of the
-// field and not of the comment before it.
+// TestFields checks that each element of a repeated field is returned, in list notation or not, and that its
+// line is that of the field instead of the comment before it.
 func TestFields(t *testing.T) {
 	const text = `# first
 block { name: "a" }
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestRead: each line of an error names the file, and the original can be found.
+// TestRead checks that each line of a parse error starts with the file name and that errors.Is finds the
+// original error.
 func TestRead(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f")
 	if _, err := Read(file, func(b []byte) (string, error) { return string(b), nil }); !errors.Is(err, os.ErrNotExist) {
@@ -57,14 +58,15 @@
 	if err := os.WriteFile(file, []byte("text"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	wrong := errors.New("one\ntwo")
-	content, err := Read(file, func(b []byte) (string, error) { return string(b), wrong })
-	if want := file + ": one\n" + file + ": two"; content != "text" || !errors.Is(err, wrong) || err.Error() != want {
+	parseErr := errors.New("one\ntwo")
+	content, err := Read(file, func(b []byte) (string, error) { return string(b), parseErr })
+	if want := file + ": one\n" + file + ": two"; content != "text" || !errors.Is(err, parseErr) || err.Error() != want {
 		t.Errorf("got %q, %v, want %q", content, err, want)
 	}
 }
 
-// TestFollow: a change of the file and a signal are reported, once each; else nothing is.
+// TestFollow checks that a change of the file and a reload signal are each reported exactly once, and that
+// nothing is reported otherwise.
 func TestFollow(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f")
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/settings/messages_test.go
+++ b/internal/settings/messages_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestPlatformMessages: all that is wrong in the platform's file is reported at once, field by field.
+// TestPlatformMessages checks that all invalid values in the platform's file are reported at once, one line
+// per error.
 func TestPlatformMessages(t *testing.T) {
-	const bad = `
+	const invalid = `
 bind = "here"
 mesh_addr = "10.0.0.1:8081"
 [[seeds]]
@@ -48,12 +49,12 @@
 		`bind: "here" is not an address and port`,
 		`outside.cloud: "cloud" is not an address and port`,
 		`seeds[1].address: "there" is not an address and port`,
-		"seeds[1].member: is missing or named twice",
+		"seeds[1].member: is missing or a duplicate",
 		"settings.count: must be at least 1",
 		"settings.zones: is missing",
 		"settings.teams[0]: has an amount below 0",
 		"settings.teams[0]: guarantees more than its limit",
-		"settings.teams[1].name: is missing or named twice",
+		"settings.teams[1].name: is missing or a duplicate",
 		"settings.skew_ms: must not be below 0",
 		"settings.workers.report_s: must be above 0",
 		"settings.workers.lease_s: must be above 0",
@@ -65,7 +66,7 @@
 		"settings.state.txn_ops: must be at least 2: a start changes a job and its team",
 		"settings.quota: must not be below 0",
 	}, "\n")
-	if _, err := Parse([]byte(bad)); err == nil || err.Error() != want {
+	if _, err := Parse([]byte(invalid)); err == nil || err.Error() != want {
 		t.Errorf("got %v\nwant %s", err, want)
 	}
 	const wantType = "line 15: field count: toml: cannot decode TOML string into struct field " +
@@ -76,7 +77,8 @@
 	}
 }
 
-// TestOperatorsMessages: all that is wrong in the operators' file is reported at once, field by field.
+// TestOperatorsMessages checks that all invalid values in the operators' file are reported at once, one line
+// per error.
 func TestOperatorsMessages(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
@@ -89,7 +91,7 @@
 				"placement.fetch_mark_s: must be above 0",
 				"placement.withhold_after_s: must not be below 0",
 				"placement.wait_bound_s: must not be below 0",
-				"fleet.lost_after_s: must be at least three reports (9s)",
+				"fleet.lost_after_s: must be at least three heartbeat intervals (9s)",
 				"fleet.idle_boots: must not be below 0",
 				"fleet.headroom: must be from 0 to 10",
 			}},
@@ -97,7 +99,7 @@
 			`plugins { public_keys: ["AQ==", "?"] memory_mb: 7 call_ms: 0 starve_s: 59 initial_module: "m.wasm" }`,
 			[]string{
 				"plugins.initial_module: plug-ins are off",
-				"plugins.initial_signature: is missing, and plugins.public_keys ask for one",
+				"plugins.initial_signature: is missing: plugins.public_keys require signed modules",
 				"plugins.public_keys[0]: is not an Ed25519 key in base64",
 				"plugins.public_keys[1]: is not an Ed25519 key in base64",
 				"plugins.memory_mb: must be from 8 to 1024",
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -13,62 +13,62 @@
 	"maddermill/wire"
 )
 
-// Operators are the operators' settings, with defaults filled in. Each field is described at the one
-// of operators.proto that it is read from.
+// Operators holds the operators' settings, with defaults filled in. operators.proto documents the field
+// that each is read from.
 type Operators struct {
 	// Placement.
-	ColdStarts    int           // image fetches at once on a controller's machines; math.MaxInt: no bound
-	FetchMark     time.Duration // how long an unreported fetch counts as under way
-	WithholdAfter time.Duration // how long a gang waits until room is reserved for it
-	Preempt       bool
-	WaitBound     time.Duration // how long a job may wait to start; 0: no bound
+	ColdStarts    int           // concurrent image fetches on one controller's machines; math.MaxInt: no limit
+	FetchMark     time.Duration // how long a fetch counts as in flight before a heartbeat reports it
+	WithholdAfter time.Duration // how long a gang waits before resources are reserved for it
+	Preempt       bool          // jobs of higher priority may preempt others
+	WaitBound     time.Duration // the longest that a job may wait to start; 0: no limit
 
 	// Fleet.
-	LostAfter    time.Duration // since the last heartbeat, until a machine is given up
-	IdleBoots    float64       // idle time until a machine is returned, in boot times
-	MostMachines int           // the most machines to rent; 0: no bound
+	LostAfter    time.Duration // time without a heartbeat after which a machine counts as lost
+	IdleBoots    float64       // idle time before a machine is returned, as a multiple of its boot time
+	MostMachines int           // the most machines to rent at once; 0: no limit
 	Spot         bool          // spot machines may be rented
-	Headroom     float64       // machines beyond the demand, as a share of those in use
+	Headroom     float64       // spare machines to keep, as a share of those in use
 
 	// Users.
-	RetryAfter time.Duration // that a user is asked to wait while the service can't answer
+	RetryAfter time.Duration // delay before a retry that clients are told while the service is unavailable
 
 	// History.
-	Archive    bool          // what is over moves out of the records
-	KeptJobs   int           // finished jobs, and finished workflows, that stay on record
-	Settle     time.Duration // from the upgrade of the format until anything moves
-	FormatUpTo int           // the newest format of the records; 0: the newest known
+	Archive    bool          // finished jobs and returned machines move from the records to the archive
+	KeptJobs   int           // finished jobs, and finished workflows, that are not archived
+	Settle     time.Duration // time after an upgrade of the records' format before anything is archived
+	FormatUpTo int           // the newest format to upgrade the records to; 0: the newest supported
 
 	Plugins    Plugins
 	Quarantine Quarantine
 }
 
-// Quarantine are the settings of judging machines by evidence.
+// Quarantine holds the settings of statistical detection of faulty machines.
 type Quarantine struct {
 	On     bool
-	Faulty float64 // the share of machines that is expected to be faulty
-	Wrong  float64 // the share of judgements that may be wrong
-	Most   float64 // the largest share of a kind of machines that may be judged faulty
+	Faulty float64 // prior: the expected share of faulty machines
+	Wrong  float64 // the tolerated share of false positives among machines judged faulty
+	Most   float64 // the largest share of the machines of a kind that may be judged faulty
 }
 
-// MaxQuarantined returns how many of so many machines of a kind may be judged by evidence: at least
+// MaxQuarantined returns how many of the machines of a kind may be quarantined, given their total: at least
 // one.
-func (q Quarantine) MaxQuarantined(all int) int { return max(1, int(q.Most*float64(all))) }
+func (q Quarantine) MaxQuarantined(total int) int { return max(1, int(q.Most*float64(total))) }
 
-// Plugins are the settings of policies in WebAssembly modules.
+// Plugins holds the settings of policy plug-ins, which are WebAssembly modules.
 type Plugins struct {
 	On       bool
-	Keys     []ed25519.PublicKey // that may sign modules; none: modules need no signature
-	MemoryMB int                 // that a module may take
-	Call     time.Duration       // that a call of a module may take
-	Starve   time.Duration       // how long a policy may pass over a job
+	Keys     []ed25519.PublicKey // trusted to sign modules; none: modules need no signature
+	MemoryMB int                 // memory limit of a module
+	Call     time.Duration       // time limit of a call into a module
+	Starve   time.Duration       // the longest that a policy may skip a job
 
-	Initial   string // a module's file, to be used where no policy was ever chosen; "": none
-	Signature []byte // of that module
+	Initial   string // path of the module to use if no policy was ever chosen; "": none
+	Signature []byte // of the initial module
 }
 
-// parseOperators reads and checks the operators' file. Fields left out get their defaults, some of
-// which depend on the platform's settings s.
+// parseOperators parses and validates the operators' file. Fields left out get defaults, some of which
+// depend on the platform's settings s.
 func parseOperators(text []byte, s *Settings) (Operators, error) {
 	var m operatorspb.Operators
 	if err := prototext.Unmarshal(text, &m); err != nil {
@@ -86,15 +86,15 @@
 	return o, errs.join()
 }
 
-// or returns what v points to, or a default if v is nil.
-func or[T any](v *T, otherwise T) T {
+// valueOr returns *v, or a fallback if v is nil.
+func valueOr[T any](v *T, fallback T) T {
 	if v != nil {
 		return *v
 	}
-	return otherwise
+	return fallback
 }
 
-// orEmpty returns a message, or an empty one if it was left out.
+// orEmpty returns a message, or an empty one if it is nil.
 func orEmpty[T any](message *T) *T {
 	if message != nil {
 		return message
@@ -102,20 +102,20 @@
 	return new(T)
 }
 
-// secondsOr returns a field in seconds, or a default if it was left out.
-func secondsOr(v *float64, otherwise float64) time.Duration {
-	return wire.Seconds(or(v, otherwise)).Duration()
+// secondsOr converts a field in seconds to a duration, or a fallback if the field was left out.
+func secondsOr(v *float64, fallback float64) time.Duration {
+	return wire.Seconds(valueOr(v, fallback)).Duration()
 }
 
-// readPlacement reads the fields of placement.
+// readPlacement reads and validates the placement settings.
 func (o *Operators) readPlacement(m *operatorspb.Placement, errs *fieldErrors) {
-	o.ColdStarts = int(or(m.ColdStarts, 0))
+	o.ColdStarts = int(valueOr(m.ColdStarts, 0))
 	if o.ColdStarts == 0 {
 		o.ColdStarts = math.MaxInt
 	}
 	o.FetchMark = secondsOr(m.FetchMarkS, 60)
 	o.WithholdAfter = secondsOr(m.WithholdAfterS, 5)
-	o.Preempt = or(m.Preempt, true)
+	o.Preempt = valueOr(m.Preempt, true)
 	o.WaitBound = secondsOr(m.WaitBoundS, 240)
 
 	errs.require(o.FetchMark > 0, "placement.fetch_mark_s", "must be above 0")
@@ -123,27 +123,27 @@
 	errs.require(o.WaitBound >= 0, "placement.wait_bound_s", "must not be below 0")
 }
 
-// readFleet reads the fields of fleet. report is the time between two heartbeats.
+// readFleet reads and validates the fleet settings. report is the heartbeat interval.
 func (o *Operators) readFleet(m *operatorspb.Fleet, report wire.Seconds, errs *fieldErrors) {
 	o.LostAfter = secondsOr(m.LostAfterS, 5*float64(report))
-	o.IdleBoots = or(m.IdleBoots, 0.5)
-	o.MostMachines = int(or(m.MostMachines, 0))
-	o.Spot = or(m.Spot, true)
-	o.Headroom = or(m.Headroom, 0)
+	o.IdleBoots = valueOr(m.IdleBoots, 0.5)
+	o.MostMachines = int(valueOr(m.MostMachines, 0))
+	o.Spot = valueOr(m.Spot, true)
+	o.Headroom = valueOr(m.Headroom, 0)
 
 	minLostAfter := (3 * report).Duration()
 	errs.require(o.LostAfter >= minLostAfter,
-		"fleet.lost_after_s", fmt.Sprintf("must be at least three reports (%v)", minLostAfter))
+		"fleet.lost_after_s", fmt.Sprintf("must be at least three heartbeat intervals (%v)", minLostAfter))
 	errs.require(o.IdleBoots >= 0, "fleet.idle_boots", "must not be below 0")
 	errs.require(o.Headroom >= 0 && o.Headroom <= 10, "fleet.headroom", "must be from 0 to 10")
 }
 
-// readPlugins reads the fields of plugins.
+// readPlugins reads and validates the plug-in settings.
 func readPlugins(m *operatorspb.Plugins, errs *fieldErrors) Plugins {
 	p := Plugins{
-		On:       or(m.On, false),
-		MemoryMB: int(or(m.MemoryMb, 64)),
-		Call:     time.Duration(or(m.CallMs, 200)) * time.Millisecond,
+		On:       valueOr(m.On, false),
+		MemoryMB: int(valueOr(m.MemoryMb, 64)),
+		Call:     time.Duration(valueOr(m.CallMs, 200)) * time.Millisecond,
 		Starve:   secondsOr(m.StarveS, 600),
 		Initial:  m.GetInitialModule(),
 	}
@@ -158,7 +158,7 @@
 	return p
 }
 
-// readInitialSignature reads the signature of the initial module, which is needed if there are public
+// readInitialSignature reads the signature of the initial module, which is required if there are public
 // keys.
 func readInitialSignature(m *operatorspb.Plugins, errs *fieldErrors) []byte {
 	const field = "plugins.initial_signature"
@@ -166,7 +166,7 @@
 	text := m.GetInitialSignature()
 	if text == "" {
 		errs.require(!hasModule || len(m.PublicKeys) == 0,
-			field, "is missing, and plugins.public_keys ask for one")
+			field, "is missing: plugins.public_keys require signed modules")
 		return nil
 	}
 	signature, err := base64.StdEncoding.DecodeString(text)
@@ -175,7 +175,7 @@
 	return signature
 }
 
-// readPublicKeys reads the keys that may sign modules.
+// readPublicKeys decodes the public keys that verify modules' signatures.
 func readPublicKeys(texts []string, errs *fieldErrors) []ed25519.PublicKey {
 	var keys []ed25519.PublicKey
 	for i, text := range texts {
@@ -189,13 +189,13 @@
 	return keys
 }
 
-// readQuarantine reads the fields of quarantine.
+// readQuarantine reads and validates the quarantine settings.
 func readQuarantine(m *operatorspb.Quarantine, errs *fieldErrors) Quarantine {
 	q := Quarantine{
-		On:     or(m.On, false),
-		Faulty: or(m.FaultyShare, 0.01),
-		Wrong:  or(m.WrongShare, 0.004),
-		Most:   or(m.MostShare, 0.1),
+		On:     valueOr(m.On, false),
+		Faulty: valueOr(m.FaultyShare, 0.01),
+		Wrong:  valueOr(m.WrongShare, 0.004),
+		Most:   valueOr(m.MostShare, 0.1),
 	}
 	const reason = "must be above 0 and at most 0.5"
 	errs.require(q.Faulty > 0 && q.Faulty <= 0.5, "quarantine.faulty_share", reason)
@@ -204,18 +204,18 @@
 	return q
 }
 
-// readHistory reads the fields of history.
+// readHistory reads and validates the archive settings.
 func (o *Operators) readHistory(m *operatorspb.History, errs *fieldErrors) {
-	o.Archive = or(m.Archive, true)
-	o.KeptJobs = int(or(m.KeptJobs, 1000))
+	o.Archive = valueOr(m.Archive, true)
+	o.KeptJobs = int(valueOr(m.KeptJobs, 1000))
 	o.Settle = secondsOr(m.SettleS, 3600)
-	o.FormatUpTo = int(or(m.FormatUpTo, 0))
+	o.FormatUpTo = int(valueOr(m.FormatUpTo, 0))
 
 	errs.require(o.KeptJobs <= 100_000, "history.kept_jobs", "must be from 0 to 100000")
 	errs.require(o.Settle >= 0, "history.settle_s", "must not be below 0")
 }
 
-// readUsers reads the fields of users.
+// readUsers reads and validates the settings of the users' API.
 func (o *Operators) readUsers(m *operatorspb.Users, errs *fieldErrors) {
 	o.RetryAfter = secondsOr(m.RetryAfterS, 1)
 	errs.require(o.RetryAfter >= time.Second && o.RetryAfter <= 30*time.Second,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads and checks the platform's settings file (TOML) and the
-// operators' own settings file (protobuf text format, operators.proto; docs/OPERATIONS.md lists its
-// fields). Load returns both as Settings, which are not changed afterwards.
+// Package settings parses and validates the platform's settings file (TOML) and the operators' settings
+// file (protobuf text format, operators.proto; docs/OPERATIONS.md lists its fields). Load returns both as
+// Settings, which are immutable afterwards.
 //
-// All that is wrong with a file is reported at once, a line per field; each line names the field and
-// the reason, and Load adds the file's name.
+// All errors in the values of a file are reported at once, one line per field; each line names the field
+// and the reason, and Load adds the file name.
 package settings
 
 import (
@@ -18,14 +18,14 @@
 	"maddermill/wire"
 )
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Member wire.MemberID `toml:"member"`
 	Zone   wire.Zone     `toml:"zone"`
 	Addr   string        `toml:"address"`
 }
 
-// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); 0 means none.
+// Team holds a team's guaranteed resources (CPUs, GPUs) and limits (CPUsMax, GPUsMax); 0 means none.
 type Team struct {
 	Name    wire.Team `toml:"name"`
 	CPUs    float64   `toml:"cpus"`
@@ -37,8 +37,8 @@
 // Capped reports whether the team has a limit.
 func (t *Team) Capped() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
-// Objective is one of the users' service-level objectives: a share of the jobs of a class, or of all if
-// it is empty, starts (kinds "wait" and "guarantee") or is done ("finished") within a time.
+// Objective is a service-level objective: at least Share of the jobs of Class, or of all jobs if Class is
+// empty, start (kinds "wait" and "guarantee") or finish (kind "finished") within a time.
 type Objective struct {
 	Kind   string       `toml:"kind"`
 	Class  wire.Class   `toml:"class"`
@@ -46,7 +46,7 @@
 	Share  float64      `toml:"share"`
 }
 
-// NextStateLimits are limits that the state service will have. Those that are left out stay as they are.
+// NextStateLimits holds future limits of the state service. A limit that is nil stays unchanged.
 type NextStateLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -54,8 +54,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Settings are all settings of a controller. The types of its fields have no names, and their order
-// stays: errors of the TOML decoder print them.
+// Settings holds all settings of a controller. The types of its nested structs stay unnamed and their
+// fields in order, because the TOML decoder's error messages print them.
 type Settings struct {
 	Member   wire.MemberID `toml:"member"`
 	Zone     wire.Zone     `toml:"zone"`
@@ -84,8 +84,8 @@
 			WriteRPS float64 `toml:"write_rps"`
 			ValueKB  float64 `toml:"value_kb"`
 			TxnOps   int     `toml:"txn_ops"`
-			// Next are the limits that the state service will have from some moment on, of which
-			// nobody tells; nil: the same.
+			// Next holds limits that the state service will switch to at an unannounced time;
+			// nil: the limits stay the same.
 			Next *NextStateLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
@@ -103,7 +103,7 @@
 }
 
 // Load reads the platform's file and, unless its path is empty, the operators' file.
-func Load(path, operators string) (*Settings, error) {
+func Load(path, operatorsPath string) (*Settings, error) {
 	platform, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -113,26 +113,26 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	var text []byte
-	if operators != "" {
-		if text, err = os.ReadFile(operators); err != nil {
+	if operatorsPath != "" {
+		if text, err = os.ReadFile(operatorsPath); err != nil {
 			return nil, err
 		}
 	}
 	if s.Operators, err = parseOperators(text, s); err != nil {
-		return nil, fmt.Errorf("%s: %w", operators, err)
+		return nil, fmt.Errorf("%s: %w", operatorsPath, err)
 	}
 	return s, nil
 }
 
-// Parse reads and checks the platform's file, with the operators' defaults. Unknown fields are ignored:
-// the platform may add some.
+// Parse parses and validates the platform's file, and sets the operators' settings to their defaults.
+// Unknown fields are ignored, because the platform may add fields.
 func Parse(platform []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := toml.Unmarshal(platform, s); err != nil {
-		var invalid *toml.DecodeError
-		if errors.As(err, &invalid) {
-			row, _ := invalid.Position()
-			return nil, fmt.Errorf("line %d: field %s: %w", row, fieldAt(platform, row), invalid)
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			row, _ := decodeErr.Position()
+			return nil, fmt.Errorf("line %d: field %s: %w", row, fieldOnLine(platform, row), decodeErr)
 		}
 		return nil, err
 	}
@@ -144,9 +144,9 @@
 	return s, err
 }
 
-// fieldAt returns the name of the field that a line sets. The decoder's errors do not have it for values of a
-// wrong type.
-func fieldAt(file []byte, row int) string {
+// fieldOnLine returns the name of the field that is set on a line. The decoder's errors lack the name if a
+// value has the wrong type.
+func fieldOnLine(file []byte, row int) string {
 	lines := strings.Split(string(file), "\n")
 	if row < 1 || row > len(lines) {
 		return ""
@@ -155,7 +155,7 @@
 	return strings.TrimSpace(name)
 }
 
-// FindTeam returns a team by its name, or nil.
+// FindTeam returns the team with a name, or nil if there is none.
 func (s *Settings) FindTeam(name wire.Team) *Team {
 	for i := range s.Cluster.Teams {
 		if s.Cluster.Teams[i].Name == name {
@@ -165,69 +165,70 @@
 	return nil
 }
 
-// StateLimits are the limits of the state service.
+// StateLimits holds the request and size limits of the state service.
 type StateLimits struct {
-	RPS        float64 // requests a second
-	WriteRPS   float64 // changes a second
-	ValueBytes int     // of a value
-	TxnOps     int     // changes in a transaction
+	RPS        float64 // requests per second
+	WriteRPS   float64 // writes per second
+	ValueBytes int     // maximum size of a value
+	TxnOps     int     // maximum number of changes in a transaction
 }
 
-// CurrentStateLimits returns the limits that the state service has had so far. Versions that do not know of
-// others write records up to these.
+// CurrentStateLimits returns the state service's limits without the future ones. Controllers of versions that
+// do not support NextStateLimits write records up to these sizes.
 func (s *Settings) CurrentStateLimits() StateLimits {
 	state := &s.Cluster.State
 	return StateLimits{state.RPS, state.WriteRPS, int(state.ValueKB * bytesPerKiB), state.TxnOps}
 }
 
-// StateLimits returns the limits that all that is written keeps to: the smaller ones of those that the state
-// service has and of those that it will have.
+// StateLimits returns the limits that all writes must respect: for each, the smaller of the current and the
+// future limit.
 func (s *Settings) StateLimits() StateLimits {
 	limits, next := s.CurrentStateLimits(), s.Cluster.State.Next
 	if next == nil {
 		return limits
 	}
-	limits.RPS = atMost(limits.RPS, next.RPS)
-	limits.WriteRPS = atMost(limits.WriteRPS, next.WriteRPS)
-	limits.ValueBytes = int(atMost(s.Cluster.State.ValueKB, next.ValueKB) * bytesPerKiB)
-	limits.TxnOps = atMost(limits.TxnOps, next.TxnOps)
+	limits.RPS = minLimit(limits.RPS, next.RPS)
+	limits.WriteRPS = minLimit(limits.WriteRPS, next.WriteRPS)
+	limits.ValueBytes = int(minLimit(s.Cluster.State.ValueKB, next.ValueKB) * bytesPerKiB)
+	limits.TxnOps = minLimit(limits.TxnOps, next.TxnOps)
 	return limits
 }
 
-// atMost returns the smaller of a limit and of the next one, nil for none.
-func atMost[T float64 | int](limit T, next *T) T {
+// minLimit returns the smaller of a current limit and the next one, which is nil if it does not change.
+func minLimit[T float64 | int](limit T, next *T) T {
 	if next == nil {
 		return limit
 	}
 	return min(limit, *next)
 }
 
-// bytesPerKiB converts the sizes of the settings.
+// bytesPerKiB converts sizes in the settings, such as value_kb, to bytes.
 const bytesPerKiB = 1024
 
-// StartContact bounds the time since the last sync with the state service at which a task may be
-// started, or anything else done that relies on current records.
+// StartContact is the maximum time since the last sync with the state service at which a controller may
+// start a task or do anything else that relies on current records.
 const StartContact = 4 * time.Second
 
-// assumedMemory is the memory quota, in bytes, where none is stated.
-const assumedMemory = 128 << 20
+// defaultMemoryQuota is the memory quota, in bytes, if the settings have none.
+const defaultMemoryQuota = 128 << 20
 
-// MemoryBytes returns the process's memory quota, in bytes.
+// MemoryBytes returns the memory quota of the process, in bytes.
 func (s *Settings) MemoryBytes() int {
 	if s.Cluster.Quota.MemoryMB > 0 {
 		return int(s.Cluster.Quota.MemoryMB * (1 << 20))
 	}
-	return assumedMemory
+	return defaultMemoryQuota
 }
 
-// SilentAfter returns how long a working machine may leave between two heartbeats.
+// SilentAfter returns the longest time between two heartbeats of a healthy machine. A machine without a
+// heartbeat for longer counts as silent.
 func (s *Settings) SilentAfter() time.Duration {
 	return 2*s.Cluster.Workers.Report.Duration() + 2*time.Second
 }
 
-// HeartbeatGrace bounds how long a controller that is out of sync with the state service goes on
-// answering heartbeats. A cancellation that it does not know of must still end every task in time
-// (settings.workers.cancel_s), and after the last answer a task may run for a whole lease.
+// HeartbeatGrace returns how long a controller that has lost sync with the state service keeps answering
+// heartbeats. A cancellation that it has not seen must still end every task in time
+// (settings.workers.cancel_s), and a task may run for a whole lease after the last answer.
 func (s *Settings) HeartbeatGrace() time.Duration {
 	w := s.Cluster.Workers
 	margin := wire.Seconds(4 + 0.002*float64(w.Cancel))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// platform is a valid platform file.
 const platform = `
 member = "m-0"
 zone = "a"
@@ -80,9 +81,9 @@
 	}
 }
 
-// TestNextLimits: what is written keeps to the smaller of the limits that the state service has and will have.
+// TestNextLimits checks that the effective limits are the smaller of the current and the next ones.
 func TestNextLimits(t *testing.T) {
-	with := func(next string) StateLimits {
+	parseLimits := func(next string) StateLimits {
 		s, err := Parse([]byte(strings.Replace(platform, "[settings.cloud]", next+"[settings.cloud]", 1)))
 		if err != nil {
 			t.Fatal(err)
@@ -100,7 +101,7 @@
 		{"[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 18.0\n", StateLimits{250, 18, 2 << 10, 4}},
 		{"[settings.state.next]\nvalue_kb = 64.0\nrps = 100.0\nlater = 1\n", StateLimits{100, 50, 32 << 10, 40}},
 	} {
-		if got := with(tc.next); got != tc.want {
+		if got := parseLimits(tc.next); got != tc.want {
 			t.Errorf("%q: got %+v, want %+v", tc.next, got, tc.want)
 		}
 	}
@@ -132,9 +133,9 @@
 	}
 }
 
-// TestHeartbeatGrace: a controller that can't know of a cancellation may answer a worker once more at
-// the end of the grace; the lease that this renews must expire, on a clock that drifts, within the time
-// for cancellations.
+// TestHeartbeatGrace covers a controller that has lost sync, has not seen a cancellation and answers a
+// worker's heartbeat at the very end of the grace period. The lease that this renews must still expire
+// within cancel_s, even with clock drift.
 func TestHeartbeatGrace(t *testing.T) {
 	for _, tc := range []struct{ lease, cancel string }{
 		{"30.0", "60.0"}, {"36.0", "61.0"}, {"50.0", "52.0"}, {"60.0", "30.0"},
@@ -145,9 +146,9 @@
 			t.Fatal(err)
 		}
 		w := s.Cluster.Workers
-		g := s.HeartbeatGrace()
-		if g < 0 || g > 0 && g.Seconds()+float64(w.Lease)*1.0005+4 > float64(w.Cancel)*0.9995 {
-			t.Errorf("lease %s, cancel %s: grace %v", tc.lease, tc.cancel, g)
+		grace := s.HeartbeatGrace()
+		if grace < 0 || grace > 0 && grace.Seconds()+float64(w.Lease)*1.0005+4 > float64(w.Cancel)*0.9995 {
+			t.Errorf("lease %s, cancel %s: grace %v", tc.lease, tc.cancel, grace)
 		}
 	}
 }
--- a/internal/transport/http1/http1.go
+++ b/internal/transport/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 parses and writes the HTTP/1.1 that maddermill speaks: requests
-// and responses with bounded lines, headers and bodies, and no more than that.
+// Package http1 implements the subset of HTTP/1.1 that maddermill needs: it parses and serializes requests
+// and responses, with limits on the size of lines, headers and bodies.
 package http1
 
 import (
@@ -12,15 +12,15 @@
 	"strings"
 )
 
-// Limits of what a peer may send.
+// Limits on what a peer may send, in bytes.
 const (
 	MaxLine   = 8 << 10  // a request line or a header line
 	MaxHeader = 32 << 10 // all header lines together
 	MaxBody   = 64 << 10 // a request's body
 )
 
-// Error is a request or response that can't be taken. Status is what a server
-// answers; after it the framing is lost and the connection must be closed.
+// Error reports a malformed or oversized request or response. Status is the code that a server answers
+// with. The connection must be closed afterwards, because the start of the next message is unknown.
 type Error struct {
 	Status int
 	Reason string
@@ -34,7 +34,7 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Get returns the first value of a field, named in lower case.
+// Get returns the first value of a field, or "" if there is none. The name must be in lower case.
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if f.Name == name {
@@ -44,6 +44,7 @@
 	return ""
 }
 
+// hasToken reports whether a field contains a token in its comma-separated list. Case is ignored.
 func (h Header) hasToken(name, token string) bool {
 	for _, f := range h {
 		if f.Name != name {
@@ -58,17 +59,17 @@
 	return false
 }
 
-// Request is one request.
+// Request is an HTTP request.
 type Request struct {
 	Method string
 	Path   string // without the query
 	Query  string
 	Header Header
 	Body   []byte
-	Close  bool // the connection ends after the answer
+	Close  bool // the connection is closed after the response
 }
 
-// Response is one response.
+// Response is an HTTP response.
 type Response struct {
 	Status int
 	Header Header
@@ -76,48 +77,48 @@
 	Close  bool
 }
 
-// The versions of the protocol that are accepted.
+// The supported protocol versions.
 const (
 	version10 = "HTTP/1.0"
 	version11 = "HTTP/1.1"
 )
 
-// ReadRequest reads one request. At a clean end before its first byte it
-// returns io.EOF. proceed is called when the peer waits for "100 Continue".
+// ReadRequest reads one request. It returns io.EOF if the connection ends before the first byte. If proceed
+// is not nil, it is called when the peer expects "100 Continue" before it sends the body.
 func ReadRequest(r *bufio.Reader, proceed func() error) (*Request, error) {
 	line, err := readLine(r, MaxLine)
 	if err == nil && len(line) == 0 {
-		line, err = readLine(r, MaxLine) // one stray empty line is forgiven
+		line, err = readLine(r, MaxLine) // one empty line before the request is tolerated
 	}
 	if err != nil {
 		return nil, err
 	}
-	q, version, err := parseRequestLine(string(line))
+	req, version, err := parseRequestLine(string(line))
 	if err != nil {
 		return nil, err
 	}
-	if q.Header, err = readHeader(r); err != nil {
+	if req.Header, err = readHeader(r); err != nil {
 		return nil, err
 	}
-	q.Close = closes(q.Header, version)
-	framed, err := bodyFraming(q.Header)
+	req.Close = closesConnection(req.Header, version)
+	framed, err := bodyFraming(req.Header)
 	if err != nil {
 		return nil, err
 	}
 	if framed.length > MaxBody {
 		return nil, &Error{413, "body too large"}
 	}
-	if (framed.length > 0 || framed.chunked) && proceed != nil && q.Header.hasToken("expect", "100-continue") {
+	if (framed.length > 0 || framed.chunked) && proceed != nil && req.Header.hasToken("expect", "100-continue") {
 		if err := proceed(); err != nil {
 			return nil, err
 		}
 	}
-	q.Body, err = readBody(r, framed, MaxBody)
-	return q, err
+	req.Body, err = readBody(r, framed, MaxBody)
+	return req, err
 }
 
-// parseRequestLine parses method, target and version.
-func parseRequestLine(line string) (q *Request, version string, err error) {
+// parseRequestLine parses the method, target and protocol version.
+func parseRequestLine(line string) (req *Request, version string, err error) {
 	method, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
 	if !hasTarget || !hasVersion || method == "" || !isToken(method) || !strings.HasPrefix(target, "/") ||
@@ -127,39 +128,39 @@
 	if version != version11 && version != version10 {
 		return nil, "", &Error{400, "unknown protocol version"}
 	}
-	q = &Request{Method: method}
-	q.Path, q.Query, _ = strings.Cut(target, "?")
-	return q, version, nil
+	req = &Request{Method: method}
+	req.Path, req.Query, _ = strings.Cut(target, "?")
+	return req, version, nil
 }
 
-// closes reports whether the connection ends after the message.
-func closes(h Header, version string) bool {
+// closesConnection reports whether the connection is to be closed after a message.
+func closesConnection(h Header, version string) bool {
 	return h.hasToken("connection", "close") || version == version10
 }
 
-// ReadResponse reads one response, past interim ones, whose body may be at most maxBody bytes.
+// ReadResponse reads one response with a body of at most maxBody bytes. It skips interim (1xx) responses.
 func ReadResponse(r *bufio.Reader, maxBody int) (*Response, error) {
 	for {
-		p, version, err := readResponseHead(r)
+		resp, version, err := readResponseHead(r)
 		if err != nil {
 			return nil, err
 		}
-		if p.Status < 200 {
+		if resp.Status < 200 {
 			continue
 		}
-		p.Close = closes(p.Header, version)
-		if p.Status == 204 || p.Status == 304 {
-			return p, nil
+		resp.Close = closesConnection(resp.Header, version)
+		if resp.Status == 204 || resp.Status == 304 {
+			return resp, nil
 		}
-		if err := readResponseBody(r, p, maxBody); err != nil {
+		if err := readResponseBody(r, resp, maxBody); err != nil {
 			return nil, err
 		}
-		return p, nil
+		return resp, nil
 	}
 }
 
-// readResponseHead reads status line and header.
-func readResponseHead(r *bufio.Reader) (p *Response, version string, err error) {
+// readResponseHead reads the status line and the header.
+func readResponseHead(r *bufio.Reader) (resp *Response, version string, err error) {
 	line, err := readLine(r, MaxLine)
 	if err != nil {
 		return nil, "", err
@@ -170,22 +171,22 @@
 	if err != nil || status < 100 || status > 599 || !strings.HasPrefix(version, "HTTP/1.") {
 		return nil, "", &Error{502, "malformed status line"}
 	}
-	p = &Response{Status: status}
-	p.Header, err = readHeader(r)
-	return p, version, err
+	resp = &Response{Status: status}
+	resp.Header, err = readHeader(r)
+	return resp, version, err
 }
 
-// readResponseBody reads the body of a response whose header is read. A body without a length ends with
-// the connection.
-func readResponseBody(r *bufio.Reader, p *Response, maxBody int) error {
-	framed, err := bodyFraming(p.Header)
+// readResponseBody reads the body that follows a response's header. A body with neither a length nor chunks
+// extends to the end of the connection.
+func readResponseBody(r *bufio.Reader, resp *Response, maxBody int) error {
+	framed, err := bodyFraming(resp.Header)
 	if err != nil {
 		return err
 	}
-	if !framed.chunked && !framed.given {
-		p.Close = true
-		p.Body, err = io.ReadAll(io.LimitReader(r, int64(maxBody)+1))
-		if err == nil && len(p.Body) > maxBody {
+	if !framed.chunked && !framed.hasLength {
+		resp.Close = true
+		resp.Body, err = io.ReadAll(io.LimitReader(r, int64(maxBody)+1))
+		if err == nil && len(resp.Body) > maxBody {
 			err = &Error{413, "body too large"}
 		}
 		return err
@@ -193,17 +194,18 @@
 	if framed.length > maxBody {
 		return &Error{413, "body too large"}
 	}
-	p.Body, err = readBody(r, framed, maxBody)
+	resp.Body, err = readBody(r, framed, maxBody)
 	return err
 }
 
-// framing tells how a message's body is delimited.
+// framing describes how a message's body is delimited.
 type framing struct {
-	length  int
-	given   bool
-	chunked bool
+	length    int // of the body, from Content-Length
+	hasLength bool
+	chunked   bool
 }
 
+// bodyFraming determines the framing of a message's body from its header.
 func bodyFraming(h Header) (framing, error) {
 	var f framing
 	for _, field := range h {
@@ -213,10 +215,10 @@
 			if err != nil || field.Value[0] == '+' {
 				return f, &Error{400, "bad content length"}
 			}
-			if f.given && f.length != int(n) {
+			if f.hasLength && f.length != int(n) {
 				return f, &Error{400, "two content lengths"}
 			}
-			f.given, f.length = true, int(n)
+			f.hasLength, f.length = true, int(n)
 		case "transfer-encoding":
 			if !strings.EqualFold(field.Value, "chunked") || f.chunked {
 				return f, &Error{400, "unknown transfer encoding"}
@@ -224,13 +226,14 @@
 			f.chunked = true
 		}
 	}
-	if f.given && f.chunked {
-		// Two framings at once are how requests are smuggled past others.
+	if f.hasLength && f.chunked {
+		// Accepting both would allow request smuggling: a proxy may delimit the body by the other one.
 		return f, &Error{400, "content length with transfer encoding"}
 	}
 	return f, nil
 }
 
+// readBody reads a body of at most maxBody bytes. The caller has checked the length from the header.
 func readBody(r *bufio.Reader, f framing, maxBody int) ([]byte, error) {
 	if !f.chunked {
 		if f.length == 0 {
@@ -238,7 +241,7 @@
 		}
 		body := make([]byte, f.length)
 		if _, err := io.ReadFull(r, body); err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		return body, nil
 	}
@@ -246,7 +249,7 @@
 	for {
 		line, err := readLine(r, MaxLine)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		size, _, _ := strings.Cut(string(line), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 62)
@@ -257,13 +260,13 @@
 			return nil, &Error{413, "body too large"}
 		}
 		if n == 0 {
-			_, err := readHeader(r) // trailers, dropped
+			_, err := readHeader(r) // trailers are ignored
 			return body, err
 		}
 		from := len(body)
 		body = append(body, make([]byte, n)...)
 		if _, err := io.ReadFull(r, body[from:]); err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if line, err := readLine(r, 2); err != nil || len(line) != 0 {
 			return nil, &Error{400, "bad chunk end"}
@@ -271,12 +274,13 @@
 	}
 }
 
+// readHeader reads header fields up to and including the empty line after them.
 func readHeader(r *bufio.Reader) (Header, error) {
 	var h Header
 	for total := 0; ; {
 		line, err := readLine(r, MaxLine)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if len(line) == 0 {
 			return h, nil
@@ -292,8 +296,7 @@
 	}
 }
 
-// readLine returns the next line without its end. The slice holds until the
-// next read.
+// readLine returns the next line without its line ending. The slice is valid until the next read.
 func readLine(r *bufio.Reader, maxLine int) ([]byte, error) {
 	var long []byte
 	for {
@@ -318,13 +321,15 @@
 	}
 }
 
-func unexpected(err error) error {
+// unexpectedEOF turns io.EOF in the middle of a message into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
+// isToken reports whether s is a token as RFC 9110 defines it.
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		switch {
@@ -337,49 +342,51 @@
 	return s != ""
 }
 
-var reasons = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
+// reasonPhrases holds the reason phrases of the status codes that servers send.
+var reasonPhrases = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 410: "Gone", 413: "Content Too Large",
 	421: "Misdirected Request", 422: "Unprocessable Content", 429: "Too Many Requests",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
 
-// AppendResponse writes a response. Its body is JSON unless the header has a
-// content type.
-func AppendResponse(b []byte, p *Response) []byte {
+// AppendResponse appends a serialized response to b. The content type is JSON unless the header has one.
+func AppendResponse(b []byte, resp *Response) []byte {
 	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(p.Status), 10)
+	b = strconv.AppendInt(b, int64(resp.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[p.Status]...)
+	b = append(b, reasonPhrases[resp.Status]...)
 	b = append(b, "\r\n"...)
-	return appendRest(b, p.Header, p.Body, p.Close, true)
+	return appendHeaderAndBody(b, resp.Header, resp.Body, resp.Close, true)
 }
 
-// AppendRequest writes a request.
-func AppendRequest(b []byte, q *Request) []byte {
-	b = append(b, q.Method...)
+// AppendRequest appends a serialized request to b.
+func AppendRequest(b []byte, req *Request) []byte {
+	b = append(b, req.Method...)
 	b = append(b, ' ')
-	b = append(b, q.Path...)
-	if q.Query != "" {
+	b = append(b, req.Path...)
+	if req.Query != "" {
 		b = append(b, '?')
-		b = append(b, q.Query...)
+		b = append(b, req.Query...)
 	}
 	b = append(b, " HTTP/1.1\r\n"...)
-	return appendRest(b, q.Header, q.Body, q.Close, len(q.Body) > 0 || q.Method == "POST")
+	return appendHeaderAndBody(b, req.Header, req.Body, req.Close, len(req.Body) > 0 || req.Method == "POST")
 }
 
-func appendRest(b []byte, h Header, body []byte, closing, framed bool) []byte {
-	typed := false
+// appendHeaderAndBody appends the header fields and the body. framed adds Content-Length, and the content
+// type JSON if there is a body and the header has no type.
+func appendHeaderAndBody(b []byte, h Header, body []byte, closing, framed bool) []byte {
+	hasType := false
 	for _, f := range h {
 		b = append(b, f.Name...)
 		b = append(b, ": "...)
 		b = append(b, f.Value...)
 		b = append(b, "\r\n"...)
-		typed = typed || f.Name == "content-type"
+		hasType = hasType || f.Name == "content-type"
 	}
 	if closing {
 		b = append(b, "connection: close\r\n"...)
 	}
 	if framed {
-		if len(body) > 0 && !typed {
+		if len(body) > 0 && !hasType {
 			b = append(b, "content-type: application/json\r\n"...)
 		}
 		b = append(b, "content-length: "...)
--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -14,7 +14,7 @@
 	long := strings.Repeat("x", MaxLine+10)
 	for _, tc := range []struct {
 		in     string
-		status int // 0: taken
+		status int // of the expected error; 0: accepted
 		body   string
 	}{
 		{"GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n", 0, ""},
@@ -41,20 +41,20 @@
 		{"GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", 431, ""},
 		{"GET / HTTP/1.1\r\n" + strings.Repeat("A: "+strings.Repeat("y", 4000)+"\r\n", 10) + "\r\n", 431, ""},
 	} {
-		q, err := ReadRequest(bufio.NewReaderSize(strings.NewReader(tc.in), 64), nil)
-		var bad *Error
+		req, err := ReadRequest(bufio.NewReaderSize(strings.NewReader(tc.in), 64), nil)
+		var parseErr *Error
 		switch {
 		case tc.status == 0 && err != nil:
 			t.Errorf("%.60q: %v", tc.in, err)
-		case tc.status == 0 && string(q.Body) != tc.body:
-			t.Errorf("%.60q: body %q", tc.in, q.Body)
-		case tc.status != 0 && (!errors.As(err, &bad) || bad.Status != tc.status):
+		case tc.status == 0 && string(req.Body) != tc.body:
+			t.Errorf("%.60q: body %q", tc.in, req.Body)
+		case tc.status != 0 && (!errors.As(err, &parseErr) || parseErr.Status != tc.status):
 			t.Errorf("%.60q: %v, want %d", tc.in, err, tc.status)
 		}
 	}
-	for _, cut := range []string{"GET / HT", "GET / HTTP/1.1\r\nA", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"} {
-		if _, err := ReadRequest(bufio.NewReader(strings.NewReader(cut)), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: %v", cut, err)
+	for _, in := range []string{"GET / HT", "GET / HTTP/1.1\r\nA", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"} {
+		if _, err := ReadRequest(bufio.NewReader(strings.NewReader(in)), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%q: %v", in, err)
 		}
 	}
 }
@@ -66,36 +66,36 @@
 		"HTTP/1.1 200 OK\r\n\r\nuntil the end":                                                             "until the end",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\nTrailer: x\r\n\r\n": "ok",
 	} {
-		p, err := ReadResponse(bufio.NewReader(strings.NewReader(in)), 100)
-		if err != nil || string(p.Body) != want {
-			t.Errorf("%q: %v, %v", in, p, err)
+		resp, err := ReadResponse(bufio.NewReader(strings.NewReader(in)), 100)
+		if err != nil || string(resp.Body) != want {
+			t.Errorf("%q: %v, %v", in, resp, err)
 		}
 	}
 	for _, in := range []string{"", "HTTP/1.1\r\n\r\n", "SSH-2.0\r\n\r\n", "HTTP/1.1 99 x\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n"} {
-		if p, err := ReadResponse(bufio.NewReader(strings.NewReader(in)), 100); err == nil {
-			t.Errorf("%q: taken as %v", in, p)
+		if resp, err := ReadResponse(bufio.NewReader(strings.NewReader(in)), 100); err == nil {
+			t.Errorf("%q: accepted as %v, want an error", in, resp)
 		}
 	}
 }
 
-// FuzzRequest: whatever is taken reads the same after it is written again.
+// FuzzRequest checks that an accepted request is unchanged after it is serialized and parsed again.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a?b=c HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.0\r\nConnection: close\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		q, err := ReadRequest(bufio.NewReaderSize(bytes.NewReader(in), 64), nil)
+		req, err := ReadRequest(bufio.NewReaderSize(bytes.NewReader(in), 64), nil)
 		if err != nil {
 			return
 		}
-		again := &Request{Method: q.Method, Path: q.Path, Query: q.Query, Body: q.Body}
-		p, err := ReadRequest(bufio.NewReader(bytes.NewReader(AppendRequest(nil, again))), nil)
+		rebuilt := &Request{Method: req.Method, Path: req.Path, Query: req.Query, Body: req.Body}
+		got, err := ReadRequest(bufio.NewReader(bytes.NewReader(AppendRequest(nil, rebuilt))), nil)
 		if err != nil {
-			t.Fatalf("%q is not taken when written again: %v", in, err)
+			t.Fatalf("%q is rejected after serialization: %v", in, err)
 		}
-		if p.Method != q.Method || p.Path != q.Path || p.Query != q.Query || !bytes.Equal(p.Body, q.Body) {
-			t.Fatalf("%v became %v", q, p)
+		if got.Method != req.Method || got.Path != req.Path || got.Query != req.Query || !bytes.Equal(got.Body, req.Body) {
+			t.Fatalf("%v became %v", req, got)
 		}
 	})
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport moves bytes with gnet. Event loops only copy; every
-// connection has a goroutine of its own that reads from and writes to a Conn.
+// Package transport provides TCP connections on top of gnet. The event loops only copy bytes between the
+// network and buffers; each connection has its own goroutine that reads from and writes to a Conn.
 package transport
 
 import (
@@ -16,42 +16,44 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// ErrTimeout is returned by reads that ran into their deadline.
+// ErrTimeout is returned by reads that exceeded their deadline.
 var ErrTimeout = errors.New("transport: read timed out")
 
-// ErrOverflow ends a connection whose peer sends faster than it is read, or
-// doesn't read what it is sent.
+// ErrOverflow ends a connection whose peer sends faster than the connection is read, or reads slower than
+// the connection is written.
 var ErrOverflow = errors.New("transport: buffer limit reached")
 
-// Conn is a connection as its goroutine sees it. One goroutine reads at a time.
+// Conn is a TCP connection with blocking reads and asynchronous writes. Only one goroutine may read at a
+// time.
 type Conn struct {
 	gc       gnet.Conn
 	limit    int
-	inflight atomic.Int64 // bytes handed to the event loop, not yet written
+	inflight atomic.Int64 // bytes passed to the event loop that it has not written yet
 
 	mu       sync.Mutex
-	pending  []byte
+	unread   []byte
 	err      error
-	arrived  chan struct{}
+	readable chan struct{}
 	deadline time.Time
 	timer    *time.Timer
 }
 
 func newConn(gc gnet.Conn, limit int) *Conn {
-	return &Conn{gc: gc, limit: limit, arrived: make(chan struct{}, 1)}
+	return &Conn{gc: gc, limit: limit, readable: make(chan struct{}, 1)}
 }
 
-// SetReadDeadline bounds the reads that follow; the zero time means no bound.
+// SetReadDeadline sets the deadline of later reads; the zero time means none.
 func (c *Conn) SetReadDeadline(t time.Time) { c.deadline = t }
 
+// Read returns received bytes. It blocks until there are some, the connection ends or the deadline passes.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		c.mu.Lock()
-		if len(c.pending) > 0 {
-			n := copy(p, c.pending)
-			c.pending = c.pending[n:]
-			if len(c.pending) == 0 {
-				c.pending = nil
+		if len(c.unread) > 0 {
+			n := copy(p, c.unread)
+			c.unread = c.unread[n:]
+			if len(c.unread) == 0 {
+				c.unread = nil
 			}
 			c.mu.Unlock()
 			return n, nil
@@ -62,7 +64,7 @@
 			return 0, err
 		}
 		if c.deadline.IsZero() {
-			<-c.arrived
+			<-c.readable
 			continue
 		}
 		wait := time.Until(c.deadline)
@@ -75,14 +77,15 @@
 			c.timer.Reset(wait)
 		}
 		select {
-		case <-c.arrived:
+		case <-c.readable:
 			c.timer.Stop()
 		case <-c.timer.C:
 		}
 	}
 }
 
-// Write hands b to the event loop. b must not be changed afterwards.
+// Write passes b to the event loop and does not wait until it is sent. The caller must not modify b
+// afterwards.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	err := c.err
@@ -102,44 +105,46 @@
 	return len(b), nil
 }
 
-// Close ends the connection once what was written has been handed to the
-// network.
+// Close closes the connection after all previously written bytes have been passed to the network.
 func (c *Conn) Close() {
 	c.fail(net.ErrClosed)
 	_ = c.gc.Close()
 }
 
-func (c *Conn) feed(b []byte) bool {
+// receive buffers bytes from the network. It returns false, and later reads fail, if the limit is exceeded.
+func (c *Conn) receive(b []byte) bool {
 	c.mu.Lock()
-	ok := len(c.pending)+len(b) <= c.limit
+	ok := len(c.unread)+len(b) <= c.limit
 	if ok {
-		c.pending = append(c.pending, b...)
+		c.unread = append(c.unread, b...)
 	} else if c.err == nil {
 		c.err = ErrOverflow
 	}
 	c.mu.Unlock()
-	c.wake()
+	c.notify()
 	return ok
 }
 
+// fail sets the error that reads and writes return from now on, unless there is one already.
 func (c *Conn) fail(err error) {
 	c.mu.Lock()
 	if c.err == nil {
 		c.err = err
 	}
 	c.mu.Unlock()
-	c.wake()
+	c.notify()
 }
 
-func (c *Conn) wake() {
+// notify wakes up a blocked Read.
+func (c *Conn) notify() {
 	select {
-	case c.arrived <- struct{}{}:
+	case c.readable <- struct{}{}:
 	default:
 	}
 }
 
-// events is what gnet calls; it serves listeners and dialled connections alike.
-type events struct {
+// eventHandler implements gnet's callbacks, for accepted and, as part of dialHandler, for dialled connections.
+type eventHandler struct {
 	gnet.BuiltinEventEngine
 	limit    int
 	maxConns int
@@ -148,14 +153,14 @@
 	booted   chan gnet.Engine
 }
 
-func (e *events) OnBoot(eng gnet.Engine) gnet.Action {
+func (e *eventHandler) OnBoot(eng gnet.Engine) gnet.Action {
 	if e.booted != nil {
 		e.booted <- eng
 	}
 	return gnet.None
 }
 
-func (e *events) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
+func (e *eventHandler) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
 	if n := e.open.Add(1); e.maxConns > 0 && n > int64(e.maxConns) {
 		return nil, gnet.Close
 	}
@@ -165,18 +170,18 @@
 	return nil, gnet.None
 }
 
-func (e *events) OnTraffic(gc gnet.Conn) gnet.Action {
+func (e *eventHandler) OnTraffic(gc gnet.Conn) gnet.Action {
 	b, err := gc.Next(-1)
 	if err != nil {
 		return gnet.Close
 	}
-	if c, ok := gc.Context().(*Conn); ok && !c.feed(b) {
+	if c, ok := gc.Context().(*Conn); ok && !c.receive(b) {
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-func (e *events) OnClose(gc gnet.Conn, err error) gnet.Action {
+func (e *eventHandler) OnClose(gc gnet.Conn, err error) gnet.Action {
 	if e.serve != nil {
 		e.open.Add(-1)
 	}
@@ -195,18 +200,18 @@
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReuseAddr(true),
 		gnet.WithReadBufferCap(16 << 10),
-		gnet.WithLogger(quiet{}),
+		gnet.WithLogger(slogLogger{}),
 	}
 }
 
-// stopTimeout bounds how long the event loop may take to stop once the server's context has ended.
+// stopTimeout is how long the event loop may take to stop after the server's context is done.
 const stopTimeout = 2 * time.Second
 
-// Serve listens on addr until ctx ends and runs serve in a goroutine for each
-// connection. At most maxConns connections are open; further ones are closed.
+// Serve listens on addr until ctx is done and runs serve in a goroutine for each connection. At most
+// maxConns connections are open at once, 0 meaning any number; further ones are closed at once.
 func Serve(ctx context.Context, addr string, maxConns int, serve func(context.Context, *Conn)) error {
 	var goroutines sync.WaitGroup
-	e := &events{limit: 1 << 20, maxConns: maxConns, booted: make(chan gnet.Engine, 1)}
+	e := &eventHandler{limit: 1 << 20, maxConns: maxConns, booted: make(chan gnet.Engine, 1)}
 	e.serve = func(c *Conn) {
 		goroutines.Add(1)
 		defer goroutines.Done()
@@ -226,26 +231,27 @@
 			return err
 		case <-ctx.Done():
 		}
-		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+		stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
-		err := eng.Stop(stopping)
+		err := eng.Stop(stopCtx)
 		goroutines.Wait()
 		return err
 	}
 }
 
-// Dialer opens connections whose bytes gnet moves.
+// Dialer opens outgoing connections on an event loop of its own.
 type Dialer struct {
 	client *gnet.Client
 }
 
-type dialled struct{ opened chan *Conn }
+// pendingDial receives the Conn of a connection that is being registered with the event loop.
+type pendingDial struct{ opened chan *Conn }
 
-// dialEvents gives a dialled connection its Conn before its first byte.
-type dialEvents struct{ events }
+// dialHandler hands a dialled connection's Conn to Dial before the connection's first byte is read.
+type dialHandler struct{ eventHandler }
 
-func (e *dialEvents) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
-	d, ok := gc.Context().(*dialled)
+func (e *dialHandler) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
+	d, ok := gc.Context().(*pendingDial)
 	if !ok {
 		return nil, gnet.Close
 	}
@@ -255,57 +261,58 @@
 	return nil, gnet.None
 }
 
-// NewDialer starts the event loop of outgoing connections. limit bounds what
-// is held of a connection before it is read.
+// NewDialer starts the event loop of outgoing connections. limit is the maximum number of bytes buffered
+// for a connection, in each direction.
 func NewDialer(limit int) (*Dialer, error) {
-	client, err := gnet.NewClient(&dialEvents{events{limit: limit}}, options()...)
+	client, err := gnet.NewClient(&dialHandler{eventHandler{limit: limit}}, options()...)
 	if err != nil {
 		return nil, err
 	}
 	return &Dialer{client: client}, client.Start()
 }
 
-// Stop ends the event loop and every connection on it.
+// Stop stops the event loop and closes all its connections.
 func (d *Dialer) Stop() { _ = d.client.Stop() }
 
-// Dial connects to addr or gives up when ctx ends. gnet's own Dial has no
-// bound, and a machine that lost power answers nothing at all.
+// Dial connects to addr, or fails when ctx is done. It does not use gnet's own Dial, which has no timeout:
+// a machine that has lost power never answers.
 func (d *Dialer) Dial(ctx context.Context, addr string) (*Conn, error) {
-	var nd net.Dialer
-	raw, err := nd.DialContext(ctx, "tcp4", addr)
+	var netDialer net.Dialer
+	raw, err := netDialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	hand := &dialled{opened: make(chan *Conn, 1)}
-	if _, err := d.client.EnrollContext(raw, hand); err != nil {
-		_ = raw.Close() // the error that is returned tells more
+	pending := &pendingDial{opened: make(chan *Conn, 1)}
+	if _, err := d.client.EnrollContext(raw, pending); err != nil {
+		_ = raw.Close() // the returned error is more informative
 		return nil, err
 	}
 	select {
-	case c := <-hand.opened:
+	case c := <-pending.opened:
 		return c, nil
 	case <-ctx.Done():
-		go func() { (<-hand.opened).Close() }()
+		go func() { (<-pending.opened).Close() }()
 		return nil, ctx.Err()
 	}
 }
 
-// quiet sends gnet's warnings and errors to slog and drops the rest.
-type quiet struct{}
+// slogLogger logs gnet's warnings and errors with slog at debug level and its fatal messages as errors. It
+// drops debug and info messages.
+type slogLogger struct{}
 
-var _ logging.Logger = quiet{}
+var _ logging.Logger = slogLogger{}
 
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(f string, a ...any) {
+func (slogLogger) Debugf(string, ...any) {}
+func (slogLogger) Infof(string, ...any)  {}
+func (slogLogger) Warnf(f string, a ...any) {
 	slog.Debug("gnet: "+f, "args", a)
 }
-func (quiet) Errorf(f string, a ...any) { slog.Debug("gnet: "+f, "args", a) }
-func (quiet) Fatalf(f string, a ...any) { slog.Error("gnet: "+f, "args", a) }
+func (slogLogger) Errorf(f string, a ...any) { slog.Debug("gnet: "+f, "args", a) }
+func (slogLogger) Fatalf(f string, a ...any) { slog.Error("gnet: "+f, "args", a) }
 
-// Alive reports whether the connection is open with nothing left to read.
+// Alive reports whether the connection is open and has no unread bytes.
 func (c *Conn) Alive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.err == nil && len(c.pending) == 0
+	return c.err == nil && len(c.unread) == 0
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for the end of a context, whichever comes first.
+// Package wait provides a sleep that ends early when a context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns after d, or as soon as ctx is done.
+// For blocks for d or until ctx is done, whichever comes first.
 func For(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
