--- a/internal/transport/http1/http1_test.go
+++ b/internal/transport/http1/http1_test.go
@@ -52,9 +52,9 @@
 			t.Errorf("%.60q: %v, want %d", tc.in, err, tc.status)
 		}
 	}
-	for _, in := range []string{"GET / HT", "GET / HTTP/1.1\r\nA", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"} {
-		if _, err := ReadRequest(bufio.NewReader(strings.NewReader(in)), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: %v", in, err)
+	for _, part := range []string{"GET / HT", "GET / HTTP/1.1\r\nA", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"} {
+		if _, err := ReadRequest(bufio.NewReader(strings.NewReader(part)), nil); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%q: %v", part, err)
 		}
 	}
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -14,15 +14,15 @@
 	Zones     []Zone          `json:"yards"`
 }
 
-// MachineTypeList is the cloud's list of machine types.
+// MachineTypeList is the cloud's list of the machine types on offer.
 type MachineTypeList struct {
 	Types []MachineType `json:"builds"`
 }
 
-// ScaleOutID names a scale-out request; one is never used for two requests.
+// ScaleOutID identifies a scale-out request. IDs are never reused.
 type ScaleOutID string
 
-// ScaleOutRequest asks the cloud for machines.
+// ScaleOutRequest asks the cloud to rent out machines of one type in one zone.
 type ScaleOutRequest struct {
 	Request ScaleOutID      `json:"hire"`
 	Type    MachineTypeName `json:"build"`
@@ -31,12 +31,12 @@
 	Count   int             `json:"number"`
 }
 
-// MachineIDList is a set of machines: the answer to a scale-out, the body of a scale-in.
+// MachineIDList is a list of machines: the response to a scale-out and the body of a scale-in.
 type MachineIDList struct {
 	Names []MachineID `json:"millstones"`
 }
 
-// MachineState is a machine's state as the cloud lists it.
+// MachineState is the state of a machine in the cloud's list.
 type MachineState string
 
 // The states of listed machines.
@@ -57,7 +57,7 @@
 	Age   Seconds         `json:"age_s"`
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of machines.
 type MachineList struct {
 	Machines []ListedMachine `json:"millstones"`
 	More     bool            `json:"has_next"`
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,17 +1,17 @@
-// Package wire holds the messages and small types that maddermill exchanges with users, workers, the cloud
-// and the state service. Clients may use it too. Heartbeat and HeartbeatResponse are what workers and
-// controllers exchange (heartbeats.go), JobSpec and JobStatus what users do (jobs.go, workflows.go),
-// MachineList and ScaleOutRequest the cloud's (cloud.go), Txn, ItemPage and Events the state service's
-// (kvstore.go). TopologyView and Judgement are what controllers report of themselves.
+// Package wire defines the messages and basic types that maddermill exchanges with users, workers, the cloud
+// and the state service. Clients may import it too. Workers and controllers exchange Heartbeat and
+// HeartbeatResponse (heartbeats.go), users and controllers JobSpec, WorkflowSpec and their statuses (jobs.go,
+// workflows.go). MachineList and ScaleOutRequest belong to the cloud's API (cloud.go), Txn, ItemPage and
+// Events to the state service's (kvstore.go). TopologyView and Judgement are reports by controllers.
 //
-// All are JSON; the keys are the protocol's and never change (TestSerializedFormsStay compares bytes). The
-// Go names are in the terms of the field; the glossary below says which key is which. The package decides
-// nothing and does no input or output; apart from DecodeJobSpec and DecodeWorkflowSpec it does not check
-// values. Durations are in seconds (Seconds), sizes in GB, times in milliseconds since 1970 (UnixMillis).
+// All messages are JSON. Their keys are defined by the protocol and never change (TestSerializedFormsStay
+// compares bytes). The Go names use common terms instead; the glossary below maps keys to names. The package
+// has no scheduling logic and does no I/O. Only DecodeJobSpec and DecodeWorkflowSpec validate values.
+// Durations are in seconds (Seconds), sizes in GB, times in milliseconds since 1970 (UnixMillis).
 //
 // # Glossary
 //
-// Each line is a key of the protocol, the Go name and the term.
+// Each line has a key of the protocol, the Go name and the meaning.
 //
 // Heartbeats:
 //
@@ -114,16 +114,16 @@
 //
 // Values:
 //
-//	"daemon"        Service                     service: runs until it is cancelled
+//	"daemon"        Service                     service: runs until cancelled
 //	"aborted"       Cancelled                   cancelled
 //	"ended"         TaskExited                  exited
 //	"halted"        CausePreempted              stopped by a command
-//	"mates_gone"    CauseGangPeerLost           lost a peer of its gang
-//	"incomplete"    CauseGangIncomplete         gave up waiting for its gang
-//	"full"          CauseInsufficientRoom       refused: no room
+//	"mates_gone"    CauseGangPeerLost           a peer in the gang was lost
+//	"incomplete"    CauseGangIncomplete         timed out waiting for its gang
+//	"full"          CauseInsufficientRoom       refused: insufficient resources
 //	"busy"          CauseBusy                   refused: the machine is busy
 //	"no_such"       CauseNotFound               refused: unknown job
 //	"run"           OpStart                     start
-//	"clear"         OpForget                    forget an exit that is on record
+//	"clear"         OpForget                    discard an exit that is recorded
 //	"starting"      MachineBooting              booting
 package wire
--- a/wire/doc_test.go
+++ b/wire/doc_test.go
@@ -8,9 +8,8 @@
 	"testing"
 )
 
-// TestGlossary: each line of the glossary in doc.go names a field by its JSON key, and the fields of the
-// types that workers, users, the cloud and the state service exchange are all there if the key says
-// something else than the name.
+// TestGlossary checks that each line of the glossary in doc.go has the JSON key of the field that it names,
+// and that the glossary has the key of every message field whose key differs from its Go name.
 func TestGlossary(t *testing.T) {
 	doc, err := os.ReadFile("doc.go")
 	if err != nil {
@@ -27,7 +26,7 @@
 		key, field := line[1], line[2]
 		inGlossary[key] = true
 		if keys[field] != key {
-			t.Errorf("the glossary has %s as %q, its key is %q", field, key, keys[field])
+			t.Errorf("the glossary lists %s under the key %q, but its key is %q", field, key, keys[field])
 		}
 	}
 	for field, key := range keys {
@@ -38,7 +37,7 @@
 	}
 }
 
-// keysOfFields returns the JSON keys of the fields of structs, by "Type.Field".
+// keysOfFields maps the fields of structs, as "Type.Field", to their JSON keys.
 func keysOfFields(structs ...any) map[string]string {
 	keys := map[string]string{}
 	for _, s := range structs {
--- a/wire/example_test.go
+++ b/wire/example_test.go
@@ -8,7 +8,8 @@
 	"maddermill/wire"
 )
 
-// A worker reports one running task, and the controller has it stopped within 5 s under its fencing token.
+// A worker reports a running task in its heartbeat, and the controller responds with a command to stop it
+// within a grace period of 5 s.
 func Example() {
 	heartbeat := wire.Heartbeat{
 		Machine:      "host-000231",
@@ -69,7 +70,7 @@
 	// }
 }
 
-// A submission is read and checked; the error names the first field at fault by its key.
+// DecodeJobSpec parses and validates a submission; the error names the key of the first invalid field.
 func ExampleDecodeJobSpec() {
 	const submission = `{"id":"wk-000412","workclass":"train","owner":"vision","shape":"gang","urgency":"high",
 		"pieces":16,"cores":8,"accelerators":1,"ram_gb":64,"bundle":"img-07","pull_gb":6.2,"together":true,
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -7,9 +7,9 @@
 	"maddermill/internal/testing/golden"
 )
 
-// TestSerializedFormsStay compares each message byte for byte with what the sources before the renaming of
-// 2026 wrote. A lost or misspelt tag would otherwise change a key unseen, as both ends of our own tests
-// would follow.
+// TestSerializedFormsStay compares each message byte for byte with the output from before the Go names were
+// changed in 2026. It catches a lost or misspelt tag, which tests that both encode and decode with this
+// package do not notice.
 func TestSerializedFormsStay(t *testing.T) {
 	golden.CheckForms(t, []golden.Form{
 		{Name: "item", Value: golden.Fill[Item]()},
@@ -48,9 +48,9 @@
 	})
 }
 
-// TestWordsOfTheProtocolStay: the values of named constants that travel on the wire.
-func TestWordsOfTheProtocolStay(t *testing.T) {
-	words, err := json.Marshal([]any{
+// TestConstantValuesStay checks that the values of constants that are sent on the wire do not change.
+func TestConstantValuesStay(t *testing.T) {
+	values, err := json.Marshal([]any{
 		Array,
 		Gang,
 		Service,
@@ -81,5 +81,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "words.json", words)
+	golden.Check(t, "words.json", values)
 }
--- a/wire/heartbeats.go
+++ b/wire/heartbeats.go
@@ -3,31 +3,31 @@
 // TaskState is a task's state on its machine.
 type TaskState string
 
-// The states of tasks on machines.
+// The states of a task on its machine.
 const (
-	TaskFetching TaskState = "fetching" // the image
-	TaskWaiting  TaskState = "waiting"  // for its gang
+	TaskFetching TaskState = "fetching" // fetching the image
+	TaskWaiting  TaskState = "waiting"  // waiting for the other tasks of its gang
 	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "saving" // a checkpoint, as it was stopped
+	TaskSaving   TaskState = "saving" // saving a checkpoint after a stop
 	TaskExited   TaskState = "ended"
 )
 
-// Cause is why a task exited, or was not started.
+// Cause is the reason why a task exited or was not started.
 type Cause string
 
-// The causes of exits.
+// The exit causes.
 const (
 	CauseDone             Cause = "done"       // completed
-	CausePreempted        Cause = "halted"     // by a stop
-	CauseGangPeerLost     Cause = "mates_gone" // a task of its gang is gone
-	CauseGangIncomplete   Cause = "incomplete" // its gang was not complete in time
+	CausePreempted        Cause = "halted"     // stopped by a command
+	CauseGangPeerLost     Cause = "mates_gone" // another task of its gang is gone
+	CauseGangIncomplete   Cause = "incomplete" // timed out waiting for the rest of its gang
 	CauseError            Cause = "error"      // failed
-	CauseInsufficientRoom Cause = "full"       // refused: the machine has no room for it
+	CauseInsufficientRoom Cause = "full"       // refused: insufficient free resources
 	CauseBusy             Cause = "busy"       // refused: the machine is busy
 	CauseNotFound         Cause = "no_such"    // refused: the worker does not know the job
 )
 
-// TaskStatus is one attempt of a task in a heartbeat. Cause and Saved are of exited tasks.
+// TaskStatus is the state of one attempt of a task in a heartbeat. Cause and Saved are set for exited tasks.
 type TaskStatus struct {
 	Task    TaskID    `json:"piece"`
 	Attempt Attempt   `json:"try"`
@@ -36,8 +36,8 @@
 	Saved   bool      `json:"saved,omitempty"`
 }
 
-// Heartbeat is a worker's periodic message: POST /v1/report. Tasks are all that are on the machine, with
-// those that exited and that no controller has had it forget yet.
+// Heartbeat is a worker's periodic report to a controller: POST /v1/report. Tasks lists all tasks on the
+// machine, including exited ones until a controller sends OpForget for them.
 type Heartbeat struct {
 	Machine       MachineID         `json:"millstone"`
 	Addr          string            `json:"endpoint"`
@@ -54,14 +54,14 @@
 // Op is the operation of a command.
 type Op string
 
-// The operations.
+// The operations of commands.
 const (
 	OpStart  Op = "run"
-	OpStop   Op = "stop"  // within the command's grace
-	OpForget Op = "clear" // the exit is on record
+	OpStop   Op = "stop"  // within the command's grace period
+	OpForget Op = "clear" // discard an exited task, whose exit is recorded
 )
 
-// Command has a worker start, stop or forget one attempt of a task. Grace is of a stop.
+// Command tells a worker to start, stop or forget one attempt of a task. Grace is the grace period of a stop.
 type Command struct {
 	Op      Op       `json:"verb"`
 	Task    TaskID   `json:"piece"`
@@ -69,14 +69,14 @@
 	Grace   *Seconds `json:"leeway_s,omitempty"`
 }
 
-// HeartbeatResponse answers a heartbeat with commands under a fencing token. A worker that has accepted a
-// higher token ignores them.
+// HeartbeatResponse is the response to a heartbeat: commands and the fencing token that authorizes them. A
+// worker that has accepted a higher token ignores them.
 type HeartbeatResponse struct {
 	FencingToken FencingToken `json:"warrant"`
 	Commands     []Command    `json:"orders"`
 }
 
-// Redirect is the body of a 421 answer: the controller to report to, if one is known.
+// Redirect is the body of a 421 response: the controller to report to, if known.
 type Redirect struct {
 	ReportTo MemberID `json:"foreman,omitempty"`
 }
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Lengths of the digits of a job's id and of a gallery's name.
+// Length limits of the digits in a job ID and of a gallery's name.
 const (
 	minIDDigits    = 6
 	maxIDDigits    = 18
 	maxGalleryName = 64
 )
 
-// JobID names a job. Users choose it; it reads "wk-" and 6 to 18 digits.
+// JobID identifies a job. Users choose it; its form is "wk-" followed by 6 to 18 digits.
 type JobID string
 
-// Valid reports whether the id is in the form that the protocol states.
+// Valid reports whether the ID has the form that the protocol requires.
 func (id JobID) Valid() bool {
 	digits, ok := strings.CutPrefix(string(id), "wk-")
 	if !ok || len(digits) < minIDDigits || len(digits) > maxIDDigits {
@@ -31,10 +31,10 @@
 	return true
 }
 
-// GalleryName names a gallery: a group of jobs with one deadline. Operators choose it.
+// GalleryName identifies a gallery: a group of jobs with a common deadline. Operators choose it.
 type GalleryName string
 
-// Valid reports whether the name is 1 to 64 letters, digits, dots, dashes and underscores.
+// Valid reports whether the name consists of 1 to 64 letters, digits, dots, dashes and underscores.
 func (n GalleryName) Valid() bool {
 	if len(n) < 1 || len(n) > maxGalleryName {
 		return false
@@ -47,85 +47,85 @@
 	return true
 }
 
-// TaskIndex is a task's number within its job, from 0.
+// TaskIndex is the zero-based index of a task in its job.
 type TaskIndex int
 
-// TaskID names one task of a job, for instance wk-000412/3.
+// TaskID identifies a task of a job, for instance wk-000412/3.
 type TaskID struct {
 	Job   JobID
 	Index TaskIndex
 }
 
-// String returns the task as "job/index".
+// String formats the ID as "job/index".
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(int(t.Index)) }
 
-// MarshalText writes the task as "job/index".
+// MarshalText encodes the ID as "job/index".
 func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText reads a task written as "job/index".
+// UnmarshalText parses an ID in the form "job/index".
 func (t *TaskID) UnmarshalText(b []byte) error {
 	job, index, ok := strings.Cut(string(b), "/")
 	n, err := strconv.Atoi(index)
 	if !ok || err != nil || n < 0 || !JobID(job).Valid() {
-		return fmt.Errorf("wire: %q is not a task", b)
+		return fmt.Errorf("wire: invalid task ID %q, want \"job/index\"", b)
 	}
 	t.Job, t.Index = JobID(job), TaskIndex(n)
 	return nil
 }
 
-// The names of the protocol. Each is a type of its own, so that one is never passed where another is meant.
+// The identifiers of the protocol. Each has its own type, so that the compiler rejects mix-ups.
 type (
-	// MachineID names a rented machine; a name is never used twice.
+	// MachineID identifies a rented machine. IDs are never reused.
 	MachineID string
-	// MemberID names a controller.
+	// MemberID identifies a controller.
 	MemberID string
-	// Zone names an availability zone of the cloud.
+	// Zone is the name of an availability zone of the cloud.
 	Zone string
-	// MachineTypeName names a machine type.
+	// MachineTypeName is the name of a machine type.
 	MachineTypeName string
-	// Image names an image of a job.
+	// Image is the name of the image that a job's tasks run.
 	Image string
-	// Team names a team, which has a quota.
+	// Team is the name of a team, which has a quota.
 	Team string
-	// Class names a class of jobs, as service-level objectives do.
+	// Class is the name of a class of jobs, to which service-level objectives refer.
 	Class string
 )
 
-// The numbers of the protocol. All only ever increase.
+// The numbers of the protocol. All are monotonically increasing.
 type (
-	// Attempt numbers the starts of a job's tasks.
+	// Attempt counts the starts of a job's tasks.
 	Attempt uint64
-	// FencingToken entitles a controller to command a worker. A worker ignores commands under a lower
-	// token than the highest that it has accepted.
+	// FencingToken authorizes a controller's commands to workers. A worker ignores commands with a token
+	// lower than the highest that it has accepted.
 	FencingToken uint64
-	// AgentEpoch numbers the incarnations of a worker's agent: a lease expiry, at which all tasks on the
-	// machine end, begins a new one.
+	// AgentEpoch counts the incarnations of a worker's agent. A lease expiry, which ends all tasks on the
+	// machine, starts a new epoch.
 	AgentEpoch uint64
 	// HeartbeatSequence orders a worker's heartbeats within an epoch.
 	HeartbeatSequence uint64
-	// Revision counts the changes of the state service.
+	// Revision counts the changes in the state service.
 	Revision uint64
-	// LeaseID names a lease at the state service.
+	// LeaseID identifies a lease of the state service.
 	LeaseID uint64
 )
 
-// Seconds is a duration as the protocol writes it.
+// Seconds is a duration in the protocol's unit.
 type Seconds float64
 
-// Duration converts to Go's durations.
+// Duration converts s to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// UnixMillis is a point in time, in milliseconds since 1970, as durable records hold it.
+// UnixMillis is a point in time in milliseconds since 1970, as stored in durable records.
 type UnixMillis int64
 
-// Time converts to Go's time.
+// Time converts u to a time.Time.
 func (u UnixMillis) Time() time.Time { return time.UnixMilli(int64(u)) }
 
-// ModuleHash names a plug-in's module by its content: SHA-256 in hex.
+// ModuleHash identifies a plug-in module by its content: SHA-256 in hex.
 type ModuleHash string
 
-// shortHash is how many digits of a ModuleHash tell modules apart in a log.
-const shortHash = 12
+// shortHashDigits is the number of digits of a ModuleHash that logs show.
+const shortHashDigits = 12
 
-// Short is enough of the hash to tell modules apart in a log.
-func (h ModuleHash) Short() string { return string(h[:min(shortHash, len(h))]) }
+// Short returns a prefix of the hash that is long enough to tell modules apart in a log.
+func (h ModuleHash) Short() string { return string(h[:min(shortHashDigits, len(h))]) }
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -9,17 +9,17 @@
 	"slices"
 )
 
-// Shape is how the tasks of a job relate.
+// Shape is the kind of a job: how its tasks are started and ended together, or not.
 type Shape string
 
-// The shapes of jobs.
+// The job shapes.
 const (
 	Array   Shape = "array"  // independent tasks
 	Gang    Shape = "gang"   // tasks that start, run and end together
 	Service Shape = "daemon" // tasks that run until the job is cancelled
 )
 
-// Priority is a job's urgency.
+// Priority is a job's priority class.
 type Priority string
 
 // The priorities, highest first.
@@ -30,7 +30,7 @@
 	BestEffort Priority = "best_effort"
 )
 
-// Rank orders priorities: 0 is the highest. Unknown ones rank -1.
+// Rank returns the priority's rank, from 0 for the highest, or -1 for an unknown priority.
 func (p Priority) Rank() int {
 	switch p {
 	case Production:
@@ -48,7 +48,7 @@
 // MaxTasks is the largest number of tasks of one job.
 const MaxTasks = 100_000
 
-// JobSpec is the submission of a job: POST /api/jobs. CPUs, GPUs and MemoryGB are of each task.
+// JobSpec is the submission of a job: POST /api/jobs. CPUs, GPUs and MemoryGB are per task.
 type JobSpec struct {
 	ID         JobID             `json:"id"`
 	Class      Class             `json:"workclass"`
@@ -61,30 +61,30 @@
 	MemoryGB   float64           `json:"ram_gb"`
 	Image      Image             `json:"bundle"`
 	ImageGB    float64           `json:"pull_gb"`
-	Types      []MachineTypeName `json:"builds"`     // allowed; nil: all
-	Zone       *Zone             `json:"yard"`       // required; nil: any
+	Types      []MachineTypeName `json:"builds"`     // allowed machine types; nil: all
+	Zone       *Zone             `json:"yard"`       // required zone; nil: any
 	OneZone    bool              `json:"together"`   // all tasks in one zone
 	Spread     bool              `json:"scatter"`    // tasks on different machines
 	Spot       bool              `json:"loaners"`    // spot instances allowed
-	Estimate   Seconds           `json:"expect_s"`   // run time of a task
+	Estimate   Seconds           `json:"expect_s"`   // estimated run time of a task
 	Checkpoint Seconds           `json:"snapshot_s"` // interval between checkpoints
-	Save       Seconds           `json:"stash_s"`    // to save a checkpoint when stopped
-	Deadline   *Seconds          `json:"due_s"`      // from the submission; nil: none
-	// Dependencies are the jobs that must be done before any task of this one starts, each once.
+	Save       Seconds           `json:"stash_s"`    // time to save a checkpoint when stopped
+	Deadline   *Seconds          `json:"due_s"`      // counted from the submission; nil: none
+	// Dependencies are the jobs that must be done before any task of this one starts, without duplicates.
 	Dependencies []JobID `json:"awaits,omitempty"`
 }
 
-// MaxDependencies is the largest number of jobs that one may depend on; a deployment whose state service
-// takes only small values may allow fewer.
+// MaxDependencies is the largest number of jobs that one job may depend on. A deployment may allow fewer if
+// its state service limits the size of values.
 const MaxDependencies = 1000
 
-// requiredJobFields are the keys that a submission must have.
+// requiredJobFields lists the JSON keys that a submission must have.
 var requiredJobFields = []string{"id", "workclass", "owner", "shape", "urgency", "pieces",
 	"cores", "accelerators", "ram_gb", "bundle", "pull_gb", "together", "scatter", "loaners",
 	"expect_s", "snapshot_s", "stash_s"}
 
-// DecodeJobSpec reads a submission and checks all that can be checked without knowing teams and machine
-// types. Unknown keys are ignored. The error names the first field at fault and is for users to read.
+// DecodeJobSpec parses a submission and validates it, except for what depends on the configured teams and
+// machine types. Unknown keys are ignored. The error names the first invalid field and is shown to users.
 func DecodeJobSpec(body []byte) (JobSpec, error) {
 	var fields map[string]json.RawMessage
 	if err := decodeOne(body, &fields); err != nil || fields == nil {
@@ -108,7 +108,7 @@
 	return s, s.Check()
 }
 
-// unique returns the ids without those that stand before, nil if there are none.
+// unique returns the IDs without duplicates, in order of first occurrence; nil if there are none.
 func unique(ids []JobID) []JobID {
 	var out []JobID
 	seen := make(map[JobID]bool, len(ids))
@@ -121,13 +121,13 @@
 	return out
 }
 
-// maxAmount bounds the amounts of a submission: resources, sizes and seconds.
+// maxAmount is the largest quantity in a submission: of a resource, a size or a duration in seconds.
 const maxAmount = 1e9
 
-// maxNameLength bounds the names in a submission, in bytes.
+// maxNameLength is the maximum length of names in a submission, in bytes.
 const maxNameLength = 100
 
-// Check returns an error that names the first field that is out of range, nil if there is none.
+// Check validates the fields. The error names the first invalid field.
 func (s *JobSpec) Check() error {
 	checks := [...]struct {
 		field string // its JSON key
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// validTypes reports whether the machine types allowed are nil, for all, or a list that is not empty.
+// validTypes reports whether Types is nil, which allows all machine types, or a non-empty list of valid
+// names.
 func (s *JobSpec) validTypes() bool {
 	if s.Types != nil && len(s.Types) == 0 {
 		return false
@@ -168,19 +169,19 @@
 	return !slices.ContainsFunc(s.Types, func(name MachineTypeName) bool { return !validName(name) })
 }
 
-// validDependencies reports whether the jobs that it depends on are not too many and have valid ids.
+// validDependencies reports whether the dependencies have valid IDs and do not exceed MaxDependencies.
 func (s *JobSpec) validDependencies() bool {
 	return len(s.Dependencies) <= MaxDependencies &&
 		!slices.ContainsFunc(s.Dependencies, func(id JobID) bool { return !id.Valid() })
 }
 
-// validName reports whether a name is of a length that the protocol allows.
+// validName reports whether a name has a length that the protocol allows.
 func validName[T ~string](name T) bool { return len(name) >= 1 && len(name) <= maxNameLength }
 
 // validAmount reports whether an amount is a number from 0 to maxAmount.
 func validAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
 
-// decodeOne reads one JSON value, with nothing but white space after it.
+// decodeOne decodes a single JSON value, which only white space may follow.
 func decodeOne(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(into); err != nil {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// Status is the state of a job or workflow as users see it.
+// Status is the state of a job or workflow that users see.
 type Status string
 
 // The states of a job. Done and Cancelled are final.
@@ -203,18 +204,18 @@
 	Cancelled Status = "aborted"
 )
 
-// JobStatus answers submissions, polls and cancellations. Done and Running count tasks; they are nil where
-// only the status is known, as of archived jobs.
+// JobStatus is the response to submissions, polls and cancellations. Done and Running count tasks; they are
+// nil if only the status is known, as for archived jobs.
 type JobStatus struct {
 	ID      JobID  `json:"id"`
 	Status  Status `json:"status"`
 	Done    *int   `json:"done,omitempty"`
 	Running *int   `json:"running,omitempty"`
-	// WaitingFor are jobs that this one depends on and that are not done; some of them if they are many.
+	// WaitingFor lists dependencies that are not done yet. If there are many, the list is incomplete.
 	WaitingFor []JobID `json:"awaits,omitempty"`
 }
 
-// ErrorBody is the body of answers other than success; its message is for users to read.
+// ErrorBody is the body of error responses. The message is meant for users.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/wire/jobs_test.go
+++ b/wire/jobs_test.go
@@ -9,13 +9,14 @@
 	"maddermill/wire"
 )
 
-const valid = `{"id":"wk-000412","workclass":"train","owner":"vision","shape":"gang","urgency":"high","pieces":16,
+// validSpec is a valid submission with an unknown key.
+const validSpec = `{"id":"wk-000412","workclass":"train","owner":"vision","shape":"gang","urgency":"high","pieces":16,
  "cores":8.0,"accelerators":1.0,"ram_gb":64.0,"bundle":"img-07","pull_gb":6.2,"builds":["g8"],"yard":null,
  "together":true,"scatter":false,"loaners":true,
  "expect_s":240.0,"snapshot_s":30.0,"stash_s":4.0,"due_s":900.0,"extra":1}`
 
 func TestDecodeJobSpec(t *testing.T) {
-	s, err := wire.DecodeJobSpec([]byte(valid))
+	s, err := wire.DecodeJobSpec([]byte(validSpec))
 	if err != nil || s.ID != "wk-000412" || s.Tasks != 16 || s.Zone != nil || *s.Deadline != 900 {
 		t.Fatalf("%+v, %v", s, err)
 	}
@@ -38,26 +39,26 @@
 		{`"due_s":900.0`, `"due_s":-3`, "due_s"},
 		{`"bundle":"img-07"`, `"bundle":""`, "bundle"},
 	} {
-		_, err := wire.DecodeJobSpec([]byte(strings.Replace(valid, tc.old, tc.new, 1)))
+		_, err := wire.DecodeJobSpec([]byte(strings.Replace(validSpec, tc.old, tc.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), tc.field) {
 			t.Errorf("%s: %v", tc.new, err)
 		}
 	}
-	for _, body := range []string{"", "[]", "null", "7", "{", valid + "x", valid + valid} {
+	for _, body := range []string{"", "[]", "null", "7", "{", validSpec + "x", validSpec + validSpec} {
 		if _, err := wire.DecodeJobSpec([]byte(body)); err == nil {
-			t.Errorf("%.20q is taken", body)
+			t.Errorf("%.20q is accepted", body)
 		}
 	}
-	for _, gone := range []string{`"builds":["g8"],`, `"yard":null,`, `,"due_s":900.0`} {
-		if _, err := wire.DecodeJobSpec([]byte(strings.Replace(valid, gone, "", 1))); err != nil {
-			t.Errorf("without %s: %v", gone, err)
+	for _, optional := range []string{`"builds":["g8"],`, `"yard":null,`, `,"due_s":900.0`} {
+		if _, err := wire.DecodeJobSpec([]byte(strings.Replace(validSpec, optional, "", 1))); err != nil {
+			t.Errorf("without %s: %v", optional, err)
 		}
 	}
 }
 
-// FuzzDecodeJobSpec: what is taken is valid and reads the same once written.
+// FuzzDecodeJobSpec checks that an accepted submission is unchanged after it is encoded and decoded again.
 func FuzzDecodeJobSpec(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validSpec))
 	f.Add([]byte(`{"id":"wk-000001"}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := wire.DecodeJobSpec(body)
@@ -68,9 +69,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := wire.DecodeJobSpec(b)
-		if err != nil || !reflect.DeepEqual(s, again) {
-			t.Fatalf("%+v became %+v: %v", s, again, err)
+		decoded, err := wire.DecodeJobSpec(b)
+		if err != nil || !reflect.DeepEqual(s, decoded) {
+			t.Fatalf("%+v became %+v: %v", s, decoded, err)
 		}
 	})
 }
--- a/wire/kvstore.go
+++ b/wire/kvstore.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Item is a key of the state service with its value.
+// Item is a key-value pair of the state service.
 type Item struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
@@ -10,20 +10,20 @@
 	Lease   LeaseID         `json:"tenure,omitempty"`
 }
 
-// ItemPage is a page of keys.
+// ItemPage is a page of key-value pairs with the store's revision.
 type ItemPage struct {
 	Items    []Item   `json:"pairs"`
 	More     bool     `json:"has_next"`
 	Revision Revision `json:"epoch"`
 }
 
-// Condition holds if a key has a version; with version 0, if the key does not exist.
+// Condition compares a key's version. Version 0 means that the key must not exist.
 type Condition struct {
 	Key     string   `json:"k"`
 	Version Revision `json:"stamp"`
 }
 
-// Change puts or deletes one key. A key with a lease is deleted when the lease expires.
+// Change puts or deletes one key. A key that is put with a lease is deleted when the lease expires.
 type Change struct {
 	Put    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -31,29 +31,30 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is an atomic compare-and-swap: if all conditions hold, all changes are made.
+// Txn is an atomic compare-and-swap: if all conditions hold, all changes are applied, otherwise none.
 type Txn struct {
 	If   []Condition `json:"if"`
 	Then []Change    `json:"then"`
 }
 
-// TxnResult answers a transaction: the keys whose conditions failed, or the revision that it made.
+// TxnResult is the response to a transaction: the keys whose conditions failed, or the revision that the
+// transaction created.
 type TxnResult struct {
 	Failed   []string `json:"failed,omitempty"`
 	Revision Revision `json:"epoch"`
 }
 
-// LeaseRequest asks for a lease. LeaseGrant is the answer.
+// LeaseRequest requests a lease with a time to live. The response is a LeaseGrant.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
 
-// LeaseGrant names a granted lease.
+// LeaseGrant is a granted lease.
 type LeaseGrant struct {
 	Lease LeaseID `json:"tenure"`
 }
 
-// Event is one change in the answer to a watch: Put with Value, or Delete.
+// Event is one change in the response to a watch: Put with Value, or Delete.
 type Event struct {
 	Put     string          `json:"set,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -61,7 +62,7 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// Events is the answer to a watch: the changes up to a revision.
+// Events is the response to a watch: the changes up to a revision.
 type Events struct {
 	Revision Revision `json:"epoch"`
 	Events   []Event  `json:"log"`
--- a/wire/topology.go
+++ b/wire/topology.go
@@ -6,44 +6,44 @@
 	"fmt"
 )
 
-// TopologyView is the declared topology as a controller knows it: GET /api/topology. It is written as
-// JSON lines, each an object with one of the fields block, machine and gang.
+// TopologyView is a controller's view of the declared topology: GET /api/topology. It is serialized as JSON
+// lines, each an object with one of the fields block, machine and gang.
 type TopologyView struct {
 	Blocks   []BlockView
 	Machines []MachineView
 	Gangs    []GangView
 }
 
-// BlockView is a block of the topology; outer blocks come before those within them.
+// BlockView is a block of the topology. Outer blocks come before the blocks within them.
 type BlockView struct {
 	Path     string `json:"path"` // "soar/switch-2/rack-5"
 	Level    string `json:"level"`
-	Down     bool   `json:"down"` // it, or a block around it, has failed as far as known
+	Down     bool   `json:"down"` // the block, or one that contains it, is believed to have failed
 	Machines int    `json:"machines"`
 	Empty    int    `json:"empty"` // machines without tasks
 }
 
-// MachineView is a machine that has lately sent a heartbeat to some controller, with its free resources.
+// MachineView is a machine with a recent heartbeat at some controller, and its free resources.
 type MachineView struct {
 	Machine MachineID `json:"machine"`
-	Block   string    `json:"block"` // "" if its block is not known
+	Block   string    `json:"block"` // "": unknown
 	Usable  bool      `json:"usable"`
-	CPUs    float64   `json:"cpus"` // free
+	CPUs    float64   `json:"cpus"` // free, as are GPUs and RAM
 	GPUs    float64   `json:"gpus"`
 	RAM     float64   `json:"ram_gb"`
 	Jobs    []JobID   `json:"jobs,omitempty"`
 }
 
-// GangView is a gang of several tasks that is placed.
+// GangView is a placed gang of several tasks.
 type GangView struct {
 	Job      JobID       `json:"job"`
 	Tasks    int         `json:"tasks"`
-	Block    string      `json:"block"` // the innermost that all its machines are in, "" if there is none
+	Block    string      `json:"block"` // the innermost block that contains all its machines; "": none
 	Cost     float64     `json:"cost"`
 	Machines []MachineID `json:"machines"`
 }
 
-// topologyLine is a line of a written view; one field is set.
+// topologyLine is one line of a serialized view. Exactly one field is set.
 type topologyLine struct {
 	Block   *BlockView   `json:"block,omitempty"`
 	Machine *MachineView `json:"machine,omitempty"`
@@ -72,13 +72,13 @@
 	return buf.Bytes(), nil
 }
 
-// DecodeTopology reads what AppendLines wrote. Lines of unknown kinds are ignored.
+// DecodeTopology parses the output of AppendLines. Lines of unknown kinds are ignored.
 func DecodeTopology(b []byte) (TopologyView, error) {
 	var v TopologyView
 	for i, line := range bytes.Split(bytes.TrimSpace(b), []byte("\n")) {
 		var l topologyLine
 		if err := json.Unmarshal(line, &l); err != nil {
-			return v, fmt.Errorf("wire: line %d: %w", i+1, err)
+			return v, fmt.Errorf("wire: decode topology: line %d: %w", i+1, err)
 		}
 		switch {
 		case l.Block != nil:
--- a/wire/workflows.go
+++ b/wire/workflows.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// WorkflowID names a workflow. Users choose it; it reads "wf-" and digits, as a job's id.
+// WorkflowID identifies a workflow. Users choose it; its form is "wf-" followed by 6 to 18 digits.
 type WorkflowID string
 
-// Valid reports whether the id is in the stated form.
+// Valid reports whether the ID has the required form.
 func (id WorkflowID) Valid() bool {
 	digits, ok := strings.CutPrefix(string(id), "wf-")
 	return ok && JobID("wk-"+digits).Valid()
@@ -23,19 +23,19 @@
 	Team     Team              `json:"owner"`
 	Priority Priority          `json:"urgency"`
 	Spot     bool              `json:"loaners"`
-	Estimate Seconds           `json:"expect_s"`         // of a step, 0: unknown
-	ImageGB  float64           `json:"pull_gb"`          // of steps' images
-	Window   int               `json:"window,omitempty"` // steps submitted at once, 0: the default
-	Entry    string            `json:"entry,omitempty"`  // "main.cwl" if empty; "#id" names one of several
-	Bundle   map[string]string `json:"bundle,omitempty"` // documents by their relative paths
-	Inputs   json.RawMessage   `json:"inputs,omitempty"` // by name
+	Estimate Seconds           `json:"expect_s"`         // estimated run time of a step; 0: unknown
+	ImageGB  float64           `json:"pull_gb"`          // size of the steps' images
+	Window   int               `json:"window,omitempty"` // steps submitted at once; 0: the default
+	Entry    string            `json:"entry,omitempty"`  // "": "main.cwl"; "#id" selects one of several
+	Bundle   map[string]string `json:"bundle,omitempty"` // documents by relative path
+	Inputs   json.RawMessage   `json:"inputs,omitempty"` // input values by name
 }
 
-// MaxWindow is the greatest number of steps of a workflow that may be submitted at once.
+// MaxWindow is the largest number of steps of a workflow that may be submitted at once.
 const MaxWindow = 1000
 
-// DecodeWorkflowSpec reads a submission and checks all of it but its documents. The error names the field
-// and is for users to read.
+// DecodeWorkflowSpec parses a submission and validates everything but its documents. The error names the
+// invalid field and is shown to users.
 func DecodeWorkflowSpec(b []byte) (*WorkflowSpec, error) {
 	s := &WorkflowSpec{Priority: Normal}
 	if err := json.Unmarshal(b, s); err != nil {
@@ -64,20 +64,20 @@
 	return s, nil
 }
 
-// WorkflowStatus is the state of a workflow as users see it: GET /api/workflows/{id}, and a line from GET
-// /api/workflows/{id}/events whenever it changes.
+// WorkflowStatus is the state of a workflow that users see: the response to GET /api/workflows/{id}, and a
+// line in the stream of GET /api/workflows/{id}/events for each change.
 type WorkflowStatus struct {
 	ID      WorkflowID      `json:"id"`
 	Status  Status          `json:"status"`
-	Reason  string          `json:"why,omitempty"`   // of a failure
+	Reason  string          `json:"why,omitempty"`   // reason of a failure
 	Steps   []StepStatus    `json:"steps,omitempty"` // all of them, or none
 	Outputs json.RawMessage `json:"outputs,omitempty"`
-	// StepsUnknown and OutputsUnknown say why the steps or the outputs are left out; "" if they are not.
+	// StepsUnknown and OutputsUnknown explain why the steps or the outputs are left out; "" if they are not.
 	StepsUnknown   string `json:"steps_unknown,omitempty"`
 	OutputsUnknown string `json:"outputs_unknown,omitempty"`
 }
 
-// Failed is the status of a workflow of which a step failed for good. The steps that do not depend on it
+// Failed is the status of a workflow with a step that failed permanently. The steps that do not depend on it
 // have run; the others may be resumed.
 const Failed Status = "failed"
 
@@ -85,7 +85,7 @@
 type StepStatus struct {
 	Step     string `json:"step"`
 	State    string `json:"state"`
-	Finished int    `json:"over"`          // runs that have ended
-	Total    int    `json:"total"`         // runs in all, as far as known
-	Reason   string `json:"why,omitempty"` // what it, or its next run, waits for
+	Finished int    `json:"over"`          // finished runs of the step
+	Total    int    `json:"total"`         // all runs of the step, as far as known
+	Reason   string `json:"why,omitempty"` // what the step, or its next run, is waiting for
 }
