--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -2,23 +2,25 @@
 
 // The tests of this package run on an emulated cluster: several controllers with all their
 // components, a state service, a cloud, workers and users in one process, on the fake clock of a
-// synctest bubble. Minutes of a deployment's life take milliseconds, and all randomness comes from
+// synctest bubble. Minutes of simulated time take milliseconds, and all randomness is derived from
 // the seed of the test.
 //
-//   - cluster_test.go has testCluster itself: its settings, start, run and end.
-//   - workers_test.go has the heartbeat loop of a worker, with heartbeats and responses that are
-//     lost, late or duplicated.
-//   - users_test.go has the users, who submit, poll and cancel jobs at any controller.
-//   - rules_test.go has the rules that must hold whatever happens. A job's state as users see it
-//     never goes back, and the archive agrees with the records. The rules about machines (no task
-//     runs twice, a cancelled one ends in time, a gang starts whole, a team keeps its limit, ...)
-//     are checked by emulator.World.
-//   - faults_test.go has what can go wrong: crashes, pauses, partitions, outages.
-//   - steps_test.go names the steps of a controller's work, so that a fault can hit at one of them.
-//   - restart_scenario_test.go has a cluster whose controllers crash and restart while users poll
-//     through a balancer; fault_plan_test.go has a language for plans of several faults.
+//   - cluster_test.go contains testCluster: its settings, start, run and shutdown.
+//   - workers_test.go contains the heartbeat loop of a worker, with lost, delayed and duplicated
+//     heartbeats and responses.
+//   - users_test.go contains the users, who submit, poll and cancel jobs at any controller.
+//   - rules_test.go contains the invariants. A job's state as users see it never goes backwards, and
+//     the archive is consistent with the records. The invariants of machines (no task runs twice, a
+//     cancelled task ends in time, a gang starts as a whole, a team stays within its limit, ...) are
+//     checked by emulator.World.
+//   - faults_test.go contains the faults: crashes, pauses, partitions and outages.
+//   - steps_test.go names the steps of a controller's work, so that a fault can be injected at a step.
+//   - restart_scenario_test.go contains a cluster whose controllers crash and restart while users poll
+//     through a load balancer; fault_plan_test.go contains the building blocks of plans of several
+//     faults.
 //
-// HISTORY_SEEDS asks for more seeds than CI plays, HISTORY_LOG for the controllers' logs on stderr.
+// The environment variable HISTORY_SEEDS sets the number of seeds, and HISTORY_LOG writes the
+// controllers' logs to stderr.
 
 import (
 	"context"
@@ -44,11 +46,11 @@
 	"maddermill/wire"
 )
 
-// settlePeriod is how long after a change of the records' format nothing is archived.
+// settlePeriod is how long archiving is suspended after a change of the records' format.
 const settlePeriod = 2 * time.Minute
 
-// testCluster is an emulated cluster. The exported fields of the emulators and the fields up to
-// group are set before start.
+// testCluster is an emulated cluster. The exported fields of the emulators and the fields above
+// group must be set before start.
 type testCluster struct {
 	t     *testing.T
 	seed  uint64
@@ -56,29 +58,29 @@
 	world *emulator.World
 	store *emulator.Store
 	cloud *emulator.Cloud
-	links []*emulator.Link // of each controller to the state service
+	links []*emulator.Link // connections of the controllers to the state service
 
-	// What goes wrong by itself.
+	// Faults that are injected without an action of the test.
 	noRandomFaults    bool    // run injects no faults
-	reliableMessages  bool    // no heartbeat or response is late or lost, and idle machines are kept
-	duplicateMessages bool    // messages that were carried out may arrive once more, late
-	lossShare         float64 // share of transactions without an answer
-	pauseAtStep       string  // the step at which a controller pauses, once
+	reliableMessages  bool    // no heartbeat or response is delayed or lost, and idle machines are kept
+	duplicateMessages bool    // messages that were processed may be delivered again later
+	lossProbability   float64 // probability that the response of a transaction is lost
+	pauseAtStep       string  // step at which a controller pauses once
 
 	// Settings of the controllers.
-	adjustSettings func(*settings.Settings) // changes the settings of all controllers, if given
-	configure      func(*Controller)        // called with each new controller, if given
-	archiving      bool                     // finished jobs are archived at once
-	formatUpTo     []int                    // newest format of records of each controller; 0: the newest
-	topology       *topology.Tree           // declared to all controllers, if given
-	stepData       stepdata.Store           // switches workflows on, if given
-
-	// Hooks, called if given.
-	onStart     func(context.Context)                        // with the jobs of run
-	onStep      func(i int, step string)                     // at each step of controller i
-	onHeartbeat func(at int, r *wire.Heartbeat)              // with each heartbeat that is sent to controller at
-	onLog       func(msg string, attributes map[string]any)  // with each line that a controller logs
-	unreachable func(machine *emulator.Machine) (hangs bool) // with each machine that starts
+	adjustSettings func(*settings.Settings) // changes the settings of all controllers, if not nil
+	configure      func(*Controller)        // called with each new controller, if not nil
+	archiving      bool                     // finished jobs are archived immediately
+	formatUpTo     []int                    // newest record format of each controller; 0: the newest known
+	topology       *topology.Tree           // declared to all controllers, if not nil
+	stepData       stepdata.Store           // enables workflows, if not nil
+
+	// Hooks, called if not nil.
+	onStart     func(context.Context)                        // called by run before jobs are submitted
+	onStep      func(i int, step string)                     // called at each step of controller i
+	onHeartbeat func(at int, r *wire.Heartbeat)              // called with each heartbeat sent to controller at
+	onLog       func(msg string, attributes map[string]any)  // called with each log line of a controller
+	unreachable func(machine *emulator.Machine) (hangs bool) // called with each machine that starts
 
 	group    sync.WaitGroup // all goroutines of the cluster
 	observed observedStates
@@ -86,15 +88,15 @@
 	mu               sync.Mutex // guards the fields below, and rng
 	rng              *rand.Rand
 	controllers      []*Controller     // nil while one is down
-	runContexts      []context.Context // of the latest run of each
+	runContexts      []context.Context // of the latest run of each controller
 	cancels          []context.CancelFunc
-	meshCut          []bool // whether each is cut from the others
+	meshCut          []bool // whether each controller is disconnected from the others
 	pausedAtStep     bool
 	stopped          bool
-	losesResponses   map[wire.MachineID]bool // heartbeats of these machines arrive, their responses don't
-	losesHeartbeats  map[wire.MachineID]bool // heartbeats of these machines reach no controller
-	partitionedZones map[wire.Zone]int       // zones that are cut off, each with a controller; -1: with none
-	capturing        bool                    // heartbeats are copied
+	losesResponses   map[wire.MachineID]bool // machines whose heartbeats arrive but get no response
+	losesHeartbeats  map[wire.MachineID]bool // machines whose heartbeats reach no controller
+	partitionedZones map[wire.Zone]int       // partitioned zones, with the controller inside; -1: none
+	capturing        bool                    // heartbeats are copied to captured
 	captured         []wire.Heartbeat
 }
 
@@ -110,8 +112,8 @@
 	return newTestClusterOf(t, seed, 3, nil)
 }
 
-// newTestClusterOf returns a cluster with so many controllers, whose settings are changed by
-// adjustSettings if it is given.
+// newTestClusterOf returns a cluster with the given number of controllers, whose settings are changed
+// by adjustSettings if it is not nil.
 func newTestClusterOf(
 	t *testing.T,
 	seed uint64,
@@ -168,7 +170,8 @@
 	return cluster
 }
 
-// newQuietCluster returns a cluster with three controllers in which only what the test does goes wrong.
+// newQuietCluster returns a cluster with three controllers in which the only faults are those that
+// the test injects.
 func newQuietCluster(t *testing.T, seed uint64) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, seed)
@@ -185,14 +188,14 @@
 	return set
 }
 
-// randomInt returns a random number below n.
+// randomInt returns a random integer in [0, n).
 func (cluster *testCluster) randomInt(n int) int {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return cluster.rng.IntN(n)
 }
 
-// controller returns a controller, nil while it is down.
+// controller returns controller i, or nil while it is down.
 func (cluster *testCluster) controller(i int) *Controller {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -248,7 +251,7 @@
 	c.registerComponents(pausableCloud{
 		Cloud: cluster.cloud,
 		link:  cluster.links[i],
-		step:  func(step string) { cluster.reachStep(i, step) }, //nolint:contextcheck // it takes that of the run
+		step:  func(step string) { cluster.reachStep(i, step) }, //nolint:contextcheck // reachStep uses the context of the run
 	})
 	cluster.group.Go(func() { _ = c.Components.Run(ctx) })
 	cluster.group.Go(func() {
@@ -261,7 +264,8 @@
 	})
 }
 
-// probe has controller i probe another over the mesh, if both are up, connected and not paused.
+// probe sends a probe from controller i to another over the mesh, if both are up, connected and not
+// paused, and merges the answer.
 func (cluster *testCluster) probe(ctx context.Context, c *Controller, i, other int) {
 	p := cluster.controller(other)
 	cluster.mu.Lock()
@@ -270,28 +274,28 @@
 	if other == i || p == nil || cut || cluster.links[i].Frozen() > 0 || cluster.links[other].Frozen() > 0 {
 		return
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	wait.For(ctx, 3*time.Millisecond)
-	//nolint:contextcheck // as in the product, a merge has no context
-	c.mergePeerStatus(peer.Response{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: asked})
+	//nolint:contextcheck // mergePeerStatus takes no context
+	c.mergePeerStatus(peer.Response{Status: p.answerProbe(c.probe(p.set.Member)), AsOf: sentAt})
 }
 
-// restart starts a controller unless it is up.
+// restart starts a controller if it is down.
 func (cluster *testCluster) restart(ctx context.Context, i int) {
 	if ctx.Err() == nil && cluster.controller(i) == nil {
 		cluster.startController(ctx, i)
 	}
 }
 
-// leader returns the fleet's leader, or the first controller if there is none.
+// leader returns the index of the current leader, or 0 if there is none.
 func (cluster *testCluster) leader() int {
 	at, _ := cluster.leadership()
 	return max(0, at)
 }
 
-// leadership returns the fleet's leader and the version of its record, by the newest records that a
-// controller has; -1: nobody leads.
-func (cluster *testCluster) leadership() (at int, since wire.Revision) {
+// leadership returns the index of the current leader and the version of the leader record, from the
+// most recent records that any controller has loaded. The index is -1 if there is no leader.
+func (cluster *testCluster) leadership() (at int, newest wire.Revision) {
 	at = -1
 	for i := range cluster.size {
 		c := cluster.controller(i)
@@ -300,24 +304,24 @@
 		}
 		c.cache.Read(func(l *ledger.Ledger) {
 			record, version := l.Leader()
-			if version <= since {
+			if version <= newest {
 				return
 			}
-			since = version
+			newest = version
 			if _, err := fmt.Sscanf(string(record.Member), "m-%d", &at); err != nil && record.Member != "" {
 				cluster.t.Errorf("leader record: member %q: %v", record.Member, err)
 			}
 		})
 	}
-	return at, since
+	return at, newest
 }
 
-// start starts machines and all controllers. Each transaction loses its answer with the
-// probability lossShare.
-func (cluster *testCluster) start(ctx context.Context, machines int, lossShare float64) {
-	cluster.lossShare = lossShare
+// start starts the given number of machines and all controllers. The response of each transaction is
+// lost with the probability lossProbability.
+func (cluster *testCluster) start(ctx context.Context, machines int, lossProbability float64) {
+	cluster.lossProbability = lossProbability
 	for _, link := range cluster.links {
-		link.SetLossy(lossShare)
+		link.SetLossy(lossProbability)
 	}
 	cluster.cloud.Started = func(machine *emulator.Machine) {
 		if cluster.unreachable != nil && cluster.unreachable(machine) {
@@ -325,7 +329,7 @@
 		}
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
-		if !cluster.stopped { // a machine may come up while the group is already waited for
+		if !cluster.stopped { // a machine may come up during shutdown, when nothing may be added to group
 			cluster.group.Go(func() { cluster.runWorker(ctx, machine) })
 		}
 	}
@@ -337,19 +341,19 @@
 	}
 }
 
-// run starts the cluster, has users submit jobs in its first two thirds, and ends it. It returns how many
-// jobs were finished.
-func (cluster *testCluster) run(length time.Duration, jobs int, lossShare float64) (finished int) {
+// run starts the cluster, has users submit jobs during the first two thirds of the run, and shuts it
+// down. It returns the number of jobs that finished.
+func (cluster *testCluster) run(length time.Duration, jobs int, lossProbability float64) (finished int) {
 	ctx, cancel := context.WithCancel(cluster.t.Context())
 	defer cancel()
-	cluster.start(ctx, 4, lossShare)
+	cluster.start(ctx, 4, lossProbability)
 	if cluster.onStart != nil {
 		cluster.onStart(ctx)
 	}
 	for i := range jobs {
 		spec := cluster.randomSpec(i)
-		// Never at once: two goroutines of a bubble whose timers are due the moment they are
-		// made run them with one context of the race detector, and it has crashed over that.
+		// At least a millisecond: timers of two goroutines in a bubble that are due on creation run
+		// with the same race detector context, which has crashed the race detector.
 		after := time.Millisecond + time.Duration(cluster.randomInt(int(length/time.Second)*2/3))*time.Second
 		cancelAfter := time.Duration(0)
 		if cluster.randomInt(4) == 0 {
@@ -375,7 +379,7 @@
 	}
 }
 
-// advance lets time pass while the rules are checked.
+// advance lets simulated time pass while it checks the invariants.
 func (cluster *testCluster) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(100 * time.Millisecond)
@@ -383,7 +387,7 @@
 	}
 }
 
-// shutDown ends all that runs and waits for messages that are still on their way.
+// shutDown stops the whole cluster and waits for messages that are still in flight.
 func (cluster *testCluster) shutDown(cancel context.CancelFunc) {
 	cluster.checkRules()
 	cancel()
@@ -397,14 +401,14 @@
 	time.Sleep(time.Minute)
 }
 
-// shutDownAndCheck ends all that runs and reports violated rules.
+// shutDownAndCheck stops the whole cluster and reports violated invariants.
 func (cluster *testCluster) shutDownAndCheck(cancel context.CancelFunc) {
 	cluster.t.Helper()
 	cluster.shutDown(cancel)
 	cluster.reportViolations()
 }
 
-// logObserver is a log handler that also passes each line to onLog.
+// logObserver is a log handler that also passes each record to onLog.
 type logObserver struct {
 	slog.Handler
 	onLog func(msg string, attributes map[string]any)
@@ -424,7 +428,7 @@
 // Enabled implements slog.Handler.
 func (o logObserver) Enabled(context.Context, slog.Level) bool { return true }
 
-// seedCount is how many seeds are played; HISTORY_SEEDS asks for more.
+// seedCount returns the number of seeds to run: HISTORY_SEEDS if it is set, or 6.
 func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("HISTORY_SEEDS"), 10, 32); err == nil {
 		return n
--- a/internal/controller/fault_plan_test.go
+++ b/internal/controller/fault_plan_test.go
@@ -13,29 +13,29 @@
 	"maddermill/wire"
 )
 
-// faultPlan describes several faults that overlap: which jobs are submitted, what goes wrong when,
-// and what must hold besides the rules. Users ask all controllers at once whenever the state of their
-// job has changed.
+// faultPlan describes a run with several overlapping faults: which jobs are submitted, which faults are
+// injected when, and what must hold besides the invariants. A user queries all controllers concurrently
+// after the job is accepted and after it is final.
 type faultPlan struct {
 	name           string
-	machines       int // up at the start
-	maxMachines    int // that the cloud rents out at most; at least machines
+	machines       int // number of machines at the start
+	maxMachines    int // most machines that the cloud provides; raised to machines if lower
 	adjustSettings func(*settings.Settings)
-	prepare        func(cluster *testCluster) // changes the cluster before its start, if given
+	prepare        func(cluster *testCluster) // changes the cluster before its start, if not nil
 	jobs           int
 	submitInterval time.Duration                             // between two submissions
-	spec           func(rng *rand.Rand, i int) *wire.JobSpec // a job; what is left out is filled in
-	cancelAfter    func(rng *rand.Rand, i int) time.Duration // after its acceptance; 0: never
+	spec           func(rng *rand.Rand, i int) *wire.JobSpec // returns job i; fillSpec adds missing fields
+	cancelAfter    func(rng *rand.Rand, i int) time.Duration // delay after acceptance; 0: never
 	events         []faultEvent
-	faultsUntil    time.Duration       // all events are over by then
-	settleWithin   time.Duration       // all jobs are final so much later
-	check          func(run *faultRun) // called at the end, if given
+	faultsUntil    time.Duration       // when all events are over
+	settleWithin   time.Duration       // limit from faultsUntil until all jobs are final
+	check          func(run *faultRun) // called at the end, if not nil
 }
 
-// faultEvent is what goes wrong at a time.
+// faultEvent is a fault that is injected at a given time.
 type faultEvent struct {
-	at time.Duration // from the start
-	do func(run *faultRun)
+	at     time.Duration // since the start of the run
+	inject func(run *faultRun)
 }
 
 // faultRun is one run of a plan.
@@ -49,7 +49,7 @@
 	final    map[wire.JobID]wire.Status
 }
 
-// run runs a plan with a seed.
+// run runs the plan with the given seed.
 func (p *faultPlan) run(t *testing.T, seed uint64) {
 	t.Helper()
 	cluster := newTestClusterOf(t, seed, 3, p.adjustSettings)
@@ -72,7 +72,7 @@
 	for _, e := range p.events {
 		cluster.group.Go(func() {
 			wait.For(ctx, e.at+time.Millisecond)
-			e.do(run)
+			e.inject(run)
 		})
 	}
 	cluster.advance(p.faultsUntil)
@@ -103,7 +103,7 @@
 	}
 }
 
-// fillSpec fills in what a job's description leaves out.
+// fillSpec sets the ID and the fixed fields of job i, and the defaults of fields that are not set.
 func fillSpec(spec *wire.JobSpec, i int) {
 	spec.ID, spec.Class, spec.Image, spec.ImageGB, spec.Estimate = jobID(i), "c", "img-0", 2, 20
 	spec.CPUs, spec.MemoryGB, spec.Spot = 1, 1, true
@@ -156,14 +156,15 @@
 	return run.accepted[id]
 }
 
-// finalStatus returns the final status of a job; "": it has none yet.
+// finalStatus returns the final status of a job, or "" if it is not final yet.
 func (run *faultRun) finalStatus(id wire.JobID) wire.Status {
 	run.usersMu.Lock()
 	defer run.usersMu.Unlock()
 	return run.final[id]
 }
 
-// submitAndPoll is a user who submits a job, polls it until it is final, and perhaps cancels it.
+// submitAndPoll acts as a user who submits a job and polls it until it is final, and cancels it if
+// cancelAfter is positive.
 func (run *faultRun) submitAndPoll(spec *wire.JobSpec, cancelAfter time.Duration) {
 	run.world.Upload(spec)
 	status := run.queryAny(run.ctx, spec.ID, submitRequest(spec))
@@ -198,26 +199,26 @@
 
 // Events: crashes.
 
-// restartDelay is how soon a crashed controller restarts.
+// restartDelay is the time from a crash of a controller to its restart.
 const restartDelay = 300 * time.Millisecond
 
-// crashAt crashes a controller, which restarts after the downtime.
-func crashAt(at time.Duration, which func(run *faultRun) int, downtime time.Duration) faultEvent {
+// crashAt returns an event that crashes the chosen controller and restarts it after the downtime.
+func crashAt(at time.Duration, choose func(run *faultRun) int, downtime time.Duration) faultEvent {
 	return faultEvent{at, func(run *faultRun) {
-		i := which(run)
+		i := choose(run)
 		run.crash(i)
 		wait.For(run.ctx, downtime)
 		run.restart(run.ctx, i)
 	}}
 }
 
-// currentLeader chooses the leader.
+// currentLeader chooses the current leader.
 func currentLeader(run *faultRun) int { return run.leader() }
 
 // controllerAt chooses a controller by its index.
 func controllerAt(i int) func(*faultRun) int { return func(*faultRun) int { return i } }
 
-// crashAllAt crashes all controllers, which restart after the downtime.
+// crashAllAt returns an event that crashes all controllers and restarts them after the downtime.
 func crashAllAt(at, downtime time.Duration) faultEvent {
 	return faultEvent{at, func(run *faultRun) {
 		for i := range run.size {
@@ -230,18 +231,19 @@
 	}}
 }
 
-// crashAtStep crashes a controller at a step, so many times. It restarts after restartDelay.
+// crashAtStep returns an onStep hook for a cluster that crashes a controller when it reaches the given
+// step, up to the given number of times. The controller restarts after restartDelay.
 func crashAtStep(step string, times int) func(cluster *testCluster) func(i int, step string) {
 	return func(cluster *testCluster) func(int, string) {
-		return func(i int, now string) {
+		return func(i int, reached string) {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			if now != step || times == 0 || cluster.stopped {
+			if reached != step || times == 0 || cluster.stopped {
 				return
 			}
 			times--
 			ctx := cluster.t.Context()
-			cluster.group.Go(func() { // the caller is a step of the controller that crashes
+			cluster.group.Go(func() { // in a new goroutine: the hook runs within the controller that crashes
 				cluster.crash(i)
 				wait.For(ctx, restartDelay)
 				cluster.restart(ctx, i)
@@ -250,7 +252,7 @@
 	}
 }
 
-// repeated returns an event so many times.
+// repeated returns the given number of events, the first at first and then one per interval.
 func repeated(times int, first, interval time.Duration, event func(at time.Duration) faultEvent) (out []faultEvent) {
 	for i := range times {
 		out = append(out, event(first+time.Duration(i)*interval))
@@ -258,12 +260,12 @@
 	return out
 }
 
-// Events: what lasts for a while.
+// Events: faults with a duration.
 
-// lastingFault begins a fault and returns what ends it.
+// lastingFault injects a fault and returns a function that ends it.
 type lastingFault func(run *faultRun) (end func())
 
-// during has a fault for a while.
+// during returns an event that injects a fault and ends it after length.
 func during(at, length time.Duration, begin lastingFault) faultEvent {
 	return faultEvent{at, func(run *faultRun) {
 		end := begin(run)
@@ -272,15 +274,15 @@
 	}}
 }
 
-// storeDown is an outage of the state service for all.
+// storeDown makes the state service unavailable to all controllers.
 func storeDown(run *faultRun) (end func()) { return run.storeOutage() }
 
-// isolateLeader cuts the leader from the state service, and from its peers if cutMesh is set.
+// isolateLeader disconnects the leader from the state service, and from its peers if cutMesh is set.
 func isolateLeader(cutMesh bool) lastingFault {
 	return func(run *faultRun) (end func()) { return run.isolate(run.leader(), cutMesh) }
 }
 
-// slowStore has each request to the state service take so long.
+// slowStore makes each request to the state service take the time d.
 func slowStore(d time.Duration) lastingFault {
 	return func(run *faultRun) (end func()) {
 		run.slowStore(d)
@@ -288,7 +290,8 @@
 	}
 }
 
-// delayWrites has every nth transaction get no answer and be carried out after a time.
+// delayWrites drops the response of every nth transaction with writes and applies the transaction after
+// the returned delay.
 func delayWrites(n int, after func(count int) time.Duration) lastingFault {
 	return func(run *faultRun) (end func()) {
 		var mu sync.Mutex
@@ -307,12 +310,12 @@
 
 func afterOneMillisecond(int) time.Duration { return time.Millisecond }
 
-// afterSeveralSeconds returns 2 to 12 s.
+// afterSeveralSeconds returns a delay of 2 to 12 s.
 func afterSeveralSeconds(count int) time.Duration {
 	return 2*time.Second + time.Duration(count*7%11)*time.Second
 }
 
-// everyNthMachine has a fault at every nth machine that is up.
+// everyNthMachine injects a fault at every nth machine that is up.
 func everyNthMachine(n int, set func(run *faultRun, machine *emulator.Machine, on bool)) lastingFault {
 	return func(run *faultRun) (end func()) {
 		var chosen []*emulator.Machine
@@ -340,8 +343,8 @@
 	run.deliverResponses(machine.Type.ID, !on)
 }
 
-// replayAt copies all heartbeats for a while. All copies arrive at every controller so long after the
-// next election of a leader.
+// replayAt returns an event that copies all heartbeats for the time length. All copies are delivered to
+// every controller at the given time after the next leader election.
 func replayAt(at, length, after time.Duration) faultEvent {
 	return faultEvent{at, func(run *faultRun) { run.replayHeartbeats(run.ctx, length, after) }}
 }
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -11,7 +11,7 @@
 	"maddermill/wire"
 )
 
-// crash ends a controller's process, if it is up.
+// crash stops a controller if it is up.
 func (cluster *testCluster) crash(i int) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -21,8 +21,8 @@
 	}
 }
 
-// pause has a controller's process pause: what it sends and is sent waits, and it finds out by its own clock
-// afterwards.
+// pause emulates a pause of a controller's process. Messages to and from it are delayed until the pause is
+// over, and the controller afterwards detects the pause from its own clock.
 func (cluster *testCluster) pause(ctx context.Context, i int, d time.Duration) {
 	cluster.links[i].Freeze(d)
 	pausedAt := time.Now()
@@ -32,7 +32,7 @@
 	}
 }
 
-// deliverHeartbeats sets whether a machine's heartbeats reach the controllers.
+// deliverHeartbeats sets whether heartbeats of a machine reach the controllers.
 func (cluster *testCluster) deliverHeartbeats(machine wire.MachineID, delivered bool) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -46,14 +46,14 @@
 	cluster.losesResponses[machine] = !delivered
 }
 
-// cutMesh cuts a controller from the other controllers, or reconnects it.
+// cutMesh disconnects a controller from the other controllers, or reconnects it.
 func (cluster *testCluster) cutMesh(i int, cut bool) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	cluster.meshCut[i] = cut
 }
 
-// loseMeshForAll cuts all controllers from each other.
+// loseMeshForAll disconnects all controllers from each other. The returned function reconnects them.
 func (cluster *testCluster) loseMeshForAll() (end func()) {
 	set := func(cut bool) {
 		cluster.mu.Lock()
@@ -66,7 +66,8 @@
 	return func() { set(false) }
 }
 
-// partitionZone cuts off a zone with a controller in it.
+// partitionZone disconnects a zone, with one controller inside it, from the state service and from all
+// machines and controllers outside it. The returned function ends the partition.
 func (cluster *testCluster) partitionZone(zone wire.Zone, inside int) (end func()) {
 	set := func(on bool) {
 		cluster.links[inside].SetDown(on)
@@ -83,7 +84,8 @@
 	return func() { set(false) }
 }
 
-// isolate cuts a controller from the state service, and from the other controllers if cutMesh is set.
+// isolate disconnects a controller from the state service, and from the other controllers if cutMesh is
+// set. The returned function reconnects it.
 func (cluster *testCluster) isolate(i int, cutMesh bool) (end func()) {
 	set := func(on bool) {
 		cluster.links[i].SetDown(on)
@@ -93,7 +95,8 @@
 	return func() { set(false) }
 }
 
-// storeOutage has the state service down for all controllers.
+// storeOutage makes the state service unavailable to all controllers. The returned function ends the
+// outage; the state service then renews all leases.
 func (cluster *testCluster) storeOutage() (end func()) {
 	for _, link := range cluster.links {
 		link.SetDown(true)
@@ -106,23 +109,23 @@
 	}
 }
 
-// slowStore has each request to the state service take so long; 0: as usual.
+// slowStore makes each request to the state service take the time d; 0 restores the usual delay.
 func (cluster *testCluster) slowStore(d time.Duration) {
 	for _, link := range cluster.links {
 		link.SetSlow(d)
 	}
 }
 
-// delayTransactions has transactions get no answer for which delay returns a time, after which they
-// are carried out; nil: none.
+// delayTransactions drops the response of each transaction for which delay returns a positive time, and
+// applies the transaction after that time. A nil function ends this.
 func (cluster *testCluster) delayTransactions(delay func(wire.Txn) time.Duration) {
 	for _, link := range cluster.links {
 		link.SetLate(delay)
 	}
 }
 
-// randomFaults are the faults that injectFault chooses from. Each makes something go wrong for about
-// length, where it applies at controller i. The order belongs to the meaning of a seed.
+// randomFaults are the faults that injectFault chooses from. Each lasts for about length, and affects
+// controller i if it affects a single one. Reordering the list changes the run of every seed.
 var randomFaults = [...]func(cluster *testCluster, ctx context.Context, i int, length time.Duration){
 	(*testCluster).crashOne,
 	(*testCluster).crashOne,
@@ -146,7 +149,7 @@
 	(*testCluster).crashLeaders,
 }
 
-// injectFault makes one thing go wrong for a while.
+// injectFault injects one random fault with a random length of 2 to 26 s.
 func (cluster *testCluster) injectFault(ctx context.Context) {
 	i, length := cluster.randomInt(cluster.size), time.Duration(2+cluster.randomInt(25))*time.Second
 	randomFaults[cluster.randomInt(len(randomFaults))](cluster, ctx, i, length)
@@ -172,7 +175,7 @@
 	}
 }
 
-// crashLeaders has the leader crash, and the next, and the next.
+// crashLeaders crashes three leaders in succession.
 func (cluster *testCluster) crashLeaders(ctx context.Context, _ int, _ time.Duration) {
 	for range 3 {
 		at := cluster.leader()
@@ -201,15 +204,16 @@
 	cluster.cutMesh(i, false)
 }
 
-// isolateOne cuts a controller from the state service and its peers. Users and workers still reach it.
+// isolateOne disconnects a controller from the state service and its peers. Users and workers can still
+// reach it.
 func (cluster *testCluster) isolateOne(ctx context.Context, i int, length time.Duration) {
 	end := cluster.isolate(i, true)
 	wait.For(ctx, 2*length)
 	end()
 }
 
-// isolateThenOutage has one controller lose the state service, and then all, for longer than a
-// cancellation may take.
+// isolateThenOutage disconnects one controller from the state service, and then all of them, for longer
+// than the limit of cancellations.
 func (cluster *testCluster) isolateThenOutage(ctx context.Context, i int, length time.Duration) {
 	endIsolation := cluster.isolate(i, false)
 	wait.For(ctx, length/2)
@@ -251,7 +255,8 @@
 	cluster.cloud.Take(1 + cluster.randomInt(3))
 }
 
-// loseCloudAndWatches has the cloud down, and watches of the state service fall behind.
+// loseCloudAndWatches makes the cloud unavailable and compacts the log of the state service, so that
+// watches of older revisions fail.
 func (cluster *testCluster) loseCloudAndWatches(ctx context.Context, _ int, length time.Duration) {
 	cluster.store.Forget()
 	cluster.cloud.SetDown(true)
@@ -259,19 +264,19 @@
 	cluster.cloud.SetDown(false)
 }
 
-// loseHalfOfTheAnswers has half of the transactions get no answer, of which many are carried out
-// after newer ones.
+// loseHalfOfTheAnswers drops the responses of half of the transactions. Many of these transactions are
+// applied after newer ones.
 func (cluster *testCluster) loseHalfOfTheAnswers(ctx context.Context, _ int, length time.Duration) {
 	for _, link := range cluster.links {
 		link.SetLossy(0.5)
 	}
 	wait.For(ctx, length)
 	for _, link := range cluster.links {
-		link.SetLossy(cluster.lossShare)
+		link.SetLossy(cluster.lossProbability)
 	}
 }
 
-// delayAnswers has transactions be carried out at once, of which half get no answer.
+// delayAnswers drops the responses of half of the transactions, which are applied a millisecond later.
 func (cluster *testCluster) delayAnswers(ctx context.Context, _ int, length time.Duration) {
 	cluster.delayTransactions(func(wire.Txn) time.Duration {
 		return time.Duration(cluster.randomInt(2)) * time.Millisecond
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -10,18 +10,18 @@
 	"maddermill/wire"
 )
 
-// observedStates is the model of the states of jobs that users may see: a job is unknown, then
-// accepted, then done or cancelled for good. An answer may not be older than one that was given
-// before its request.
+// observedStates is a model of the job states that users may observe. A job is unknown, then accepted,
+// then permanently done or cancelled. An answer may not be older than any answer that was given before
+// its request was sent.
 type observedStates struct {
 	mu     sync.Mutex
 	latest map[wire.JobID]wire.Status
 }
 
-// unknownJob is the state of a job that was not submitted.
+// unknownJob is the state of a job that has not been submitted.
 const unknownJob wire.Status = ""
 
-// rank orders states by their place in a job's life: unknown, accepted, final.
+// rank returns the order of a state in the life cycle of a job: 0 unknown, 1 accepted, 2 final.
 func rank(s wire.Status) int {
 	switch s {
 	case unknownJob:
@@ -32,15 +32,15 @@
 	return 1
 }
 
-// latestOf returns the latest state of a job that any user has seen.
+// latestOf returns the latest state of a job that any user has observed.
 func (o *observedStates) latestOf(id wire.JobID) wire.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.latest[id]
 }
 
-// observe records an answer and reports whether it may be given to a request before which a state was
-// the latest.
+// observe records an answer and reports whether it is valid for a request that was sent when before was
+// the latest observed state.
 func (o *observedStates) observe(id wire.JobID, before, got wire.Status) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -50,7 +50,7 @@
 	return rank(got) > rank(before) || rank(got) == rank(before) && (rank(got) < 2 || got == before)
 }
 
-// checkRules ends leases that are over by now and checks what runs on machines.
+// checkRules ends expired leases of machines and checks the invariants of running tasks.
 func (cluster *testCluster) checkRules() {
 	for _, machine := range cluster.cloud.Up() {
 		machine.Lapse()
@@ -58,7 +58,7 @@
 	cluster.world.Check()
 }
 
-// reportViolations reports rules that were violated on machines and in the state service.
+// reportViolations reports violated invariants of machines and of the state service.
 func (cluster *testCluster) reportViolations() {
 	cluster.t.Helper()
 	cluster.reportBrokenRules()
@@ -67,31 +67,32 @@
 	}
 }
 
-// reportBrokenRules reports rules that were violated on machines.
+// reportBrokenRules reports violated invariants of machines.
 func (cluster *testCluster) reportBrokenRules() {
 	cluster.t.Helper()
-	for _, rule := range cluster.world.Broken {
-		cluster.t.Errorf("seed %d: rule violated: %s", cluster.seed, rule)
+	for _, violation := range cluster.world.Broken {
+		cluster.t.Errorf("seed %d: rule violated: %s", cluster.seed, violation)
 	}
 }
 
-// checkArchive compares the records at the end with the archive: a job is in one of them only, and
-// the filter lets a new controller find each archived job.
+// checkArchive compares the final records with the archive. A job is in only one of them, each archived
+// job passes the filter of a new controller. The ledger's list of machine phases must agree with the phase
+// of each machine.
 func (cluster *testCluster) checkArchive() {
 	cluster.t.Helper()
 	l, archived := cluster.loadRecords()
 	for _, id := range archived {
-		_, known := l.FinalRecordOf(id)
-		onRecord, found := l.Job(id) != nil, cluster.filterPasses(l, id)
-		if known || onRecord || !found {
+		_, cached := l.FinalRecordOf(id)
+		inRecords, passes := l.Job(id) != nil, cluster.filterPasses(l, id)
+		if cached || inRecords || !passes {
 			cluster.t.Errorf(
-				"seed %d: archived job %s: in the records %v, in the cache of archived states %v, passed by the filter %v; "+
+				"seed %d: archived job %s: in the records %v, in the cache of archived states %v, passes the filter %v; "+
 					"want false, false, true",
 				cluster.seed,
 				id,
-				onRecord,
-				known,
-				found,
+				inRecords,
+				cached,
+				passes,
 			)
 		}
 	}
@@ -124,8 +125,8 @@
 	return l, archived
 }
 
-// filterPasses reports whether the filter says that a job may be archived. It loads the page of the
-// filter that covers the job.
+// filterPasses reports whether a job may be archived according to the filter. It loads the page of the
+// filter that covers the job if it isn't loaded yet.
 func (cluster *testCluster) filterPasses(l *ledger.Ledger, id wire.JobID) bool {
 	cluster.t.Helper()
 	if !l.FilterPageKnown(string(id)) {
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -11,7 +11,7 @@
 	"maddermill/wire"
 )
 
-// request is a user's request about one job to a controller.
+// request sends a user's request about one job to a controller.
 type request func(ctx context.Context, c *Controller) (wire.JobStatus, error)
 
 // statusRequest asks for a job's status.
@@ -32,8 +32,8 @@
 	return func(ctx context.Context, c *Controller) (wire.JobStatus, error) { return c.Jobs.Cancel(ctx, id) }
 }
 
-// queryController sends a request to one controller and checks the answer against the model. It
-// returns false if there is no answer; a process that ends meanwhile answers nothing.
+// queryController sends a request to controller at and checks the answer against observedStates.
+// answered is false if there is no answer, as when the controller crashes during the request.
 func (cluster *testCluster) queryController(
 	ctx context.Context,
 	id wire.JobID,
@@ -65,7 +65,7 @@
 	return got, true
 }
 
-// queryAny sends a request to one controller after the other until one answers.
+// queryAny sends a request to one controller after another, from a random one, until one answers.
 func (cluster *testCluster) queryAny(ctx context.Context, id wire.JobID, r request) wire.Status {
 	for at := cluster.randomInt(cluster.size); ctx.Err() == nil; at = (at + 1) % cluster.size {
 		if status, answered := cluster.queryController(ctx, id, at, r); answered {
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// queryAll asks all controllers for a job's status at once and again some milliseconds later, and
-// repeats the submission at each.
+// queryAll concurrently asks all controllers for a job's status, three times within milliseconds, and then
+// repeats the submission at each. It doesn't wait for the answers.
 func (cluster *testCluster) queryAll(ctx context.Context, spec *wire.JobSpec) {
 	for i := range cluster.size {
 		cluster.group.Go(func() {
@@ -90,19 +90,19 @@
 	}
 }
 
-// queryStatus returns a job's status, from any controller.
+// queryStatus returns a job's status as reported by any controller.
 func (cluster *testCluster) queryStatus(ctx context.Context, id wire.JobID) wire.Status {
 	return cluster.queryAny(ctx, id, statusRequest(id))
 }
 
-// submit submits a job to any controller. Fields that are left out are filled in.
+// submit submits a job to any controller, with defaults for missing fields; see filledIn.
 func (cluster *testCluster) submit(ctx context.Context, spec *wire.JobSpec) {
 	*spec = cluster.filledIn(*spec)
 	cluster.world.Upload(spec)
 	cluster.queryAny(ctx, spec.ID, submitRequest(spec))
 }
 
-// filledIn returns a job with the fields filled in that are left out.
+// filledIn returns a copy of a job in which default values are set if the job has no class.
 func (cluster *testCluster) filledIn(spec wire.JobSpec) wire.JobSpec {
 	if spec.Class == "" {
 		spec.Class, spec.Team, spec.Priority = "c", "free", wire.Normal
@@ -112,8 +112,8 @@
 	return spec
 }
 
-// cancelElsewhere has controllers other than one cancel a job, each in turn, until one answers that it
-// is cancelled. It returns that controller.
+// cancelElsewhere sends the cancellation of a job to each controller except one in turn, until one
+// acknowledges it. It returns the index of that controller.
 func (cluster *testCluster) cancelElsewhere(ctx context.Context, id wire.JobID, except int) (by int, ok bool) {
 	for ctx.Err() == nil {
 		for i := range cluster.size {
@@ -137,7 +137,8 @@
 	return 0, false
 }
 
-// retryUntilAnswered calls f with random controllers until one answers without an error.
+// retryUntilAnswered calls f with random controllers until a call returns no error. An error that
+// the job is unknown fails the test.
 func retryUntilAnswered[T any](
 	ctx context.Context,
 	cluster *testCluster,
@@ -161,8 +162,8 @@
 	return answer, false
 }
 
-// runUser submits a job, polls it and perhaps cancels it. It asks all controllers whenever the job's state
-// has changed.
+// runUser acts as a user who submits a job and polls it until it is final, and cancels it if cancelAfter
+// is positive. It queries all controllers concurrently after the job is accepted and after it is final.
 func (cluster *testCluster) runUser(
 	ctx context.Context,
 	spec *wire.JobSpec,
@@ -192,7 +193,7 @@
 	cluster.mu.Unlock()
 	wait.For(ctx, 70*time.Second)
 	cluster.queryAny(ctx, spec.ID, statusRequest(spec.ID))
-	// A retry may come at any later time, and gets the state that the job ended in.
+	// A submission that is retried at any later time must return the final state of the job.
 	cluster.queryAny(ctx, spec.ID, func(ctx context.Context, c *Controller) (wire.JobStatus, error) {
 		status, created, err := c.Jobs.Submit(ctx, spec)
 		if created {
@@ -239,10 +240,10 @@
 		spec.Spread = true
 	}
 	if cluster.randomInt(20) == 0 {
-		spec.Tasks, spec.Shape, spec.GPUs, spec.Team = 70, wire.Array, 0, "free" // more than one record
+		spec.Tasks, spec.Shape, spec.GPUs, spec.Team = 70, wire.Array, 0, "free" // needs more than one record
 	}
 	return spec
 }
 
-// jobID returns the name of a job.
+// jobID returns the ID of job i.
 func jobID(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
--- a/internal/controller/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -9,17 +9,17 @@
 	"maddermill/wire"
 )
 
-// runWorker is the heartbeat loop of a worker. It reports to one controller, and to another one
-// after an error or a missing response.
+// runWorker runs the heartbeat loop of a worker. The worker reports to one controller, and switches to
+// another after an error or a missing response.
 func (cluster *testCluster) runWorker(ctx context.Context, machine *emulator.Machine) {
 	at, retry := cluster.randomInt(cluster.size), false
 	for ctx.Err() == nil && !machine.Gone() {
-		if !retry { // after an error the next controller is tried a second later
+		if !retry { // after an error the next controller is tried after one second
 			interval := int(cluster.settings(0).Cluster.Workers.Report.Duration() / time.Millisecond)
 			wait.For(ctx, time.Duration(interval*3/4+cluster.randomInt(interval/2))*time.Millisecond)
 		}
 		retry = false
-		heartbeat, begun := machine.Heartbeat()
+		heartbeat, sentAt := machine.Heartbeat()
 		if heartbeat == nil {
 			continue
 		}
@@ -34,7 +34,7 @@
 			continue
 		}
 		if cluster.delayHeartbeat(ctx, c, at, heartbeat) {
-			// The worker gives up waiting for the response and goes on elsewhere.
+			// The worker times out waiting for the response and switches to another controller.
 			at = (at + 1 + cluster.randomInt(cluster.size-1)) % cluster.size
 			wait.For(ctx, 4*time.Second)
 			continue
@@ -42,31 +42,31 @@
 		if cluster.duplicateMessages && cluster.randomInt(3) == 0 {
 			cluster.duplicateHeartbeat(ctx, *heartbeat)
 		}
-		answer := c.Heartbeats.Heartbeat(ctx, heartbeat)
+		result := c.Heartbeats.Heartbeat(ctx, heartbeat)
 		switch {
-		case answer.Status != 200:
+		case result.Status != 200:
 			at, retry = (at+1)%cluster.size, true
 			wait.For(ctx, time.Second)
 		case cluster.responseIsLost(machine, at):
 		default:
-			machine.Answer(begun, heartbeat.Epoch, answer.Response)
+			machine.Answer(sentAt, heartbeat.Epoch, result.Response)
 		}
 	}
 }
 
-// delayHeartbeat reports whether a heartbeat is delayed, and delivers it later if so: to a paused
-// process when it runs again, else at random.
+// delayHeartbeat reports whether a heartbeat is delayed, and if so delivers it later: to a paused
+// controller after its pause, otherwise after a random delay if the controller is then up.
 func (cluster *testCluster) delayHeartbeat(
 	ctx context.Context,
 	c *Controller,
 	at int,
 	heartbeat *wire.Heartbeat,
 ) bool {
-	late := *heartbeat
+	delayed := *heartbeat
 	if d := cluster.links[at].Frozen(); d > 0 {
 		cluster.group.Go(func() {
 			wait.For(ctx, d+time.Duration(cluster.randomInt(900))*time.Millisecond)
-			_ = c.Heartbeats.Heartbeat(ctx, &late)
+			_ = c.Heartbeats.Heartbeat(ctx, &delayed)
 		})
 		return true
 	}
@@ -77,13 +77,13 @@
 	cluster.group.Go(func() {
 		wait.For(ctx, delay)
 		if c := cluster.controller(at); c != nil {
-			_ = c.Heartbeats.Heartbeat(ctx, &late)
+			_ = c.Heartbeats.Heartbeat(ctx, &delayed)
 		}
 	})
 	return true
 }
 
-// duplicateHeartbeat delivers a heartbeat once more, some time later, to any controller.
+// duplicateHeartbeat delivers a heartbeat again, to a random controller after up to 45 s.
 func (cluster *testCluster) duplicateHeartbeat(ctx context.Context, heartbeat wire.Heartbeat) {
 	to := cluster.randomInt(cluster.size)
 	delay := time.Duration(1+cluster.randomInt(45_000)) * time.Millisecond
@@ -95,17 +95,17 @@
 	})
 }
 
-// responseIsLost reports whether the response of a controller to a machine's heartbeat is lost.
+// responseIsLost reports whether the response of controller at to a machine's heartbeat is lost.
 func (cluster *testCluster) responseIsLost(machine *emulator.Machine, at int) bool {
 	cluster.mu.Lock()
-	always := cluster.losesResponses[machine.Type.ID]
+	unreachable := cluster.losesResponses[machine.Type.ID]
 	cluster.mu.Unlock()
-	return always ||
+	return unreachable ||
 		!cluster.reliableMessages && cluster.randomInt(15) == 0 ||
 		cluster.links[at].Frozen() > 0
 }
 
-// reaches reports whether a machine's heartbeats reach a controller.
+// reaches reports whether a machine's heartbeats reach controller at.
 func (cluster *testCluster) reaches(machine *emulator.Machine, at int) bool {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -120,7 +120,7 @@
 	return !cluster.losesHeartbeats[machine.Type.ID]
 }
 
-// captureHeartbeat keeps a copy of a heartbeat while replayHeartbeats wants it.
+// captureHeartbeat stores a copy of a heartbeat while replayHeartbeats is capturing.
 func (cluster *testCluster) captureHeartbeat(heartbeat *wire.Heartbeat) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// replayHeartbeats copies all heartbeats for a while. All copies arrive at every controller so long
-// after the next election of a leader.
+// replayHeartbeats copies all heartbeats for the time length. All copies are delivered to every
+// controller at the given time after the next leader election.
 func (cluster *testCluster) replayHeartbeats(ctx context.Context, length, after time.Duration) {
 	cluster.mu.Lock()
 	cluster.capturing, cluster.captured = true, nil
