--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,8 +15,8 @@
 	"maddermill/wire"
 )
 
-// newTestController returns the first of three controllers, on a state service of its own, with no component
-// running. It logs nothing.
+// newTestController returns the first of three controllers, with its own emulated state service and no running
+// components. Its log is discarded.
 func newTestController(tb testing.TB) *Controller {
 	tb.Helper()
 	set := newTestSettings(tb, 0)
@@ -24,7 +24,7 @@
 	return New(set, emulator.NewLink(store, 1), slog.New(slog.DiscardHandler))
 }
 
-// newTestControllerOn returns the first of three controllers, on a given state service.
+// newTestControllerOn returns the first of three controllers, with the given state service.
 func newTestControllerOn(tb testing.TB, store kvstore.Store) *Controller {
 	tb.Helper()
 	return New(newTestSettings(tb, 0), store, slog.New(slog.DiscardHandler))
@@ -33,8 +33,8 @@
 // peerAnswer returns a peer's answer to a probe; see controllertest.Answer.
 var peerAnswer = controllertest.Answer
 
-// TestHeartbeatsFromBeforeAPause: heartbeats that waited while the process was paused are refused. Their
-// workers have given up waiting long ago and report elsewhere.
+// TestHeartbeatsFromBeforeAPause checks that heartbeats that were queued while the process was paused are
+// rejected: their workers timed out during the pause and report to other controllers.
 func TestHeartbeatsFromBeforeAPause(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/fault_plans_test.go
+++ b/internal/controller/fault_plans_test.go
@@ -15,15 +15,15 @@
 	"maddermill/wire"
 )
 
-// runsFor has all tasks run for a time.
-func runsFor(d time.Duration) func(cluster *testCluster) {
+// setTaskDuration returns a change of a cluster that makes all tasks run for the time d.
+func setTaskDuration(d time.Duration) func(cluster *testCluster) {
 	return func(cluster *testCluster) { cluster.cloud.Run = func(wire.TaskID) time.Duration { return d } }
 }
 
-// singleTaskJob returns an array of one task.
+// singleTaskJob returns an array job of one task.
 func singleTaskJob(*rand.Rand, int) *wire.JobSpec { return &wire.JobSpec{} }
 
-// mixedJob returns an array or a gang of some tasks.
+// mixedJob returns an array of 1 to 4 tasks, or for every third job a gang of 1 to 3.
 func mixedJob(rng *rand.Rand, i int) *wire.JobSpec {
 	s := &wire.JobSpec{Tasks: 1 + rng.IntN(4)}
 	if i%3 == 0 {
@@ -32,7 +32,7 @@
 	return s
 }
 
-// teamJob returns a job of one of two teams.
+// teamJob returns a mixedJob of at most 3 tasks, alternately of the teams free and capped.
 func teamJob(rng *rand.Rand, i int) *wire.JobSpec {
 	s := mixedJob(rng, i)
 	s.Team = []wire.Team{"free", "capped"}[i%2]
@@ -40,7 +40,7 @@
 	return s
 }
 
-// limitEveryTeam gives every team a limit of so many accelerators.
+// limitEveryTeam limits every team to the given number of GPUs.
 func limitEveryTeam(gpus float64) func(*settings.Settings) {
 	return func(s *settings.Settings) {
 		for i := range s.Cluster.Teams {
@@ -49,13 +49,13 @@
 	}
 }
 
-// randomBetween returns random times between two.
+// randomBetween returns a function that returns random times in [from, to).
 func randomBetween(from, to time.Duration) func(*rand.Rand, int) time.Duration {
 	return func(rng *rand.Rand, _ int) time.Duration { return from + time.Duration(rng.Int64N(int64(to-from))) }
 }
 
-// oneInFour cancels one job in four, at the time that f returns.
-func oneInFour(f func(*rand.Rand, int) time.Duration) func(*rand.Rand, int) time.Duration {
+// cancelOneInFour returns a cancelAfter function that cancels every fourth job after the time that f returns.
+func cancelOneInFour(f func(*rand.Rand, int) time.Duration) func(*rand.Rand, int) time.Duration {
 	return func(rng *rand.Rand, i int) time.Duration {
 		if i%4 != 1 {
 			return 0
@@ -78,7 +78,7 @@
 	)
 }
 
-// submissionPlans returns plans about the submission of jobs.
+// submissionPlans returns plans that test the submission of jobs.
 func submissionPlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -87,7 +87,7 @@
 			jobs:           16,
 			submitInterval: 700 * time.Millisecond,
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(0, 8*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(0, 8*time.Second)),
 			events:         []faultEvent{during(time.Second, 40*time.Second, delayWrites(2, afterOneMillisecond))},
 			faultsUntil:    45 * time.Second,
 			settleWithin:   3 * time.Minute,
@@ -103,7 +103,7 @@
 				s.Priority = []wire.Priority{wire.High, wire.Normal, wire.BestEffort}[i%3]
 				return s
 			},
-			cancelAfter: oneInFour(randomBetween(10*time.Second, 40*time.Second)),
+			cancelAfter: cancelOneInFour(randomBetween(10*time.Second, 40*time.Second)),
 			events: []faultEvent{
 				during(5*time.Second, 60*time.Second, slowStore(700*time.Millisecond)),
 				crashAt(30*time.Second, currentLeader, restartDelay),
@@ -117,9 +117,9 @@
 			maxMachines:    8,
 			jobs:           240,
 			submitInterval: 250 * time.Millisecond,
-			prepare:        runsFor(2 * time.Second),
+			prepare:        setTaskDuration(2 * time.Second),
 			spec:           singleTaskJob,
-			cancelAfter:    oneInFour(randomBetween(0, 4*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(0, 4*time.Second)),
 			events:         []faultEvent{crashAt(30*time.Second, currentLeader, restartDelay)},
 			faultsUntil:    66 * time.Second,
 			settleWithin:   4 * time.Minute,
@@ -128,7 +128,7 @@
 	}
 }
 
-// lifeCyclePlans returns plans about requests at the end of jobs, and invalid ones.
+// lifeCyclePlans returns plans that test requests at the end of jobs, and invalid requests.
 func lifeCyclePlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -137,7 +137,7 @@
 			maxMachines:    8,
 			jobs:           24,
 			submitInterval: 700 * time.Millisecond,
-			prepare:        func(cluster *testCluster) { runsFor(4 * time.Second)(cluster) },
+			prepare:        func(cluster *testCluster) { setTaskDuration(4 * time.Second)(cluster) },
 			spec:           mixedJob,
 			cancelAfter:    randomBetween(5*time.Second, 14*time.Second),
 			faultsUntil:    30 * time.Second,
@@ -150,7 +150,7 @@
 			jobs:           10,
 			submitInterval: 2 * time.Second,
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(2*time.Second, 20*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(2*time.Second, 20*time.Second)),
 			events: append(
 				repeated(
 					8,
@@ -167,7 +167,7 @@
 	}
 }
 
-// cancellationPlans returns plans about cancellations in a failover.
+// cancellationPlans returns plans that test cancellations during a failover.
 func cancellationPlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -176,7 +176,7 @@
 			maxMachines:    8,
 			jobs:           14,
 			submitInterval: 50 * time.Millisecond,
-			prepare:        runsFor(4 * time.Minute),
+			prepare:        setTaskDuration(4 * time.Minute),
 			spec:           mixedJob,
 			cancelAfter:    randomBetween(28*time.Second, 36*time.Second),
 			events: []faultEvent{
@@ -192,7 +192,7 @@
 			maxMachines:    8,
 			jobs:           12,
 			submitInterval: 50 * time.Millisecond,
-			prepare:        runsFor(5 * time.Minute),
+			prepare:        setTaskDuration(5 * time.Minute),
 			spec:           mixedJob,
 			cancelAfter: func(_ *rand.Rand, i int) time.Duration {
 				return 30*time.Second - time.Duration(i)*50*time.Millisecond + time.Duration(i%5-2)*10*time.Millisecond
@@ -206,7 +206,7 @@
 	}
 }
 
-// teamLimitPlans returns plans about the limits of teams.
+// teamLimitPlans returns plans that test the limits of teams.
 func teamLimitPlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -215,9 +215,9 @@
 			maxMachines:    8,
 			jobs:           14,
 			submitInterval: 100 * time.Millisecond,
-			prepare:        runsFor(25 * time.Second),
+			prepare:        setTaskDuration(25 * time.Second),
 			spec:           teamJob,
-			cancelAfter:    oneInFour(randomBetween(25*time.Second, 50*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(25*time.Second, 50*time.Second)),
 			events: []faultEvent{
 				during(24*time.Second, 45*time.Second, everyNthMachine(3, loseHeartbeats)),
 				crashAt(30*time.Second, currentLeader, restartDelay), crashAt(38*time.Second, currentLeader, 3*time.Second)},
@@ -232,9 +232,9 @@
 			submitInterval: 100 * time.Millisecond,
 			adjustSettings: limitEveryTeam(4),
 			spec:           teamJob,
-			cancelAfter:    oneInFour(randomBetween(20*time.Second, 50*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(20*time.Second, 50*time.Second)),
 			prepare: func(cluster *testCluster) {
-				runsFor(25 * time.Second)(cluster)
+				setTaskDuration(25 * time.Second)(cluster)
 				cluster.world.TeamMax["free"] = 4
 			},
 			events: []faultEvent{
@@ -253,7 +253,7 @@
 	}
 }
 
-// failoverPlans returns plans about the end of leaders and of all controllers.
+// failoverPlans returns plans in which leaders or all controllers crash.
 func failoverPlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -262,7 +262,7 @@
 			jobs:           16,
 			submitInterval: 6 * time.Second,
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(2*time.Second, 30*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(2*time.Second, 30*time.Second)),
 			events: append(
 				repeated(
 					10,
@@ -280,9 +280,9 @@
 			machines:       6,
 			jobs:           14,
 			submitInterval: time.Second,
-			prepare:        runsFor(25 * time.Second),
+			prepare:        setTaskDuration(25 * time.Second),
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(5*time.Second, 60*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(5*time.Second, 60*time.Second)),
 			events:         []faultEvent{crashAllAt(24*time.Second, 38*time.Second)},
 			faultsUntil:    65 * time.Second,
 			settleWithin:   5 * time.Minute,
@@ -324,7 +324,7 @@
 	}
 }
 
-// partitionPlans returns plans about machines and zones that are cut off.
+// partitionPlans returns plans in which machines or zones are lost or partitioned.
 func partitionPlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -333,7 +333,7 @@
 			maxMachines:    10,
 			jobs:           12,
 			submitInterval: time.Second,
-			prepare:        runsFor(20 * time.Second),
+			prepare:        setTaskDuration(20 * time.Second),
 			spec: func(rng *rand.Rand, i int) *wire.JobSpec {
 				s := mixedJob(rng, i)
 				zone := wire.Zone([]string{"a", "b"}[i%2])
@@ -362,9 +362,9 @@
 			maxMachines:    8,
 			jobs:           14,
 			submitInterval: time.Second,
-			prepare:        runsFor(20 * time.Second),
+			prepare:        setTaskDuration(20 * time.Second),
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(15*time.Second, 50*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(15*time.Second, 50*time.Second)),
 			events: []faultEvent{
 				during(25*time.Second, 50*time.Second, func(run *faultRun) func() { return run.partitionZone("b", 1) }),
 				crashAt(40*time.Second, currentLeader, restartDelay),
@@ -375,7 +375,7 @@
 	}
 }
 
-// lostMessagePlans returns plans about machines whose messages are lost.
+// lostMessagePlans returns plans in which messages to or from machines are lost.
 func lostMessagePlans() []*faultPlan {
 	return []*faultPlan{
 		{
@@ -384,9 +384,9 @@
 			maxMachines:    8,
 			jobs:           14,
 			submitInterval: time.Second,
-			prepare:        runsFor(15 * time.Second),
+			prepare:        setTaskDuration(15 * time.Second),
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(15*time.Second, 50*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(15*time.Second, 50*time.Second)),
 			events: []faultEvent{
 				during(20*time.Second, 36*time.Second, everyNthMachine(2, loseResponses)),
 				crashAt(25*time.Second, currentLeader, restartDelay),
@@ -401,9 +401,9 @@
 			maxMachines:    8,
 			jobs:           14,
 			submitInterval: time.Second,
-			prepare:        runsFor(15 * time.Second),
+			prepare:        setTaskDuration(15 * time.Second),
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(15*time.Second, 50*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(15*time.Second, 50*time.Second)),
 			events: []faultEvent{
 				during(20*time.Second, 36*time.Second, everyNthMachine(2, loseHeartbeats)),
 				crashAt(25*time.Second, currentLeader, restartDelay),
@@ -415,7 +415,7 @@
 	}
 }
 
-// replayPlans returns plans in which old heartbeats arrive after a failover.
+// replayPlans returns plans in which old heartbeats are delivered again after a failover.
 func replayPlans() (plans []*faultPlan) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 8 * time.Second, 45 * time.Second} {
 		plans = append(plans, &faultPlan{
@@ -424,9 +424,9 @@
 			maxMachines:    8,
 			jobs:           16,
 			submitInterval: 1200 * time.Millisecond,
-			prepare:        runsFor(7 * time.Second),
+			prepare:        setTaskDuration(7 * time.Second),
 			spec:           mixedJob,
-			cancelAfter:    oneInFour(randomBetween(5*time.Second, 30*time.Second)),
+			cancelAfter:    cancelOneInFour(randomBetween(5*time.Second, 30*time.Second)),
 			events: []faultEvent{
 				replayAt(8*time.Second, 25*time.Second, after),
 				crashAt(32*time.Second, currentLeader, restartDelay),
@@ -438,8 +438,8 @@
 	return plans
 }
 
-// sendInvalidRequests asks for the status of jobs that nobody submitted, submits some that can never
-// run, and cancels jobs that are done.
+// sendInvalidRequests submits jobs that can never run, which must be rejected, then queries and cancels
+// them, and cancels jobs that are done.
 func sendInvalidRequests(run *faultRun) {
 	tooLarge := &wire.JobSpec{Tasks: 1, GPUs: 16}
 	fillSpec(tooLarge, 900_000)
@@ -473,8 +473,8 @@
 	}
 }
 
-// limitChangesPerStart checks how many changes of the state service a started task took: at most
-// limit, or limitArchiving where finished jobs are archived at once.
+// limitChangesPerStart checks the average number of changes in the state service per started task. It is at
+// most limit, or limitArchiving if finished jobs are archived immediately.
 func limitChangesPerStart(limit, limitArchiving float64) func(run *faultRun) {
 	return func(run *faultRun) {
 		want := limit
@@ -489,9 +489,9 @@
 	}
 }
 
-// TestFaultPlans runs each plan with a few seeds, more with HISTORY_SEEDS. No rule is violated, no
-// controller ever answers with a state older than one that was given before the request, and all jobs are
-// final soon after the faults.
+// TestFaultPlans runs each plan with two seeds, or more if HISTORY_SEEDS is above 8. No invariant may be
+// violated, no controller may answer with a state older than one that was reported before the request, and
+// all jobs must be final within the plan's limit after the faults.
 func TestFaultPlans(t *testing.T) {
 	t.Parallel()
 	for _, p := range faultPlans() {
--- a/internal/controller/pause_test.go
+++ b/internal/controller/pause_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestPauseAtEachStep: a controller's process pauses for 50 s at each step of a start, an exit, a
-// return of machines and a scale-out, before the request is sent and before its answer is read. What
-// it sends late violates no rule, and the other controllers finish its work.
+// TestPauseAtEachStep checks a pause of a controller's process for 50 s at each step of a start, an exit, a
+// scale-in, a scale-out, a format change, archiving and the pruning of machines, before the request is sent
+// and before its answer is read. What the controller sends after the pause must violate no invariant, and the
+// other controllers must finish its work.
 func TestPauseAtEachStep(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{
--- a/internal/controller/random_histories_test.go
+++ b/internal/controller/random_histories_test.go
@@ -9,7 +9,7 @@
 	"maddermill/wire"
 )
 
-// slowFirstFetch has the first task of some gangs fetch for longer than the others wait for it.
+// slowFirstFetch makes the first task of some jobs fetch for longer than the other tasks of a gang wait for it.
 func slowFirstFetch(_ wire.MachineID, task wire.TaskID) time.Duration {
 	if task.Index == 0 && task.Job[len(task.Job)-1]%3 == 0 {
 		return 40 * time.Second
@@ -17,8 +17,8 @@
 	return 3 * time.Second
 }
 
-// TestRandomHistories plays seeded histories with random jobs and faults, lost and late messages,
-// and checks every rule as it goes.
+// TestRandomHistories runs seeded histories with random jobs and faults and with lost and delayed messages,
+// and checks all invariants during the run.
 func TestRandomHistories(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= seedCount(); seed++ {
--- a/internal/controller/restart_scenario_test.go
+++ b/internal/controller/restart_scenario_test.go
@@ -13,14 +13,15 @@
 	"maddermill/wire"
 )
 
-// maxWaitAfterFaults is how long a user may be without an answer about a job once all faults are over.
+// maxWaitAfterFaults is the longest time that a user may be without an answer about a job after all
+// faults are over.
 const maxWaitAfterFaults = 75 * time.Second
 
 // pollInterval is the time between two polls of a user.
 const pollInterval = 5 * time.Second
 
-// restartScenario is a cluster whose controllers crash again and again and restart soon, whose users
-// poll through a balancer, and whose messages are duplicated.
+// restartScenario is a cluster whose controllers crash and restart repeatedly, whose users poll through
+// a load balancer, and whose messages are duplicated.
 type restartScenario struct {
 	*testCluster
 	balancer    *emulator.Balancer
@@ -28,7 +29,7 @@
 	downtime    time.Duration   // from a crash to the restart
 	maxCrashes  int
 	minInterval time.Duration // between two crashes of any controllers
-	keepAlive   bool          // users keep their connections
+	keepAlive   bool          // users reuse their connections
 
 	usersMu     sync.Mutex // guards the fields below, and ctx
 	crashes     int
@@ -36,14 +37,14 @@
 	polls       int
 	failedPolls int
 	users       map[wire.JobID]*jobUser
-	faultsEnded time.Time // when all faults were over
+	faultsEnded time.Time // when all faults were over; zero until then
 }
 
 // jobUser is what the user of a job has observed.
 type jobUser struct {
 	lastAnswer             time.Time
 	longestWait            time.Duration // between two answers
-	longestWaitAfterFaults time.Duration // once faults were over
+	longestWaitAfterFaults time.Duration // between two answers, after all faults were over
 	status                 wire.Status
 }
 
@@ -53,7 +54,7 @@
 	return newRestartScenarioOf(t, seed, 3, downtime)
 }
 
-// newRestartScenarioOf returns a scenario with so many controllers.
+// newRestartScenarioOf returns a scenario with the given number of controllers.
 func newRestartScenarioOf(t *testing.T, seed uint64, size int, downtime time.Duration) *restartScenario {
 	t.Helper()
 	r := &restartScenario{
@@ -73,15 +74,15 @@
 	})
 	r.onStart = func(ctx context.Context) {
 		r.usersMu.Lock()
-		r.ctx = ctx // crashes come from now on
+		r.ctx = ctx // enables crashes
 		r.usersMu.Unlock()
 		r.group.Go(func() { r.balancer.Run(ctx) })
 	}
 	return r
 }
 
-// crashAndRestart crashes a controller and restarts it after the downtime, within the limits on the
-// number and the rate of crashes. It returns at once.
+// crashAndRestart crashes a controller and restarts it after the downtime, unless that exceeds the limit on
+// the number or the rate of crashes. It returns immediately.
 func (r *restartScenario) crashAndRestart(i int) {
 	r.usersMu.Lock()
 	now := time.Now()
@@ -92,7 +93,7 @@
 	r.crashes++
 	r.lastCrash = now
 	r.usersMu.Unlock()
-	// In a goroutine of its own: the caller may be a step of the controller that crashes.
+	// In a new goroutine: the caller may run within the controller that crashes.
 	r.group.Go(func() {
 		r.crash(i)
 		wait.For(r.ctx, r.downtime)
@@ -102,7 +103,7 @@
 	})
 }
 
-// pollJob is a user who submits a job and polls it through the balancer until it is done.
+// pollJob acts as a user who submits a job and polls it through the load balancer until it is done.
 func (r *restartScenario) pollJob(ctx context.Context, spec *wire.JobSpec) {
 	r.world.Upload(spec)
 	user := &jobUser{}
@@ -131,8 +132,8 @@
 	}
 }
 
-// connect returns the controller that a user is connected to next; -1: none. Users that keep their
-// connections stay with theirs while it is up and the balancer doesn't reset them.
+// connect returns the controller that a user is connected to for the next request, or -1 if there is none.
+// With keepAlive, a connection is reused while its controller is up and the balancer doesn't reset it.
 func (r *restartScenario) connect(connection int) int {
 	if connection < 0 || !r.keepAlive || r.controller(connection) == nil || r.balancer.Resets(connection) {
 		return r.balancer.Connect(func(i int) bool { return r.controller(i) != nil })
@@ -140,7 +141,8 @@
 	return connection
 }
 
-// queryOnce submits a job at a controller, or asks for its status, with a user's time limit.
+// queryOnce submits a job at a controller, or queries its status if it was submitted, with the timeout of
+// a user.
 func (r *restartScenario) queryOnce(
 	ctx context.Context,
 	at int,
@@ -149,13 +151,13 @@
 ) (status wire.JobStatus, err error) {
 	c := r.controllerAt(at)
 	if c == nil {
-		return status, errors.New("no controller")
+		return status, errors.New("no controller to connect to")
 	}
-	limit := 2 * time.Second
+	timeout := 2 * time.Second
 	if !submitted {
-		limit = 5 * time.Second
+		timeout = 5 * time.Second
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if submitted {
 		status, err = c.Jobs.Status(ctx, spec.ID)
@@ -163,7 +165,7 @@
 		status, _, err = c.Jobs.Submit(ctx, spec)
 	}
 	if r.controller(at) != c {
-		err = errors.New("the controller's process ended")
+		err = errors.New("controller crashed during the request")
 	}
 	return status, err
 }
@@ -196,7 +198,7 @@
 	user.status = status.Status
 }
 
-// controllerAt returns a controller, nil for -1.
+// controllerAt returns controller i, or nil if it is down or i is -1.
 func (r *restartScenario) controllerAt(i int) *Controller {
 	if i < 0 {
 		return nil
@@ -204,8 +206,8 @@
 	return r.controller(i)
 }
 
-// recordAnswer records that a user has an answer now, or that the run is over. It must be called
-// under usersMu.
+// recordAnswer updates the longest waits of a user who received an answer now, or whose wait ends with the
+// run. usersMu must be held.
 func (r *restartScenario) recordAnswer(user *jobUser, now time.Time) {
 	user.longestWait = max(user.longestWait, now.Sub(user.lastAnswer))
 	if !r.faultsEnded.IsZero() {
@@ -230,11 +232,11 @@
 	return len(r.users) == scenarioJobs
 }
 
-// scenarioJobs is the number of jobs of runAndCheck.
+// scenarioJobs is the number of jobs that runAndCheck submits.
 const scenarioJobs = 24
 
-// runAndCheck has users submit jobs for 90 s, calls faults each second for 120 s, then ends all
-// faults and checks what became of the jobs.
+// runAndCheck has users submit jobs for 90 s and calls faults every second for 120 s. It then allows no
+// more crashes, runs for another 3 min, or up to 20 min until all jobs are done, and checks the jobs.
 func (r *restartScenario) runAndCheck(faults func()) {
 	r.t.Helper()
 	ctx, cancel := context.WithCancel(r.t.Context())
@@ -262,7 +264,7 @@
 		time.Sleep(time.Second)
 		r.world.Check()
 	}
-	longest, longestAfter, done := r.checkUsers()
+	longest, longestAfterFaults, done := r.checkUsers()
 	r.shutDownAndCheck(cancel)
 	r.t.Logf(
 		"downtime %v, %d crashes: %d of %d polls failed; longest wait for an answer %v, %v once faults were over; "+
@@ -272,7 +274,7 @@
 		r.failedPolls,
 		r.polls,
 		longest.Round(time.Millisecond),
-		longestAfter.Round(time.Millisecond),
+		longestAfterFaults.Round(time.Millisecond),
 		r.balancer.Removals,
 		r.balancer.Longest,
 		done,
@@ -280,9 +282,10 @@
 	)
 }
 
-// checkUsers checks that all jobs were accepted and done, and that no user was without an answer for
-// long once faults were over. It returns the longest waits for an answer and how many jobs are done.
-func (r *restartScenario) checkUsers() (longest, longestAfter time.Duration, done int) {
+// checkUsers checks that all jobs were accepted and are done, and that no user was without an answer for
+// longer than maxWaitAfterFaults after all faults were over. It returns the longest waits for an answer,
+// overall and after the faults, and the number of jobs that are done.
+func (r *restartScenario) checkUsers() (longest, longestAfterFaults time.Duration, done int) {
 	r.t.Helper()
 	r.usersMu.Lock()
 	defer r.usersMu.Unlock()
@@ -293,7 +296,7 @@
 		} else {
 			r.recordAnswer(user, now)
 		}
-		longest, longestAfter = max(longest, user.longestWait), max(longestAfter, user.longestWaitAfterFaults)
+		longest, longestAfterFaults = max(longest, user.longestWait), max(longestAfterFaults, user.longestWaitAfterFaults)
 		if user.longestWaitAfterFaults > maxWaitAfterFaults {
 			r.t.Errorf(
 				"seed %d: longest wait for an answer about %s once faults were over: got %v, want <= %v",
@@ -307,5 +310,5 @@
 	if accepted := len(r.users); accepted < scenarioJobs || done < scenarioJobs {
 		r.t.Errorf("seed %d: got %d jobs accepted and %d done, want %d", r.seed, accepted, done, scenarioJobs)
 	}
-	return longest, longestAfter, done
+	return longest, longestAfterFaults, done
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestRestartAtEachStep: a controller crashes at each step of an election, a takeover, a start, an exit,
-// a change of a machine's phase, a scale-out and a scale-in, and restarts after 50 ms to 1 s, twelve times
-// within two minutes, while duplicates of heartbeats, transactions and scale-outs arrive late. No rule is
-// violated, and soon afterwards every user has an answer.
+// TestRestartAtEachStep checks crashes of controllers at each step of an election, a takeover, a start, an
+// exit, a change of a machine's phase, a scale-out and a scale-in. Controllers restart after 50 ms or 1 s, up
+// to twelve times within two minutes, while duplicates of heartbeats, transactions and scale-outs arrive
+// later. No invariant may be violated, and every user must get an answer soon after the crashes.
 func TestRestartAtEachStep(t *testing.T) {
 	t.Parallel()
 	crashes := 0
@@ -33,13 +33,13 @@
 			})
 		}
 	}
-	if crashes < 60 { // not every step comes in every run
+	if crashes < 60 { // not every step occurs in every run
 		t.Errorf("got %d crashes in all, want >= 60", crashes)
 	}
 }
 
-// TestRestartWhileLoading: controllers crash while they load the records, before the first page or
-// between two, again and again, each and all at once.
+// TestRestartWhileLoading checks controllers that crash repeatedly while they load the records, before the
+// first page or between two pages.
 func TestRestartWhileLoading(t *testing.T) {
 	t.Parallel()
 	for _, firstPage := range []bool{true, false} {
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestRestartDuringOutage: all controllers crash several times in an outage of the state service. Once, the
-// balancer removed each, since it failed health checks until it had loaded the records, and
-// users reached no controller for long after the outage was over.
+// TestRestartDuringOutage checks crashes of all controllers during an outage of the state service. It guards
+// against a failure in which the load balancer removed all controllers, since they failed health checks until
+// they had loaded the records, and users reached no controller for a long time after the outage.
 func TestRestartDuringOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/switch_failure_test.go
+++ b/internal/controller/switch_failure_test.go
@@ -17,7 +17,8 @@
 	"maddermill/wire"
 )
 
-// topologyText declares the topology of emulated machines: two zones of two switches of two racks each.
+// topologyText returns the declaration of the emulated machines' topology: two zones with two switches each,
+// and two racks per switch.
 func topologyText() string {
 	var b strings.Builder
 	b.WriteString(`level { name: "zone" cost: 16 } level { name: "switch" cost: 4 } level { name: "rack" cost: 1 }`)
@@ -35,7 +36,7 @@
 	return b.String()
 }
 
-// switchFailure is a run in which a switch fails under gangs.
+// switchFailure is a run in which a switch fails that connects machines of running gangs.
 type switchFailure struct {
 	*testCluster
 	ctx   context.Context
@@ -43,9 +44,9 @@
 	gangs []wire.JobID
 
 	stateMu        sync.Mutex     // guards the fields below
-	failedBlock    topology.Block // machines of which hang; 0: none
-	lostMachines   []string       // that controllers gave up as lost
-	reportedBlocks []string       // that controllers reported as failed
+	failedBlock    topology.Block // block whose machines hang; 0: none
+	lostMachines   []string       // machines that controllers declared lost
+	reportedBlocks []string       // blocks that controllers reported as failed
 }
 
 // blockOf returns the block of a machine.
@@ -59,7 +60,8 @@
 	return block != 0 && f.tree.Common(f.blockOf(machine), block) == block
 }
 
-// fail cuts off a block, but for so many of its machines, and reconnects all others; 0 reconnects all.
+// fail disconnects the machines of a block except for keep of them, and reconnects all other machines. Block 0
+// reconnects all machines.
 func (f *switchFailure) fail(block topology.Block, keep int) {
 	f.stateMu.Lock()
 	f.failedBlock = block
@@ -78,10 +80,10 @@
 type switchFailureCase struct {
 	name  string
 	fail  func(f *switchFailure, block topology.Block)
-	flaps bool // it is never away for so long that a machine counts as lost
+	flaps bool // each interruption is too short for machines to be declared lost
 }
 
-// switchFailureCases are all ways in which a switch fails.
+// switchFailureCases are the cases of TestSwitchFailure.
 var switchFailureCases = []switchFailureCase{
 	{"fails", func(f *switchFailure, block topology.Block) { f.fail(block, 0) }, false},
 	{"half comes back", func(f *switchFailure, block topology.Block) {
@@ -92,7 +94,7 @@
 	{"flaps", func(f *switchFailure, block topology.Block) {
 		for range 3 {
 			f.fail(block, 0)
-			wait.For(f.ctx, 7*time.Second) // with the time of two heartbeats, less than what counts as lost
+			wait.For(f.ctx, 7*time.Second) // plus two heartbeat intervals, still below the time after which a machine is lost
 			f.fail(0, 0)
 			wait.For(f.ctx, 8*time.Second)
 		}
@@ -122,13 +124,14 @@
 	}, false},
 }
 
-// TestSwitchFailure: a switch fails with gangs inside it and across it, comes back half, flaps, fails in an
-// outage of the state service and as the leader crashes. No rule is violated, all gangs soon run whole
-// elsewhere, no machine that works is given up, and no other block is reported.
+// TestSwitchFailure checks the failure of a switch below which gangs run, entirely or in part. The switch fails,
+// recovers by half, flaps, fails during an outage of the state service, or fails while the leader crashes. No
+// invariant may be violated, all gangs must soon run completely on other machines, no reachable machine may be
+// declared lost, and no other block may be reported as failed.
 func TestSwitchFailure(t *testing.T) {
 	t.Parallel()
 	for _, tc := range switchFailureCases {
-		for _, under := range []wire.JobID{"wk-000001", "wk-000002"} { // inside one switch, and across two
+		for _, under := range []wire.JobID{"wk-000001", "wk-000002"} { // below one switch, and across two
 			t.Run(fmt.Sprint(tc.name, " under ", under), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { runSwitchFailure(t, tc, under) })
 			})
@@ -136,7 +139,7 @@
 	}
 }
 
-// newSwitchFailure returns a run that is not started.
+// newSwitchFailure returns a run that has not been started.
 func newSwitchFailure(t *testing.T) *switchFailure {
 	t.Helper()
 	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
@@ -190,7 +193,7 @@
 	}
 }
 
-// waitUntilWhole waits until all gangs run whole, and reports whether they do within so many seconds.
+// waitUntilWhole waits until all gangs run completely, and reports whether they do within the given time.
 func (f *switchFailure) waitUntilWhole(seconds int) bool {
 	for range seconds {
 		if !slices.ContainsFunc(f.gangs, func(gang wire.JobID) bool { return !f.world.Whole(gang) }) {
@@ -201,8 +204,8 @@
 	return false
 }
 
-// runSwitchFailure runs one case of TestSwitchFailure: the switch above a gang fails.
-func runSwitchFailure(t *testing.T, tc switchFailureCase, under wire.JobID) {
+// runSwitchFailure runs one case of TestSwitchFailure, in which the switch of the gang's first machine fails.
+func runSwitchFailure(t *testing.T, tc switchFailureCase, gang wire.JobID) {
 	t.Helper()
 	f := newSwitchFailure(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -212,28 +215,29 @@
 	finished := 0
 	f.submitGangs(&finished)
 	if !f.waitUntilWhole(90) {
-		t.Fatal("the gangs don't run whole before the failure")
+		t.Fatal("before the failure: got gangs that don't run completely within 90 s, want all complete")
 	}
 	machines := map[wire.MachineID]*emulator.Machine{}
 	for _, machine := range f.cloud.Up() {
 		machines[machine.Type.ID] = machine
 	}
-	first := machines[slices.Min(slices.Collect(maps.Keys(f.world.On(under))))]
+	first := machines[slices.Min(slices.Collect(maps.Keys(f.world.On(gang))))]
 	block := f.tree.Parent(f.blockOf(first))
 	failedAt := time.Now()
 	tc.fail(f, block)
 	wait.For(ctx, time.Second)
 	whole := f.waitUntilWhole(150)
-	t.Logf("%.0f s after %s failed under %s: whole %v", time.Since(failedAt).Seconds(), f.tree.Path(block), under, whole)
+	t.Logf("%.0f s after %s failed under %s: whole %v", time.Since(failedAt).Seconds(), f.tree.Path(block), gang, whole)
 	if !whole {
-		t.Error("after the failure: got gangs that don't run whole, want all whole")
+		t.Error("after the failure: got gangs that don't run completely within 150 s, want all complete")
 	}
 	f.checkReports(tc, block, machines)
 	f.shutDown(cancel)
 	f.reportBrokenRules()
 }
 
-// checkReports checks which machines controllers gave up, and which blocks they reported.
+// checkReports checks that only machines in the block were declared lost, none if the switch flaps, and that
+// only the block was reported as failed.
 func (f *switchFailure) checkReports(
 	tc switchFailureCase,
 	block topology.Block,
@@ -246,7 +250,7 @@
 	for _, id := range f.lostMachines {
 		machine := machines[wire.MachineID(id)]
 		if tc.flaps || machine != nil && !f.inside(machine, block) {
-			f.t.Errorf("machine %s: got given up as lost, want kept", id)
+			f.t.Errorf("machine %s: got declared lost, want kept", id)
 		}
 	}
 	for _, got := range f.reportedBlocks {
--- a/internal/controller/wait_bound_test.go
+++ b/internal/controller/wait_bound_test.go
@@ -10,17 +10,17 @@
 	"maddermill/wire"
 )
 
-// waitBoundCase is a large job beside small work.
+// waitBoundCase is a large job that competes with small jobs.
 type waitBoundCase struct {
 	name    string
-	crashes bool // controllers crash again and again
+	crashes bool // controllers crash repeatedly
 	large   wire.JobSpec
 }
 
-// TestLargestJobStartsWithinWaitBound: beside small work of the same priority that alone would fill the fleet,
-// on machines that report to three controllers, the largest jobs start within the bound on waiting, also while
-// controllers crash again and again. How long one waits without the bound varies with the order in which
-// heartbeats come; a test of the package that places tasks has it in one order, in which it starves.
+// TestLargestJobStartsWithinWaitBound checks that the largest jobs start within the wait bound, also while
+// controllers crash repeatedly. They compete with small jobs of the same priority that alone would fill the
+// fleet, and the machines report to three controllers. Without the bound the wait depends on the order in
+// which heartbeats arrive; a test of the package that places tasks has one order in which the job starves.
 func TestLargestJobStartsWithinWaitBound(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []waitBoundCase{
@@ -35,7 +35,7 @@
 	}
 }
 
-// fillWaitBoundSpec fills in what a job's description leaves out.
+// fillWaitBoundSpec returns job i: spec with the ID and all fixed fields set.
 func fillWaitBoundSpec(i int, spec wire.JobSpec) *wire.JobSpec {
 	spec.ID = jobID(i)
 	spec.Class, spec.Team, spec.Priority = "c", "free", wire.Normal
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	r.start(ctx, 4, 0)
 	r.onStart(ctx)
-	for i := range 190 { // a tenth more than twelve machines can do
+	for i := range 190 { // 10% more than the capacity of twelve machines
 		r.group.Go(func() {
 			wait.For(ctx, time.Duration(i)*1650*time.Millisecond+time.Millisecond)
 			r.pollJob(ctx, fillWaitBoundSpec(i, wire.JobSpec{Shape: wire.Gang, Tasks: 1, GPUs: 2}))
@@ -72,7 +72,7 @@
 	for second := range 320 {
 		time.Sleep(time.Second)
 		r.world.Check()
-		if tc.crashes && second%45 == 44 { // more often, crashes undo the starts themselves (docs/waits.md)
+		if tc.crashes && second%45 == 44 { // more frequent crashes undo the starts themselves (docs/waits.md)
 			r.crashAndRestart(second / 45 % 3)
 		}
 		if started := r.world.Seen(large.ID); started == large.Tasks && waited == 0 {
