--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -251,7 +251,7 @@
 	c.registerComponents(pausableCloud{
 		Cloud: cluster.cloud,
 		link:  cluster.links[i],
-		step:  func(step string) { cluster.reachStep(i, step) }, //nolint:contextcheck // reachStep uses the context of the run
+		step:  func(step string) { cluster.reachStep(i, step) }, //nolint:contextcheck // it uses the context of the run
 	})
 	cluster.group.Go(func() { _ = c.Components.Run(ctx) })
 	cluster.group.Go(func() {
--- a/internal/controller/overlapping_faults_test.go
+++ b/internal/controller/overlapping_faults_test.go
@@ -14,10 +14,10 @@
 	"maddermill/wire"
 )
 
-// Each test here has two faults overlap on several controllers. docs/meetings.md lists the pairs.
+// Each test in this file combines two overlapping faults on several controllers. docs/meetings.md lists the pairs.
 
-// recordedAttempts returns the last attempt of a job's first tasks, and the last attempt that is to
-// stop, by the records.
+// recordedAttempts returns the latest attempt of a job and the latest attempt that is to be stopped,
+// as recorded by any controller.
 func (cluster *testCluster) recordedAttempts(id wire.JobID) (last, stop wire.Attempt) {
 	for i := range cluster.size {
 		if c := cluster.controller(i); c != nil {
@@ -31,7 +31,8 @@
 	return last, stop
 }
 
-// trackLastAttempt keeps track of the last attempt of any task that machines report.
+// trackLastAttempt sets an onHeartbeat hook and returns a pointer to the highest attempt of any task that
+// machines have reported.
 func (cluster *testCluster) trackLastAttempt() *wire.Attempt {
 	last := new(wire.Attempt)
 	cluster.onHeartbeat = func(_ int, heartbeat *wire.Heartbeat) {
@@ -54,18 +55,18 @@
 	}
 }
 
-// restartAll restarts the controllers that are down.
+// restartAll starts all controllers that are down.
 func (cluster *testCluster) restartAll(ctx context.Context) {
 	for i := range cluster.size {
 		cluster.restart(ctx, i)
 	}
 }
 
-// TestWaitingGangSurvivesFailover: one machine of a gang fetches for longer than the others wait, and
-// the machines change controllers meanwhile: theirs crash one after the other, or their heartbeats are not
-// answered in time. The controller that a machine reports to when its task gave up waiting adopts the
-// claim, and the gang starts as one attempt. Once, each such failover made it start again, with all
-// fetches.
+// TestWaitingGangSurvivesFailover checks a gang in which one machine fetches for longer than the others wait,
+// while controllers crash one after another, so that machines get no response in time and report to other
+// controllers. The controller that a machine reports to when its task has timed out waiting must adopt the
+// claim, so that the gang starts as one attempt. It guards against failovers that made the gang start again,
+// with all fetches.
 func TestWaitingGangSurvivesFailover(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -99,10 +100,11 @@
 	}
 }
 
-// TestStaleHeartbeatOfWaitingGang: a gang's task gives up waiting and rejoins under its attempt. A
-// duplicate of the heartbeat that showed it given up arrives later, at a controller that the machine
-// never reported to, or at its own after a restart. The attempt that now runs must go on. Once,
-// its claim was released, and the gang stopped for nothing, or started once more beside it.
+// TestStaleHeartbeatOfWaitingGang checks a gang's task that times out waiting and rejoins under the same
+// attempt. A duplicate of the heartbeat that reported the timeout arrives later, at a controller that the
+// machine never reported to, or at its own controller after a restart. The running attempt must continue. It
+// guards against a release of its claim, after which the gang stopped needlessly or a second attempt started
+// concurrently.
 func TestStaleHeartbeatOfWaitingGang(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 12 * time.Second, 40 * time.Second} {
@@ -132,7 +134,7 @@
 	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 70 * time.Second }
 	ctx, cancel := context.WithCancel(t.Context())
 	duplicates := 0
-	replay := func(at int, duplicate wire.Heartbeat) {
+	deliverDuplicate := func(at int, duplicate wire.Heartbeat) {
 		to := (at + 1) % cluster.size
 		if !toAnother {
 			wait.For(ctx, after/2)
@@ -151,7 +153,7 @@
 			if heartbeat.Tasks[i].Cause == wire.CauseGangIncomplete && duplicates == 0 {
 				duplicates++
 				duplicate := *heartbeat
-				cluster.group.Go(func() { replay(at, duplicate) })
+				cluster.group.Go(func() { deliverDuplicate(at, duplicate) })
 			}
 		}
 	}
@@ -165,15 +167,15 @@
 		t.Errorf("got status %q after attempt %d, stopped up to %d; want %q after 1, 0", status, last, stop, wire.Done)
 	}
 	if duplicates != 1 {
-		t.Errorf("heartbeats that showed a task given up: got %d, want 1", duplicates)
+		t.Errorf("heartbeats that reported a task as timed out waiting: got %d, want 1", duplicates)
 	}
 	cluster.shutDownAndCheck(cancel)
 }
 
-// TestOneWayPartition: the heartbeats of a machine arrive, responses to it don't. Nothing stays
-// claimed there for long, gangs start on the other machines, and it serves again when it is reachable.
-// Once, it looked free and was given work again and again, and each gang placed there waited for a
-// lease.
+// TestOneWayPartition checks a machine whose heartbeats arrive but whose responses are lost. Claims on it must
+// not last long, gangs must start on the other machines, and it must be used again once it is reachable. It
+// guards against a failure in which the machine appeared to be free and was assigned tasks repeatedly, and
+// each gang placed on it waited for the length of a lease.
 func TestOneWayPartition(t *testing.T) {
 	t.Parallel()
 	for _, shape := range []wire.Shape{wire.Array, wire.Gang} {
@@ -210,7 +212,7 @@
 				}
 				done := cluster.world.DoneTasks()
 				cluster.deliverResponses(unreachable, true)
-				// A gang that needs all four machines shows that it serves again.
+				// A gang that needs all four machines can only start if the machine is used again.
 				all := &wire.JobSpec{ID: "wk-000099", Shape: wire.Gang, Tasks: 4, GPUs: 2}
 				cluster.submit(ctx, all)
 				cluster.advance(45 * time.Second)
@@ -231,11 +233,12 @@
 	}
 }
 
-// TestLeaderIsolatedFromStoreAndPeers: the leader loses the state service and the other controllers for
-// longer than a user may be without an answer; workers and users still reach it. Users that keep their
-// connections are soon answered by others, and what others cancel ends in time. Once, the leader reported
-// itself as healthy to the balancer, since it knew of no peer better off, and users that were connected to
-// it were refused until the partition ended.
+// TestLeaderIsolatedFromStoreAndPeers checks a leader that is disconnected from the state service and from the
+// other controllers for longer than a user may be without an answer, while workers and users still reach it.
+// Users with persistent connections must soon get answers from other controllers, and jobs cancelled there
+// must end in time. It guards against a failure in which the leader reported itself as healthy to the load
+// balancer, since it knew of no peer in a better state, and rejected the requests of connected users until the
+// partition ended.
 func TestLeaderIsolatedFromStoreAndPeers(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{3, 7} {
@@ -267,9 +270,9 @@
 	}
 }
 
-// TestDelayedTransactions: of each kind of transaction, the first get no answer and are carried out 2 to 12 s
-// later, after newer ones of the same controller, also after its crash and restart. No rule is violated, and
-// all jobs are done.
+// TestDelayedTransactions checks each kind of transaction when its first ones get no response and are applied
+// 2 to 12 s later, after newer ones of the same controller, also after its crash and restart. No invariant
+// may be violated, and all jobs must be done.
 func TestDelayedTransactions(t *testing.T) {
 	t.Parallel()
 	delayed := 0
@@ -286,13 +289,13 @@
 			})
 		}
 	}
-	if delayed < 100 { // not every kind comes that often
+	if delayed < 100 { // some kinds of transactions are rare
 		t.Errorf("delayed transactions: got %d, want >= 100", delayed)
 	}
 }
 
-// delayTransactionsOf runs the scenario with two of three of the first 16 transactions of a kind delayed, each
-// with a crash of its controller if that is wanted. It returns how many were delayed.
+// delayTransactionsOf runs the scenario and delays two of three of the first 16 transactions of a kind. With
+// crashes, each of them also crashes its controller. It returns the number of delayed transactions.
 func (r *restartScenario) delayTransactionsOf(kind string, crashes bool) (delayed int) {
 	r.t.Helper()
 	var mu sync.Mutex
@@ -319,9 +322,9 @@
 	return delayed
 }
 
-// TestSlowStore: the state service answers seconds late for a minute, so that a read is old when it
-// arrives. The age of a sync counts from the begin of the read: no rule is violated, users get no
-// state from before their request, and all jobs are done.
+// TestSlowStore checks a state service whose answers are delayed by up to 3 s for a minute, so that the result
+// of a read is stale on arrival. The age of a sync must be measured from the start of the read: no invariant
+// may be violated, users must not see a state from before their request, and all jobs must be done.
 func TestSlowStore(t *testing.T) {
 	t.Parallel()
 	for _, delay := range []time.Duration{400 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second} {
@@ -345,10 +348,11 @@
 	}
 }
 
-// TestFailoverBetweenTaskExits: jobs have two or three tasks, one of which exits early and another long
-// after, while the leader crashes, is isolated, or loses the state service at every moment around the first
-// exit. A job is done when all of its tasks are, and soon: an exit that was reported to the old
-// leader and not recorded is recorded once by the controller that the machine reports to then.
+// TestFailoverBetweenTaskExits checks jobs of two or three tasks, the first of which runs for 50 s less than the
+// others. At various times around the first exit the leader crashes, is isolated, or loses the state service, or
+// all controllers crash. A job must be done soon after all of its tasks, and not earlier: an exit that was
+// reported to the old leader but not recorded must be recorded once, by the controller that the machine
+// reports to next.
 func TestFailoverBetweenTaskExits(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"crash", "isolated", "store lost", "all crash"} {
@@ -400,7 +404,7 @@
 	for range 20 {
 		cluster.advance(time.Second)
 		for _, id := range jobs {
-			cluster.queryStatus(ctx, id) // done too early violates a rule
+			cluster.queryStatus(ctx, id) // a job that is reported as done too early violates an invariant
 		}
 	}
 	end()
@@ -409,10 +413,10 @@
 	cluster.shutDownAndCheck(cancel)
 }
 
-// TestUnreachableMachines: the leader crashes while machines with long tasks hang, or don't get
-// responses. They are fenced by a durable phase, returned, and their claims released, by the
-// successor once more. A machine that comes back at any moment in between neither keeps its task beside
-// another attempt nor gets it twice.
+// TestUnreachableMachines checks a crash of the leader while machines with long tasks hang or get no responses.
+// The machines are fenced by a phase on record and returned to the cloud, and their claims are released; the
+// successor repeats this. A machine that recovers at any time in between must neither continue its task
+// alongside another attempt nor receive the task twice.
 func TestUnreachableMachines(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []bool{true, false} {
@@ -459,7 +463,7 @@
 	cluster.crash(cluster.leader())
 	cluster.advance(300 * time.Millisecond)
 	cluster.restartAll(ctx)
-	if k%2 == 0 { // the successor crashes, too, at about the time when machines are fenced and returned
+	if k%2 == 0 { // the successor crashes too, at about the time when machines are fenced and returned
 		cluster.group.Go(func() {
 			wait.For(ctx, 34*time.Second)
 			at := cluster.leader()
@@ -478,27 +482,28 @@
 	cluster.shutDownAndCheck(cancel)
 }
 
-// TestCompletionsSurviveNewEpoch: tasks complete in an outage of the state service that lasts longer
-// than a lease, while all controllers restart one after the other, so that none may answer for long and
-// the workers start new epochs. What any controller has received is recorded when the claims are
-// released: no completed task runs again. Once, all that was not on record did.
+// TestCompletionsSurviveNewEpoch checks tasks that complete during an outage of the state service that lasts
+// longer than a lease. Meanwhile all controllers restart one after another, so that none may answer workers for
+// a long time and the workers start new epochs. Completions that any controller has received must be recorded
+// when the claims are released, so that no completed task runs again. It guards against a failure in which all
+// completed tasks ran again that were not on record.
 func TestCompletionsSurviveNewEpoch(t *testing.T) {
 	t.Parallel()
 	for _, shape := range []wire.Shape{wire.Array, wire.Gang} {
-		for _, rolls := range []int{1, 2} {
-			t.Run(fmt.Sprintf("%s, %d rolling restarts", shape, rolls), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { runCompletionsSurviveNewEpoch(t, shape, rolls) })
+		for _, rollingRestarts := range []int{1, 2} {
+			t.Run(fmt.Sprintf("%s, %d rolling restarts", shape, rollingRestarts), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { runCompletionsSurviveNewEpoch(t, shape, rollingRestarts) })
 			})
 		}
 	}
 }
 
-// runCompletionsSurviveNewEpoch runs one case of TestCompletionsSurviveNewEpoch. After two
-// rolling restarts only peers know of the completions.
-func runCompletionsSurviveNewEpoch(t *testing.T, shape wire.Shape, rolls int) {
+// runCompletionsSurviveNewEpoch runs one case of TestCompletionsSurviveNewEpoch. After two rolling restarts
+// controllers know of the completions only from their peers.
+func runCompletionsSurviveNewEpoch(t *testing.T, shape wire.Shape, rollingRestarts int) {
 	t.Helper()
 	cluster := newQuietCluster(t, 71)
-	cluster.duplicateMessages = true // late completions too
+	cluster.duplicateMessages = true // delivers completions late as well
 	cluster.cloud.Most = 8
 	cluster.cloud.Run = func(task wire.TaskID) time.Duration {
 		return 20*time.Second + time.Duration(task.Job[len(task.Job)-1]-'0')*3*time.Second
@@ -516,13 +521,13 @@
 	endOutage := cluster.storeOutage()
 	cluster.advance(24 * time.Second)
 	done := cluster.world.DoneTasks()
-	for range rolls {
+	for range rollingRestarts {
 		cluster.rollingRestart(ctx)
 	}
 	lapsed := cluster.world.Lapsed
-	if rolls == 1 {
+	if rollingRestarts == 1 {
 		cluster.recordWithoutHeartbeats(ctx, endOutage)
-	} else { // those that have just started know nothing before they have asked their peers
+	} else { // restarted controllers know of no completions before they have asked their peers
 		cluster.crash(0)
 		cluster.crash(1)
 		cluster.advance(300 * time.Millisecond)
@@ -549,7 +554,7 @@
 	cluster.shutDownAndCheck(cancel)
 }
 
-// rollingRestart restarts all controllers one after the other, and waits for a minute.
+// rollingRestart restarts all controllers one after another, and then waits for a minute.
 func (cluster *testCluster) rollingRestart(ctx context.Context) {
 	for i := range cluster.size {
 		cluster.crash(i)
@@ -560,8 +565,8 @@
 	cluster.advance(60 * time.Second)
 }
 
-// recordWithoutHeartbeats ends an outage while no heartbeat arrives, and restarts all controllers soon
-// after: what they know of completions must be on record by then.
+// recordWithoutHeartbeats ends an outage while no heartbeats arrive, and restarts all controllers 2.5 s
+// later. By then they must have recorded the completions that they know of.
 func (cluster *testCluster) recordWithoutHeartbeats(ctx context.Context, endOutage func()) {
 	deliver := func(machines []*emulator.Machine, delivered bool) {
 		for _, machine := range machines {
@@ -579,9 +584,9 @@
 	cluster.restartAll(ctx)
 }
 
-// TestSlowSubmission: the answer to a submission's transaction is slow; meanwhile the user repeats the
-// submission at another controller and cancels there. The first controller answers with the job's state
-// at the time of its answer. Once, it answered that the job was queued.
+// TestSlowSubmission checks a submission whose transaction is answered slowly, while the user repeats the
+// submission at another controller and cancels the job there. The first controller must answer with the job's
+// state at the time of its answer. It guards against an answer that the job was queued.
 func TestSlowSubmission(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -625,10 +630,10 @@
 	})
 }
 
-// TestGangStartsAfterFailover: a controller that some of a gang's machines report to crashes just after the
-// gang is claimed, before it has sent the start commands. The controllers that the machines report to next
-// adopt the claims and send them: the gang starts as its first attempt. Once, each crash cost such a gang
-// its start, with all fetches.
+// TestGangStartsAfterFailover checks the crash of a controller that some of a gang's machines report to, after the
+// gang's claims are recorded and before the controller has sent the start commands. The controllers that the
+// machines report to next must adopt the claims and send the commands, so that the gang starts as its first
+// attempt. It guards against a failure in which each such crash cancelled the gang's start, with all fetches.
 func TestGangStartsAfterFailover(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 6; seed++ {
@@ -649,7 +654,7 @@
 				cluster.onStep = func(i int, step string) {
 					if step == "start answered" {
 						other := (i + 1 + int(seed)%2) % cluster.size
-						// In a goroutine of its own: a step is part of the controller that crashes.
+						// In a new goroutine: the hook runs within a controller's step.
 						once.Do(func() { cluster.group.Go(func() { crash(other) }) })
 					}
 				}
--- a/internal/controller/overlapping_outages_test.go
+++ b/internal/controller/overlapping_outages_test.go
@@ -13,22 +13,22 @@
 	"maddermill/wire"
 )
 
-// outageOverlap is a course of two faults that overlap. The state service refuses the leader alone
-// while other controllers acknowledge cancellations to users. Then the state service is down for all
-// controllers, for longer than a cancellation may take, while workers still report to the leader.
+// outageOverlap is a scenario with two overlapping faults. First only the leader loses the state service, while
+// other controllers acknowledge cancellations to users. Then the state service is down for all controllers, for
+// longer than the limit of cancellations, while workers still report to the leader.
 type outageOverlap struct {
 	seed        uint64
 	controllers int
 	timing      [3]wire.Seconds // interval of heartbeats, length of workers' leases, limit of cancellations
-	mesh        string          // "whole"; "cut": the leader is cut off; "lost": all are, with the state service
-	outageAfter time.Duration   // from the leader's refusal to the outage for all
-	refusedFor  time.Duration   // length of the leader's refusal, if it were alone
-	repeat      bool            // all of it comes once more, 20 s after the state service is back
-	afterCancel string          // fault of the controller that acknowledged a cancellation: see disturb
-	storeDelay  time.Duration   // of answers of the state service before the outage
+	mesh        string          // "whole"; "cut" for the leader; "lost" for all controllers during the outage
+	outageAfter time.Duration   // from the isolation of the leader to the outage for all controllers
+	isolatedFor time.Duration   // length of the leader's isolation without the outage
+	repeat      bool            // both faults are repeated 20 s after the state service is back
+	afterCancel string          // fault at the controller that acknowledged a cancellation: see injectAfterCancel
+	storeDelay  time.Duration   // delay of the state service's answers
 }
 
-// String describes the course; it names the sub-test.
+// String describes the scenario. It is the name of the subtest.
 func (o outageOverlap) String() string {
 	return fmt.Sprintf(
 		"%d controllers, timing %v, mesh %s, outage after %v, refused for %v, repeat %v, then %q, store delay %v, seed %d",
@@ -36,7 +36,7 @@
 		o.timing,
 		o.mesh,
 		o.outageAfter,
-		o.refusedFor,
+		o.isolatedFor,
 		o.repeat,
 		o.afterCancel,
 		o.storeDelay,
@@ -44,7 +44,7 @@
 	)
 }
 
-// run plays the course and returns how many cancellations were acknowledged.
+// run runs the scenario and returns the number of acknowledged cancellations.
 func (o outageOverlap) run(t *testing.T) (acknowledged int) {
 	t.Helper()
 	cluster := newTestClusterOf(t, o.seed, o.controllers, func(s *settings.Settings) {
@@ -52,7 +52,7 @@
 		workers.Report, workers.Lease, workers.Cancel = o.timing[0], o.timing[1], o.timing[2]
 	})
 	cluster.reliableMessages, cluster.archiving = true, o.seed%2 == 0
-	// The worker's clock is late by the skew that is allowed.
+	// The worker's clock is slow by the largest skew that is allowed.
 	cluster.cloud.Lease = time.Duration(float64(o.timing[1].Duration()) * 1.0005)
 	cluster.cloud.Run = func(wire.TaskID) time.Duration { return 10 * time.Minute }
 	ctx, cancel := context.WithCancel(t.Context())
@@ -69,7 +69,7 @@
 		rounds = 2
 	}
 	for round := range rounds {
-		o.playRound(ctx, cluster, jobs[6*round:6*round+6], &acknowledged)
+		o.runRound(ctx, cluster, jobs[6*round:6*round+6], &acknowledged)
 	}
 	cluster.shutDown(cancel)
 	if o.mesh == "whole" && o.afterCancel == "" && cluster.world.Lapsed > 0 {
@@ -82,7 +82,7 @@
 	return acknowledged
 }
 
-// spec returns a job of the course.
+// spec returns job i of the scenario.
 func (o outageOverlap) spec(i int) *wire.JobSpec {
 	spec := &wire.JobSpec{
 		ID:       jobID(i),
@@ -108,9 +108,9 @@
 	return spec
 }
 
-// playRound plays both faults once, with the cancellation of some jobs: the first just before the
-// refusal of the leader, most within it.
-func (o outageOverlap) playRound(
+// runRound injects both faults once and cancels the given jobs: the first one as the leader's isolation
+// begins, the others until the outage.
+func (o outageOverlap) runRound(
 	ctx context.Context,
 	cluster *testCluster,
 	jobs []*wire.JobSpec,
@@ -129,7 +129,7 @@
 			cluster.mu.Lock()
 			*acknowledged++
 			cluster.mu.Unlock()
-			o.disturb(ctx, cluster, by)
+			o.injectAfterCancel(ctx, cluster, by)
 		})
 	}
 	cluster.advance(o.outageAfter)
@@ -138,9 +138,9 @@
 	if o.mesh == "lost" {
 		endMeshLoss = cluster.loseMeshForAll()
 	}
-	refusalLeft := max(0, o.refusedFor-o.outageAfter)
-	cluster.advance(refusalLeft)
-	cluster.advance(cluster.world.CancelS + 12*time.Second - refusalLeft)
+	isolationLeft := max(0, o.isolatedFor-o.outageAfter)
+	cluster.advance(isolationLeft)
+	cluster.advance(cluster.world.CancelS + 12*time.Second - isolationLeft)
 	endIsolation()
 	endMeshLoss()
 	endOutage()
@@ -148,9 +148,10 @@
 	cluster.advance(20 * time.Second)
 }
 
-// disturb has the controller that acknowledged a cancellation restart at once or in the outage, or
-// reload its records.
-func (o outageOverlap) disturb(ctx context.Context, cluster *testCluster, by int) {
+// injectAfterCancel injects the fault afterCancel: the controller that acknowledged a cancellation restarts
+// immediately or during the outage, or the log of the state service is compacted, so that all controllers
+// reload their records.
+func (o outageOverlap) injectAfterCancel(ctx context.Context, cluster *testCluster, by int) {
 	switch o.afterCancel {
 	case "restart":
 		cluster.crash(by)
@@ -166,11 +167,11 @@
 	}
 }
 
-// deploymentTimings are the intervals of heartbeats, lengths of leases and limits of cancellations
-// that operators have stated.
+// deploymentTimings are the heartbeat intervals, lease lengths and limits of cancellations that operators
+// have reported for their deployments.
 var deploymentTimings = [][3]wire.Seconds{{3, 30, 60}, {3, 36, 61}, {5, 30, 60}, {5, 36, 61}, {8, 45, 65}}
 
-// outageOverlaps returns the sweep of all courses.
+// outageOverlaps returns the sweep of all scenarios.
 func outageOverlaps() (all []outageOverlap) {
 	outages := []time.Duration{500 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second}
 	add := func(controllers int, timing [3]wire.Seconds, mesh string, outageAfter time.Duration, afterCancel string) {
@@ -185,7 +186,7 @@
 			timing:      timing,
 			mesh:        mesh,
 			outageAfter: outageAfter,
-			refusedFor:  14 * time.Second,
+			isolatedFor: 14 * time.Second,
 			repeat:      k%3 == 0,
 			afterCancel: afterCancel,
 			storeDelay:  storeDelay,
@@ -205,29 +206,29 @@
 	return all
 }
 
-// TestCancellationsAcrossOverlappingOutages sweeps over the state of the mesh, the begin of the outage,
-// what becomes of the controller that acknowledged a cancellation, and the timing of all deployments.
-// Whichever controller answers the workers, a cancelled job's tasks end within the limit of
-// cancellations, and where the leader still reaches its peers no other task is lost. It fails without
-// the bound on answering workers when out of touch (settings.ReportGrace), and without
-// marking as cancelled what peers list. With HISTORY_SEEDS the whole sweep is played, else a part
-// that contains each value.
+// TestCancellationsAcrossOverlappingOutages sweeps over the state of the mesh, the start of the outage, the
+// fault at the controller that acknowledged a cancellation, and the timing of all deployments. Whichever
+// controller answers the workers, a cancelled job's tasks must end within the limit of cancellations, and if
+// the leader still reaches its peers no other task may be lost. The test fails without the bound on answering
+// workers while a controller is disconnected from the state service (settings.HeartbeatGrace), and if jobs that
+// peers list as cancelled are not marked as cancelled. It runs the whole sweep if HISTORY_SEEDS is set,
+// otherwise a part that contains each value.
 func TestCancellationsAcrossOverlappingOutages(t *testing.T) {
 	t.Parallel()
 	all := outageOverlaps()
-	acknowledged, step := 0, 17 // prime to all of the sweep's lengths
+	acknowledged, step := 0, 17 // coprime to the number of values of each parameter
 	if os.Getenv("HISTORY_SEEDS") != "" {
 		step = 1
 	}
-	played := 0
+	scenarios := 0
 	for k := 0; k < len(all); k += step {
 		t.Run(all[k].String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { acknowledged += all[k].run(t) })
 		})
-		played++
+		scenarios++
 	}
-	t.Logf("%d courses, %d cancellations acknowledged", played, acknowledged)
-	if acknowledged < 4*played {
-		t.Errorf("got %d cancellations acknowledged in %d courses, want >= %d", acknowledged, played, 4*played)
+	t.Logf("%d scenarios, %d cancellations acknowledged", scenarios, acknowledged)
+	if acknowledged < 4*scenarios {
+		t.Errorf("got %d cancellations acknowledged in %d scenarios, want >= %d", acknowledged, scenarios, 4*scenarios)
 	}
 }
