--- a/internal/controller/workflow_bench_test.go
+++ b/internal/controller/workflow_bench_test.go
@@ -14,44 +14,44 @@
 	"maddermill/wire"
 )
 
-// instantJobs has each step's job done as soon as it is submitted.
+// instantJobs implements workflow.Jobs with jobs that are done as soon as they are submitted.
 type instantJobs struct {
-	store stepdata.Store
-	known map[wire.JobID]bool
-	ended ledger.WorkflowState
+	store      stepdata.Store
+	submitted  map[wire.JobID]bool
+	finalState ledger.WorkflowState
 }
 
 func newInstantJobs() *instantJobs {
-	return &instantJobs{store: new(stepdata.Mem), known: map[wire.JobID]bool{}}
+	return &instantJobs{store: new(stepdata.Mem), submitted: map[wire.JobID]bool{}}
 }
 
-// StepState implements the workflow's view of its jobs.
+// StepState reports a submitted job as done and any other as unknown.
 func (j *instantJobs) StepState(id wire.JobID) workflow.JobState {
-	if j.known[id] {
+	if j.submitted[id] {
 		return workflow.Done
 	}
 	return workflow.Unknown
 }
 
-// SubmitStep implements the workflow's view of its jobs.
+// SubmitStep records the job as submitted and stores its result.
 func (j *instantJobs) SubmitStep(ctx context.Context, _ wire.WorkflowID, spec *wire.JobSpec) error {
-	j.known[spec.ID] = true
+	j.submitted[spec.ID] = true
 	result := strings.NewReader(`{"code":0,"outputs":{"o":"x"}}`)
 	_, err := j.store.Put(ctx, workflow.ResultName(spec.ID), result)
 	return err
 }
 
-// CancelStep implements the workflow's view of its jobs.
+// CancelStep does nothing, since no job is ever running.
 func (j *instantJobs) CancelStep(context.Context, wire.JobID) error { return nil }
 
-// EndWorkflow implements the workflow's view of its jobs.
+// EndWorkflow records the workflow's final state.
 func (j *instantJobs) EndWorkflow(_ context.Context, _ wire.WorkflowID, s ledger.WorkflowState, _ string) error {
-	j.ended = s
+	j.finalState = s
 	return nil
 }
 
-// driveWorkflow resumes a workflow and drives it to its end.
-func driveWorkflow(b *testing.B, document string, inputs any, jobs *instantJobs) {
+// runToCompletion resumes a workflow, executes it until it ends and checks that it succeeded.
+func runToCompletion(b *testing.B, document string, inputs any, jobs *instantJobs) {
 	b.Helper()
 	encoded, err := json.Marshal(inputs)
 	if err != nil {
@@ -64,18 +64,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	for over := false; !over; {
-		if _, over, err = run.Advance(b.Context(), time.Now(), 100); err != nil {
+	for finished := false; !finished; {
+		if _, finished, err = run.Advance(b.Context(), time.Now(), 100); err != nil {
 			b.Fatal(err)
 		}
 	}
-	if jobs.ended != ledger.WorkflowDone {
-		b.Fatalf("workflow: got state %q, want %q", jobs.ended, ledger.WorkflowDone)
+	if jobs.finalState != ledger.WorkflowDone {
+		b.Fatalf("workflow: got state %q, want %q", jobs.finalState, ledger.WorkflowDone)
 	}
 }
 
-// BenchmarkWorkflow measures what the driver of a workflow costs by itself: a chain of 20, scatters
-// of 1,000 to 100,000, and the takeover of one whose steps are all done.
+// BenchmarkWorkflow measures the overhead of workflow execution without real jobs: a chain of 20 steps,
+// scatters of 1,000 to 100,000 runs, and the takeover of a workflow whose steps are all done.
 func BenchmarkWorkflow(b *testing.B) {
 	const tool = "{class: CommandLineTool, baseCommand: echo, inputs: {a: Any}, outputs: {o: string}}"
 	chain := workflowHead + chainDocument(20, tool)
@@ -87,7 +87,7 @@
 	}
 	b.Run("chain/20", func(b *testing.B) {
 		for b.Loop() {
-			driveWorkflow(b, chain, map[string]any{"x": "r"}, newInstantJobs())
+			runToCompletion(b, chain, map[string]any{"x": "r"}, newInstantJobs())
 		}
 		reportPerStep(b, 20)
 	})
@@ -98,13 +98,13 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				jobs = newInstantJobs()
-				driveWorkflow(b, scatter, inputs, jobs)
+				runToCompletion(b, scatter, inputs, jobs)
 			}
 			reportPerStep(b, n)
 		})
 		b.Run(fmt.Sprint("takeover/", n), func(b *testing.B) {
 			for b.Loop() {
-				driveWorkflow(b, scatter, inputs, jobs)
+				runToCompletion(b, scatter, inputs, jobs)
 			}
 			reportPerStep(b, n)
 		})
--- a/internal/controller/workflow_cases_test.go
+++ b/internal/controller/workflow_cases_test.go
@@ -13,21 +13,21 @@
 	"maddermill/internal/workflow/stepdata"
 )
 
-// echoTool outputs its input.
+// echoTool is a CWL tool that outputs its input.
 const echoTool = `{class: CommandLineTool, baseCommand: echo, stdout: out, inputs: {a: {type: Any, inputBinding: {}}},
    outputs: {o: {type: string, ` +
 	`outputBinding: {glob: out, loadContents: true, outputEval: "$(self[0].contents.trim())"}}}}`
 
-// exitTool exits with a code.
+// exitTool is a CWL tool that exits with the code given as its input; 75 is a temporary failure.
 const exitTool = `{class: CommandLineTool, baseCommand: exit, temporaryFailCodes: [75], ` +
 	`inputs: {c: {type: int, inputBinding: {}}}, outputs: {o: {type: string, outputBinding: {outputEval: fine}}}}`
 
-// workflowHead begins each document.
+// workflowHead is the start of each workflow document: version, class and requirements.
 const workflowHead = "cwlVersion: v1.2\nclass: Workflow\n" +
 	"requirements: {InlineJavascriptRequirement: {}, ScatterFeatureRequirement: {}, " +
 	"SubworkflowFeatureRequirement: {}, MultipleInputFeatureRequirement: {}}\n"
 
-// workflowCases are workflows with their inputs and the state that they must end in.
+// workflowCases lists workflows with their inputs and expected final states.
 var workflowCases = []struct {
 	name, document, inputs string
 	state                  ledger.WorkflowState
@@ -98,11 +98,11 @@
 	},
 }
 
-// scatterCase is the index of the case of one scattered step.
-const scatterCase = 2
+// scatterCaseIndex is the index in workflowCases of the workflow with a single scattered step.
+const scatterCaseIndex = 2
 
-// interpretSequentially runs a workflow's steps one after the other, each once, and returns its outputs:
-// the model of what a cluster must return.
+// interpretSequentially runs each step of a workflow once, one at a time, and returns the workflow's outputs.
+// It is the reference implementation that the outputs of a cluster are compared with.
 func interpretSequentially(t *testing.T, document, inputs string) map[string]any {
 	t.Helper()
 	store := new(stepdata.Mem)
@@ -146,9 +146,9 @@
 		}
 		run.Finish(step.ID, result.Outputs, stepErr)
 	}
-	out, _, over := run.Result()
-	if !over {
-		t.Fatal("sequential interpretation: got no end, want one")
+	out, _, finished := run.Result()
+	if !finished {
+		t.Fatal("sequential interpretation: no steps are ready, but the workflow has not ended")
 	}
 	return out
 }
--- a/internal/controller/workflow_status_test.go
+++ b/internal/controller/workflow_status_test.go
@@ -17,28 +17,28 @@
 	"maddermill/wire"
 )
 
-// slowStepData is a store whose reads take a while, and end with their context as a file server's do.
+// slowStepData delays the reads of a store. As with a file server, a read fails once its context is done.
 type slowStepData struct {
 	stepdata.Store
-	readTime atomic.Int64 // nanoseconds
+	readDelay atomic.Int64 // nanoseconds
 }
 
 // Get implements stepdata.Store.
 func (s *slowStepData) Get(ctx context.Context, name string) ([]byte, stepdata.Info, error) {
-	wait.For(ctx, time.Duration(s.readTime.Load()))
+	wait.For(ctx, time.Duration(s.readDelay.Load()))
 	if err := ctx.Err(); err != nil {
 		return nil, stepdata.Info{}, err
 	}
 	return s.Store.Get(ctx, name)
 }
 
-// TestWorkflowStatusIsWholeOrSaysNot guards against a status that shows part of the steps as all of them. A
-// controller that does not drive a workflow replays it to answer a request. Where the request's time ended
-// within the replay, the status of a workflow that was done named the steps not replayed yet as running
-// ("step s (running): got 0 runs over, want 8" in TestWorkflowHistories). Here requests are given every time
-// from none to that of the whole replay, alone and while others wait for the same replay, before and after
-// the workflow and its jobs are archived.
-func TestWorkflowStatusIsWholeOrSaysNot(t *testing.T) {
+// TestWorkflowStatusHasAllStepsOrReason guards against a status that presents an incomplete list of steps as
+// complete. A controller that does not execute a workflow replays it to answer a status request. When the
+// request timed out during the replay, the status of a finished workflow reported the steps not yet replayed
+// as running (in TestWorkflowHistories: step s was running with 0 of 8 runs finished). The test uses timeouts
+// from zero to the duration of a full replay, single requests and concurrent ones that share a
+// replay, before and after the workflow and its jobs are archived.
+func TestWorkflowStatusHasAllStepsOrReason(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		slow := new(slowStepData)
@@ -51,26 +51,26 @@
 		for s.controller(0) != nil && s.workflowState(id) == ledger.WorkflowActive && s.ctx.Err() == nil {
 			wait.For(s.ctx, time.Second)
 		}
-		slow.readTime.Store(int64(70 * time.Millisecond))
-		refused, whole := 0, 0
+		slow.readDelay.Store(int64(70 * time.Millisecond))
+		incomplete, complete := 0, 0
 		for round := range 2 {
 			for timeout := range 12 {
-				refused += s.askInTime(id, 40*time.Millisecond*time.Duration(timeout))
-				wait.For(s.ctx, 45*time.Second) // replays are forgotten
+				incomplete += s.requestWithTimeout(id, 40*time.Millisecond*time.Duration(timeout))
+				wait.For(s.ctx, 45*time.Second) // until cached replays expire
 			}
-			whole += s.askTogether(id)
+			complete += s.requestConcurrently(id)
 			if round == 0 {
-				wait.For(s.ctx, 5*time.Minute) // archived
+				wait.For(s.ctx, 5*time.Minute) // until it is archived
 			}
 		}
-		if refused == 0 || whole == 0 {
-			t.Errorf("got %d answers without steps and %d with all of them, want some of both", refused, whole)
+		if incomplete == 0 || complete == 0 {
+			t.Errorf("got %d statuses without steps and %d with all steps, want some of both", incomplete, complete)
 		}
 		s.shutDown(cancel)
 	})
 }
 
-// workflowState returns the state of a workflow by the records of the first controller.
+// workflowState returns the state of a workflow in the first controller's cached records.
 func (s *sharedCluster) workflowState(id wire.WorkflowID) ledger.WorkflowState {
 	c := s.controller(0)
 	c.cache.Lock()
@@ -81,23 +81,23 @@
 	return ledger.WorkflowActive
 }
 
-// askInTime asks all controllers about a workflow that is done, with a timeout. It returns how many answered
-// without the steps.
-func (s *sharedCluster) askInTime(id wire.WorkflowID, timeout time.Duration) (refused int) {
+// requestWithTimeout requests the status of a finished workflow from each controller. It returns how many
+// responses lacked the steps.
+func (s *sharedCluster) requestWithTimeout(id wire.WorkflowID, timeout time.Duration) (incomplete int) {
 	for i := range 3 {
 		ctx, cancel := context.WithTimeout(s.ctx, timeout)
 		status, err := s.controller(i).Workflows.Status(ctx, id)
 		cancel()
-		if err == nil && !s.checkStatus(status, fmt.Sprintf("within %v", timeout)) {
-			refused++
+		if err == nil && !s.checkDoneStatus(status, fmt.Sprintf("timeout %v", timeout)) {
+			incomplete++
 		}
 	}
-	return refused
+	return incomplete
 }
 
-// askTogether asks each controller twice at once: the first request gives up early, and the second still
-// gets all steps. It returns how many answers had them.
-func (s *sharedCluster) askTogether(id wire.WorkflowID) (whole int) {
+// requestConcurrently sends each controller two concurrent status requests, of which one times out during the
+// replay; the other must still get all steps. It returns how many responses had all steps.
+func (s *sharedCluster) requestConcurrently(id wire.WorkflowID) (complete int) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	for i := range 3 {
@@ -105,36 +105,36 @@
 			group.Go(func() {
 				ctx, cancel := context.WithTimeout(s.ctx, timeout)
 				defer cancel()
-				began := time.Now()
+				startedAt := time.Now()
 				status, err := s.controller(i).Workflows.Status(ctx, id)
-				if took := time.Since(began); took > timeout+time.Second {
-					s.t.Errorf("a request with a timeout of %v: got an answer after %v", timeout, took)
+				if elapsed := time.Since(startedAt); elapsed > timeout+time.Second {
+					s.t.Errorf("status request with timeout %v: got a response after %v", timeout, elapsed)
 				}
-				got := err == nil && s.checkStatus(status, "beside another request")
-				if timeout > time.Second && !got {
-					s.t.Errorf("m-%d beside a request that gave up: got %+v, error %v, want all steps", i, status, err)
+				hasSteps := err == nil && s.checkDoneStatus(status, "concurrent request")
+				if timeout > time.Second && !hasSteps {
+					s.t.Errorf("m-%d, concurrent request timed out: got %+v, error %v, want all steps", i, status, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if got {
-					whole++
+				if hasSteps {
+					complete++
 				}
 			})
 		}
 	}
 	group.Wait()
-	return whole
+	return complete
 }
 
-// checkStatus checks the status of a workflow that is done, and reports whether it has the steps. Without
-// them it must say why.
-func (s *sharedCluster) checkStatus(status wire.WorkflowStatus, when string) bool {
+// checkDoneStatus checks the status of a finished workflow and reports whether it has the steps. A status
+// without steps must give the reason in steps_unknown.
+func (s *sharedCluster) checkDoneStatus(status wire.WorkflowStatus, when string) bool {
 	if status.Status != wire.Done {
 		s.t.Errorf("%s: got status %q, want done", when, status.Status)
 	}
 	for _, step := range status.Steps {
 		if step.Finished != step.Total {
-			s.t.Errorf("%s: step %s (%s): got %d of %d runs over, want all",
+			s.t.Errorf("%s: step %s (%s): got %d of %d runs finished, want all",
 				when, step.Step, step.State, step.Finished, step.Total)
 		}
 	}
@@ -142,9 +142,9 @@
 	if err != nil {
 		s.t.Error(err)
 	}
-	said := strings.Contains(string(encoded), `"steps_unknown"`)
-	if said == (len(status.Steps) > 0) {
-		s.t.Errorf("%s: got %s, want steps or why there are none", when, encoded)
+	reasonGiven := strings.Contains(string(encoded), `"steps_unknown"`)
+	if reasonGiven == (len(status.Steps) > 0) {
+		s.t.Errorf("%s: got %s, want either steps or steps_unknown", when, encoded)
 	}
 	return len(status.Steps) > 0
 }
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -241,7 +241,7 @@
 // may start, and all must end in time.
 func (cluster *testCluster) runCancelledWorkflow(ctx context.Context, id wire.WorkflowID) {
 	inputs := json.RawMessage(`{"x":["1","2","3","4","5","6","7","8","9"]}`)
-	spec := workflowSpec(id, workflowCases[scatterCase].document, inputs)
+	spec := workflowSpec(id, workflowCases[scatterCaseIndex].document, inputs)
 	spec.Priority = wire.Normal
 	cluster.submitWorkflow(ctx, spec)
 	wait.For(ctx, 12*time.Second)
