--- a/internal/controller/workflow_steps_test.go
+++ b/internal/controller/workflow_steps_test.go
@@ -18,23 +18,23 @@
 	"maddermill/wire"
 )
 
-// sharedCluster is a quiet cluster in which plain jobs and workflows run side by side.
+// sharedCluster is a cluster without injected faults in which plain jobs and workflows run concurrently.
 type sharedCluster struct {
 	*testCluster
 	ctx    context.Context
-	nextID int // of plain jobs
+	nextID int // number of the next plain job
 
 	doneMu sync.Mutex // guards doneAt
 	doneAt map[wire.JobID]time.Time
 }
 
-// newSharedCluster starts a cluster with so many machines, which runs until cancel is called.
+// newSharedCluster starts a cluster with the given number of machines. It runs until cancel is called.
 func newSharedCluster(t *testing.T, machines int) (s *sharedCluster, cancel context.CancelFunc) {
 	t.Helper()
 	return newSharedClusterWith(t, machines, func(*sharedCluster) {})
 }
 
-// newSharedClusterWith is newSharedCluster with what is set up before the controllers start.
+// newSharedClusterWith is like newSharedCluster, but calls setUp before the controllers start.
 func newSharedClusterWith(
 	t *testing.T,
 	machines int,
@@ -56,7 +56,7 @@
 	return s, cancel
 }
 
-// submitJobs submits plain jobs that are like those of a scattered step, and returns their names.
+// submitJobs submits n plain jobs with the same requests as the jobs of submitScatter, and returns their IDs.
 func (s *sharedCluster) submitJobs(n int, team wire.Team, priority wire.Priority, gpus float64) (ids []wire.JobID) {
 	for range n {
 		spec := &wire.JobSpec{
@@ -89,7 +89,7 @@
 	}
 }
 
-// submitScatter submits a workflow of one scattered step of n runs, and returns the names of its jobs.
+// submitScatter submits a workflow with one step that is scattered into n runs, and returns the IDs of its jobs.
 func (s *sharedCluster) submitScatter(
 	n int,
 	team wire.Team,
@@ -117,7 +117,7 @@
 	return ids
 }
 
-// completionTime returns when the share of jobs were done, from a time on; an hour if not all are done.
+// completionTime returns how long after from the given share of the jobs was done, or an hour if any is not done.
 func (s *sharedCluster) completionTime(from time.Time, ids []wire.JobID, share float64) time.Duration {
 	s.doneMu.Lock()
 	defer s.doneMu.Unlock()
@@ -134,9 +134,9 @@
 	return all[int(share*float64(len(all)-1))].Round(time.Second)
 }
 
-// TestStepsScheduledLikeJobs: the same work as plain jobs and as a workflow's steps, side by side on the same
-// machines, is done at the same times, in the same order of priority and under the same limit of its
-// team. A wide workflow does not keep a job of high priority waiting.
+// TestStepsScheduledLikeJobs checks that workflow steps and plain jobs with the same requests, run concurrently on
+// the same machines, finish at the same pace and obey the same priorities and team limits. A workflow with
+// many runs must not delay a high-priority job.
 func TestStepsScheduledLikeJobs(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -144,10 +144,10 @@
 		machines int
 		run      func(t *testing.T, s *sharedCluster)
 	}{
-		{"same priority", 3, stepsAtTheSamePriority},
-		{"higher priority", 2, stepsAtHigherPriority},
-		{"wide workflow", 3, jobBesideWideWorkflow},
-		{"team limit", 6, stepsOfLimitedTeam}, // the team may have 4 of the 12 accelerators; the world checks
+		{"same priority", 3, checkEqualPriority},
+		{"higher priority", 2, checkHighPrioritySteps},
+		{"wide workflow", 3, checkJobDuringWideWorkflow},
+		{"team limit", 6, checkTeamLimit}, // 4 of the 12 GPUs; emulator.World checks the limit
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -160,10 +160,10 @@
 	}
 }
 
-func stepsAtTheSamePriority(t *testing.T, s *sharedCluster) {
+func checkEqualPriority(t *testing.T, s *sharedCluster) {
 	t.Helper()
-	// Steps are submitted at the pace that their share of the changes allows, here three a second; so are
-	// the plain jobs. Neither arrives before the other.
+	// Submitting steps may use only a share of a controller's state changes, here three steps per second. Plain
+	// jobs are submitted at the same rate, so that neither kind has a head start.
 	from := time.Now()
 	steps := s.submitScatter(40, "free", wire.Normal, 0)
 	var jobs []wire.JobID
@@ -174,18 +174,18 @@
 	wait.For(s.ctx, 3*time.Minute)
 	halfOfJobs, halfOfSteps := s.completionTime(from, jobs, 0.5), s.completionTime(from, steps, 0.5)
 	t.Logf(
-		"40 and 40 on 24 places: half done after %v as plain jobs, %v as steps; all after %v and %v",
+		"40 jobs and 40 steps on 24 slots: half of the jobs done after %v, half of the steps after %v; all after %v, %v",
 		halfOfJobs,
 		halfOfSteps,
 		s.completionTime(from, jobs, 1),
 		s.completionTime(from, steps, 1),
 	)
 	if d := halfOfSteps - halfOfJobs; d > 10*time.Second || d < -10*time.Second {
-		t.Errorf("half of the steps done after half of the jobs: got %v, want within 10s", d)
+		t.Errorf("time from half of the jobs done to half of the steps done: got %v, want within ±10s", d)
 	}
 }
 
-func stepsAtHigherPriority(t *testing.T, s *sharedCluster) {
+func checkHighPrioritySteps(t *testing.T, s *sharedCluster) {
 	t.Helper()
 	from := time.Now()
 	jobs := s.submitJobs(60, "free", wire.Normal, 0)
@@ -193,28 +193,29 @@
 	steps := s.submitScatter(16, "free", wire.High, 0)
 	wait.For(s.ctx, 4*time.Minute)
 	stepsDone, jobsDone := s.completionTime(from, steps, 1), s.completionTime(from, jobs, 1)
-	t.Logf("16 steps of high priority behind 60 jobs on 16 places: done after %v, the jobs after %v", stepsDone, jobsDone)
+	t.Logf("16 high-priority steps after 60 jobs on 16 slots: steps done after %v, jobs after %v", stepsDone, jobsDone)
 	if stepsDone >= jobsDone {
-		t.Errorf("steps of high priority: got done after %v, want before the jobs, %v", stepsDone, jobsDone)
+		t.Errorf("high-priority steps: got done after %v, want before the jobs (%v)", stepsDone, jobsDone)
 	}
 }
 
-func jobBesideWideWorkflow(t *testing.T, s *sharedCluster) {
+func checkJobDuringWideWorkflow(t *testing.T, s *sharedCluster) {
 	t.Helper()
 	steps := s.submitScatter(300, "free", wire.Normal, 0)
 	wait.For(s.ctx, 20*time.Second)
-	// All controllers report the workflow, whichever runs it. The latest progress is known everywhere within 3 s, as
-	// any state: who reports less than another catches up. The first steps end about now.
-	over := 1
+	// Every controller reports the workflow, whichever one executes it. As with any state, progress reaches all
+	// controllers within 3 s, so the second round must report at least the maximum of the first. The first
+	// runs finish about now.
+	finished := 1
 	for round := range 2 {
 		for i := range 3 {
 			got, err := s.controller(i).Workflows.Status(s.ctx, "wf-000001")
 			if err != nil || len(got.Steps) != 1 || got.Steps[0].State != "running" || got.Steps[0].Total != 300 ||
-				round == 1 && got.Steps[0].Finished < over {
-				t.Errorf("m-%d: got %+v, error %v; want a running step, >= %d of 300 runs over", i, got, err, over)
+				round == 1 && got.Steps[0].Finished < finished {
+				t.Errorf("m-%d: got %+v, error %v; want a running step, >= %d of 300 runs finished", i, got, err, finished)
 			}
 			if round == 0 && err == nil && len(got.Steps) == 1 {
-				over = max(over, got.Steps[0].Finished)
+				finished = max(finished, got.Steps[0].Finished)
 			}
 		}
 		wait.For(s.ctx, 3*time.Second)
@@ -224,16 +225,16 @@
 	wait.For(s.ctx, 5*time.Minute)
 	jobDone := s.completionTime(from, job, 1)
 	t.Logf(
-		"a job of high priority beside a scatter of 300 on 24 places: done after %v; the scatter after %v",
+		"high-priority job during a scatter of 300 on 24 slots: job done after %v, scatter after %v",
 		jobDone,
 		s.completionTime(from, steps, 1),
 	)
 	if jobDone > 45*time.Second {
-		t.Errorf("job of high priority beside a wide workflow: got done after %v, want <= 45s", jobDone)
+		t.Errorf("high-priority job during a wide workflow: got done after %v, want <= 45s", jobDone)
 	}
 }
 
-func stepsOfLimitedTeam(t *testing.T, s *sharedCluster) {
+func checkTeamLimit(t *testing.T, s *sharedCluster) {
 	t.Helper()
 	from := time.Now()
 	steps := s.submitScatter(8, "capped", wire.Normal, 1)
@@ -242,18 +243,18 @@
 	wait.For(s.ctx, 4*time.Minute)
 	stepsDone := s.completionTime(from, steps, 1)
 	t.Logf(
-		"8 and 8 of a team limited to 4: done after %v as plain jobs, %v as steps",
+		"8 jobs and 8 steps of a team limited to 4 GPUs: jobs done after %v, steps after %v",
 		s.completionTime(from, jobs, 1),
 		stepsDone,
 	)
 	if stepsDone == time.Hour {
-		t.Error("steps of a team with a limit: got not all done, want all")
+		t.Error("steps of a team with a GPU limit: some are not done, want all done")
 	}
 }
 
-// TestStepsPreemptedLikeJobs: a step's task and a plain job's of the same kind on one machine are the
-// same to preemption: both may be stopped for work of higher priority, at the same loss, and neither for
-// work of their own priority.
+// TestStepsPreemptedLikeJobs checks that preemption treats the tasks of a step and of an equal plain job on the
+// same machine alike: both may be preempted by work of higher priority, at the same cost, and neither by work
+// of the same priority.
 func TestStepsPreemptedLikeJobs(t *testing.T) {
 	t.Parallel()
 	c := newTestController(t)
@@ -273,47 +274,47 @@
 	add(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
 	victims := c.scheduler.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
-	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress ||
-		victims[0].OverGuarantee != victims[1].OverGuarantee ||
+	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress || victims[0].OverGuarantee != victims[1].OverGuarantee ||
 		victims[0].RunTime != victims[1].RunTime {
-		t.Fatalf("victims: got %+v, want two alike", victims)
+		t.Fatalf("preemption victims: got %+v, want two with the same properties", victims)
 	}
 	for priority, want := range map[wire.Priority]int{wire.High: 2, wire.Normal: 0} {
 		job := add(3+want, priority, "")
-		stopped, tasks := placement.SelectVictims(&placement.Entry{Job: job}, ledger.Resources{}, 2, victims)
-		if len(stopped) != want || tasks != want {
-			t.Errorf("for %s work: got %d tasks stopped for %d tasks, want %d", priority, len(stopped), tasks, want)
+		preempted, room := placement.SelectVictims(&placement.Entry{Job: job}, ledger.Resources{}, 2, victims)
+		if len(preempted) != want || room != want {
+			t.Errorf("preemption by %s priority: got %d victims, room for %d tasks; want %d of each",
+				priority, len(preempted), room, want)
 		}
 	}
 }
 
-// TestWorkflowChainLatency measures what a chain of twenty steps takes beyond the steps' own times.
+// TestWorkflowChainLatency measures a chain of twenty steps. Each step may take 4 s longer than a plain job.
 func TestWorkflowChainLatency(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s, cancel := newSharedCluster(t, 2)
 		from := time.Now()
 		if !s.runWorkflow(s.ctx, "wf-000001", chainDocument(20, echoTool), "x: r", ledger.WorkflowDone) {
-			t.Fatal("chain: got no end, want one")
+			t.Fatal("chain: the workflow did not end")
 		}
 		chain := s.completionTime(from, []wire.JobID{workflow.StepJobID("wf-000001", "s19", 0)}, 1)
-		// When a job is done varies with the heartbeats: the average of several is taken.
-		var alone time.Duration
+		// The completion time of a job varies with the timing of heartbeats, so average several.
+		var jobTime time.Duration
 		for range 8 {
 			submittedAt := time.Now()
 			ids := s.submitJobs(1, "free", wire.High, 0)
 			wait.For(s.ctx, time.Minute)
-			alone += s.completionTime(submittedAt, ids, 1) / 8
+			jobTime += s.completionTime(submittedAt, ids, 1) / 8
 		}
 		s.shutDown(cancel)
-		t.Logf("a chain of 20 is done after %v, %v a step; a plain job of the same after %v", chain, chain/20, alone)
-		if limit := 20 * (alone + 4*time.Second); chain > limit {
-			t.Errorf("chain of 20: got done after %v, want <= %v (a job: %v)", chain, limit, alone)
+		t.Logf("chain of 20 done after %v, %v per step; an equal plain job after %v", chain, chain/20, jobTime)
+		if limit := 20 * (jobTime + 4*time.Second); chain > limit {
+			t.Errorf("chain of 20: got done after %v, want <= %v (plain job: %v)", chain, limit, jobTime)
 		}
 	})
 }
 
-// chainDocument returns a workflow of n steps, each of which has the output of the one before as its input.
+// chainDocument returns a workflow of n steps, each of which takes the output of the previous one as its input.
 func chainDocument(n int, tool string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "inputs: {x: string}\noutputs: {o: {type: string, outputSource: s%d/o}}\nsteps:\n", n-1)
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -22,9 +22,9 @@
 	"maddermill/wire"
 )
 
-// TestWorkflowHistories: workflows of all kinds run among users' jobs, with random faults, lost and late
-// messages. They end as the sequential interpretation does, no step's task runs twice, a final state stays,
-// and the tasks of a cancelled workflow end in time.
+// TestWorkflowHistories runs all workflow cases alongside users' jobs, with random faults and lost or delayed
+// messages. Each workflow must end with the result of sequential interpretation, no task of a step may run
+// twice, a final state must not change, and the tasks of a cancelled workflow must end in time.
 func TestWorkflowHistories(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= max(3, seedCount()/2); seed++ {
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestPauseAtEachWorkflowStep: a controller's process pauses for 50 s at each write of a workflow's life,
-// before it is sent and before its answer is read. What it sends late violates no rule, and all workflows end
-// as the sequential interpretation does.
+// TestPauseAtEachWorkflowStep pauses a controller's process for 50 s at each kind of write in a workflow's
+// lifecycle, before the request is sent and before its response is read. Delayed requests must violate no rule,
+// and all workflows must end with the result of sequential interpretation.
 func TestPauseAtEachWorkflowStep(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"documents", "workflow", "step", "workflow end", "workflow cancelled", "prune"} {
@@ -47,7 +47,7 @@
 					cluster.noRandomFaults, cluster.pauseAtStep = true, kind+side
 					runWorkflowCases(t, cluster)
 					if !cluster.pausedAtStep {
-						t.Error("got no pause, want one")
+						t.Error("the controller never reached the step at which it pauses")
 					}
 				})
 			})
@@ -55,7 +55,7 @@
 	}
 }
 
-// runWorkflowCases runs all workflows beside ten jobs, and one that is cancelled.
+// runWorkflowCases runs all workflow cases and a cancelled workflow alongside ten jobs, and checks the results.
 func runWorkflowCases(t *testing.T, cluster *testCluster) {
 	t.Helper()
 	cluster.emulateSteps(func(wire.JobID) {})
@@ -64,7 +64,7 @@
 	cluster.onStart = func(ctx context.Context) {
 		for i, tc := range workflowCases {
 			cluster.group.Go(func() {
-				// Never at once: see run.
+				// A zero wait could crash the race detector: see testCluster.run.
 				wait.For(ctx, time.Millisecond+time.Duration(cluster.randomInt(60))*time.Second)
 				id := wire.WorkflowID(fmt.Sprintf("wf-%06d", i))
 				if cluster.runWorkflow(ctx, id, tc.document, tc.inputs, tc.state) {
@@ -91,9 +91,9 @@
 	}
 }
 
-// emulateSteps switches workflows on, has machines know the jobs that controllers submit, and
-// runs steps when their tasks are done. It calls then for each step's job afterwards.
-func (cluster *testCluster) emulateSteps(then func(wire.JobID)) {
+// emulateSteps enables workflows, makes the specs of jobs that controllers submit known to the machines, and
+// executes a step when its task finishes. After each it calls onFinished with the step's job.
+func (cluster *testCluster) emulateSteps(onFinished func(wire.JobID)) {
 	cluster.stepData = new(stepdata.Mem)
 	cluster.store.Seen = func(change wire.Change) {
 		if spec, ok := emulator.Spec(change); ok {
@@ -104,11 +104,11 @@
 		if err := emulator.RunStep(context.Background(), cluster.stepData, task.Job); err != nil {
 			cluster.t.Error(err)
 		}
-		then(task.Job)
+		onFinished(task.Job)
 	}
 }
 
-// workflowSpec returns the description of a workflow of one document.
+// workflowSpec returns the spec of a workflow with a single document.
 func workflowSpec(id wire.WorkflowID, document string, inputs json.RawMessage) *wire.WorkflowSpec {
 	return &wire.WorkflowSpec{
 		ID:       id,
@@ -122,7 +122,7 @@
 	}
 }
 
-// submitWorkflow submits a workflow to any controller, and returns false if the run ends before.
+// submitWorkflow submits a workflow to random controllers until one accepts it. It returns false if ctx ends first.
 func (cluster *testCluster) submitWorkflow(ctx context.Context, spec *wire.WorkflowSpec) bool {
 	submit := func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 		status, _, err := c.Workflows.Submit(ctx, spec)
@@ -132,7 +132,8 @@
 	return ok
 }
 
-// runWorkflow submits a workflow and follows it to its end, and returns false if the run ends before.
+// runWorkflow submits a workflow, polls it until it ends and checks its outputs, also after it is archived and
+// submitted again. It returns false if ctx ends first.
 func (cluster *testCluster) runWorkflow(
 	ctx context.Context,
 	id wire.WorkflowID,
@@ -160,14 +161,14 @@
 		if !ok || got.Status == wire.Running {
 			continue
 		}
-		//nolint:contextcheck // the model runs in the context of the test
+		//nolint:contextcheck // sequential interpretation uses the context of the test
 		cluster.checkOutputs(got, id, document, inputs, want)
-		// Later it is archived, its steps' jobs too; its status is asked for and it is submitted again.
+		// Once the workflow and the jobs of its steps are archived, request its status and submit it again.
 		wait.For(ctx, time.Minute)
 		submitAgain := func(ctx context.Context, c *Controller) (wire.WorkflowStatus, error) {
 			status, created, err := c.Workflows.Submit(ctx, spec)
 			if created {
-				cluster.t.Errorf("seed %d: %s submitted again after its end: got a new workflow", cluster.seed, id)
+				cluster.t.Errorf("seed %d: resubmitting %s after it ended created a new workflow", cluster.seed, id)
 			}
 			return status, err
 		}
@@ -211,8 +212,8 @@
 	}
 }
 
-// checkFinalWorkflow checks that a final workflow is as it ended, and that all runs of its steps are over if it is
-// done.
+// checkFinalWorkflow checks that the status and outputs of an ended workflow have not changed, and that all runs of
+// its steps are finished if it is done.
 func (cluster *testCluster) checkFinalWorkflow(
 	got, before wire.WorkflowStatus,
 	id wire.WorkflowID,
@@ -220,12 +221,13 @@
 ) {
 	cluster.t.Helper()
 	if got.Status != before.Status || !bytes.Equal(got.Outputs, before.Outputs) {
-		cluster.t.Errorf("seed %d: %s after its end: got %s, want it to stay %s", cluster.seed, id, got.Status, before.Status)
+		cluster.t.Errorf("seed %d: %s after it ended: got status %s, want it to remain %s",
+			cluster.seed, id, got.Status, before.Status)
 	}
 	for _, step := range got.Steps {
 		if want == ledger.WorkflowDone && step.Finished != step.Total {
 			cluster.t.Errorf(
-				"seed %d: step %s of %s (%s): got %d runs over, want %d",
+				"seed %d: step %s of %s (%s): got %d runs finished, want %d",
 				cluster.seed,
 				step.Step,
 				id,
@@ -237,8 +239,8 @@
 	}
 }
 
-// runCancelledWorkflow submits a workflow of nine scattered runs and cancels it midway: from then on no task of it
-// may start, and all must end in time.
+// runCancelledWorkflow submits a workflow with nine scattered runs and cancels it while it runs. From then on the
+// emulated world checks that no task of its jobs starts and that all end in time.
 func (cluster *testCluster) runCancelledWorkflow(ctx context.Context, id wire.WorkflowID) {
 	inputs := json.RawMessage(`{"x":["1","2","3","4","5","6","7","8","9"]}`)
 	spec := workflowSpec(id, workflowCases[scatterCaseIndex].document, inputs)
@@ -250,7 +252,7 @@
 	}
 	status, ok := retryUntilAnswered(ctx, cluster, string(id), cancel)
 	if !ok || status.Status != wire.Cancelled {
-		return // it was done before, or the run has ended
+		return // the workflow finished first, or ctx has ended
 	}
 	for i := range 9 {
 		for attempt := range 3 {
@@ -262,14 +264,14 @@
 	}
 }
 
-// recordsOnStore are records that follow a state service, by which transactions are made.
-type recordsOnStore struct {
+// storeLedger is a ledger whose transactions are committed to an emulated state service.
+type storeLedger struct {
 	*ledger.Ledger
 	store *emulator.Store
 }
 
-// request returns the transaction that change makes.
-func (r *recordsOnStore) request(change func(*ledger.Transaction) error) (wire.Txn, error) {
+// buildTransaction returns the request for the transaction that change fills.
+func (r *storeLedger) buildTransaction(change func(*ledger.Transaction) error) (wire.Txn, error) {
 	txn := r.NewTransaction()
 	if err := change(txn); err != nil {
 		return wire.Txn{}, err
@@ -277,8 +279,8 @@
 	return txn.Request()
 }
 
-// carryOut carries out a transaction in the state service and applies its changes to the records.
-func (r *recordsOnStore) carryOut(txn wire.Txn) error {
+// commit executes a transaction in the state service and applies its changes to the ledger.
+func (r *storeLedger) commit(txn wire.Txn) error {
 	revision, err := r.store.Apply(txn)
 	if err != nil {
 		return err
@@ -289,17 +291,17 @@
 	return nil
 }
 
-// mustCommit makes a transaction and carries it out.
-func (r *recordsOnStore) mustCommit(t *testing.T, change func(*ledger.Transaction) error) {
+// mustCommit builds and commits a transaction, and fails the test on error.
+func (r *storeLedger) mustCommit(t *testing.T, change func(*ledger.Transaction) error) {
 	t.Helper()
-	txn, err := r.request(change)
-	if err = errors.Join(err, r.carryOut(txn)); err != nil {
+	txn, err := r.buildTransaction(change)
+	if err = errors.Join(err, r.commit(txn)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// submitStep returns the change that submits the nth step of a workflow.
-func (r *recordsOnStore) submitStep(id wire.WorkflowID, n int) func(*ledger.Transaction) error {
+// submitStep returns a change that submits step n of a workflow.
+func (r *storeLedger) submitStep(id wire.WorkflowID, n int) func(*ledger.Transaction) error {
 	return func(txn *ledger.Transaction) error {
 		spec := &wire.JobSpec{
 			ID:       workflow.StepJobID(id, fmt.Sprint("s", n), 0),
@@ -313,13 +315,13 @@
 	}
 }
 
-// TestLateStepAfterWorkflowCancellation: the transaction that submits a step is not carried out any more once its
-// workflow's cancellation is, however late it arrives, and none is made after it. Random histories alone
-// don't show that this guard is missing, since the runner prunes the steps that it knows of.
+// TestLateStepAfterWorkflowCancellation checks that a delayed transaction that submits a step fails once the
+// cancellation of its workflow is committed, and that no new one can be built. Random histories don't detect
+// the absence of this precondition, since the runner prunes the steps that it knows of.
 func TestLateStepAfterWorkflowCancellation(t *testing.T) {
 	t.Parallel()
 	set := newTestSettings(t, 0)
-	r := &recordsOnStore{
+	r := &storeLedger{
 		Ledger: newTestController(t).cache.Records(),
 		store:  emulator.NewStore(set.StateLimits().TxnOps, set.StateLimits().ValueBytes),
 	}
@@ -328,7 +330,7 @@
 		return txn.SubmitWorkflow(spec.ID, ledger.WorkflowRecord{Spec: spec, Hash: "h", Pieces: 1, Accepted: 1})
 	})
 	r.mustCommit(t, r.submitStep(spec.ID, 0))
-	late, err := r.request(r.submitStep(spec.ID, 1))
+	late, err := r.buildTransaction(r.submitStep(spec.ID, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -340,21 +342,22 @@
 	if job.State != ledger.Active || job.Pending() > 0 {
 		t.Errorf("step of a cancelled workflow: got state %v, %d tasks pending; want active, 0", job.State, job.Pending())
 	}
-	if err := r.carryOut(late); err == nil {
-		t.Error("step carried out after its workflow's cancellation: got no error, want one")
+	if err := r.commit(late); err == nil {
+		t.Error("commit of a step after its workflow's cancellation: got no error, want one")
 	}
-	if _, err := r.request(r.submitStep(spec.ID, 2)); !errors.Is(err, ledger.ErrPreconditionFailed) {
-		t.Errorf("step made after its workflow's cancellation: got error %v, want %v", err, ledger.ErrPreconditionFailed)
+	if _, err := r.buildTransaction(r.submitStep(spec.ID, 2)); !errors.Is(err, ledger.ErrPreconditionFailed) {
+		t.Errorf("new step after its workflow's cancellation: got error %v, want %v", err, ledger.ErrPreconditionFailed)
 	}
-	// A final state stays: no change makes a cancelled workflow active, done or failed.
+	// The final state is immutable: a cancelled workflow can't become active, done or failed.
 	for _, to := range []ledger.WorkflowState{ledger.WorkflowActive, ledger.WorkflowDone, ledger.WorkflowFailed} {
 		txn := r.NewTransaction()
 		got, err := txn.SetWorkflowState(r.Workflow(spec.ID), to, "")
 		if got != ledger.WorkflowCancelled || err != nil {
-			t.Errorf("cancelled workflow to %q: got %q, error %v; want %q, none", to, got, err, ledger.WorkflowCancelled)
+			t.Errorf("cancelled workflow moved to %q: got state %q, error %v; want %q, no error",
+				to, got, err, ledger.WorkflowCancelled)
 		}
 		if request, _ := txn.Request(); len(request.Then) > 0 {
-			t.Errorf("cancelled workflow to %q: got changes %v, want none", to, request.Then)
+			t.Errorf("cancelled workflow moved to %q: got changes %v, want none", to, request.Then)
 		}
 	}
 }
