--- a/internal/controller/policy_modules_test.go
+++ b/internal/controller/policy_modules_test.go
@@ -24,28 +24,28 @@
 	"maddermill/wire"
 )
 
-// patientBounds give modules enough time on a clock that only advances when nothing runs.
-var patientBounds = plugin.Bounds{Memory: 16 << 20, Call: time.Hour, Start: time.Hour}
+// relaxedBounds keeps modules from timing out on the fake clock, which advances only while all goroutines are blocked.
+var relaxedBounds = plugin.Bounds{Memory: 16 << 20, Call: time.Hour, Start: time.Hour}
 
-// maxStarvation is how long a module may leave a job waiting in these tests.
+// maxStarvation is the time for which a module may leave a job waiting in these tests.
 const maxStarvation = 10 * time.Minute
 
-// catalog returns the catalog of modules as an operator's tool sees it.
+// catalog returns a catalog of modules like that of the operators' command-line tool.
 func (cluster *testCluster) catalog() *plugin.Catalog {
 	return &plugin.Catalog{Records: cluster.links[0], Limits: Limits(newTestSettings(cluster.t, 0)), Now: time.Now}
 }
 
-// policyReloads counts changes of the policy and passes over the queue.
+// policyReloads changes the policy repeatedly and counts the changes and the scheduling passes meanwhile.
 type policyReloads struct {
-	used, givenUp int
+	completed, abandoned int
 
 	mu         sync.Mutex // guards the fields below
 	lastPass   time.Time
-	longestGap time.Duration // between two passes over jobs
+	longestGap time.Duration // between two passes with jobs
 	passes     int
 }
 
-// recordPass counts a pass over the queue.
+// recordPass records a scheduling pass, unless its queue is empty.
 func (r *policyReloads) recordPass(p *policy.Pass) {
 	if len(p.Jobs) == 0 {
 		return
@@ -58,8 +58,8 @@
 	r.lastPass = time.Now()
 }
 
-// change changes the policy fifty times: six modules of different kinds, then the built-in policy, and so on.
-func (r *policyReloads) change(ctx context.Context, catalog *plugin.Catalog) {
+// changeRepeatedly changes the policy fifty times, cycling through six kinds of modules and the built-in policy.
+func (r *policyReloads) changeRepeatedly(ctx context.Context, catalog *plugin.Catalog) {
 	kinds := []plugintest.Kind{
 		plugintest.Identity,
 		plugintest.Trap,
@@ -80,23 +80,23 @@
 			err = catalog.Use(ctx, hash)
 		}
 		if err != nil {
-			continue // an answer was lost, the service is down, or another change is not over
+			continue // the response was lost, the service is down, or another change is in progress
 		}
 		record, err := catalog.Wait(ctx)
 		switch {
 		case err != nil:
 			continue
 		case record.Current == hash:
-			r.used++
+			r.completed++
 		default:
-			r.givenUp++
+			r.abandoned++
 		}
 		n++
 	}
 }
 
-// crashesAndOutages has controllers crash and the state service fail in turn.
-func (cluster *testCluster) crashesAndOutages(ctx context.Context) {
+// injectCrashesAndOutages alternates between restarts of a controller and outages of the state service.
+func (cluster *testCluster) injectCrashesAndOutages(ctx context.Context) {
 	for i := range 12 {
 		wait.For(ctx, 50*time.Second)
 		switch i % 4 {
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestPolicyReloadsUnderFaults changes the policy fifty times under load, to good modules, ones that trap, answer
-// garbage or take all memory, and back, while controllers crash and the state service fails: no job
-// is lost, none runs twice, and changes go on.
+// TestPolicyReloadsUnderFaults changes the policy fifty times under load while controllers crash and the state
+// service fails. The policies are valid modules, modules that trap, return invalid answers or exhaust their memory,
+// and the built-in policy. No job may be lost or run twice, and policy changes must keep completing.
 func TestPolicyReloadsUnderFaults(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -122,36 +122,36 @@
 		cluster.noRandomFaults = true
 		var reloads policyReloads
 		cluster.configure = func(c *Controller) {
-			c.SetPlugins(nil, patientBounds, maxStarvation, policymanager.Initial{})
+			c.SetPlugins(nil, relaxedBounds, maxStarvation, policymanager.Initial{})
 			c.RecordPasses(reloads.recordPass)
 		}
 		done := make(chan struct{})
 		cluster.onStart = func(ctx context.Context) {
 			cluster.group.Go(func() {
 				defer close(done)
-				reloads.change(ctx, cluster.catalog())
+				reloads.changeRepeatedly(ctx, cluster.catalog())
 			})
-			cluster.group.Go(func() { cluster.crashesAndOutages(ctx) })
+			cluster.group.Go(func() { cluster.injectCrashesAndOutages(ctx) })
 		}
 		finished := cluster.run(22*time.Minute, 120, 0.02)
 		select {
 		case <-done:
 		default:
-			t.Error("got fewer than 50 changes of the policy, want 50")
+			t.Error("got fewer than 50 policy changes, want 50")
 		}
 		cluster.reportViolations()
-		if finished < 105 || reloads.used < 40 { // some jobs always run at the end
+		if finished < 105 || reloads.completed < 40 { // some jobs are still running at the end
 			t.Errorf(
-				"got %d of 120 jobs finished, %d changes completed and %d given up; want >= 105, >= 40",
+				"got %d of 120 jobs finished, %d policy changes completed, %d abandoned; want >= 105 jobs, >= 40 changes",
 				finished,
-				reloads.used,
-				reloads.givenUp,
+				reloads.completed,
+				reloads.abandoned,
 			)
 		}
 		t.Logf(
-			"%d changes completed, %d given up; %d jobs finished; %d passes over jobs, at most %v between two",
-			reloads.used,
-			reloads.givenUp,
+			"%d policy changes completed, %d abandoned; %d jobs finished; %d scheduling passes with jobs, longest gap %v",
+			reloads.completed,
+			reloads.abandoned,
 			finished,
 			reloads.passes,
 			reloads.longestGap,
@@ -159,7 +159,7 @@
 	})
 }
 
-// policyOperator changes the policy of a cluster as operators do.
+// policyOperator manages policy modules through the catalog, as operators do.
 type policyOperator struct {
 	t       *testing.T
 	ctx     context.Context
@@ -167,7 +167,7 @@
 	catalog *plugin.Catalog
 }
 
-// load loads a module and returns its hash.
+// load adds a module to the catalog and returns its hash.
 func (o *policyOperator) load(kind plugintest.Kind, name string) wire.ModuleHash {
 	o.t.Helper()
 	hash, err := o.catalog.Load(o.ctx, plugintest.Module(kind, name), name, nil)
@@ -177,7 +177,7 @@
 	return hash
 }
 
-// use asks for a module and returns the policy's record when that is over.
+// use requests a change to a module and returns the policy record once the change is completed or abandoned.
 func (o *policyOperator) use(hash wire.ModuleHash) ledger.PolicyRecord {
 	o.t.Helper()
 	if err := o.catalog.Use(o.ctx, hash); err != nil {
@@ -190,17 +190,17 @@
 	return record
 }
 
-// mustUse asks for a module and checks that it is used.
+// mustUse requests a change to a module and checks that it completes.
 func (o *policyOperator) mustUse(what string, hash wire.ModuleHash) ledger.PolicyRecord {
 	o.t.Helper()
 	record := o.use(hash)
 	if record.Current != hash {
-		o.t.Errorf("%s: got policy %+v, want it to use %q", what, record, hash)
+		o.t.Errorf("%s: got policy %+v, want module %q in use", what, record, hash)
 	}
 	return record
 }
 
-// mustRemove removes a module.
+// mustRemove removes a module from the catalog.
 func (o *policyOperator) mustRemove(what string, hash wire.ModuleHash) {
 	o.t.Helper()
 	if err := o.catalog.Remove(o.ctx, hash); err != nil {
@@ -208,16 +208,17 @@
 	}
 }
 
-// TestPolicySwapNeedsAllControllers: a module is not used as long as a controller can't have it, and the reason is
-// on record. No module is removed that is needed, and the one before can be used again.
+// TestPolicySwapNeedsAllControllers checks that a change to a module is abandoned while any controller can't load
+// it, and that the reason is recorded. The module in use can't be removed, and a rollback to the previous module
+// works until that is removed.
 func TestPolicySwapNeedsAllControllers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newQuietCluster(t, 3)
-		withoutPlugins := wire.MemberID("m-2")
+		memberWithoutPlugins := wire.MemberID("m-2")
 		cluster.configure = func(c *Controller) {
-			if c.set.Member != withoutPlugins {
-				c.SetPlugins(nil, patientBounds, maxStarvation, policymanager.Initial{})
+			if c.set.Member != memberWithoutPlugins {
+				c.SetPlugins(nil, relaxedBounds, maxStarvation, policymanager.Initial{})
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -226,27 +227,27 @@
 		o := &policyOperator{t, ctx, cluster, cluster.catalog()}
 		one, two := o.load(plugintest.Identity, "one"), o.load(plugintest.Identity, "two")
 		if r := o.use(one); r.Current != "" || r.Reason == "" {
-			t.Errorf("a controller has plug-ins switched off: got policy %+v, want none and a reason", r)
+			t.Errorf("plug-ins disabled on m-2: got policy %+v, want the built-in policy and a reason", r)
 		}
 		cluster.crash(2)
 		wait.For(ctx, 5*time.Second)
 		if r := o.use(one); r.Current != "" || r.Reason != "m-2 was not heard" {
-			t.Errorf(`a controller is down: got policy %+v, want none, "m-2 was not heard"`, r)
+			t.Errorf(`m-2 is down: got policy %+v, want the built-in policy, reason "m-2 was not heard"`, r)
 		}
-		withoutPlugins = ""
+		memberWithoutPlugins = ""
 		cluster.startController(ctx, 2)
 		wait.For(ctx, 5*time.Second)
-		o.mustUse("all controllers have it", one)
+		o.mustUse("all controllers up with plug-ins enabled", one)
 		if r := o.mustUse("second module", two); r.Previous != one {
 			t.Errorf("second module: got previous %q, want %q", r.Previous, one)
 		}
 		o.checkRollbackAndRemoval(one, two)
-		o.checkRefuser()
+		o.checkSubmissionRejection()
 		o.checkSignatures()
-		// The previous module may be removed, too; then there is none to roll back to.
+		// The previous module can be removed as well. Afterwards a rollback fails.
 		o.mustRemove("the previous module", one)
 		if r, err := o.catalog.Wait(ctx); err != nil || r.Previous != "" {
-			t.Errorf("previous module removed: got policy %+v, error %v; want no previous one", r, err)
+			t.Errorf("previous module removed: got policy %+v, error %v; want no previous module", r, err)
 		}
 		if err := o.catalog.Rollback(ctx); !errors.Is(err, ledger.ErrNoPreviousPolicy) {
 			t.Errorf("rollback to a removed module: got error %v, want %v", err, ledger.ErrNoPreviousPolicy)
@@ -265,7 +266,7 @@
 		o.t.Fatal(err)
 	}
 	if r, err := o.catalog.Wait(o.ctx); err != nil || r.Current != one {
-		o.t.Errorf("rollback: got policy %+v, error %v; want it to use %q", r, err, one)
+		o.t.Errorf("rollback: got policy %+v, error %v; want module %q in use", r, err, one)
 	}
 	o.mustUse("the built-in policy", "")
 	if r, _ := o.catalog.Wait(o.ctx); r.Previous != one {
@@ -273,31 +274,32 @@
 	}
 	o.mustRemove("the second module", two)
 	if all, _, err := o.catalog.List(o.ctx); err != nil || len(all) != 1 || all[0].Hash != one || all[0].Name != "one" {
-		o.t.Errorf("list: got %+v, error %v; want the first module", all, err)
+		o.t.Errorf("list: got %+v, error %v; want only the first module", all, err)
 	}
 	if _, err := o.catalog.Find(o.ctx, string(two)); !errors.Is(err, plugin.ErrUnknownModule) {
 		o.t.Errorf("find a removed module: got error %v, want %v", err, plugin.ErrUnknownModule)
 	}
 }
 
-// checkRefuser uses a module that refuses new jobs: it refuses none that was accepted before.
-func (o *policyOperator) checkRefuser() {
+// checkSubmissionRejection checks that a module that rejects submissions does so for new jobs only: a job accepted
+// before may be submitted again.
+func (o *policyOperator) checkSubmissionRejection() {
 	o.t.Helper()
 	cluster := o.cluster
 	accepted := cluster.randomSpec(1)
 	if _, created, err := cluster.controller(0).Jobs.Submit(o.ctx, accepted); err != nil || !created {
 		o.t.Fatalf("submit: got created %v, error %v; want true, nil", created, err)
 	}
-	refuser, err := o.catalog.Load(o.ctx, plugintest.Module(plugintest.Refuser, ""), "refuser", nil)
+	rejecting, err := o.catalog.Load(o.ctx, plugintest.Module(plugintest.Refuser, ""), "refuser", nil)
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	o.mustUse("refuser", refuser)
+	o.mustUse("rejecting module", rejecting)
 	wait.For(o.ctx, 3*time.Second)
 	for i := range 3 {
 		jobs := cluster.controller(i).Jobs
 		if status, created, err := jobs.Submit(o.ctx, accepted); err != nil || created {
-			o.t.Errorf("submit a job accepted before: got %+v, created %v, error %v; want false, nil", status, created, err)
+			o.t.Errorf("resubmit an accepted job: got %+v, created %v, error %v; want false, nil", status, created, err)
 		}
 		if _, _, err := jobs.Submit(o.ctx, cluster.randomSpec(100+i)); !errors.Is(err, server.ErrUnschedulable) {
 			o.t.Errorf("submit a new job: got error %v, want %v", err, server.ErrUnschedulable)
@@ -309,11 +311,11 @@
 	if err != nil || !created {
 		o.t.Errorf("submit with the built-in policy: got created %v, error %v; want true, nil", created, err)
 	}
-	o.mustRemove("refuser", refuser)
+	o.mustRemove("rejecting module", rejecting)
 }
 
-// checkSignatures gives the controllers operators' keys: an unsigned module is not used, and a signed one
-// is.
+// checkSignatures gives the controllers the public key of an operator and checks that they use a signed module but
+// no unsigned one.
 func (o *policyOperator) checkSignatures() {
 	o.t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.NewChaCha8([32]byte{1}))
@@ -322,11 +324,11 @@
 	}
 	for i := range 3 {
 		c := o.cluster.controller(i)
-		c.SetPlugins([]ed25519.PublicKey{public}, patientBounds, maxStarvation, policymanager.Initial{})
+		c.SetPlugins([]ed25519.PublicKey{public}, relaxedBounds, maxStarvation, policymanager.Initial{})
 	}
 	wait.For(o.ctx, 5*time.Second)
 	if r := o.use(o.load(plugintest.Identity, "unsigned")); r.Current != "" || !strings.Contains(r.Reason, "not signed") {
-		o.t.Errorf(`unsigned module: got policy %+v, want none, "not signed"`, r)
+		o.t.Errorf(`unsigned module: got policy %+v, want the built-in policy, reason "not signed"`, r)
 	}
 	code := plugintest.Module(plugintest.Identity, "signed")
 	signed, err := o.catalog.Load(o.ctx, code, "signed", plugin.Sign(private, plugin.HashOf(code)))
@@ -338,7 +340,7 @@
 	o.mustRemove("signed module", signed)
 }
 
-// waitForLeader waits until a controller leads, and returns it.
+// waitForLeader waits until a controller is the leader and returns its index.
 func (cluster *testCluster) waitForLeader(ctx context.Context) int {
 	for {
 		for i := range cluster.size {
@@ -350,18 +352,18 @@
 	}
 }
 
-// TestInitialPolicyModule: the module that the settings name is loaded and used where no policy was ever
-// chosen, also when the leader crashes half way. What operators choose later stays, whichever controller
-// starts.
+// TestInitialPolicyModule checks that the module given in the settings is loaded and used if no policy was ever
+// chosen, even if the leader crashes while it loads the module. A later choice by operators survives restarts of
+// the controllers.
 func TestInitialPolicyModule(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newQuietCluster(t, 5)
-		incompressible := make([]byte, 300<<10) // some hundred pieces
+		incompressible := make([]byte, 300<<10) // about a hundred pieces
 		_, _ = rand.NewChaCha8([32]byte{7}).Read(incompressible)
 		code := plugintest.Module(plugintest.Identity, string(incompressible))
 		cluster.configure = func(c *Controller) {
-			c.SetPlugins(nil, patientBounds, maxStarvation, policymanager.Initial{Name: "first", Code: code})
+			c.SetPlugins(nil, relaxedBounds, maxStarvation, policymanager.Initial{Name: "first", Code: code})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cluster.start(ctx, 2, 0)
@@ -374,17 +376,17 @@
 		leader := cluster.waitForLeader(ctx)
 		cluster.crash(leader)
 		if _, err := cluster.links[0].Get(ctx, ledger.PolicyKey); !errors.Is(err, kvstore.ErrNotFound) {
-			t.Errorf("policy when the leader crashes: got error %v, want %v", err, kvstore.ErrNotFound)
+			t.Errorf("policy record when the leader crashes during loading: got error %v, want %v", err, kvstore.ErrNotFound)
 		}
-		// One controller is down for so long that the change is given up; it is begun again.
+		// One controller is down for so long that the change is abandoned. It is attempted again later.
 		wait.For(ctx, 100*time.Second)
 		if r, err := catalog.Wait(ctx); err != nil || r.Current != "" || r.Reason == "" {
-			t.Errorf("while a controller is down: got policy %+v, error %v; want none and a reason", r, err)
+			t.Errorf("one controller down: got policy %+v, error %v; want the built-in policy and a reason", r, err)
 		}
 		cluster.startController(ctx, leader)
 		wait.For(ctx, 6*time.Minute)
 		if r, err := catalog.Wait(ctx); err != nil || r.Current != plugin.HashOf(code) {
-			t.Errorf("after all are up: got policy %+v, error %v; want the initial module", r, err)
+			t.Errorf("all controllers up: got policy %+v, error %v; want the initial module", r, err)
 		}
 		if err := catalog.Use(ctx, ""); err != nil {
 			t.Fatal(err)
@@ -395,7 +397,7 @@
 		}
 		wait.For(ctx, time.Minute)
 		if r, err := catalog.Wait(ctx); err != nil || r.Current != "" {
-			t.Errorf("after operators chose the built-in policy: got policy %+v, error %v; want it to stay", r, err)
+			t.Errorf("built-in policy chosen, then restarts: got policy %+v, error %v; want the built-in policy", r, err)
 		}
 		cluster.shutDown(cancel)
 		cluster.reportBrokenRules()
--- a/internal/controller/steps_test.go
+++ b/internal/controller/steps_test.go
@@ -10,17 +10,17 @@
 	"maddermill/wire"
 )
 
-// Steps of a controller's work are named "<kind> sent" when a request leaves and "<kind> answered"
-// when it has been carried out and its answer is about to be read. The kinds of requests to the
-// cloud are "scale-out" and "scale-in"; those of transactions are listed by changeKinds.
+// Steps of a controller's work are named "<kind> sent" before a request is sent and "<kind> answered"
+// after it was executed and before its response is read. The kinds of requests to the cloud are
+// "scale-out" and "scale-in"; the kinds of transactions are listed in changeKinds.
 
-// changeKinds are the kinds of changes. The first that matches names a change; of a transaction the
-// last change that has a name counts.
+// changeKinds classifies changes in the state service. The first match gives the kind of a change, and the
+// last change with a kind gives that of its transaction.
 var changeKinds = []struct {
 	name     string
-	key      string // prefix of the key that is put
-	contains string // in the value
-	lacks    string // in the value
+	key      string // prefix of the written key
+	contains string // substring of the value
+	excludes string // substring that the value must not contain, if not empty
 }{
 	{name: "archive", key: ledger.ArchivePrefix},
 	{name: "machines pruned", key: ledger.Prefix + "g/"},
@@ -35,15 +35,15 @@
 	{name: "workflow cancelled", key: ledger.Prefix + "w/", contains: `"state":"cancelled"`},
 	{name: "workflow end", key: ledger.Prefix + "w/", contains: `"state":`},
 	{name: "workflow", key: ledger.Prefix + "w/"},
-	{name: "gallery binding", key: ledger.Prefix + "j/", contains: `"g":`, lacks: `"a":`},
-	{name: "step", key: ledger.Prefix + "j/", contains: `"of":`, lacks: `"a":`},
+	{name: "gallery binding", key: ledger.Prefix + "j/", contains: `"g":`, excludes: `"a":`},
+	{name: "step", key: ledger.Prefix + "j/", contains: `"of":`, excludes: `"a":`},
 	{name: "scale-out record", key: ledger.ScaleOutKey},
 	{name: "machine phase", key: ledger.Prefix + "m/"},
 	{name: "start", key: ledger.Prefix + "j/", contains: `"c":`},
 	{name: "exit", key: ledger.Prefix + "j/", contains: `"state":"done"`},
 }
 
-// transactionStep returns the step at which a transaction is.
+// transactionStep returns the step that a transaction has reached; applied is set once it was executed.
 func transactionStep(t wire.Txn, applied bool) string {
 	kind := ""
 	for _, change := range t.Then {
@@ -57,19 +57,19 @@
 	return kind + " sent"
 }
 
-// changeKind returns the kind of a change; "": none of changeKinds.
+// changeKind returns the kind of a change, or "" if no entry of changeKinds matches.
 func changeKind(change wire.Change) string {
 	value := string(change.Value)
 	for _, k := range changeKinds {
 		if strings.HasPrefix(change.Put, k.key) && strings.Contains(value, k.contains) &&
-			(k.lacks == "" || !strings.Contains(value, k.lacks)) {
+			(k.excludes == "" || !strings.Contains(value, k.excludes)) {
 			return k.name
 		}
 	}
 	return ""
 }
 
-// reachStep calls the test's hook and pauses the controller if that is wanted at this step.
+// reachStep calls onStep, and pauses controller i for 50 s if it is the first to reach pauseAtStep.
 func (cluster *testCluster) reachStep(i int, step string) {
 	if cluster.onStep != nil {
 		cluster.onStep(i, step)
@@ -85,14 +85,15 @@
 	}
 }
 
-// pausableCloud is the cloud as a controller sees it whose process may be paused.
+// pausableCloud is a controller's client of the cloud. While the controller's process is paused, it holds back requests
+// and responses.
 type pausableCloud struct {
 	*emulator.Cloud
 	link *emulator.Link
 	step func(string)
 }
 
-// ScaleOut rents machines, once more 7 s later if the link duplicates messages.
+// ScaleOut requests machines, and repeats the request 7 s later if the link duplicates messages.
 func (c pausableCloud) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	c.step("scale-out sent")
 	if c.link.Copies {
@@ -105,7 +106,7 @@
 	return c.Cloud.ScaleOut(ctx, r)
 }
 
-// ScaleIn returns machines, once more 7 s later if the link duplicates messages.
+// ScaleIn releases machines, and repeats the request 7 s later if the link duplicates messages.
 func (c pausableCloud) ScaleIn(ctx context.Context, names []wire.MachineID) error {
 	c.step("scale-in sent")
 	if c.link.Copies {
