--- a/internal/controller/archive_fixtures_test.go
+++ b/internal/controller/archive_fixtures_test.go
@@ -16,8 +16,8 @@
 	"maddermill/wire"
 )
 
-// archivedRecords returns what the records have of so many archived jobs and terminated machines: the
-// format, the pages of the filter and the sets of machines.
+// archivedRecords returns the records that the given number of archived jobs and terminated machines
+// leave behind: the format, the pages of the filter of archived names and the sets of terminated machines.
 func archivedRecords(tb testing.TB, archived int, valueBytes int) (items []wire.Item) {
 	tb.Helper()
 	put := func(key string, v any) {
@@ -36,7 +36,7 @@
 	return items
 }
 
-// putFilter puts the pages of the filter of so many archived jobs.
+// putFilter puts the pages of the filter that contains the given number of archived jobs.
 func putFilter(put func(key string, v any), archived, valueBytes int) {
 	ids := make([]string, archived)
 	for i := range ids {
@@ -44,7 +44,7 @@
 	}
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(archive.Position(a), archive.Position(b)) })
 	pages := []*archive.Page{archive.EmptyPage()}
-	for len(pages) > 0 { // the first page gets all jobs that it covers, and is split
+	for len(pages) > 0 { // add the jobs that the first page covers, which may split it
 		page := pages[0]
 		n := 0
 		for n < min(len(ids), valueBytes/3) && page.Covers(ids[n]) {
@@ -60,7 +60,8 @@
 	}
 }
 
-// putTerminatedMachines puts the sets of so many machines, of which some of the newer ones still run.
+// putTerminatedMachines puts the sets of terminated machines of a series of the given length. Some of the
+// newer half are still running and therefore missing from the sets.
 func putTerminatedMachines(put func(key string, v any), machines int) {
 	terminated := archive.NewTerminatedMachines()
 	for from := 0; from < machines; from += archive.PartSize {
@@ -82,13 +83,14 @@
 	put(ledger.Prefix+"g/"+id.Series.String(), terminated.Head(id.Series))
 }
 
-// activeRecordFormat is the record of a job; its last verb is for the fields of its state.
+// activeRecordFormat is the format string of a job record. Its verbs take the job ID, the time of acceptance and
+// the fields of the job's state.
 const activeRecordFormat = `{"spec":{"id":"%s","workclass":"c","owner":"free","shape":"array","urgency":"normal",` +
 	`"pieces":2,"cores":1,"accelerators":1,"ram_gb":8,"bundle":"img-1","pull_gb":4,"loaners":true,"expect_s":60},` +
 	`"at":%d%s}`
 
-// activeRecords returns records of so many active jobs, and of so many finished ones that are not
-// archived.
+// activeRecords returns the records of the given numbers of active jobs and of finished jobs that are not
+// archived yet.
 func activeRecords(active, finished int) (items []wire.Item) {
 	for i := range active + finished {
 		id := fmt.Sprintf("wk-9%08d", i)
@@ -105,15 +107,15 @@
 	return items
 }
 
-// staticStore is a state service with fixed items that counts requests.
+// staticStore is a state service with fixed items. It counts the requests that it serves.
 type staticStore struct {
 	kvstore.Store
-	items       []wire.Item // by key
+	items       []wire.Item // sorted by key
 	lists, gets int
-	bytes       int // of values listed
+	bytes       int // total size of the listed values
 }
 
-// newStaticStore returns a state service with items.
+// newStaticStore returns a state service that holds items, which it sorts by key.
 func newStaticStore(items []wire.Item) *staticStore {
 	slices.SortFunc(items, func(a, b wire.Item) int { return strings.Compare(a.Key, b.Key) })
 	return &staticStore{items: items}
@@ -122,7 +124,7 @@
 // Revision implements kvstore.Store.
 func (s *staticStore) Revision(context.Context) (wire.Revision, error) { return 1, nil }
 
-// search returns the position of a key, or of the next one.
+// search returns the position of a key, or where it would be inserted.
 func (s *staticStore) search(key string) (at int, found bool) {
 	return slices.BinarySearchFunc(s.items, key, func(item wire.Item, key string) int {
 		return strings.Compare(item.Key, key)
@@ -139,7 +141,8 @@
 	return s.items[at], nil
 }
 
-// List implements kvstore.Store. As PROTOCOL says, a page has at most 1,000 items and 512 KiB.
+// List implements kvstore.Store. A page has at most limit items and, as the protocol specifies, 512 KiB; the
+// protocol's limit of 1,000 items is left to the caller.
 func (s *staticStore) List(_ context.Context, prefix, after string, limit int) (wire.ItemPage, error) {
 	s.lists++
 	at, found := s.search(max(prefix, after))
@@ -159,7 +162,7 @@
 	return page, nil
 }
 
-// slowStaticStore takes 300 ms for each page of at most 50 items.
+// slowStaticStore is a staticStore that takes 300 ms to list a page and returns at most 50 items per page.
 type slowStaticStore struct{ *staticStore }
 
 // List implements kvstore.Store.
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -22,22 +22,22 @@
 	"maddermill/wire"
 )
 
-// BenchmarkReload loads all records as a controller does at its start: 2,000 active jobs, 1,000 finished
-// ones, and what the records have of so many archived jobs and terminated machines.
-// "old" has that many finished jobs among the records instead, as before the archive.
+// BenchmarkReload measures loading all records, as a controller does at startup: 2,000 active jobs, 1,000
+// finished ones, and the records of a varying number of archived jobs and terminated machines.
+// The case "old" keeps 101,000 finished jobs in the records instead, as before the archive was introduced.
 func BenchmarkReload(b *testing.B) {
 	for _, valueKB := range []int{4, 32} {
 		for _, archived := range []int{0, 100_000, 1_000_000} {
 			b.Run(fmt.Sprintf("%dKiB/%d", valueKB, archived), func(b *testing.B) {
-				reload(b, append(archivedRecords(b, archived, valueKB<<10), activeRecords(2000, 1000)...))
+				benchmarkReload(b, append(archivedRecords(b, archived, valueKB<<10), activeRecords(2000, 1000)...))
 			})
 		}
 	}
-	b.Run("old/100000", func(b *testing.B) { reload(b, activeRecords(2000, 101_000)) })
+	b.Run("old/100000", func(b *testing.B) { benchmarkReload(b, activeRecords(2000, 101_000)) })
 }
 
-// reload loads records again and again, and reports the cost of one time.
-func reload(b *testing.B, items []wire.Item) {
+// benchmarkReload loads the records repeatedly and reports the cost of one load.
+func benchmarkReload(b *testing.B, items []wire.Item) {
 	b.Helper()
 	store := newStaticStore(items)
 	c := newTestControllerOn(b, store)
@@ -57,7 +57,8 @@
 	runtime.KeepAlive(c)
 }
 
-// pollUntilAnswered asks for a job's status until the controller is in sync, at most 50 times.
+// pollUntilAnswered polls a job's status, at most 50 times, until the controller no longer answers that the
+// state service is unreachable.
 func pollUntilAnswered(t *testing.T, c *Controller, id wire.JobID) (status wire.JobStatus, err error) {
 	t.Helper()
 	for range 50 {
@@ -69,18 +70,18 @@
 	return status, err
 }
 
-// pollArchived polls an archived job, which was cancelled when three of its tasks were done.
+// pollArchived polls an archived job and checks its final state: cancelled, with three tasks done.
 func pollArchived(t *testing.T, c *Controller, id wire.JobID) {
 	t.Helper()
 	status, err := pollUntilAnswered(t, c, id)
 	if err != nil || status.Status != wire.Cancelled || *status.Done != 3 {
-		t.Fatalf("archived job %s: got %+v, error %v; want it cancelled with 3 tasks done", id, status, err)
+		t.Fatalf("archived job %s: got %+v, error %v; want cancelled with 3 tasks done", id, status, err)
 	}
 }
 
-// TestArchiveReads counts the reads that polls cost: one for an archived job, however many users
-// poll it and however often; hardly ever any for an unknown one. No answer is given before the records
-// are in sync.
+// TestArchiveReads counts the reads of the state service that polls cause: one per archived job, regardless
+// of the number of users and polls, and almost none for unknown jobs, which the filter rules out. No poll is
+// answered before the records are in sync.
 func TestArchiveReads(t *testing.T) {
 	t.Parallel()
 	const archived = 60_000
@@ -105,10 +106,10 @@
 		for i := range 900 { // 300 jobs, three times each
 			pollArchived(t, c, wire.JobID(fmt.Sprintf("wk-%08d", i/3)))
 		}
-		// Besides the read of each job there is one of each page of the filter.
+		// Each job is read once, and each page of the filter is listed once.
 		if pages := c.cache.Records().CountFilterPages(); store.gets != 300 || store.lists-loadReads != pages || pages > 300 {
 			t.Errorf(
-				"polls of 300 archived jobs, three each: got %d reads, and %d for %d pages; want 300, and one for each of <= 300",
+				"polls of 300 archived jobs, three each: got %d reads, and %d for %d pages; want 300, and one per page of <= 300",
 				store.gets,
 				store.lists-loadReads,
 				pages,
@@ -125,17 +126,17 @@
 			t.Errorf("reads for 3000 unknown jobs: got %d, want <= 10", store.gets)
 		}
 		if pages := c.cache.Records().CountFilterPages(); store.lists-loadReads > pages+3 {
-			t.Errorf("reads of %d pages of the filter: got %d, want <= %d", pages, store.lists-loadReads, pages+3)
+			t.Errorf("reads of the %d filter pages: got %d, want <= %d", pages, store.lists-loadReads, pages+3)
 		}
-		t.Logf("%d reads for 3000 unknown jobs beside %d archived ones", store.gets, archived)
+		t.Logf("%d reads for 3000 unknown jobs, with %d archived jobs", store.gets, archived)
 		if status, err := pollUntilAnswered(t, c, "wk-900000055"); err != nil || status.Status != wire.Done {
-			t.Errorf("finished job among the records: got %+v, error %v; want it done", status, err)
+			t.Errorf("finished job that is not archived: got %+v, error %v; want done", status, err)
 		}
 	})
 }
 
-// TestHeartbeatsDuringReload: the watch fell behind, and all records are loaded again, which takes
-// a while. Workers are answered by the records from before until that is done.
+// TestHeartbeatsDuringReload checks that heartbeats are answered from the previous records while all records
+// are reloaded, which happens when the watch falls behind and takes several seconds here.
 func TestHeartbeatsDuringReload(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -148,11 +149,11 @@
 		reloaded := make(chan error, 1)
 		go func() { _, err := c.cache.Load(t.Context()); reloaded <- err }()
 		answered := 0
-		var tasks []wire.TaskStatus // that it was told to start; a worker that starts none counts as unreachable
+		var tasks []wire.TaskStatus // the tasks started so far; a worker that starts none counts as unreachable
 		for n := 1; ; n++ {
 			time.Sleep(500 * time.Millisecond)
 			c.cache.Lock()
-			watchcache.SetStateForTest(t, c.cache, c.cache.Token(), time.Now()) // safety allows a few seconds without a sync
+			watchcache.SetStateForTest(t, c.cache, c.cache.Token(), time.Now()) // the records may be a few seconds old
 			c.cache.Unlock()
 			answer := c.Heartbeats.Heartbeat(t.Context(), &wire.Heartbeat{
 				Machine:      "host-9999999",
@@ -179,7 +180,7 @@
 	})
 }
 
-// startedTasks returns the status of the tasks that a response starts.
+// startedTasks returns the status to report for the tasks that a heartbeat response tells the worker to start.
 func startedTasks(response *wire.HeartbeatResponse) (tasks []wire.TaskStatus) {
 	for _, command := range response.Commands {
 		if command.Op == wire.OpStart {
@@ -189,7 +190,7 @@
 	return tasks
 }
 
-// format returns the format of the records in the state service.
+// format returns the format record in the state service; the zero value if there is none.
 func (cluster *testCluster) format(ctx context.Context) (f ledger.FormatRecord) {
 	cluster.t.Helper()
 	item, err := cluster.links[0].Get(ctx, ledger.FormatKey)
@@ -202,7 +203,7 @@
 	return f
 }
 
-// countItems returns how many items of the state service match.
+// countItems returns the number of items in the state service whose keys match.
 func (cluster *testCluster) countItems(match func(key string) bool) (n int) {
 	for _, item := range cluster.store.Items() {
 		if match(item.Key) {
@@ -212,9 +213,10 @@
 	return n
 }
 
-// TestRollingUpgrade: controllers that support an older format of records are replaced one by one by newer
-// ones and back again while jobs run. Nothing is archived before all controllers support the new format and
-// what the old ones sent can no longer arrive late. Afterwards jobs are archived, and nothing is lost.
+// TestRollingUpgrade replaces controllers that support only the older record format one by one, with one
+// rollback, while jobs run. Nothing may be archived before all controllers support the new format and the
+// settle period is over, within which delayed writes of the old ones can still arrive. Afterwards jobs are
+// archived, and none is lost.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -233,15 +235,15 @@
 			}
 			replace(0, newest)
 			replace(1, newest)
-			replace(1, 1) // back
+			replace(1, 1) // roll back
 			replace(1, newest)
 			if f, n := cluster.format(ctx), archived(); f.Format != 0 || n != 0 {
-				t.Errorf("one controller doesn't support the format: got %+v and %d jobs archived, want format 0 and 0", f, n)
+				t.Errorf("with one controller on the old format: got %+v and %d jobs archived, want format 0 and 0", f, n)
 			}
 			replace(2, newest)
 			if f, n := cluster.format(ctx), archived(); f.Format != ledger.NewestFormat || f.NoOlderWriters || n != 0 {
 				t.Errorf(
-					"all support the format: got %+v and %d jobs archived, want format %d, not fresh, and 0",
+					"with all controllers on the new format: got %+v and %d jobs archived, want format %d, not fresh, and 0",
 					f,
 					n,
 					ledger.NewestFormat,
@@ -250,7 +252,7 @@
 			wait.For(ctx, settlePeriod)
 			wait.For(ctx, time.Minute)
 			if archived() == 0 {
-				t.Error("after the settle period: got no job archived, want some")
+				t.Error("after the settle period: got no jobs archived, want some")
 			}
 		}
 		cluster.onStart = func(ctx context.Context) { cluster.group.Go(func() { upgrade(ctx) }) }
@@ -263,9 +265,9 @@
 	})
 }
 
-// TestMigrationToArchive: the records have finished jobs from before the archive. They are archived while
-// jobs run, controllers crash and pause, and the state service fails. Afterwards each job's status is as it
-// ended.
+// TestMigrationToArchive starts with finished jobs that were recorded before the archive was introduced. They
+// must be archived while jobs run, controllers crash and pause, and the state service fails, and each must
+// keep its final status.
 func TestMigrationToArchive(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -300,13 +302,13 @@
 		cluster.reportBrokenRules()
 		left := cluster.countItems(func(key string) bool { return strings.HasPrefix(key, ledger.Prefix+"j/wk-9") })
 		if left > 0 || done != old {
-			t.Errorf("old jobs: got %d left among the records and %d done, want 0 and %d", left, done, old)
+			t.Errorf("jobs from before the archive: got %d not archived and %d done, want 0 and %d", left, done, old)
 		}
 	})
 }
 
-// TestNewerFormatIsRefused: a controller that doesn't support the records' format ends with an error that
-// says so and serves nobody. While records are imported it waits.
+// TestNewerFormatIsRefused checks that a controller waits while records are imported, and that its watch fails
+// with ledger.ErrNewerFormat when the records have a format that it does not support.
 func TestNewerFormatIsRefused(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -323,7 +325,7 @@
 		go func() { ended <- c.cache.Watch(t.Context()) }()
 		time.Sleep(30 * time.Second)
 		if c.Jobs.Loaded() {
-			t.Error("during the import: got records loaded, want not")
+			t.Error("during the import: got records loaded, want not loaded")
 		}
 		apply(wire.Change{Delete: ledger.ImportKey})
 		time.Sleep(30 * time.Second)
@@ -337,16 +339,17 @@
 				t.Errorf("watch of newer records: got error %v, want %v", err, ledger.ErrNewerFormat)
 			}
 		case <-time.After(time.Minute):
-			t.Error("watch of newer records: got no end within a minute, want an error")
+			t.Error("watch of newer records: still running after a minute, want an error")
 		}
 	})
 }
 
-// storeWeight is what the state service holds of records and archived jobs.
-type storeWeight struct{ keys, bytes, archived int }
+// storeUsage is the number and total size of the records in the state service, and its number of archived
+// jobs.
+type storeUsage struct{ keys, bytes, archived int }
 
-// weight returns what the state service holds.
-func (cluster *testCluster) weight() (w storeWeight) {
+// storeUsage measures the records and the archived jobs in the state service.
+func (cluster *testCluster) storeUsage() (w storeUsage) {
 	for _, item := range cluster.store.Items() {
 		if strings.HasPrefix(item.Key, ledger.Prefix) {
 			w.keys++
@@ -358,8 +361,9 @@
 	return w
 }
 
-// TestSoak plays a long time at a reduced rate with random faults: the records at the end are no
-// larger than early on. SOAK_DAYS asks for longer runs than CI has time for, SOAK_SEED for another seed.
+// TestSoak runs a cluster for a long time at a reduced job rate with random faults, and checks that the number
+// of records stays bounded while the archive grows. SOAK_DAYS sets a longer run than CI has time for, SOAK_SEED
+// another seed.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	length, seed := 100*time.Minute, uint64(1)
@@ -375,7 +379,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		cluster.start(ctx, 4, 0.02)
-		finished, startedAt, early := 0, time.Now(), storeWeight{}
+		finished, startedAt, early := 0, time.Now(), storeUsage{}
 		for n := 0; time.Since(startedAt) < length; n++ {
 			spec, cancelAfter := cluster.randomSpec(n), time.Duration(0)
 			if n%4 == 0 {
@@ -388,20 +392,20 @@
 			}
 			cluster.world.Check()
 			if early.keys == 0 && time.Since(startedAt) > length/5 {
-				early = cluster.weight()
+				early = cluster.storeUsage()
 			}
 			if n%960 == 959 {
-				t.Logf("after %v: %+v", time.Since(startedAt), cluster.weight())
+				t.Logf("after %v: %+v", time.Since(startedAt), cluster.storeUsage())
 			}
 		}
-		wait.For(ctx, 5*time.Minute) // for the last jobs
-		late := cluster.weight()
+		wait.For(ctx, 5*time.Minute) // let the last jobs finish
+		late := cluster.storeUsage()
 		cluster.shutDown(cancel)
 		cluster.checkArchive()
 		cluster.reportViolations()
-		t.Logf("%d jobs finished; early %+v, late %+v", finished, early, late)
+		t.Logf("%d jobs finished; usage early %+v, late %+v", finished, early, late)
 		if limit := early.keys + early.keys/2 + 20; late.keys > limit || late.archived < early.archived*2 {
-			t.Errorf("late: got %+v, want <= %d keys and >= %d archived", late, limit, early.archived*2)
+			t.Errorf("usage at the end: got %+v, want <= %d keys and >= %d archived", late, limit, early.archived*2)
 		}
 	})
 }
