--- a/internal/controller/gang_placement_test.go
+++ b/internal/controller/gang_placement_test.go
@@ -14,13 +14,13 @@
 	"maddermill/wire"
 )
 
-// gangPlacements is what became of a queue of gangs.
+// gangPlacements holds the costs of the placements of gangs and their waits.
 type gangPlacements struct {
 	gangs   int
-	optimal int             // at the least cost that the empty topology allows
-	cost    float64         // of all gangs
-	minCost float64         // of all gangs, in the empty topology
-	waits   []time.Duration // from submission until the gang runs whole
+	optimal int             // gangs placed at the least cost that is possible on empty machines
+	cost    float64         // total placement cost
+	minCost float64         // total of the least costs on empty machines
+	waits   []time.Duration // from the submission of a gang until all its tasks run
 }
 
 // add adds the placements of another run.
@@ -30,27 +30,27 @@
 	p.waits = append(p.waits, other.waits...)
 }
 
-// waitQuantile returns a quantile of the waits.
-func (p *gangPlacements) waitQuantile(share float64) time.Duration {
+// waitQuantile returns the quantile q, from 0 to 1, of the waits.
+func (p *gangPlacements) waitQuantile(q float64) time.Duration {
 	slices.Sort(p.waits)
-	return p.waits[int(share*float64(len(p.waits)-1))]
+	return p.waits[int(q*float64(len(p.waits)-1))]
 }
 
-// gangQueue is a run of a queue of mixed gangs and single tasks, on 32 machines in eight racks.
+// gangQueue is a run of a queue of gangs and arrays on 32 machines in eight racks.
 type gangQueue struct {
 	*testCluster
 	ctx       context.Context
 	rng       *rand.Rand
-	tree      *topology.Tree // of the machines, whether it is declared to the controllers or not
+	tree      *topology.Tree // of the machines; the controllers know it only if it is declared to them
 	jobs      int
 	finished  int
-	submitted map[wire.JobID]time.Time // gangs that were not seen whole yet
+	submitted map[wire.JobID]time.Time // gangs that have not been running completely yet
 	tasks     map[wire.JobID]int
-	out       gangPlacements
+	result    gangPlacements
 }
 
-// runGangQueue runs a queue and examines where gangs run. declared is the head of the topology that is
-// declared to the controllers; "": none is.
+// runGangQueue runs a queue of jobs and records where each gang is placed. declared holds the options that
+// precede the topology in the file that the controllers are given; if it is empty, they are given no topology.
 func runGangQueue(t *testing.T, seed uint64, declared string) gangPlacements {
 	t.Helper()
 	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
@@ -84,17 +84,17 @@
 		wait.For(ctx, time.Second)
 		for id := range q.submitted {
 			if q.world.Whole(id) {
-				q.examine(id)
+				q.recordPlacement(id)
 				delete(q.submitted, id)
 			}
 		}
 	}
 	q.shutDown(cancel)
 	q.reportBrokenRules()
-	return q.out
+	return q.result
 }
 
-// submitJob has a user submit a job.
+// submitJob starts a user who submits a job and polls it until it ends.
 func (q *gangQueue) submitJob(shape wire.Shape, tasks int) {
 	spec := &wire.JobSpec{
 		ID:       jobID(q.jobs),
@@ -120,8 +120,8 @@
 	q.group.Go(func() { q.runUser(q.ctx, spec, 0, &q.finished) })
 }
 
-// examine records where a gang runs, which runs whole for the first time.
-func (q *gangQueue) examine(id wire.JobID) {
+// recordPlacement adds the cost and the wait of a gang that runs completely for the first time.
+func (q *gangQueue) recordPlacement(id wire.JobID) {
 	var blocks []topology.Block
 	var counts []int
 	var empty []topology.MachineOption
@@ -135,17 +135,18 @@
 	}
 	_, minCost, _ := q.tree.Pack(topology.Gang{Tasks: q.tasks[id]}, empty)
 	cost := q.tree.PlacementCost(blocks, counts)
-	q.out.gangs++
+	q.result.gangs++
 	if cost <= minCost {
-		q.out.optimal++
+		q.result.optimal++
 	}
-	q.out.cost += cost.FileUnits()
-	q.out.minCost += minCost.FileUnits()
-	q.out.waits = append(q.out.waits, time.Since(q.submitted[id]))
+	q.result.cost += cost.FileUnits()
+	q.result.minCost += minCost.FileUnits()
+	q.result.waits = append(q.result.waits, time.Since(q.submitted[id]))
 }
 
-// TestGangPlacementCloseness compares where gangs run without a topology and with one, in each order of
-// closeness and images. The gain must be clear, and no gang may be lost.
+// TestGangPlacementCloseness compares the placement of gangs without and with a declared topology, for both
+// priorities of closeness and cached images. With a topology at least 1.5 times as many gangs must be placed
+// optimally, at no more than three quarters of the cost, and at least nine tenths as many gangs must run.
 func TestGangPlacementCloseness(t *testing.T) {
 	t.Parallel()
 	run := func(declared string) (all gangPlacements) {
@@ -153,7 +154,7 @@
 			synctest.Test(t, func(t *testing.T) { all.add(runGangQueue(t, seed+1, declared)) })
 		}
 		t.Logf(
-			"%-42q %d gangs, %.2f of them optimal, cost %.2f of the least, wait %v (median), %v (nine in ten)",
+			"%-42q %d gangs, optimal share %.2f, cost %.2f times the least, wait %v (p50), %v (p90)",
 			declared,
 			all.gangs,
 			float64(all.optimal)/float64(all.gangs),
--- a/internal/controller/peer_status_test.go
+++ b/internal/controller/peer_status_test.go
@@ -13,15 +13,16 @@
 	"maddermill/wire"
 )
 
-// withCancellations returns an answer whose status lists a cancellation since a revision.
+// withCancellations returns an answer whose status lists a job cancelled since a revision.
 func withCancellations(answer peer.Response, since wire.Revision, complete bool) peer.Response {
 	answer.Status.CancelledSince, answer.Status.CancellationsComplete = since, complete
 	answer.Status.CancelledJobs = []wire.JobID{"wk-000001"}
 	return answer
 }
 
-// TestPeersConfirmCancellations: in an outage, peers can confirm that no cancellation was acknowledged
-// that these records lack, but only all of them, and only with records of their own.
+// TestPeersConfirmCancellations checks how long a controller in an outage may rely on its records: until the
+// oldest answer of its peers, if all of them have loaded their records and confirm that no cancellation was
+// acknowledged that its own records lack, and otherwise until its own last sync.
 func TestPeersConfirmCancellations(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -34,17 +35,17 @@
 		{"no answer", nil, own},
 		{"one of two answers", []peer.Response{peerAnswer("m-1", older, 5, true, 0)}, own},
 		{
-			"both confirm: the older answer counts",
+			"both confirm, the older answer counts",
 			[]peer.Response{peerAnswer("m-1", older, 5, true, 0), peerAnswer("m-2", newer, 7, true, 0)},
 			older,
 		},
 		{
-			"one has acknowledged a cancellation that these records lack",
+			"one acknowledged a cancellation that the records lack",
 			[]peer.Response{peerAnswer("m-1", older, 8, true, 0), peerAnswer("m-2", older, 7, true, 0)},
 			own,
 		},
 		{
-			"one lists what these records lack, since their revision",
+			"one lists the cancellations since the revision of the records",
 			[]peer.Response{
 				withCancellations(peerAnswer("m-1", older, 9, true, 0), 7, true),
 				peerAnswer("m-2", newer, 7, true, 0),
@@ -52,7 +53,7 @@
 			older,
 		},
 		{
-			"one lists what newer records lack",
+			"one lists only cancellations since a later revision",
 			[]peer.Response{
 				withCancellations(peerAnswer("m-1", older, 9, true, 0), 8, true),
 				peerAnswer("m-2", newer, 7, true, 0),
@@ -60,7 +61,7 @@
 			own,
 		},
 		{
-			"one can't list all",
+			"one has an incomplete list",
 			[]peer.Response{
 				withCancellations(peerAnswer("m-1", older, 9, true, 0), 7, false),
 				peerAnswer("m-2", newer, 7, true, 0),
@@ -68,7 +69,7 @@
 			own,
 		},
 		{
-			"one has restarted and not loaded its records",
+			"one has restarted and not yet loaded its records",
 			[]peer.Response{peerAnswer("m-1", older, 0, false, 0), peerAnswer("m-2", older, 7, true, 0)},
 			own,
 		},
@@ -91,15 +92,15 @@
 	}
 }
 
-// TestCancellationsListedBeforeTheirJobs: a peer lists jobs and a workflow as cancelled of which these
-// records don't have all jobs yet. When a job comes, by a reload of the records or by the watch, and its
-// cancellation does not, it counts as cancelled: the peer's status still confirms the records, and without
-// that the job's tasks would be kept running.
+// TestCancellationsListedBeforeTheirJobs checks that jobs and workflows that a peer lists as cancelled count as
+// cancelled when the controller learns of their jobs later, by a reload or by the watch, without the
+// cancellation itself. Otherwise their tasks would keep running, since the peer's status still confirms that
+// the controller's records have all cancellations.
 func TestCancellationsListedBeforeTheirJobs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t)
-		jobs := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the later two are steps
+		jobs := []wire.JobID{"wk-000001", "wk-000002", "wk-000003", "wk-000004"} // the last two are steps of the workflow
 		answer := withCancellations(peerAnswer("m-1", time.Now(), 90, true, 0), 0, true)
 		answer.Status.CancelledJobs, answer.Status.CancelledWorkflows = jobs[:2], []wire.WorkflowID{"wf-000001"}
 		c.mergePeerStatus(answer)
@@ -114,7 +115,7 @@
 		const step = `,"of":"wf-000001"`
 		add(jobs[0], "")
 		add(jobs[2], step)
-		go func() { _ = c.cache.Watch(ctx) }() // which loads all records first
+		go func() { _ = c.cache.Watch(ctx) }() // loads all records first
 		time.Sleep(5 * time.Second)
 		add(jobs[1], "")
 		add(jobs[3], step)
@@ -129,8 +130,8 @@
 	})
 }
 
-// TestHealthy: a controller that alone has lost the state service sends users elsewhere. One that shares an
-// outage with all others stays, since no other controller would be of more use.
+// TestHealthy checks that a controller fails its health check if it has lost the state service and a peer has
+// not, and passes it if all controllers have, since no peer could serve users better.
 func TestHealthy(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -141,37 +142,36 @@
 			t.Errorf("%s: got healthy %v, want %v", when, got, want)
 		}
 	}
-	// Controllers that crashed three times within seconds were removed by the balancer for up to a
-	// minute, since each failed a health check while it loaded the records.
-	check("while loading the records, no peer known to be better off", true)
+	// When controllers that load their records failed the health check regardless of their peers, the
+	// balancer removed controllers that crashed three times within seconds for up to a minute.
+	check("while loading the records, no peer known to be in sync", true)
 	c.mergePeerStatus(peerAnswer("m-1", now, 0, true, 100*time.Millisecond))
 	check("while loading the records, a peer is in sync", false)
 	watchcache.SetStateForTest(t, c.cache, 0, now)
-	check("in sync without a fencing token, which users don't need", true)
+	check("in sync, without a fencing token, which user requests don't need", true)
 	watchcache.SetStateForTest(t, c.cache, 1, now)
 	check("in sync", true)
 	watchcache.SetStateForTest(t, c.cache, c.cache.Token(), now.Add(-10*time.Second))
 	c.mergePeerStatus(peerAnswer("m-1", now, 0, true, 10*time.Second))
-	check("in an outage for all", true)
+	check("in an outage of all controllers", true)
 	c.mergePeerStatus(peerAnswer("m-2", now, 0, true, 100*time.Millisecond))
-	check("in an outage for this controller alone", false)
+	check("in an outage of this controller alone", false)
 }
 
-// TestStatusCoversKnownCancellations: the revision up to which a controller's status confirms cancellations is
-// never below that of a cancellation that its records have.
+// TestStatusCoversKnownCancellations checks that the revision up to which a controller's status confirms
+// cancellations is not below that of any cancellation in its records.
 func TestStatusCoversKnownCancellations(t *testing.T) {
 	t.Parallel()
 	c := newTestController(t)
 	value := `{"spec":{"id":"wk-000001","pieces":1},"at":1,"state":"cancelled"}`
 	c.cache.Records().Apply(ledger.Event{Key: "mm1/j/wk-000001", Value: []byte(value), Version: 9})
 	if got := c.status().LastCancellation; got < 9 {
-		t.Errorf("revision of the status: got %d, want >= 9", got)
+		t.Errorf("revision up to which the status confirms cancellations: got %d, want >= 9", got)
 	}
 }
 
-// TestRedirect: a controller that alone has lost the state service redirects a worker to a peer that is in
-// sync, but not again and again: a worker that can't reach the peer must still be answered before its lease
-// ends.
+// TestRedirect checks that a controller that has lost the state service redirects a worker to a peer that is in
+// sync, but not repeatedly: a worker that can't reach the peer must get an answer before its lease ends.
 func TestRedirect(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -188,11 +188,11 @@
 	}
 	heartbeat.Sequence = 3
 	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 200 {
-		t.Errorf("a worker that came back: got %d, want 200", got.Status)
+		t.Errorf("a worker that came back after a redirect: got %d, want 200", got.Status)
 	}
 	watchcache.SetStateForTest(t, c.cache, c.cache.Token(), now.Add(-time.Hour))
 	heartbeat.Sequence = 4
 	if got := c.Heartbeats.Heartbeat(t.Context(), heartbeat); got.Status != 421 {
-		t.Errorf("long after a cancellation may have been missed: got %d, want 421", got.Status)
+		t.Errorf("an hour after the last sync: got %d, want 421", got.Status)
 	}
 }
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -16,58 +16,58 @@
 	"maddermill/wire"
 )
 
-// pipelineShapes are the dependencies of the jobs of a pipeline, by their places in it.
+// pipelineShapes are the dependency graphs of pipelines: for each job the indexes of its dependencies.
 var pipelineShapes = [][][]int{
 	{nil, {0}, {1}, {2}},                    // chain
 	{nil, {0}, {0}, {1, 2}},                 // diamond
 	{nil, nil, nil, {0, 1, 2}},              // fan-in
 	{nil, {0}, {0}, {0}},                    // fan-out
-	{nil, {0}, {0, 1}, {1}, {2, 3}, {0, 4}}, // all together
+	{nil, {0}, {0, 1}, {1}, {2, 3}, {0, 4}}, // combination of all
 }
 
-// pipelineResult is how the jobs of a pipeline ended for its user.
+// pipelineResult holds the final statuses of the jobs of a pipeline, as its user saw them.
 type pipelineResult struct {
-	ids      []wire.JobID
-	statuses []wire.Status
-	cancels  int // which job was cancelled; -1: none
+	ids         []wire.JobID
+	statuses    []wire.Status
+	cancelIndex int // index of the job that the user cancelled; -1: none
 }
 
-// runPipeline submits the jobs of a pipeline, each as soon as those that it needs are accepted, perhaps cancels
-// one of them, and follows all to their ends.
+// runPipeline submits the jobs of a pipeline, each as soon as its dependencies are accepted, perhaps cancels
+// one of them, and polls all until they end. With late the last job is submitted after the others have ended.
 func (cluster *testCluster) runPipeline(ctx context.Context, number int, shape [][]int, late bool) pipelineResult {
-	result := pipelineResult{cancels: -1, statuses: make([]wire.Status, len(shape))}
+	result := pipelineResult{cancelIndex: -1, statuses: make([]wire.Status, len(shape))}
 	if cluster.randomInt(3) == 0 {
-		result.cancels = cluster.randomInt(len(shape))
+		result.cancelIndex = cluster.randomInt(len(shape))
 	}
 	cancelAfter := time.Duration(1+cluster.randomInt(60)) * time.Second
-	var following sync.WaitGroup
-	for i, needs := range shape {
+	var polls sync.WaitGroup
+	for i, dependencies := range shape {
 		spec := cluster.randomSpec(1000 + 10*number + i)
 		spec.Tasks = min(spec.Tasks, 8)
-		for _, need := range needs {
-			spec.Dependencies = append(spec.Dependencies, result.ids[need])
+		for _, dependency := range dependencies {
+			spec.Dependencies = append(spec.Dependencies, result.ids[dependency])
 		}
 		result.ids = append(result.ids, spec.ID)
 		if late && i == len(shape)-1 {
-			following.Wait() // the last is submitted when the others are over
+			polls.Wait()
 		}
 		cluster.world.Upload(spec)
 		cluster.queryAny(ctx, spec.ID, submitRequest(spec))
 		cluster.queryAll(ctx, spec)
-		following.Go(func() {
-			if i == result.cancels {
+		polls.Go(func() {
+			if i == result.cancelIndex {
 				wait.For(ctx, cancelAfter)
 				cluster.queryAny(ctx, spec.ID, cancelRequest(spec.ID))
 			}
-			result.statuses[i] = cluster.followJob(ctx, spec)
+			result.statuses[i] = cluster.pollUntilFinal(ctx, spec)
 		})
 	}
-	following.Wait()
+	polls.Wait()
 	return result
 }
 
-// followJob polls a job until it is over, and once more at all controllers.
-func (cluster *testCluster) followJob(ctx context.Context, spec *wire.JobSpec) (status wire.Status) {
+// pollUntilFinal polls a job until its status is final, and then queries all controllers.
+func (cluster *testCluster) pollUntilFinal(ctx context.Context, spec *wire.JobSpec) (status wire.Status) {
 	for ctx.Err() == nil && rank(status) != 2 {
 		wait.For(ctx, 5*time.Second)
 		status = cluster.queryStatus(ctx, spec.ID)
@@ -76,29 +76,29 @@
 	return status
 }
 
-// checkPipeline checks that a job is cancelled if and only if it or one that it needs was told to be: a
-// cancellation that found its job done changes nothing.
+// checkPipeline checks that a job is cancelled if and only if its user cancelled it or one of its dependencies
+// is cancelled. Cancelling a job that is already done has no effect.
 func (cluster *testCluster) checkPipeline(shape [][]int, result pipelineResult) {
-	for i, needs := range shape {
+	for i, dependencies := range shape {
 		if rank(result.statuses[i]) != 2 {
-			continue // the run ended before
+			continue // the run ended first
 		}
-		cancelled := i == result.cancels && result.statuses[i] == wire.Cancelled
-		for _, need := range needs {
-			cancelled = cancelled || result.statuses[need] == wire.Cancelled
+		cancelled := i == result.cancelIndex && result.statuses[i] == wire.Cancelled
+		for _, dependency := range dependencies {
+			cancelled = cancelled || result.statuses[dependency] == wire.Cancelled
 		}
 		if (result.statuses[i] == wire.Cancelled) != cancelled {
-			cluster.t.Errorf("seed %d: %s, which needs %v of %v: got %s, want cancelled %v",
-				cluster.seed, result.ids[i], needs, result.statuses, result.statuses[i], cancelled)
+			cluster.t.Errorf("seed %d: %s, which depends on jobs %v of %v: got %s, want cancelled %v",
+				cluster.seed, result.ids[i], dependencies, result.statuses, result.statuses[i], cancelled)
 		}
 	}
 }
 
-// pipelineHistory is how long a history takes. Pipelines begin in its first quarter and faults in the first two,
-// so that all are to end.
-const pipelineHistory = 30 * time.Minute
+// pipelineHistoryLength is the length of a pipeline history. Pipelines start in its first quarter and faults in
+// its first two thirds, so that all pipelines have time to end.
+const pipelineHistoryLength = 30 * time.Minute
 
-// runPipelineHistory plays random pipelines beside random jobs, with faults, and returns how many pipelines
+// runPipelineHistory runs random pipelines alongside random jobs, with faults, and returns how many pipelines
 // ended.
 func (cluster *testCluster) runPipelineHistory(length time.Duration, pipelines int) (ended int) {
 	cluster.onStart = func(ctx context.Context) {
@@ -124,10 +124,10 @@
 	return ended
 }
 
-// TestPipelineHistories plays seeded histories of pipelines with random faults, lost and late messages, and
-// an archive that takes finished jobs at once. No task starts before what its job needs is done (too_early),
-// no job stays queued once its ancestor is cancelled (orphaned), none is cancelled without, and what users
-// were told stays.
+// TestPipelineHistories runs seeded histories of pipelines with random faults, lost and delayed messages, and
+// in two of three seeds an archive that takes finished jobs at once. No task may start before the dependencies
+// of its job are done (too_early), no job may stay queued once an ancestor is cancelled (orphaned), no job may
+// be cancelled unless it or an ancestor was, and no status that a user saw may be taken back.
 func TestPipelineHistories(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= seedCount(); seed++ {
@@ -135,7 +135,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				cluster := newTestCluster(t, seed)
 				cluster.archiving, cluster.duplicateMessages = seed%3 != 0, seed%2 == 0
-				if ended := cluster.runPipelineHistory(pipelineHistory, 10); ended < 10 {
+				if ended := cluster.runPipelineHistory(pipelineHistoryLength, 10); ended < 10 {
 					t.Errorf("got %d of 10 pipelines ended, want all", ended)
 				}
 			})
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestPipelinesWhileTheLimitsFall plays pipelines while the state service comes to take smaller values and
-// transactions, at several moments.
-func TestPipelinesWhileTheLimitsFall(t *testing.T) {
+// TestPipelinesUnderLoweredStateLimits runs pipelines while the state service lowers its limits on the size of
+// values and transactions, at different times of the run.
+func TestPipelinesUnderLoweredStateLimits(t *testing.T) {
 	t.Parallel()
 	valueKB, txnOps := 2.0, 4
 	lower := func(set *settings.Settings) {
@@ -155,10 +155,10 @@
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cluster := newTestClusterOf(t, uint64(50+seed), 3, lower)
-				usual := newTestSettings(t, 0).CurrentStateLimits()
-				cluster.store.SetLimits(usual.TxnOps, usual.ValueBytes)
+				initial := newTestSettings(t, 0).CurrentStateLimits()
+				cluster.store.SetLimits(initial.TxnOps, initial.ValueBytes)
 				time.AfterFunc(at, func() { cluster.store.SetLimits(txnOps, int(valueKB*1024)) })
-				if ended := cluster.runPipelineHistory(pipelineHistory, 8); ended < 8 {
+				if ended := cluster.runPipelineHistory(pipelineHistoryLength, 8); ended < 8 {
 					t.Errorf("got %d of 8 pipelines ended, want all", ended)
 				}
 			})
@@ -166,8 +166,9 @@
 	}
 }
 
-// pipelineCluster starts a quiet cluster in which tasks run for run, and waits until it serves pipelines.
-func pipelineCluster(t *testing.T, run time.Duration) (*testCluster, context.Context, context.CancelFunc) {
+// newPipelineCluster starts a cluster without random faults in which each task takes the duration run, and
+// waits until it can serve pipelines.
+func newPipelineCluster(t *testing.T, run time.Duration) (*testCluster, context.Context, context.CancelFunc) {
 	t.Helper()
 	cluster := newQuietCluster(t, 5)
 	cluster.archiving = true
@@ -178,7 +179,7 @@
 	return cluster, ctx, cancel
 }
 
-// submitChain submits jobs of one task, each of which needs the one before.
+// submitChain submits jobs of one task, each of which depends on the previous one.
 func (cluster *testCluster) submitChain(ctx context.Context, from, length int) (specs []*wire.JobSpec) {
 	for i := range length {
 		spec := &wire.JobSpec{ID: jobID(from + i), Shape: wire.Array, Tasks: 1}
@@ -191,7 +192,7 @@
 	return specs
 }
 
-// expectStatus reports a job that has another status at any controller.
+// expectStatus fails the test unless all controllers answer with the wanted status of a job.
 func (cluster *testCluster) expectStatus(ctx context.Context, id wire.JobID, want wire.Status) {
 	cluster.t.Helper()
 	for at := range cluster.size {
@@ -201,12 +202,12 @@
 	}
 }
 
-// TestDependencyDoneAsTheLeaderEnds: the last job that another needs is done in the moments in which the leader
-// ends. The dependent starts under the next one, and not before.
-func TestDependencyDoneAsTheLeaderEnds(t *testing.T) {
+// TestDependencyDoneAsLeaderCrashes crashes the leader as soon as a dependency is done. The dependent job must
+// start under the next leader, and not before the dependency is done.
+func TestDependencyDoneAsLeaderCrashes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		cluster, ctx, cancel := pipelineCluster(t, 10*time.Second)
+		cluster, ctx, cancel := newPipelineCluster(t, 10*time.Second)
 		specs := cluster.submitChain(ctx, 0, 3)
 		for i := range specs {
 			for !cluster.doneOnRecord(specs[i].ID) {
@@ -226,13 +227,13 @@
 	})
 }
 
-// TestCascadeDuringALongOutage: the first job of a chain is cancelled, and the state service is out for longer
-// than cancel_s from then on. Whatever answers comes, no job of the chain is called queued after cancel_s, and
-// all are cancelled in their own records afterwards, also in the archive.
+// TestCascadeDuringALongOutage cancels the first job of a chain, after which the state service is down for
+// longer than cancel_s. Whichever controller answers, no job of the chain may be reported as queued after
+// cancel_s, and afterwards each must be cancelled in its own record, also in the archive.
 func TestCascadeDuringALongOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		cluster, ctx, cancel := pipelineCluster(t, 10*time.Minute)
+		cluster, ctx, cancel := newPipelineCluster(t, 10*time.Minute)
 		specs := cluster.submitChain(ctx, 0, 5)
 		cluster.advance(10 * time.Second)
 		if got := cluster.queryAny(ctx, specs[0].ID, cancelRequest(specs[0].ID)); got != wire.Cancelled {
@@ -254,30 +255,30 @@
 		cluster.advance(time.Minute)
 		cluster.controller(0).cache.Read(func(l *ledger.Ledger) {
 			for id := range l.AncestorCancelledJobs() {
-				t.Errorf("%s: got its own record still active, want cancelled", id)
+				t.Errorf("%s: its own record is still active, want cancelled", id)
 			}
 		})
 		cluster.shutDownAndCheck(cancel)
 	})
 }
 
-// TestSubmissionNamesArchivedJobs: jobs are archived and then named, by submissions to all controllers and
-// while all of them start again. A done one is no reason to wait, a cancelled one cancels, and one that was
-// never accepted is refused for good.
+// TestSubmissionNamesArchivedJobs submits jobs that depend on archived jobs as all controllers restart. A
+// dependency that is done must not delay its dependent, and a cancelled one must cancel it. A submission with a
+// dependency that was never accepted must be rejected by every controller.
 func TestSubmissionNamesArchivedJobs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		cluster, ctx, cancel := pipelineCluster(t, 5*time.Second)
+		cluster, ctx, cancel := newPipelineCluster(t, 5*time.Second)
 		cluster.submitChain(ctx, 0, 1)
 		cluster.submitChain(ctx, 1, 1)
 		cluster.queryAny(ctx, jobID(1), cancelRequest(jobID(1)))
-		for n := 100; n < 120; n++ { // so that the first leave the records
+		for n := 100; n < 120; n++ { // more finished jobs, so that the first two are archived
 			cluster.submitChain(ctx, n, 1)
 		}
 		cluster.advance(90 * time.Second)
 		cluster.controller(0).cache.Read(func(l *ledger.Ledger) {
 			if _, onRecord := l.FinalRecordOf(jobID(0)); onRecord {
-				t.Error("got the first job still on record, want it archived")
+				t.Error("first job: got it on record, want it archived")
 			}
 		})
 		for i := range cluster.size {
@@ -295,7 +296,7 @@
 		*unknown = cluster.filledIn(*unknown)
 		for i := range cluster.size {
 			if _, _, err := cluster.controller(i).Jobs.Submit(ctx, unknown); !errors.Is(err, server.ErrUnschedulable) {
-				t.Errorf("m-%d: a job that names one never accepted: got error %v, want ErrUnschedulable", i, err)
+				t.Errorf("m-%d: job with an unknown dependency: got error %v, want ErrUnschedulable", i, err)
 			}
 		}
 		cluster.advance(40 * time.Second)
@@ -305,7 +306,8 @@
 	})
 }
 
-// doneOnRecord reports whether a job is done by the records of any controller that is up.
+// doneOnRecord reports whether a job is done according to the records or the archive cache of any controller
+// that is up.
 func (cluster *testCluster) doneOnRecord(id wire.JobID) (done bool) {
 	for i := range cluster.size {
 		if c := cluster.controller(i); c != nil {
