--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -19,16 +19,16 @@
 	"maddermill/wire"
 )
 
-// faultyMachineRun is a run with one faulty machine, which fails a third of its tasks, and jobs of which those
-// whose name ends in 5 have a mistake.
+// faultyMachineRun is a run with one faulty machine, which fails a third of its tasks. Jobs whose ID ends in 5
+// are faulty themselves and fail on any machine.
 type faultyMachineRun struct {
 	*testCluster
-	failMu sync.Mutex // guards the fields below
-	faulty wire.MachineID
-	tries  int
+	failMu   sync.Mutex // guards the fields below
+	faulty   wire.MachineID
+	attempts int
 }
 
-// newFaultyMachineRun returns a run in which no machine is faulty yet.
+// newFaultyMachineRun returns a run in which quarantine is enabled and no machine is faulty yet.
 func newFaultyMachineRun(t *testing.T) *faultyMachineRun {
 	t.Helper()
 	run := &faultyMachineRun{testCluster: newQuietCluster(t, 23)}
@@ -41,13 +41,13 @@
 	run.world.Fails = func(machine wire.MachineID, task wire.TaskID) bool {
 		run.failMu.Lock()
 		defer run.failMu.Unlock()
-		run.tries++
-		return strings.HasSuffix(string(task.Job), "5") || machine == run.faulty && run.tries%3 == 0
+		run.attempts++
+		return strings.HasSuffix(string(task.Job), "5") || machine == run.faulty && run.attempts%3 == 0
 	}
 	return run
 }
 
-// breakMachine makes the first machine faulty.
+// breakMachine makes the running machine with the lowest ID faulty.
 func (run *faultyMachineRun) breakMachine() {
 	run.failMu.Lock()
 	defer run.failMu.Unlock()
@@ -56,8 +56,8 @@
 	}).Type.ID
 }
 
-// returned returns the machines that have a phase, each with the reason.
-func (run *faultyMachineRun) returned() map[wire.MachineID]string {
+// returnReasons returns the reasons of the machine phases on record, by machine.
+func (run *faultyMachineRun) returnReasons() map[wire.MachineID]string {
 	reasons := map[wire.MachineID]string{}
 	for _, item := range run.store.Items() {
 		if machine, _, reason, ok := ledger.DecodeMachinePhase(item); ok {
@@ -67,9 +67,10 @@
 	return reasons
 }
 
-// TestFaultyMachineIsReturnedWithEvidence: on a fleet where one machine fails a third of its tasks and some jobs
-// have a mistake, no sound machine is returned for that, the phase of the faulty one has the evidence, and no rule
-// is violated though a controller crashes, which loses the evidence it had.
+// TestFaultyMachineIsReturnedWithEvidence runs a fleet on which one machine fails a third of its tasks and some
+// jobs always fail. No healthy machine may be returned as faulty, the recorded reason for returning the faulty
+// one must name the evidence, and no rule may be violated although a controller crashes and loses the evidence
+// that it has collected.
 func TestFaultyMachineIsReturnedWithEvidence(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -78,33 +79,35 @@
 		defer cancel()
 		run.start(ctx, 8, 0)
 		finished := 0
-		for n := range 500 { // until it is found: a verdict changes while failures are yet to be explained
+		for n := range 500 { // until it is found; verdicts may change while too few failures are known
 			spec := run.randomSpec(n)
 			spec.Shape, spec.Tasks, spec.Priority = wire.Array, 1+n%4, wire.Normal
-			// A controller with one machine only could not tell the machine from a few images.
+			// With only a few images a controller of a single machine could not tell whether the image or the
+			// machine is at fault.
 			spec.Image = wire.Image(fmt.Sprint("img-", n/3))
 			run.group.Go(func() { run.runUser(ctx, spec, 0, &finished) })
 			wait.For(ctx, 5*time.Second)
 			if n == 20 {
 				run.breakMachine()
 			}
-			if _, found := run.returned()[run.faulty]; n > 200 && found {
+			if _, found := run.returnReasons()[run.faulty]; n > 200 && found {
 				break
 			}
-			if n == 150 { // the controller must collect the evidence again
+			if n == 150 { // the restarted controller must collect evidence anew
 				run.crash(n % 3)
 				run.startController(ctx, n%3)
 			}
 		}
-		reasons := run.returned()
-		// In one run of twenty its controller has too few other machines to tell it from what runs there.
+		reasons := run.returnReasons()
+		// In one of twenty runs the faulty machine is not found: its controller has too few other machines to
+		// tell the machine's failures from those of the jobs on it.
 		reason, found := reasons[run.faulty]
 		if found && (!strings.HasPrefix(reason, "faulty: fails ") || !strings.Contains(reason, " wk-")) {
 			t.Errorf(`faulty machine %s: got returned for %q, want "faulty: fails ..." with jobs`, run.faulty, reason)
 		}
 		for machine, reason := range reasons {
 			if machine != run.faulty && strings.HasPrefix(reason, "faulty") {
-				t.Errorf("sound machine %s: got returned for %q, want another reason", machine, reason)
+				t.Errorf("healthy machine %s: got returned for %q, want another reason", machine, reason)
 			}
 		}
 		t.Logf("%s: %s", run.faulty, reason)
--- a/internal/controller/request_floods_test.go
+++ b/internal/controller/request_floods_test.go
@@ -16,7 +16,7 @@
 	"maddermill/wire"
 )
 
-// countingLink counts the requests to the state service.
+// countingLink counts the requests to the state service, and the changes and value bytes that it commits.
 type countingLink struct {
 	*emulator.Link
 	reads, commits, changes, bytes atomic.Int64
@@ -38,15 +38,15 @@
 	return c.Link.Commit(ctx, t)
 }
 
-// floodedController is a controller on a state service that counts requests. Of its components only those
-// run that keep it in sync.
+// floodedController is a controller whose requests to the state service are counted. It runs only the
+// components that keep it in sync.
 type floodedController struct {
 	*Controller
 	store *countingLink
 	ctx   context.Context
 }
 
-// newFloodedController starts a controller, which runs until stop is called.
+// newFloodedController starts a controller that runs until stop is called.
 func newFloodedController(t *testing.T) (f *floodedController, stop func()) {
 	t.Helper()
 	set := newTestSettings(t, 0)
@@ -66,12 +66,12 @@
 	}
 	time.Sleep(time.Second)
 	c.cache.Lock()
-	c.cache.Records().Apply(machineType) // once more: the records were loaded
+	c.cache.Records().Apply(machineType) // apply it again: loading the records has dropped it
 	c.cache.Unlock()
 	return &floodedController{c, store, ctx}, func() { cancel(); components.Wait() }
 }
 
-// submitAll submits jobs at once.
+// submitAll submits jobs concurrently.
 func (f *floodedController) submitAll(t *testing.T, jobs int) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -97,8 +97,8 @@
 	all.Wait()
 }
 
-// poll polls jobs, each so many times at once, and returns how many reads that cost. Those from known on
-// are unknown.
+// poll polls the jobs with indexes in [from, to) concurrently, each of them each times, and returns the number
+// of reads of the state service that this caused. Jobs with an index of known or above were never submitted.
 func (f *floodedController) poll(t *testing.T, from, to, each, known int) (reads int64) {
 	t.Helper()
 	before := f.store.reads.Load()
@@ -122,9 +122,9 @@
 	return f.store.reads.Load() - before
 }
 
-// TestRequestFloods counts what floods of requests cost: polls of jobs that are active or unknown
-// share the reads of a few requests; those of finished jobs need none. A submission is one change of
-// a few hundred bytes, and the same one again is none.
+// TestRequestFloods bounds the requests to the state service that floods of user requests cause. Concurrent
+// polls of active or unknown jobs share a few reads, and polls of finished jobs need at most one. A submission
+// makes one change of a few hundred bytes, and a repeated submission makes none.
 func TestRequestFloods(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -21,8 +21,8 @@
 	"maddermill/wire"
 )
 
-// newControllerWithTopology returns a controller with the topology of topologyText, to which three machines a
-// rack report, but for those whose address begins with one of some prefixes.
+// newControllerWithTopology returns a controller with the topology of topologyText and three registered
+// machines per rack, except those whose address begins with one of the prefixes in except.
 func newControllerWithTopology(t *testing.T, now time.Time, except ...string) *Controller {
 	t.Helper()
 	tree, err := topology.Parse([]byte(topologyText()), []wire.Zone{"a", "b"})
@@ -54,14 +54,14 @@
 	return c
 }
 
-// firstSwitchDown reports whether the first switch of zone a counts as down.
+// firstSwitchDown reports whether the controller regards the first switch of zone a as down.
 func firstSwitchDown(c *Controller) bool {
 	_, up := c.TopologyTracker.Locate("host-011", "127.1.1.1:9000", "a")
 	return !up
 }
 
-// TestTopologyReload: a changed file is loaded at a signal. A wrong or missing one leaves the topology
-// before in force.
+// TestTopologyReload checks that a signal reloads the topology file, and that an invalid or missing file leaves
+// the previous topology in effect.
 func TestTopologyReload(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "topology.txtpb")
@@ -82,7 +82,7 @@
 	go func() { done <- c.TopologyTracker.WatchFile(ctx, path, signals) }()
 	reload := func() {
 		signals <- os.Interrupt
-		signals <- os.Interrupt // by then the first has been dealt with
+		signals <- os.Interrupt // accepted only once the first is handled
 	}
 	blocks := func() int {
 		c.cache.Lock()
@@ -93,7 +93,7 @@
 	write(strings.Replace(topologyText(), "127.1.1.0/24", "127.1.1.1/24", 1))
 	reload()
 	if got := blocks(); got != before {
-		t.Errorf("wrong file: got %d blocks, want %d", got, before)
+		t.Errorf("invalid file: got %d blocks, want %d", got, before)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
@@ -109,19 +109,19 @@
 	}
 	cancel()
 	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
-		t.Errorf("Reload: got error %v, want that of its context", err)
+		t.Errorf("Reload: got error %v, want nil or context.Canceled", err)
 	}
 }
 
-// TestPartitionedGangsMarkBlockDown: gangs that lose members while all their machines report are evidence
-// against the block that they share, whichever controller saw them. A gang of which a machine fell silent, is
-// reclaimed or failed a task, or that was stopped, is none.
+// TestPartitionedGangsMarkBlockDown checks that a block is marked down when gangs that share it lose members
+// although all their machines send heartbeats, whichever controller observed this. A gang does not count if one
+// of its machines fell silent, is being reclaimed or failed a task, or if the gang was stopped.
 func TestPartitionedGangsMarkBlockDown(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name    string
-		stopped bool                                                                   // the gangs were stopped before
-		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) // makes another reason, if given
+		stopped bool                                                                   // before the gangs lost members
+		explain func(c *Controller, j *ledger.Job, w *reconcile.Worker, now time.Time) // adds another cause, if given
 		down    bool
 	}{
 		{name: "no other reason", down: true},
@@ -170,7 +170,7 @@
 	}
 }
 
-// checkDownAtPeer checks that a peer that partitions are shared with comes to the same.
+// checkDownAtPeer checks that a peer that receives the partitions also marks the first switch down.
 func checkDownAtPeer(t *testing.T, partitions []peer.GangPartition, now time.Time) {
 	t.Helper()
 	c := newControllerWithTopology(t, now)
@@ -181,7 +181,7 @@
 	}
 }
 
-// addGangOverTwoRacks adds the record of a gang with a task in each rack of the first switch.
+// addGangOverTwoRacks adds the record of a gang with one task in each of the first switch's two racks.
 func addGangOverTwoRacks(c *Controller, i int) *ledger.Job {
 	const record = `{"spec":{"id":"%s","pieces":2,"shape":"gang","owner":"free","cores":1},"at":1,"a":1,` +
 		`"c":[[1,"host-01%d","a",1,1,0,1],[1,"host-02%d","a",1,1,1,1]]}`
@@ -194,8 +194,8 @@
 	return c.cache.Records().Job(id)
 }
 
-// TestSilentPeerIsNotABlockFailure: machines that report to a controller that is itself silent
-// are looking for another one; their silence counts only once they had the time for that.
+// TestSilentPeerIsNotABlockFailure checks that the machines of a controller that fell silent itself count as
+// silent only once they have had time to find another controller.
 func TestSilentPeerIsNotABlockFailure(t *testing.T) {
 	t.Parallel()
 	now := time.Now().Add(time.Hour) // long after the topology was declared
@@ -218,15 +218,15 @@
 		return firstSwitchDown(c)
 	}
 	if downAfter(int(c.set.HeartbeatTimeout().Seconds() + c.set.HeartbeatGrace().Seconds())) {
-		t.Error("switch down soon after the machines' controller fell silent: got true, want false")
+		t.Error("switch down soon after the controller of its machines fell silent: got true, want false")
 	}
 	if !downAfter(30) {
-		t.Error("switch down after the machines were silent for long: got false, want true")
+		t.Error("switch down long after its machines fell silent: got false, want true")
 	}
 }
 
-// TestTopologyView: the view of the topology has each machine in its block, and a gang with the block that
-// contains it.
+// TestTopologyView checks that the topology view lists each machine under its block, and a gang with the
+// smallest block that contains all its machines.
 func TestTopologyView(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -237,7 +237,7 @@
 	)})
 	view, ok := c.Topology(now)
 	if !ok {
-		t.Fatal("got no view, want one")
+		t.Fatal("got no topology view, want one")
 	}
 	encoded, err := view.AppendLines(nil)
 	if err != nil {
