--- a/internal/testing/controllertest/fleet.go
+++ b/internal/testing/controllertest/fleet.go
@@ -13,15 +13,15 @@
 	"maddermill/wire"
 )
 
-// Fleet is a fleet of machines, a third of which report to each of three controllers. Each machine but
-// one in a hundred is full; 500 gangs and 500 arrays are pending.
+// Fleet is the state of a deployment of three controllers, each of which receives the heartbeats of a third of
+// the machines. Every hundredth machine is idle and the others are full; 500 gangs and 500 arrays are pending.
 type Fleet struct {
 	Records []ledger.Event
-	Reports []*wire.Heartbeat // of the machines that report to the first controller
-	Peers   [2]peer.Status    // of the other controllers
+	Reports []*wire.Heartbeat // from the machines that report to the first controller
+	Peers   [2]peer.Status    // as the other two controllers publish it
 }
 
-// Records of the fleet, in the form in which they are stored.
+// Templates of the fleet's records, in their stored form.
 const (
 	machineTypeRecord = `{"sku":"g2","cores":8,"accelerators":2,"ram_gb":32,"disk_gb":50,"fetch_gb_per_s":1,` +
 		`"hourly_price":4,"startup_s":20,"yards":["a","b","c"]}`
@@ -33,7 +33,7 @@
 // Zone returns the zone of the ith machine of a fleet.
 func Zone(i int) wire.Zone { return []wire.Zone{"a", "b", "c"}[i%3] }
 
-// NewFleet returns a fleet of so many machines.
+// NewFleet returns a fleet with the given number of machines.
 func NewFleet(machines int) *Fleet {
 	f := new(Fleet)
 	add := func(key, value string) {
@@ -102,8 +102,8 @@
 	return f
 }
 
-// Join loads the records into the cache of the first controller, registers the workers that report to
-// it, and merges the status of its peers.
+// Join loads the fleet into the first controller: its records into the watch cache, the heartbeats of its
+// workers into the registry, and the status of the other controllers into the membership.
 func (f *Fleet) Join(
 	tb testing.TB,
 	cache *watchcache.Cache,
--- a/internal/testing/controllertest/parts.go
+++ b/internal/testing/controllertest/parts.go
@@ -1,10 +1,10 @@
-// Package controllertest assembles the parts of a controller for tests of packages that build on them.
+// Package controllertest builds test fixtures from the components of a controller.
 //
-// [Settings] returns the settings of a small deployment. [New] returns the [Parts] of one of its
-// controllers, on an emulated state service and without any component running. [NewFleet] returns the
+// [Settings] returns the settings of a small deployment. [New] wires up the components of one of its
+// controllers, on an emulated state service and without starting any of them. [NewFleet] returns the
 // records and heartbeats of a fleet of any size, for benchmarks.
 //
-// Tests that need whole controllers use the emulated cluster of internal/controller instead.
+// Tests that need running controllers use the emulated cluster of internal/controller instead.
 package controllertest
 
 import (
@@ -32,8 +32,8 @@
 	"maddermill/wire"
 )
 
-// Parts are the parts of one controller, on a state service of its own. They log nothing, and none of
-// their components runs.
+// Parts holds the components of one controller, on a state service of its own. They log nothing, and none
+// of them is running.
 type Parts struct {
 	Set          *settings.Settings
 	Store        kvstore.Store
@@ -54,7 +54,7 @@
 	Exchange     *completion.Exchange
 }
 
-// New returns the parts of one of three controllers.
+// New returns the components of one of three controllers; member is its index.
 func New(tb testing.TB, member int) *Parts {
 	tb.Helper()
 	set := Settings(tb, member)
@@ -69,7 +69,7 @@
 	p.Cache = watchcache.New(
 		watchcache.Options{Member: set.Member, Limits: limits, RequestRate: 60, NewestFormat: ledger.NewestFormat},
 		p.Store,
-		follower{p},
+		callbacks{p},
 		p.Stats,
 		p.Log,
 	)
@@ -94,7 +94,7 @@
 	p.Completions = completion.New(64)
 	p.Exchange = completion.NewExchange(p.Completions, time.Now(), others)
 	p.Registry = reconcile.NewRegistry(p.Membership, p.Completions)
-	p.Policies = policymanager.New(follower{p}, p.Store, set.Member, p.Stats, p.Log)
+	p.Policies = policymanager.New(callbacks{p}, p.Store, set.Member, p.Stats, p.Log)
 	p.Topology = topologytracker.New(set, p.Cache, p.Membership, p.Registry, p.Failures, func() {}, p.Stats, p.Log)
 	p.Deadlines = deadlinetracker.New(
 		set,
@@ -127,32 +127,32 @@
 	return p
 }
 
-// follower is the parts as the watch cache and the manager of policy modules see them. This controller never
-// leads, and there are no others.
-type follower struct{ p *Parts }
+// callbacks implements watchcache.Follower and policymanager.Host for a controller that never becomes the
+// leader and has no peers.
+type callbacks struct{ p *Parts }
 
 // Loaded implements watchcache.Listener.
-func (f follower) Loaded() { f.p.Scheduler.InvalidateSnapshot() }
+func (f callbacks) Loaded() { f.p.Scheduler.InvalidateSnapshot() }
 
 // Advanced implements watchcache.Listener.
-func (f follower) Advanced(now time.Time) { f.p.Scheduler.RefreshChangedMachines(now) }
+func (f callbacks) Advanced(now time.Time) { f.p.Scheduler.RefreshChangedMachines(now) }
 
 // JobArchived implements watchcache.Listener.
-func (follower) JobArchived(wire.JobID, ledger.FinalRecord) {}
+func (callbacks) JobArchived(wire.JobID, ledger.FinalRecord) {}
 
 // Read implements policymanager.Host.
-func (f follower) Read(read func(l *ledger.Ledger)) { f.p.Cache.Read(read) }
+func (f callbacks) Read(read func(l *ledger.Ledger)) { f.p.Cache.Read(read) }
 
 // Term implements policymanager.Host.
-func (follower) Term() (wire.Revision, bool) { return 0, false }
+func (callbacks) Term() (wire.Revision, bool) { return 0, false }
 
 // Others implements policymanager.Host.
-func (follower) Others() []policymanager.Controller { return nil }
+func (callbacks) Others() []policymanager.Controller { return nil }
 
 // SpareCapacity implements policymanager.Host.
-func (f follower) SpareCapacity() int { return f.p.Committer.SpareCapacity() }
+func (f callbacks) SpareCapacity() int { return f.p.Committer.SpareCapacity() }
 
 // Commit implements policymanager.Host.
-func (f follower) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
+func (f callbacks) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	return f.p.Committer.Commit(ctx, t)
 }
--- a/internal/testing/controllertest/records.go
+++ b/internal/testing/controllertest/records.go
@@ -9,7 +9,7 @@
 	"maddermill/wire"
 )
 
-// AddJob adds the record of a job of which no task is claimed.
+// AddJob adds the record of an active job without claims to the ledger, and returns the job.
 func AddJob(l *ledger.Ledger, i int, shape wire.Shape, tasks int) *ledger.Job {
 	id := wire.JobID(fmt.Sprintf("wk-%06d", i))
 	l.Apply(ledger.Event{
@@ -26,8 +26,8 @@
 	return l.Job(id)
 }
 
-// Answer returns a peer's answer to a probe: it has synced with the state service so long ago, and knows
-// cancellations up to a revision.
+// Answer returns a peer's response to a probe that was sent at asked. contact is the time since the peer last
+// synced with the state service, and cancelled the revision up to which it knows cancellations.
 func Answer(
 	member wire.MemberID,
 	asked time.Time,
--- a/internal/testing/controllertest/settings.go
+++ b/internal/testing/controllertest/settings.go
@@ -14,7 +14,7 @@
 	return SettingsOf(tb, member, 3)
 }
 
-// SettingsOf returns the settings of one of so many controllers, m-0, m-1, ...
+// SettingsOf returns the settings of one of count controllers, which are named m-0, m-1, ...
 func SettingsOf(tb testing.TB, member, count int) *settings.Settings {
 	tb.Helper()
 	var b strings.Builder
--- a/internal/testing/emulator/balancer.go
+++ b/internal/testing/emulator/balancer.go
@@ -9,35 +9,35 @@
 	"maddermill/internal/wait"
 )
 
-// The protocol's rules for the users' load balancer.
+// Parameters of the load balancer in front of the controllers, from the protocol.
 const (
 	probeInterval       = time.Second
-	probeWindow         = 6 // the latest probes that count
-	maxFailuresInRow    = 2 // a node is removed with this many
-	maxFailuresInWindow = 3 // or with this many in the window
-	minSuccessesInRow   = 2 // a removed node returns with this many
+	probeWindow         = 6 // probes in the sliding window
+	maxFailuresInRow    = 2 // a node is removed after this many
+	maxFailuresInWindow = 3 // or after this many in the window
+	minSuccessesInRow   = 2 // a removed node is readmitted after this many
 
-	minRemoval    = 3 * time.Second // the shortest time for which a node is removed
-	maxRemoval    = time.Minute     // doubled with each removal up to this
-	removalMemory = 2 * time.Minute // it starts over after this time without a removal
-	resetAfter    = 5 * time.Second // connections to a removed node are reset after this
+	minRemoval    = 3 * time.Second // initial removal time of a node
+	maxRemoval    = time.Minute     // upper bound of the removal time, which doubles with each removal
+	removalMemory = 2 * time.Minute // the removal time is reset after this long without a removal
+	resetAfter    = 5 * time.Second // connections to a node are reset this long after its removal
 
-	maxConnectAttempts = 3               // nodes tried for a connection
+	maxConnectAttempts = 3               // nodes tried per connection
 	maxRefusedInRow    = 3               // a node is skipped after this many refused connections
-	skipTime           = 3 * time.Second // for this long
+	skipTime           = 3 * time.Second // how long the node is skipped
 )
 
-// Balancer emulates the users' load balancer, by the protocol's rules: every node is probed
-// about once a second; one is removed after two failures in a row or three among the last six
-// probes, and returns after two successes in a row, but no sooner than 3 s after its removal,
-// a time that doubles with each further removal within two minutes, up to a minute. One success
-// is enough for a node that was never healthy.
+// Balancer emulates the load balancer between the users and the controllers, its nodes. It probes
+// every node about once a second. A node is removed after two failed probes in a row or three
+// among the last six, and readmitted after two successes in a row, but no sooner than 3 s after
+// its removal; this time doubles with each further removal within two minutes, up to a minute.
+// A node that was never healthy is admitted after one success.
 type Balancer struct {
-	// Probe reports whether a probe of the node succeeds.
+	// Probe probes a node and reports whether it succeeded.
 	Probe func(node int) bool
-	// Removals counts how often nodes were removed.
+	// Removals counts the removals of nodes.
 	Removals int
-	// Longest is the longest time for which a node was removed.
+	// Longest is the longest removal time of any node.
 	Longest time.Duration
 
 	mu    sync.Mutex // guards the fields below, Removals and Longest
@@ -45,26 +45,26 @@
 	nodes []nodeHealth
 }
 
-// nodeHealth is what the balancer knows of a node.
+// nodeHealth is the health of a node as the balancer tracks it.
 type nodeHealth struct {
-	known        bool // it was healthy once
+	known        bool // has been healthy at least once
 	healthy      bool
-	failures     int    // failed probes in a row
-	successes    int    // successful probes in a row
-	window       []bool // the latest probes, probeWindow at most; true: successful
-	removed      time.Time
-	removal      time.Duration // how long it is removed
+	failures     int           // failed probes in a row
+	successes    int           // successful probes in a row
+	window       []bool        // results of the latest probes, at most probeWindow; true: success
+	removed      time.Time     // time of the last removal
+	removalTime  time.Duration // how long the node stays removed
 	refused      int           // refused connections in a row
 	skippedUntil time.Time
 }
 
-// NewBalancer returns a balancer of a number of nodes that has probed none of them. It draws the
-// order in which nodes are tried from the seed.
+// NewBalancer returns a balancer that has not probed any of its nodes yet. The order in which it
+// tries nodes for a connection is drawn from the seed.
 func NewBalancer(nodes int, seed uint64, probe func(int) bool) *Balancer {
 	return &Balancer{Probe: probe, rng: rand.New(rand.NewPCG(seed, 4)), nodes: make([]nodeHealth, nodes)}
 }
 
-// Run probes until ctx ends.
+// Run probes all nodes periodically until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i := range b.nodes {
@@ -77,7 +77,7 @@
 	}
 }
 
-// observe records the result of a probe and removes or returns the node by it. b.mu is held.
+// observe records the result of a probe, and removes or readmits the node if it is due. b.mu is held.
 func (b *Balancer) observe(n *nodeHealth, ok bool, now time.Time) {
 	n.window = append(n.window, ok)
 	n.window = n.window[max(0, len(n.window)-probeWindow):]
@@ -94,18 +94,18 @@
 	}
 	switch {
 	case n.healthy && (n.failures >= maxFailuresInRow || failuresInWindow >= maxFailuresInWindow):
-		if n.removal = min(2*n.removal, maxRemoval); n.removal == 0 || now.Sub(n.removed) > removalMemory {
-			n.removal = minRemoval
+		if n.removalTime = min(2*n.removalTime, maxRemoval); n.removalTime == 0 || now.Sub(n.removed) > removalMemory {
+			n.removalTime = minRemoval
 		}
 		n.healthy, n.removed = false, now
 		b.Removals++
-		b.Longest = max(b.Longest, n.removal)
-	case !n.healthy && (!n.known && ok || n.successes >= minSuccessesInRow && now.Sub(n.removed) >= n.removal):
+		b.Longest = max(b.Longest, n.removalTime)
+	case !n.healthy && (!n.known && ok || n.successes >= minSuccessesInRow && now.Sub(n.removed) >= n.removalTime):
 		n.known, n.healthy, n.window = true, true, nil
 	}
 }
 
-// Resets reports whether a node has been unhealthy for so long that its connections are reset.
+// Resets reports whether a node was removed so long ago that its connections are reset.
 func (b *Balancer) Resets(node int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,8 +113,8 @@
 	return n.known && !n.healthy && time.Since(n.removed) >= resetAfter
 }
 
-// Connect tries healthy nodes in random order, maxConnectAttempts at most, and returns the first
-// that accepts a connection, or -1.
+// Connect tries at most maxConnectAttempts healthy nodes in random order, and returns the first
+// that accepts the connection, or -1 if none does.
 func (b *Balancer) Connect(accepts func(node int) bool) int {
 	b.mu.Lock()
 	var healthy []int
--- a/internal/testing/emulator/cloud.go
+++ b/internal/testing/emulator/cloud.go
@@ -12,47 +12,47 @@
 	"maddermill/wire"
 )
 
-// requestTime is how long every request to the cloud takes.
-const requestTime = 50 * time.Millisecond
+// requestLatency is the latency of every request to the cloud.
+const requestLatency = 50 * time.Millisecond
 
-// racksPerZone is how many racks a zone has. Two at a time share a switch.
+// racksPerZone is the number of racks in a zone. Every two racks share a switch.
 const racksPerZone = 4
 
-// maxMachinesPerRack is how many endpoints a rack has; they are then used again.
+// maxMachinesPerRack is the number of endpoints in a rack. Once all are assigned, they are reused.
 const maxMachinesPerRack = 250
 
-// Cloud emulates the cloud. Its machine list is eventually consistent: it lags.
+// Cloud emulates the cloud provider. Its machine list is eventually consistent and lags by a fixed time.
 type Cloud struct {
 	World *World
 	// Types are the machine types on offer.
 	Types []wire.MachineType
-	// Lag is how far the list lags behind.
+	// Lag is how old the state is that List returns.
 	Lag time.Duration
-	// Lease is the workers' lease.
+	// Lease is the duration of the workers' lease.
 	Lease time.Duration
-	// Most is the largest number of machines at a time.
+	// Most is the maximum number of machines that are rented at the same time.
 	Most int
-	// Run returns how long a task runs.
+	// Run returns the run time of a task.
 	Run func(wire.TaskID) time.Duration
-	// Started is called with every machine that has booted.
+	// Started is called with each machine once it has booted.
 	Started func(*Machine)
-	// Down has the cloud refuse every request. Use SetDown while the cloud is in use.
+	// Down makes the cloud refuse all requests. Once requests may arrive, change it with SetDown only.
 	Down bool
 
 	mu sync.Mutex // guards the fields below and Down; taken before Machine.mu
 
 	nextID          int
-	machinesPerZone map[int]int // ever rented, by the zone's index in its machine type
+	machinesPerZone map[int]int // rented so far, by the zone's index in the machine type
 	rentals         []*rental
-	scaleOuts       map[wire.ScaleOutID][]wire.MachineID // answered requests, which are idempotent
+	scaleOuts       map[wire.ScaleOutID][]wire.MachineID // responses by request ID, as requests are idempotent
 }
 
-// rental is a machine that was rented, also after its end.
+// rental is a rented machine. It is kept after the machine is deleted, for the lagging list.
 type rental struct {
 	machine *Machine
 	begun   time.Time
-	booted  time.Time // when the boot ends
-	deleted time.Time // zero: not yet
+	booted  time.Time // when the machine has booted
+	deleted time.Time // zero if it is not deleted
 }
 
 // end deletes the machine. Cloud.mu is held.
@@ -61,10 +61,10 @@
 	r.machine.Destroy()
 }
 
-// transit takes a request's time, and fails with cloud.ErrRefused while the cloud is down. It
-// must not be called under a lock: a fake clock does not advance while anyone waits for one.
+// transit sleeps for the latency of a request, and fails with cloud.ErrRefused during an outage. It
+// must not be called with a lock held: a fake clock does not advance while a goroutine waits for a mutex.
 func (c *Cloud) transit() error {
-	time.Sleep(requestTime)
+	time.Sleep(requestLatency)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.Down {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// SetDown begins or ends an outage, in which the cloud refuses every request.
+// SetDown starts or ends an outage, during which the cloud refuses all requests.
 func (c *Cloud) SetDown(down bool) {
 	c.mu.Lock()
 	c.Down = down
@@ -85,8 +85,8 @@
 	return c.Types, c.transit()
 }
 
-// ScaleOut rents machines, fewer than asked for if there are no more, and returns their IDs. A
-// repeated request gets the same answer. It fails with cloud.ErrNoCapacity if there are none.
+// ScaleOut rents machines, fewer than requested if capacity runs out, and returns their IDs. A
+// repeated request gets the same response. It fails with cloud.ErrNoCapacity if it can't rent any.
 func (c *Cloud) ScaleOut(_ context.Context, request wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	if err := c.transit(); err != nil {
 		return nil, err
@@ -135,14 +135,14 @@
 	return wire.MachineType{}
 }
 
-// Add rents a machine without a request, booted at once.
+// Add rents a machine without a request. The machine boots immediately.
 func (c *Cloud) Add(t wire.MachineTypeName, z wire.Zone, spot bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rent(t, z, spot, 0)
 }
 
-// rent adds a machine and boots it. c.mu is held.
+// rent adds a machine that finishes booting after a delay, and returns its ID. c.mu is held.
 func (c *Cloud) rent(t wire.MachineTypeName, z wire.Zone, spot bool, boot time.Duration) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("host-%06d", c.nextID))
 	c.nextID++
@@ -164,19 +164,19 @@
 	c.rentals = append(c.rentals, &rental{machine: m, begun: now, booted: now.Add(boot)})
 	time.AfterFunc(boot, func() {
 		m.mu.Lock()
-		gone := m.gone
-		if !gone {
+		destroyed := m.destroyed
+		if !destroyed {
 			m.Boot()
 		}
 		m.mu.Unlock()
-		if !gone {
+		if !destroyed {
 			c.Started(m)
 		}
 	})
 	return id
 }
 
-// Topology returns a topology file, in the format of --topology, of the machines in some zones.
+// Topology returns a topology file, in the format of --topology, that covers the machines of the given zones.
 func Topology(zones []wire.Zone) string {
 	var b strings.Builder
 	b.WriteString(`# Where the stand-ins' machines are. Their endpoints are 127.ZONE.RACK.MACHINE.
@@ -198,8 +198,8 @@
 	return b.String()
 }
 
-// endpoint returns the address of the next machine in a zone: 127.ZONE.RACK.MACHINE, each counted
-// from 1, so that each rack is a network of its own. c.mu is held.
+// endpoint returns the address of the next machine in a zone: 127.ZONE.RACK.MACHINE, with all numbers
+// counted from 1, so that each rack is a subnet of its own. c.mu is held.
 func (c *Cloud) endpoint(zone int) string {
 	if c.machinesPerZone == nil {
 		c.machinesPerZone = map[int]int{}
@@ -209,7 +209,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:9000", zone+1, n%racksPerZone+1, n/racksPerZone%maxMachinesPerRack+1)
 }
 
-// ScaleIn deletes machines; unknown and deleted ones are passed over.
+// ScaleIn deletes machines. It ignores IDs that are unknown or already deleted.
 func (c *Cloud) ScaleIn(_ context.Context, ids []wire.MachineID) error {
 	if err := c.transit(); err != nil {
 		return err
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// Take reclaims the spot machine with an index among those that are left, without notice.
+// Take reclaims the nth of the remaining spot machines, counted from 0, without notice.
 func (c *Cloud) Take(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,7 +238,7 @@
 	}
 }
 
-// Up returns the machines that are booted and not deleted.
+// Up returns the machines that have booted and are not deleted.
 func (c *Cloud) Up() []*Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/emulator/http.go
+++ b/internal/testing/emulator/http.go
@@ -13,7 +13,7 @@
 	"maddermill/wire"
 )
 
-// StateHandler serves the state service's HTTP protocol from a link.
+// StateHandler serves the HTTP protocol of the state service on top of a link.
 func StateHandler(l *Link) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, r *http.Request) {
@@ -101,10 +101,10 @@
 	return mux
 }
 
-// maxBodyBytes is the limit of a request's body.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 64 << 10
 
-// decode reads a request's JSON body; if it can't, it answers with status 400 and returns false.
+// decode parses the JSON body of a request. If it can't, it responds with status 400 and returns false.
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return err == nil
 }
 
-// respond answers with a JSON body, or with the protocol's status and body for an error.
+// respond writes v as JSON, or the status and body that the protocol defines for err.
 func respond(w http.ResponseWriter, v any, err error) {
 	status := http.StatusOK
 	var conflict *kvstore.ConflictError
@@ -140,11 +140,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(b) // the client may be gone
+	_, _ = w.Write(b) // the client may have disconnected
 }
 
-// Spec returns the job spec in a change to the records, if it is one of a job: what users
-// upload for the workers beside submitting it.
+// Spec returns the job spec in a change, if the change puts the record of a job. Tests pass it to
+// World.Upload, as users make the spec available to the workers in addition to submitting it.
 func Spec(c wire.Change) (*wire.JobSpec, bool) {
 	if !strings.Contains(c.Put, "/j/") {
 		return nil, false
--- a/internal/testing/emulator/link.go
+++ b/internal/testing/emulator/link.go
@@ -13,57 +13,59 @@
 	"maddermill/wire"
 )
 
-// minPageItems is how many items a page of a listing has unless Link.Pages is larger.
+// minPageItems is the maximum number of items in a page of a listing unless Link.Pages is larger.
 const minPageItems = 7
 
-// answerTimeout is how long a caller waits for an answer that was lost.
+// answerTimeout is how long a caller waits before it gives up on a lost response.
 const answerTimeout = time.Second
 
 // Link is one controller's connection to the store, with injected faults. It implements
 // kvstore.Store.
 type Link struct {
 	Store *Store
-	// Step, if set, is called before a transaction is sent and after it is applied.
+	// Step, if set, is called before a transaction is sent, with applied false, and when Commit
+	// returns, with applied true.
 	Step func(t wire.Txn, applied bool)
-	// Late, if set, returns the delay after which a transaction is applied whose caller gets
-	// no answer; 0: it is treated like any other. Use SetLate while the link is in use.
+	// Late, if set, returns the delay with which a transaction is applied while its caller gets
+	// no response; 0 leaves the transaction unaffected. Once the link is in use, change it with
+	// SetLate only.
 	Late func(t wire.Txn) time.Duration
-	// Loads, if set, is called before each page of a listing of records; begins is true for
-	// the first one.
+	// Loads, if set, is called before each page of a listing of records is returned; begins is
+	// true for the first page.
 	Loads func(begins bool)
-	// Pages is the largest number of items in a page; below minPageItems that many, so that
-	// there are many pages.
+	// Pages is the maximum number of items in a page, and at least minPageItems. The low default
+	// makes listings span several pages.
 	Pages int
-	// Copies has every applied transaction arrive once more, up to 20 s later.
+	// Copies makes every transaction arrive a second time, up to 20 s later.
 	Copies bool
 
 	mu sync.Mutex // guards the fields below and Late
 
 	rng         *rand.Rand
 	down        bool
-	pausedUntil time.Time // when the controller's process continues
-	slow        time.Duration
-	// lossShare is the share of transactions whose answer is lost; half of those are applied
-	// 2 to 12 s late, after newer ones.
+	pausedUntil time.Time     // when the controller's process resumes
+	extraDelay  time.Duration // added to the delay of every request
+	// lossShare is the fraction of transactions whose response is lost. Half of these are applied
+	// 2 to 12 s late, after newer transactions.
 	lossShare float64
 }
 
-// NewLink returns a link whose delays and faults are drawn from the seed.
+// NewLink returns a link to a store, with delays and faults drawn from the seed.
 func NewLink(s *Store, seed uint64) *Link {
 	return &Link{Store: s, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// SetDown begins or ends an outage, in which the link refuses every request.
+// SetDown starts or ends an outage, during which the link refuses all requests.
 func (l *Link) SetDown(down bool) {
 	l.mu.Lock()
 	l.down = down
 	l.mu.Unlock()
 }
 
-// SetSlow sets the delay that is added to that of every request.
+// SetSlow sets the extra delay of every request.
 func (l *Link) SetSlow(d time.Duration) {
 	l.mu.Lock()
-	l.slow = d
+	l.extraDelay = d
 	l.mu.Unlock()
 }
 
@@ -74,50 +76,50 @@
 	l.mu.Unlock()
 }
 
-// lateDelay returns Late.
-func (l *Link) lateDelay() func(t wire.Txn) time.Duration {
+// lateFunc returns Late, under the lock.
+func (l *Link) lateFunc() func(t wire.Txn) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Late
 }
 
-// SetLossy sets the share of transactions whose answer is lost.
+// SetLossy sets the fraction of transactions whose response is lost.
 func (l *Link) SetLossy(share float64) {
 	l.mu.Lock()
 	l.lossShare = share
 	l.mu.Unlock()
 }
 
-// currentLossShare returns the share of transactions whose answer is lost.
+// currentLossShare returns the fraction of transactions whose response is lost.
 func (l *Link) currentLossShare() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lossShare
 }
 
-// draw returns whether the link is down, a number in [0, 1), and the delay of a request:
-// 1 to 8 ms, or 300 ms for one in fifty, and what SetSlow added. It always makes the
+// draw returns whether the link is down, a random number in [0, 1), and the delay of a request:
+// 1 to 8 ms, or 300 ms for one in fifty, plus the extra delay from SetSlow. It always makes the
 // same three draws in the same order, on which tests with fixed seeds depend.
-func (l *Link) draw() (down bool, luck float64, delay time.Duration) {
+func (l *Link) draw() (down bool, sample float64, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delay = time.Duration(1+l.rng.IntN(8)) * time.Millisecond
 	if l.rng.IntN(50) == 0 {
 		delay = 300 * time.Millisecond
 	}
-	delay += l.slow
+	delay += l.extraDelay
 	return l.down, l.rng.Float64(), delay
 }
 
-// Freeze emulates a pause of the controller's process: requests and answers are held back for
-// d, whatever the caller's timeout.
+// Freeze emulates a pause of the controller's process: requests and responses are held back for
+// d, regardless of the caller's timeout.
 func (l *Link) Freeze(d time.Duration) {
 	l.mu.Lock()
 	l.pausedUntil = time.Now().Add(d)
 	l.mu.Unlock()
 }
 
-// Frozen returns how long the pause still lasts; it is negative or 0 after one.
+// Frozen returns the remaining time of the pause; it is 0 or negative once the pause is over.
 func (l *Link) Frozen() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +133,7 @@
 	}
 }
 
-// transit blocks for the delay of a request. It fails with kvstore.ErrRefused during an outage
+// transit sleeps for the delay of a request. It fails with kvstore.ErrRefused during an outage
 // or when ctx ends.
 func (l *Link) transit(ctx context.Context) error {
 	l.Thaw()
@@ -178,8 +180,8 @@
 	return l.Store.page(prefix, after, min(limit, max(l.Pages, minPageItems))), nil
 }
 
-// Commit implements kvstore.Store. If the answer is lost it fails with kvstore.ErrUnknown, and
-// the transaction was applied or will be, seconds later.
+// Commit implements kvstore.Store. If the response is lost, it fails with kvstore.ErrUnknown, and
+// the transaction either has been applied or will be within seconds.
 func (l *Link) Commit(ctx context.Context, t wire.Txn) (wire.Revision, error) {
 	defer l.Thaw()
 	if l.Step != nil {
@@ -189,7 +191,7 @@
 	if err := l.transit(ctx); err != nil {
 		return 0, err
 	}
-	if late := l.lateDelay(); late != nil {
+	if late := l.lateFunc(); late != nil {
 		if after := late(t); after > 0 {
 			l.applyLate(t, after)
 			time.Sleep(answerTimeout)
@@ -197,8 +199,8 @@
 		}
 	}
 	lossShare := l.currentLossShare()
-	if _, luck, _ := l.draw(); luck < lossShare {
-		if part := luck / lossShare; part < 0.5 {
+	if _, sample, _ := l.draw(); sample < lossShare {
+		if part := sample / lossShare; part < 0.5 {
 			l.applyLate(t, 2*time.Second+time.Duration(part*20*float64(time.Second)))
 		} else {
 			_, _ = l.Store.Apply(t)
@@ -207,13 +209,13 @@
 		return 0, kvstore.ErrUnknown
 	}
 	if l.Copies {
-		_, luck, _ := l.draw()
-		l.applyLate(t, time.Duration(luck*20*float64(time.Second)))
+		_, sample, _ := l.draw()
+		l.applyLate(t, time.Duration(sample*20*float64(time.Second)))
 	}
 	return l.Store.Apply(t)
 }
 
-// applyLate applies a copy of a transaction after a delay; nobody gets the result.
+// applyLate applies a copy of a transaction after a delay and discards the result.
 func (l *Link) applyLate(t wire.Txn, after time.Duration) {
 	b, _ := json.Marshal(t) // a wire.Txn always marshals
 	time.AfterFunc(after, func() {
@@ -224,7 +226,7 @@
 	})
 }
 
-// AvailableChanges implements kvstore.Store. The emulation has no budget of writes.
+// AvailableChanges implements kvstore.Store. The emulator does not limit the write rate.
 func (l *Link) AvailableChanges() int { return math.MaxInt }
 
 // Watch implements kvstore.Store.
@@ -246,7 +248,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(time.Second): // leases may have run out
+		case <-time.After(time.Second): // leases may have expired
 		case <-end:
 			return ev, nil
 		case <-ctx.Done():
--- a/internal/testing/emulator/machine.go
+++ b/internal/testing/emulator/machine.go
@@ -7,60 +7,60 @@
 	"maddermill/wire"
 )
 
-// defaultFetchTime is how long an image is fetched unless World.Fetch says otherwise.
+// defaultFetchTime is how long a machine fetches an image if World.Fetch is not set.
 const defaultFetchTime = 3 * time.Second
 
-// responseTimeout is the age of a heartbeat from which its response is dropped.
+// responseTimeout is the age of a heartbeat after which its response is ignored.
 const responseTimeout = 4 * time.Second
 
-// machineTask is an attempt of a task on a machine.
+// machineTask is one attempt to run a task on a machine.
 type machineTask struct {
 	attempt      wire.Attempt
 	state        wire.TaskState
 	cause        wire.Cause // of the exit
-	saved        bool       // whether it exited with a checkpoint
-	until        time.Time  // when the state ends
-	missingSince time.Time  // since when a running gang's task misses another; zero: it doesn't
+	saved        bool       // whether it wrote a checkpoint before it exited
+	stateEnds    time.Time  // when the task leaves its state
+	missingSince time.Time  // since when a peer of a running gang is missing; zero: none is
 }
 
-// exit ends the attempt.
+// exit ends the attempt with a cause.
 func (t *machineTask) exit(cause wire.Cause) { t.state, t.cause = wire.TaskExited, cause }
 
-// Machine emulates a worker and its machine. The caller carries its heartbeats to a controller:
-// it sends what Heartbeat returns and hands the response to Answer.
+// Machine emulates a worker and the machine it runs on. The caller is the transport: it sends what
+// Heartbeat returns to a controller, and passes the response to HandleResponse.
 type Machine struct {
 	World *World
 	Type  wire.ListedMachine
-	// Lease is how long after the last answered heartbeat the worker kills its tasks.
+	// Lease is the time without a response to its heartbeats after which the worker kills its tasks.
 	Lease time.Duration
-	// Run returns how long a task runs.
+	// Run returns the run time of a task.
 	Run func(wire.TaskID) time.Duration
 	// GPUs is the machine's number of GPUs.
 	GPUs float64
 
 	mu sync.Mutex // guards the fields below; taken before World.mu
 
-	epoch    wire.AgentEpoch
-	sequence wire.HeartbeatSequence
-	token    wire.FencingToken // the highest seen
-	renewed  time.Time         // when the lease was last renewed
-	tasks    map[wire.TaskID]*machineTask
-	gone     bool
-	hung     bool
+	epoch     wire.AgentEpoch
+	sequence  wire.HeartbeatSequence
+	token     wire.FencingToken // the highest received so far
+	renewed   time.Time         // start of the current lease
+	tasks     map[wire.TaskID]*machineTask
+	destroyed bool
+	hung      bool
 }
 
-// Boot starts the worker. The caller holds m.mu or has m to itself.
+// Boot starts the worker. The caller holds m.mu or is the only user of m.
 func (m *Machine) Boot() {
 	m.epoch, m.tasks, m.renewed = 1, map[wire.TaskID]*machineTask{}, time.Now()
 }
 
-// Destroy ends the machine and its tasks.
+// Destroy deletes the machine, which ends its tasks.
 func (m *Machine) Destroy() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.World.mu.Lock()
 	defer m.World.mu.Unlock()
-	m.gone = true
+	m.destroyed = true
 	m.kill()
 }
 
@@ -68,10 +68,10 @@
 func (m *Machine) Gone() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.gone
+	return m.destroyed
 }
 
-// Hang begins or ends a hang, in which the machine does nothing and answers nobody.
+// Hang starts or ends a hang, during which the machine does nothing and responds to no peer.
 func (m *Machine) Hang(hung bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +80,7 @@
 	m.hung, m.World.hung[m.Type.ID] = hung, hung
 }
 
-// kill ends and forgets all tasks. m.mu and World.mu are held.
+// kill ends and removes all tasks. m.mu and World.mu are held.
 func (m *Machine) kill() {
 	for id, t := range m.tasks {
 		if t.state != wire.TaskExited && t.state != wire.TaskFetching {
@@ -90,12 +90,12 @@
 	}
 }
 
-// Heartbeat advances the tasks to now and returns the next heartbeat and when it was begun, or
-// nil if the machine is destroyed or hangs.
+// Heartbeat advances all tasks to the current time, and returns the next heartbeat and its time, or
+// nil if the machine is destroyed or hung.
 func (m *Machine) Heartbeat() (heartbeat *wire.Heartbeat, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone || m.hung {
+	if m.destroyed || m.hung {
 		return nil, time.Time{}
 	}
 	m.World.mu.Lock()
@@ -103,7 +103,7 @@
 	now := time.Now()
 	m.expireLease(now)
 	for id, t := range m.tasks {
-		m.step(id, t, now)
+		m.advance(id, t, now)
 	}
 	m.sequence++
 	heartbeat = &wire.Heartbeat{
@@ -123,8 +123,8 @@
 	return heartbeat, now
 }
 
-// expireLease kills the tasks and begins a new epoch if the lease is over. m.mu and World.mu
-// are held.
+// expireLease kills all tasks and starts a new agent epoch if the lease has expired. m.mu and
+// World.mu are held.
 func (m *Machine) expireLease(now time.Time) {
 	if now.Sub(m.renewed) > m.Lease {
 		m.World.Lapsed += len(m.tasks)
@@ -134,11 +134,11 @@
 	}
 }
 
-// Lapse ends the lease now if its time is over, rather than with the next heartbeat.
+// Lapse checks now whether the lease has expired, instead of with the next heartbeat.
 func (m *Machine) Lapse() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone || m.hung {
+	if m.destroyed || m.hung {
 		return
 	}
 	m.World.mu.Lock()
@@ -146,7 +146,7 @@
 	m.expireLease(time.Now())
 }
 
-// fetchTime returns how long the image of a task is fetched.
+// fetchTime returns how long the machine fetches the image of a task.
 func (m *Machine) fetchTime(t wire.TaskID) time.Duration {
 	if m.World.Fetch != nil {
 		return m.World.Fetch(m.Type.ID, t)
@@ -154,48 +154,48 @@
 	return defaultFetchTime
 }
 
-// step advances a task to its state now. m.mu and World.mu are held.
-func (m *Machine) step(id wire.TaskID, t *machineTask, now time.Time) {
+// advance moves a task to the state that it has by now. m.mu and World.mu are held.
+func (m *Machine) advance(id wire.TaskID, t *machineTask, now time.Time) {
 	spec := m.World.specs[id.Job]
 	gang := spec != nil && spec.Shape == wire.Gang && spec.Tasks > 1
-	if t.state == wire.TaskFetching && now.After(t.until) {
+	if t.state == wire.TaskFetching && now.After(t.stateEnds) {
 		m.startTask(id, t, gang, now)
 	}
 	if gang {
-		m.stepGang(id, t, spec, now)
+		m.advanceGang(id, t, spec, now)
 		if t.state == wire.TaskRunning && !t.missingSince.IsZero() {
-			return // nothing completes while the gang is incomplete
+			return // no task completes while the gang is incomplete
 		}
 	}
-	if t.state == wire.TaskRunning && now.After(t.until) {
+	if t.state == wire.TaskRunning && now.After(t.stateEnds) {
 		m.complete(id, t, spec, gang)
 	}
-	if t.state == wire.TaskSaving && now.After(t.until) {
+	if t.state == wire.TaskSaving && now.After(t.stateEnds) {
 		t.exit(wire.CausePreempted)
 		t.saved = true
 		m.World.remove(id)
 	}
 }
 
-// startTask starts a task whose image has been fetched; a gang's task first waits for the others.
+// startTask starts a task whose image has been fetched. A task of a gang first waits for its peers.
 // m.mu and World.mu are held.
 func (m *Machine) startTask(id wire.TaskID, t *machineTask, gang bool, now time.Time) {
 	m.World.start(m, id)
 	if !gang {
-		t.state, t.until = wire.TaskRunning, now.Add(m.Run(id))
+		t.state, t.stateEnds = wire.TaskRunning, now.Add(m.Run(id))
 		return
 	}
 	m.World.gangTasks[id] = gangTask{attempt: t.attempt, machine: m.Type.ID}
-	t.state, t.until = wire.TaskWaiting, now.Add(gangWaitTimeout)
+	t.state, t.stateEnds = wire.TaskWaiting, now.Add(gangWaitTimeout)
 }
 
-// stepGang advances a gang's task that waits for the others, misses one, or has completed with
-// them. m.mu and World.mu are held.
-func (m *Machine) stepGang(id wire.TaskID, t *machineTask, spec *wire.JobSpec, now time.Time) {
+// advanceGang advances a task of a gang that waits for its peers, has lost one, or has completed
+// together with them. m.mu and World.mu are held.
+func (m *Machine) advanceGang(id wire.TaskID, t *machineTask, spec *wire.JobSpec, now time.Time) {
 	w := m.World
 	if t.state == wire.TaskRunning && w.done[id] {
-		t.exit(wire.CauseDone) // with the others
-		w.remove(id)           // if it was started once more
+		t.exit(wire.CauseDone) // together with its peers
+		w.remove(id)           // in case it was started again
 	}
 	if t.state != wire.TaskWaiting && t.state != wire.TaskRunning {
 		return
@@ -203,9 +203,9 @@
 	complete := w.gangComplete(spec, t.attempt)
 	switch {
 	case t.state == wire.TaskWaiting && complete:
-		t.state, t.until = wire.TaskRunning, now.Add(m.Run(wire.TaskID{Job: id.Job}))
+		t.state, t.stateEnds = wire.TaskRunning, now.Add(m.Run(wire.TaskID{Job: id.Job}))
 		t.missingSince = time.Time{}
-	case t.state == wire.TaskWaiting && now.After(t.until):
+	case t.state == wire.TaskWaiting && now.After(t.stateEnds):
 		t.exit(wire.CauseGangIncomplete)
 		w.remove(id)
 	case complete || t.state == wire.TaskWaiting:
@@ -218,8 +218,8 @@
 	}
 }
 
-// complete ends a task that has run for its time, with an error or done. The tasks of a gang
-// complete together. m.mu and World.mu are held.
+// complete ends a task whose run time is over, either as done or with an error. The tasks of a
+// gang complete together. m.mu and World.mu are held.
 func (m *Machine) complete(id wire.TaskID, t *machineTask, spec *wire.JobSpec, gang bool) {
 	w := m.World
 	if w.Fails != nil && w.Fails(m.Type.ID, id) {
@@ -240,14 +240,15 @@
 	}
 }
 
-// Answer handles the response to the heartbeat of an agent epoch that was begun at a time: it renews
-// the lease from then on and carries out the commands. A response is dropped if it is older than
-// responseTimeout, of an earlier epoch, or under a lower fencing token than seen before.
+// Answer handles the response to a heartbeat, given the heartbeat's time and agent epoch: it renews
+// the lease as of that time and executes the commands. It ignores the response if the heartbeat is
+// older than responseTimeout or from an earlier epoch, or if the response carries a lower fencing
+// token than an earlier one.
 func (m *Machine) Answer(begun time.Time, epoch wire.AgentEpoch, p *wire.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.gone || m.hung || epoch != m.epoch || p.FencingToken < m.token || now.Sub(begun) > responseTimeout {
+	if m.destroyed || m.hung || epoch != m.epoch || p.FencingToken < m.token || now.Sub(begun) > responseTimeout {
 		return
 	}
 	m.World.mu.Lock()
@@ -259,8 +260,8 @@
 	}
 }
 
-// execute carries out a command; one that does not fit the task's state is passed over, and the
-// next heartbeat shows that state. m.mu and World.mu are held.
+// execute executes a command. It ignores a command that does not apply to the task's state; the
+// next heartbeat reports that state. m.mu and World.mu are held.
 func (m *Machine) execute(c wire.Command, now time.Time) {
 	t := m.tasks[c.Task]
 	sameAttempt := t != nil && t.attempt == c.Attempt
@@ -280,10 +281,10 @@
 	}
 }
 
-// assign begins an attempt of a task, or has it exit at once if its job is unknown or there is
-// no room. m.mu and World.mu are held.
+// assign starts an attempt of a task. The attempt exits immediately if the job's spec is unknown or
+// the machine has too few free GPUs. m.mu and World.mu are held.
 func (m *Machine) assign(c wire.Command, now time.Time) {
-	t := &machineTask{attempt: c.Attempt, state: wire.TaskFetching, until: now.Add(m.fetchTime(c.Task))}
+	t := &machineTask{attempt: c.Attempt, state: wire.TaskFetching, stateEnds: now.Add(m.fetchTime(c.Task))}
 	used := 0.0
 	for id, other := range m.tasks {
 		if other.state != wire.TaskExited {
@@ -298,17 +299,17 @@
 	m.tasks[c.Task] = t
 }
 
-// stop ends an attempt, after a checkpoint if it can write one within the command's grace
+// stop ends an attempt, after writing a checkpoint if that is possible within the command's grace
 // period. m.mu and World.mu are held.
 func (m *Machine) stop(c wire.Command, t *machineTask, now time.Time) {
 	spec := m.World.specs[c.Task.Job]
 	switch {
 	case t.state == wire.TaskRunning && m.World.done[c.Task]:
-		t.exit(wire.CauseDone) // with the gang's others, a moment ago
+		t.exit(wire.CauseDone) // together with its peers, just before
 		m.World.remove(c.Task)
 		return
 	case t.state == wire.TaskRunning && spec.Checkpoint > 0 && *c.Grace >= spec.Save:
-		t.state, t.until = wire.TaskSaving, now.Add(spec.Save.Duration())
+		t.state, t.stateEnds = wire.TaskSaving, now.Add(spec.Save.Duration())
 		return
 	case t.state == wire.TaskSaving && *c.Grace > 0:
 		return
--- a/internal/testing/emulator/steps.go
+++ b/internal/testing/emulator/steps.go
@@ -17,10 +17,10 @@
 	"maddermill/wire"
 )
 
-// RunStep emulates a machine's run of a workflow step: it reads the order of the step's job,
-// produces the tool's outputs, and stores the result. The tools are echo (writes its arguments to
-// standard output), cat (the contents of files), touch (makes empty files) and exit (exits with a
-// code). It does nothing for a job that is not a step.
+// RunStep emulates the execution of a workflow step on a machine: it reads the order of the step's
+// job, produces the outputs of the tool, and stores the result. The supported tools are echo (writes
+// its arguments to standard output), cat (concatenates files), touch (creates empty files) and exit
+// (exits with a code). It does nothing for a job that is not a workflow step.
 func RunStep(ctx context.Context, store stepdata.Store, job wire.JobID) error {
 	b, _, err := store.Get(ctx, workflow.StepSpecName(job))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return err
 }
 
-// runTool runs an order's tool and returns its outputs.
+// runTool emulates the tool that an order names, and returns its outputs.
 func runTool(
 	ctx context.Context, store stepdata.Store, job wire.JobID, order *workflow.StepSpec,
 ) (map[string]any, error) {
@@ -76,9 +76,9 @@
 			dir.files[name] = ""
 		}
 	case "exit":
-		_, _ = fmt.Sscan(cmd.Args[1], &code) // 0 if it is not a number
+		_, _ = fmt.Sscan(cmd.Args[1], &code) // stays 0 if it is not a number
 	default:
-		return nil, fmt.Errorf("%q is no tool that this machine pretends to have", cmd.Args[0])
+		return nil, fmt.Errorf("tool %q is not emulated", cmd.Args[0])
 	}
 	if err := tool.Tool.CheckExitCode(code); err != nil {
 		return nil, err
@@ -86,14 +86,14 @@
 	return tool.CollectOutputs(ctx, inputs, cmd, dir, nil)
 }
 
-// workDir is a tool's working directory. Files that become outputs are put into the store.
+// workDir is the working directory of a tool. Files that become outputs are copied to the store.
 type workDir struct {
-	files  map[string]string // contents by name
+	files  map[string]string // file contents by name
 	store  stepdata.Store
-	prefix string // of the names in the store
+	prefix string // prepended to the names of files in the store
 }
 
-// value puts a file into the store and returns its CWL File object.
+// value copies a file to the store and returns its CWL File object.
 func (d workDir) value(name string) (map[string]any, error) {
 	info, err := d.store.Put(context.Background(), d.prefix+"/"+name, strings.NewReader(d.files[name]))
 	return map[string]any{
@@ -130,7 +130,7 @@
 func (d workDir) Read(name string, limit int) ([]byte, error) {
 	text, ok := d.files[strings.TrimPrefix(name, d.prefix+"/")]
 	if !ok {
-		return nil, fmt.Errorf("there is no %q", name)
+		return nil, fmt.Errorf("file %q does not exist", name)
 	}
 	return []byte(text[:min(limit, len(text))]), nil
 }
--- a/internal/testing/emulator/store.go
+++ b/internal/testing/emulator/store.go
@@ -1,22 +1,22 @@
-// Package emulator holds in-process emulations of the systems outside maddermill,
-// written from their published protocols for tests and for cmd/standin:
+// Package emulator holds in-process emulators of the external systems of maddermill,
+// written from their published protocols, for tests and for cmd/standin:
 //
 //   - Store and Link: the state service, and one controller's connection to it with
-//     injected faults (outages, lost answers, late and duplicated transactions, pauses).
-//   - Cloud: the cloud's scale-out, scale-in and an eventually consistent machine list.
-//   - World and Machine: the workers, and the ground truth of what runs where, which
-//     reports every violation of the protocol's rules.
+//     injected faults (outages, lost responses, late and duplicated transactions, pauses).
+//   - Cloud: the cloud provider's scale-out, scale-in and eventually consistent machine list.
+//   - World and Machine: the workers, and the ground truth of which task runs on which
+//     machine, which detects violations of the protocol's rules.
 //   - Balancer: the users' load balancer with its health checks.
 //
-// All of it uses package time, so that a test may run it under a fake clock. Random
+// All of them use package time, so that tests may run them under a fake clock. Random
 // faults are drawn from a seed: the number and order of the draws of a Link or Balancer
-// must stay, as tests with fixed seeds depend on them.
+// must not change, as tests with fixed seeds depend on them.
 //
-// Locking: Cloud.mu is taken before Machine.mu, and Machine.mu before World.mu. Store.Seen
+// Locking: Cloud.mu is taken before Machine.mu, and Machine.mu before World.mu. Store.OnPut
 // is called under the store's lock, and World.Finished, Fails and Fetch and Machine.Run
-// under World.mu. Under a fake clock nobody may sleep while holding a lock.
+// under World.mu. Under a fake clock no goroutine may sleep while it holds a lock.
 //
-// Nothing here is part of the product, and nothing is durable.
+// This package is not part of the product, and its state is kept in memory only.
 package emulator
 
 import (
@@ -30,26 +30,27 @@
 	"maddermill/wire"
 )
 
-// SetLimits changes the limits of transactions and values. What is stored stays.
+// SetLimits changes the limits of transactions and values. Items beyond the new limits are kept.
 func (s *Store) SetLimits(txnOps, valueBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.TxnOps, s.Value = txnOps, valueBytes
 }
 
-// logLimit is how many events the store keeps for watches.
+// logLimit is the number of events that the store keeps for watches.
 const logLimit = 10_000
 
-// Store emulates the state service's data: items with versions, leases and an event
-// log of bounded length. Controllers reach it through a Link.
+// Store emulates the data of the state service: versioned items, leases, and an event log
+// of bounded length. Controllers access it through a Link.
 type Store struct {
-	// Blind holds key prefixes whose conditions are not checked: a broken guard.
+	// Blind holds key prefixes for which transaction conditions are not checked. Tests use it to
+	// show that they detect writes without a working precondition.
 	Blind map[string]bool
-	// TxnOps is the limit of changes in a transaction; of conditions four times as many.
+	// TxnOps is the maximum number of changes in a transaction; conditions may be four times as many.
 	TxnOps int
-	// Value is the limit of a value's size in bytes.
+	// Value is the maximum size of a value in bytes.
 	Value int
-	// Problems lists requests beyond the limits.
+	// Problems lists the requests that exceeded a limit.
 	Problems []string
 	// Seen, if set, is called with every put, under the store's lock.
 	Seen func(wire.Change)
@@ -58,12 +59,12 @@
 
 	revision    wire.Revision
 	items       map[string]wire.Item
-	log         []wire.Event               // the latest events, logLimit at most
-	logChanged  chan struct{}              // closed and replaced with every new event
-	leases      map[wire.LeaseID]time.Time // when each expires
+	log         []wire.Event               // the latest events, at most logLimit
+	logChanged  chan struct{}              // closed and replaced whenever events are appended
+	leases      map[wire.LeaseID]time.Time // expiry times
 	leaseTTL    map[wire.LeaseID]time.Duration
 	lastLease   wire.LeaseID
-	changeCount int // puts and deletes so far
+	changeCount int // puts and deletes in all applied transactions
 }
 
 // NewStore returns an empty store with the given limits.
@@ -78,8 +79,8 @@
 	}
 }
 
-// Apply carries out a transaction at once and returns the revision after it. It fails
-// with kvstore.ErrInvalid beyond a limit, with a *kvstore.ConflictError if conditions
+// Apply applies a transaction atomically and returns the revision after it. It fails with
+// kvstore.ErrInvalid if a limit is exceeded, with a *kvstore.ConflictError if conditions
 // don't hold, and with kvstore.ErrLeaseNotFound if a put names an expired lease.
 func (s *Store) Apply(t wire.Txn) (wire.Revision, error) {
 	s.mu.Lock()
@@ -104,15 +105,15 @@
 // failedConditions returns the keys whose version is not the expected one. s.mu is held.
 func (s *Store) failedConditions(conditions []wire.Condition) (failed []string) {
 	for _, c := range conditions {
-		if s.items[c.Key].Version != c.Version && !s.isBlind(c.Key) {
+		if s.items[c.Key].Version != c.Version && !s.isUnchecked(c.Key) {
 			failed = append(failed, c.Key)
 		}
 	}
 	return failed
 }
 
-// isBlind reports whether conditions on a key are ignored. s.mu is held.
-func (s *Store) isBlind(key string) bool {
+// isUnchecked reports whether conditions on a key are ignored. s.mu is held.
+func (s *Store) isUnchecked(key string) bool {
 	for prefix := range s.Blind {
 		if strings.HasPrefix(key, prefix) {
 			return true
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// applyChanges carries out the changes of a transaction under one new revision. s.mu is held.
+// applyChanges applies the changes of a transaction under one new revision. s.mu is held.
 func (s *Store) applyChanges(changes []wire.Change) {
 	s.revision++
 	s.changeCount += len(changes)
@@ -154,7 +155,7 @@
 	s.notifyWatches()
 }
 
-// remove deletes an item, if there is one, at the current revision. s.mu is held.
+// remove deletes an item, if it exists, at the current revision. s.mu is held.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
@@ -162,7 +163,7 @@
 	}
 }
 
-// notifyWatches shortens the log to its limit and wakes waiting watches. s.mu is held.
+// notifyWatches truncates the log to its limit and wakes blocked watches. s.mu is held.
 func (s *Store) notifyWatches() {
 	if n := len(s.log) - logLimit; n > 0 {
 		s.log = s.log[n:]
@@ -171,8 +172,7 @@
 	s.logChanged = make(chan struct{})
 }
 
-// expireLeases ends the leases whose time is over and removes their items, all under
-// one new revision. s.mu is held.
+// expireLeases removes the expired leases and their items, all under one new revision. s.mu is held.
 func (s *Store) expireLeases() {
 	now := time.Now()
 	removed := false
@@ -204,7 +204,7 @@
 	return s.changeCount
 }
 
-// Forget compacts the whole log, so that watches of older revisions fail with
+// Forget compacts the entire log, so that watches from older revisions fail with
 // kvstore.ErrRevisionCompacted.
 func (s *Store) Forget() {
 	s.mu.Lock()
@@ -212,7 +212,7 @@
 	s.mu.Unlock()
 }
 
-// Extend renews every lease for its full TTL, as the service does after an outage.
+// Extend renews all leases for their full TTL, as the state service does after an outage.
 func (s *Store) Extend() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +226,7 @@
 	return s.page("", "", math.MaxInt).Items
 }
 
-// page returns at most limit items with a prefix that follow a key, ordered by key.
+// page returns at most limit items with a prefix whose keys follow after, ordered by key.
 func (s *Store) page(prefix, after string, limit int) wire.ItemPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,9 +248,9 @@
 	return p
 }
 
-// changes returns the events with a prefix after a revision. If there are none it returns a
-// channel that is closed with the next event; if the log no longer reaches back that far, it
-// fails with kvstore.ErrRevisionCompacted.
+// changes returns the events for keys with a prefix after a revision. If there are none, it returns
+// a channel that is closed with the next event of any key. If events after the revision were
+// compacted, it fails with kvstore.ErrRevisionCompacted.
 func (s *Store) changes(prefix string, after wire.Revision) (wire.Events, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/emulator/world.go
+++ b/internal/testing/emulator/world.go
@@ -8,91 +8,91 @@
 	"maddermill/wire"
 )
 
-// World is the ground truth of what runs on which machine, and the check of the
-// protocol's rules against it. Violations are collected in Broken.
+// World is the ground truth of which task runs on which machine. It checks the protocol's rules
+// and collects the violations.
 type World struct {
-	// TeamMax is the limit of each team's GPUs in use; 0: none.
+	// TeamMax is the maximum number of GPUs that each team may use; 0 means no limit.
 	TeamMax map[wire.Team]float64
-	// CancelS is how long after a cancellation was reported tasks may still run.
+	// CancelS is how long tasks may still run after users were told that their job is cancelled.
 	CancelS time.Duration
-	// Broken lists the violations: the rule's name, then the job, task or team.
+	// Broken lists the violations, each as the name of the rule followed by the job, task or team.
 	Broken []string
-	// Starts counts the starts of tasks.
+	// Starts counts the tasks started.
 	Starts int
-	// Lapsed counts the tasks that ended with their machine's lease.
+	// Lapsed counts the tasks that were killed because their machine's lease expired.
 	Lapsed int
-	// Again counts the starts of tasks that had completed.
+	// Again counts the starts of tasks that had already completed.
 	Again int
 
-	// Finished, if set, is called before a task is reported as done.
+	// Finished, if set, is called just before a task is marked as done.
 	Finished func(wire.TaskID)
-	// Fails, if set, reports whether a task exits with an error on a machine.
+	// Fails, if set, reports whether a task on a machine exits with an error.
 	Fails func(wire.MachineID, wire.TaskID) bool
-	// Fetch, if set, returns how long a machine fetches a task's image; otherwise it is
+	// Fetch, if set, returns how long a machine fetches the image of a task. The default is
 	// defaultFetchTime.
 	Fetch func(wire.MachineID, wire.TaskID) time.Duration
 
 	mu sync.Mutex // guards the fields below and the counters and violations above
 
-	specs     map[wire.JobID]*wire.JobSpec
-	placed    map[wire.TaskID]wire.MachineID // the tasks that are on a machine, with their image
-	zones     map[wire.TaskID]wire.Zone      // of the placed tasks
-	gangTasks map[wire.TaskID]gangTask       // the gangs' tasks among the placed
-	hung      map[wire.MachineID]bool
-	done      map[wire.TaskID]bool
-	seen      map[wire.JobID]map[wire.TaskIndex]bool // tasks that ever were placed
-	reported  map[wire.JobID]reportedStatus          // what users were last told
+	specs      map[wire.JobID]*wire.JobSpec
+	placed     map[wire.TaskID]wire.MachineID // the tasks that have their image and have not ended
+	zones      map[wire.TaskID]wire.Zone      // zones of the placed tasks
+	gangTasks  map[wire.TaskID]gangTask       // the placed tasks that belong to gangs
+	hung       map[wire.MachineID]bool
+	done       map[wire.TaskID]bool
+	everPlaced map[wire.JobID]map[wire.TaskIndex]bool // tasks that have been placed at any time
+	reported   map[wire.JobID]reportedStatus          // the status last reported to users
 }
 
-// gangTask is a placed task of a gang as the gang's other tasks see it.
+// gangTask is a placed task of a gang as its peers see it.
 type gangTask struct {
 	attempt wire.Attempt
 	machine wire.MachineID
 }
 
-// Times after which a gang's task gives up: waiting for the others, and missing one.
+// Times after which a task of a gang exits: while it waits for its peers to start, and after it lost one.
 const (
 	gangWaitTimeout = 30 * time.Second
 	gangPeerTimeout = 5 * time.Second
 )
 
-// reportedStatus is a job's status as it was reported to users, and since when.
+// reportedStatus is the status of a job that users were told, and the time of the first such report.
 type reportedStatus struct {
 	status wire.Status
 	since  time.Time
 }
 
-// NewWorld returns a world without jobs whose cancelled tasks may run on for a grace period.
+// NewWorld returns a world without jobs. cancel is the time for which tasks may run on after a cancellation.
 func NewWorld(cancel time.Duration) *World {
 	return &World{
-		TeamMax:   map[wire.Team]float64{},
-		CancelS:   cancel,
-		specs:     map[wire.JobID]*wire.JobSpec{},
-		placed:    map[wire.TaskID]wire.MachineID{},
-		zones:     map[wire.TaskID]wire.Zone{},
-		gangTasks: map[wire.TaskID]gangTask{},
-		hung:      map[wire.MachineID]bool{},
-		done:      map[wire.TaskID]bool{},
-		seen:      map[wire.JobID]map[wire.TaskIndex]bool{},
-		reported:  map[wire.JobID]reportedStatus{},
+		TeamMax:    map[wire.Team]float64{},
+		CancelS:    cancel,
+		specs:      map[wire.JobID]*wire.JobSpec{},
+		placed:     map[wire.TaskID]wire.MachineID{},
+		zones:      map[wire.TaskID]wire.Zone{},
+		gangTasks:  map[wire.TaskID]gangTask{},
+		hung:       map[wire.MachineID]bool{},
+		done:       map[wire.TaskID]bool{},
+		everPlaced: map[wire.JobID]map[wire.TaskIndex]bool{},
+		reported:   map[wire.JobID]reportedStatus{},
 	}
 }
 
-// Upload makes a job's spec known to the workers.
+// Upload makes the spec of a job available to the workers.
 func (w *World) Upload(s *wire.JobSpec) {
 	w.mu.Lock()
 	w.specs[s.ID] = s
 	w.mu.Unlock()
 }
 
-// Known reports whether a job's spec was uploaded.
+// Known reports whether the spec of a job has been uploaded.
 func (w *World) Known(job wire.JobID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.specs[job] != nil
 }
 
-// Spec returns a job's spec as it was uploaded, or nil.
+// Spec returns the uploaded spec of a job, or nil.
 func (w *World) Spec(job wire.JobID) *wire.JobSpec {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,8 +102,9 @@
 // violate records a violation. w.mu is held.
 func (w *World) violate(rule string) { w.Broken = append(w.Broken, rule) }
 
-// ObserveAnswer records the status of a job that was reported to a user, and checks that a final
-// status stays and that a job reported as done has all its tasks done.
+// ObserveAnswer records the status of a job that a user was told. It checks that a final status does
+// not change, that all tasks of a job reported as done are done, and that a job is no longer queued or
+// running some time after a job that it depends on was reported as cancelled.
 func (w *World) ObserveAnswer(id wire.JobID, status wire.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,28 +122,28 @@
 	if before.status != status {
 		w.reported[id] = reportedStatus{status, time.Now()}
 	}
-	if (status == wire.Queued || status == wire.Running) && w.ancestorCancelledBefore(id, time.Now().Add(-w.CancelS)) {
+	if (status == wire.Queued || status == wire.Running) && w.dependencyCancelledBefore(id, time.Now().Add(-w.CancelS)) {
 		w.violate("orphaned " + string(id))
 	}
 }
 
-// ancestorCancelledBefore reports whether a user was told before a time that a job is cancelled which another
-// needs, directly or through others. w.mu is held.
-func (w *World) ancestorCancelledBefore(id wire.JobID, at time.Time) bool {
+// dependencyCancelledBefore reports whether users were told before a time that a direct or indirect dependency
+// of a job is cancelled. w.mu is held.
+func (w *World) dependencyCancelledBefore(id wire.JobID, at time.Time) bool {
 	spec := w.specs[id]
 	if spec == nil {
 		return false
 	}
 	for _, dependency := range spec.Dependencies {
-		told := w.reported[dependency]
-		if told.status == wire.Cancelled && told.since.Before(at) || w.ancestorCancelledBefore(dependency, at) {
+		reported := w.reported[dependency]
+		if reported.status == wire.Cancelled && reported.since.Before(at) || w.dependencyCancelledBefore(dependency, at) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkDependencies checks that all jobs are done that a starting task's job needs. w.mu is held.
+// checkDependencies checks that all dependencies of a starting task's job are done. w.mu is held.
 func (w *World) checkDependencies(t wire.TaskID, spec *wire.JobSpec) {
 	for _, id := range spec.Dependencies {
 		for i := range w.specs[id].Tasks {
@@ -154,7 +155,7 @@
 	}
 }
 
-// start places a task on a machine and checks the rules on it. w.mu is held.
+// start places a task on a machine and checks the rules for starts. w.mu is held.
 func (w *World) start(m *Machine, t wire.TaskID) {
 	spec := w.specs[t.Job]
 	w.Starts++
@@ -168,15 +169,15 @@
 	w.checkZones(m, t, spec)
 	w.checkDependencies(t, spec)
 	w.placed[t], w.zones[t] = m.Type.ID, m.Type.Zone
-	if w.seen[t.Job] == nil {
-		w.seen[t.Job] = map[wire.TaskIndex]bool{}
+	if w.everPlaced[t.Job] == nil {
+		w.everPlaced[t.Job] = map[wire.TaskIndex]bool{}
 	}
-	w.seen[t.Job][t.Index] = true
+	w.everPlaced[t.Job][t.Index] = true
 	w.checkQuota(spec.Team)
 	w.checkCancelled(t)
 }
 
-// checkMachine checks that a job's constraints allow a machine. w.mu is held.
+// checkMachine checks that the constraints of a task's job allow a machine. w.mu is held.
 func (w *World) checkMachine(m *Machine, t wire.TaskID, spec *wire.JobSpec) {
 	wrongZone := spec.Zone != nil && *spec.Zone != m.Type.Zone
 	wrongSpot := m.Type.Spot && !spec.Spot
@@ -186,8 +187,8 @@
 	}
 }
 
-// checkZones checks the zones of a job's placed tasks with one more on a machine: all in one
-// zone, or no more than half of them in each, if the job says so. w.mu is held.
+// checkZones checks a job's zone constraints with one more task on a machine: with OneZone all of its
+// placed tasks are in one zone, with Spread at most half of its tasks are in each. w.mu is held.
 func (w *World) checkZones(m *Machine, t wire.TaskID, spec *wire.JobSpec) {
 	sameZone := 1
 	for other, zone := range w.zones {
@@ -205,7 +206,7 @@
 	}
 }
 
-// checkQuota checks that a team's placed tasks stay within its GPUs. w.mu is held.
+// checkQuota checks that a team's placed tasks stay within its GPU limit. w.mu is held.
 func (w *World) checkQuota(team wire.Team) {
 	used := 0.0
 	for t := range w.placed {
@@ -218,16 +219,16 @@
 	}
 }
 
-// checkCancelled checks that a task does not run long after its job was reported as
-// cancelled. w.mu is held.
+// checkCancelled checks that a task does not run longer than CancelS after its job was reported
+// as cancelled. w.mu is held.
 func (w *World) checkCancelled(t wire.TaskID) {
 	if r := w.reported[t.Job]; r.status == wire.Cancelled && time.Since(r.since) > w.CancelS {
 		w.violate("ran_cancelled " + t.String())
 	}
 }
 
-// gangComplete reports whether all of a gang's tasks that are not done are placed under one
-// attempt, on machines that answer each other. w.mu is held.
+// gangComplete reports whether all tasks of a gang that are not done are placed, with the given
+// attempt and on machines that are not hung. w.mu is held.
 func (w *World) gangComplete(spec *wire.JobSpec, attempt wire.Attempt) bool {
 	for i := range spec.Tasks {
 		t := wire.TaskID{Job: spec.ID, Index: wire.TaskIndex(i)}
@@ -241,7 +242,7 @@
 	return true
 }
 
-// finish marks a task as done and takes it off its machine. w.mu is held.
+// finish marks a task as done and removes it from its machine. w.mu is held.
 func (w *World) finish(t wire.TaskID) {
 	if w.Finished != nil {
 		w.Finished(t)
@@ -250,14 +251,14 @@
 	w.remove(t)
 }
 
-// remove takes a task off its machine. w.mu is held.
+// remove removes a task from its machine. w.mu is held.
 func (w *World) remove(t wire.TaskID) {
 	delete(w.gangTasks, t)
 	delete(w.placed, t)
 	delete(w.zones, t)
 }
 
-// Check checks the rules that time can break on all placed tasks.
+// Check checks all placed tasks against the rules that can be violated by the passage of time alone.
 func (w *World) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -273,7 +274,7 @@
 	return len(w.done)
 }
 
-// Whole reports whether all of a gang is placed, on machines that answer each other.
+// Whole reports whether all unfinished tasks of a gang are placed, on machines that are not hung.
 func (w *World) Whole(job wire.JobID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -281,11 +282,11 @@
 	return ok && w.gangComplete(w.specs[job], m.attempt)
 }
 
-// Seen returns how many of a job's tasks ever were on a machine.
+// Seen returns the number of a job's tasks that have been placed on a machine at any time.
 func (w *World) Seen(job wire.JobID) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.seen[job])
+	return len(w.everPlaced[job])
 }
 
 // On returns the number of a job's tasks on each machine.
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares the serialized form of messages and records with files that earlier
-// sources wrote, for tests. A name in the code may change; what is on the wire or stored may not.
+// Package golden compares the serialized form of messages and records with golden files that an earlier
+// version of the code wrote. Identifiers may be renamed, but the wire and storage formats must not change.
 package golden
 
 import (
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-// maxDepth bounds how deep types that contain themselves are filled.
+// maxDepth bounds the recursion into types that contain themselves.
 const maxDepth = 6
 
-// Fill returns a pointer to a value of T each exported field of which differs from its zero value and
-// from every other field. The values follow from the order of the fields alone, so that renamed fields
-// get the same ones. Slices get two elements, maps one.
+// Fill returns a pointer to a value of T whose exported fields are set to non-zero values, with a distinct one
+// for each number and string. The values depend only on the order of the fields, so that a renamed field
+// keeps its value. Slices get two elements, maps one.
 func Fill[T any]() *T {
 	value := new(T)
 	f := filler{}
@@ -25,13 +25,13 @@
 	return value
 }
 
-// Form is a value whose JSON is compared with the file NAME.json.
+// Form is a value whose JSON encoding is compared with the golden file NAME.json.
 type Form struct {
 	Name  string
 	Value any
 }
 
-// CheckForms compares the JSON of each form with its file, in a subtest of its name.
+// CheckForms compares the JSON encoding of each form with its golden file, in a subtest named after the form.
 func CheckForms(t *testing.T, forms []Form) {
 	t.Helper()
 	for _, form := range forms {
@@ -45,8 +45,8 @@
 	}
 }
 
-// Check compares got with the file testdata/golden/NAME. With GOLDEN_UPDATE=1 in the environment
-// the file is written instead: only where a serialized form is new.
+// Check compares got with the golden file testdata/golden/NAME. With GOLDEN_UPDATE=1 in the environment it
+// writes the file instead, which is meant only for forms that are new.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -68,13 +68,16 @@
 	}
 }
 
+// filler sets values by reflection; count is the last number that it used.
 type filler struct{ count int }
 
+// next returns the next unused number.
 func (f *filler) next() int {
 	f.count++
 	return f.count
 }
 
+// fill sets v and what it contains to non-zero values.
 func (f *filler) fill(v reflect.Value, depth int) {
 	if depth > maxDepth || !v.CanSet() {
 		return
@@ -113,12 +116,13 @@
 	}
 }
 
+// fillSlice sets v to a slice of two elements, or to the digits of the next number if v is a byte slice.
 func (f *filler) fillSlice(v reflect.Value, depth int) {
 	if depth >= maxDepth {
 		return
 	}
 	if v.Type() == reflect.TypeFor[[]byte]() || v.Type().Elem().Kind() == reflect.Uint8 {
-		v.SetBytes(fmt.Appendf(nil, "%d", f.next())) // also valid as JSON that is passed on
+		v.SetBytes(fmt.Appendf(nil, "%d", f.next())) // a number is also valid as raw JSON
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), 2, 2))
--- a/internal/testing/model/check.go
+++ b/internal/testing/model/check.go
@@ -7,7 +7,7 @@
 	"maddermill/wire"
 )
 
-// transition is a step from one state of the records to another, and what breaks the rules in it.
+// transition is a change from one state of the records to another, with the violations found in it.
 type transition struct {
 	before, after State
 	// terminated reports whether the task of a claim is known to have ended.
@@ -15,11 +15,11 @@
 	violations []string
 }
 
-// Check returns the violations of the rules in the transition between two states. Teams may use
-// at most limits in GPUs. proven reports whether the task of a claim is known to have ended; it is
-// called only for claims that are gone.
-func Check(before, after State, limits map[wire.Team]float64, proven func(wire.TaskID, ledger.Claim) bool) []string {
-	t := &transition{before: before, after: after, terminated: proven}
+// Check returns the rules that the transition between two states violates. limits are the GPUs that
+// each team may use. ended reports whether the task of a claim is known to have ended; it is called
+// only for claims that were released.
+func Check(before, after State, limits map[wire.Team]float64, ended func(wire.TaskID, ledger.Claim) bool) []string {
+	t := &transition{before: before, after: after, terminated: ended}
 	for id, old := range before.Jobs {
 		t.checkJob(id, old)
 	}
@@ -30,8 +30,8 @@
 		for range now.Claims {
 			used[now.Spec.Team] += now.Spec.GPUs
 		}
-		if now.State == ledger.Done && now.Count != now.Spec.Tasks {
-			t.violate("not_done: %s with %d of %d", id, now.Count, now.Spec.Tasks)
+		if now.State == ledger.Done && now.DoneCount != now.Spec.Tasks {
+			t.violate("not_done: %s is done with %d of %d tasks", id, now.DoneCount, now.Spec.Tasks)
 		}
 		t.checkStarts(id, now)
 	}
@@ -48,25 +48,25 @@
 	t.violations = append(t.violations, fmt.Sprintf(format, args...))
 }
 
-// checkJob checks that a job that was on record still is, or is archived, and lost nothing.
+// checkJob checks that a recorded job is still recorded or archived, and that it lost no progress or claim.
 func (t *transition) checkJob(id wire.JobID, old Job) {
 	now, recorded := t.after.Jobs[id]
-	final, archived := t.after.Final[id]
+	final, archived := t.after.Archived[id]
 	switch {
 	case recorded && archived:
-		t.violate("both on record and archived: %s", id)
+		t.violate("recorded and archived: %s", id)
 	case archived:
 		t.checkArchived(id, old, final)
 		return
 	case !recorded:
-		t.violate("forgotten: %s", id)
+		t.violate("forgotten: %s is neither recorded nor archived", id)
 		return
 	}
 	if old.State != ledger.Active && now.State != old.State {
 		t.violate("went_back: %s from %s to %q", id, old.State, now.State)
 	}
-	if now.Count < old.Count {
-		t.violate("went_back: %s has %d tasks done, and had %d", id, now.Count, old.Count)
+	if now.DoneCount < old.DoneCount {
+		t.violate("went_back: %s has %d tasks done, and had %d", id, now.DoneCount, old.DoneCount)
 	}
 	for index := range old.Done {
 		if !now.Done[index] && now.State == ledger.Active {
@@ -74,37 +74,38 @@
 		}
 	}
 	for index, claim := range old.Claims {
-		if now.Claims[index] != claim && !takenOver(claim, now.Claims[index], now.Spec.Shape) &&
+		if now.Claims[index] != claim && !tokenRenewed(claim, now.Claims[index], now.Spec.Shape) &&
 			!t.terminated(wire.TaskID{Job: id, Index: index}, claim) {
-			t.violate("ran_twice: the claim of %s/%d on %s went without proof", id, index, claim.Machine)
+			t.violate("ran_twice: the claim of %s/%d on %s was released while its task may still run",
+				id, index, claim.Machine)
 		}
 	}
 }
 
-// checkArchived checks that a job was archived in its final state, without claims.
+// checkArchived checks that a job was archived in its final state and without claims.
 func (t *transition) checkArchived(id wire.JobID, old Job, final ledger.FinalRecord) {
-	if old.State == ledger.Active || final.State != old.State || final.Done != old.Count {
+	if old.State == ledger.Active || final.State != old.State || final.Done != old.DoneCount {
 		t.violate("went_back: %s with %d tasks done is %q, archived %q with %d",
-			id, old.Count, old.State, final.State, final.Done)
+			id, old.DoneCount, old.State, final.State, final.Done)
 	}
 	if len(old.Claims) > 0 {
 		t.violate("ran_twice: %s is archived with claims", id)
 	}
 }
 
-// checkArchive checks that the archive keeps its jobs, that none of them is on record again, and
-// that the ledger's filter finds all of them.
+// checkArchive checks that archived jobs stay archived and unchanged, that none of them is recorded
+// again, and that the ledger's filter of archived jobs contains all of them.
 func (t *transition) checkArchive() {
-	for id, old := range t.before.Final {
-		if now, ok := t.after.Final[id]; !ok || now != old {
+	for id, old := range t.before.Archived {
+		if now, ok := t.after.Archived[id]; !ok || now != old {
 			t.violate("forgotten: archived %s", id)
 		}
 		if _, ok := t.after.Jobs[id]; ok {
 			t.violate("accepted anew: %s", id)
 		}
 	}
-	for id := range t.after.Final {
-		if !t.after.Passed[id] {
+	for id := range t.after.Archived {
+		if !t.after.InFilter[id] {
 			t.violate("forgotten: the filter lacks %s", id)
 		}
 	}
@@ -114,12 +115,12 @@
 func (t *transition) checkMachinePhases() {
 	for id, old := range t.before.Marks {
 		if now := t.after.Marks[id]; now != old && (old == ledger.Terminated || now == "") {
-			t.violate("a mark went back: %s from %s to %q", id, old, now)
+			t.violate("machine phase went back: %s from %s to %q", id, old, now)
 		}
 	}
 }
 
-// checkStarts checks the claims of a job that are new, and the job's placement if there are any.
+// checkStarts checks the new claims of a job and, if there are any, the placement of the whole job.
 func (t *transition) checkStarts(id wire.JobID, now Job) {
 	old := t.before.Jobs[id]
 	zones := map[wire.Zone]int{}
@@ -135,22 +136,22 @@
 		return
 	}
 	if now.Spec.OneZone && len(zones) > 1 {
-		t.violate("wrong_place: %s is not together", id)
+		t.violate("wrong_place: %s is not in one zone", id)
 	}
 	for zone, n := range zones {
 		if now.Spec.Spread && n > (now.Spec.Tasks+1)/2 {
-			t.violate("wrong_place: %d of %s in %s", n, id, zone)
+			t.violate("wrong_place: %d tasks of %s in %s", n, id, zone)
 		}
 	}
 	if now.Spec.Shape == wire.Gang && len(now.Claims)+len(now.Done) != now.Spec.Tasks {
-		t.violate("a part of gang %s starts", id)
+		t.violate("incomplete gang: %s starts", id)
 	}
 }
 
-// checkStart checks that a task that starts was to run, and on a machine that may run it.
+// checkStart checks that a started task was pending and that its machine is allowed to run it.
 func (t *transition) checkStart(id wire.JobID, index wire.TaskIndex, claim ledger.Claim, old, now Job) {
 	if now.Done[index] {
-		t.violate("a done task starts: %s/%d", id, index)
+		t.violate("completed task starts: %s/%d", id, index)
 	}
 	if old.State != ledger.Active {
 		t.violate("ran_cancelled: %s/%d starts", id, index)
@@ -163,8 +164,8 @@
 	}
 }
 
-// takenOver reports whether a claim of a gang's task differs from before by a newer token only.
-func takenOver(old, now ledger.Claim, shape wire.Shape) bool {
+// tokenRenewed reports whether the claim of a gang's task changed only by getting a newer fencing token.
+func tokenRenewed(old, now ledger.Claim, shape wire.Shape) bool {
 	newer := now.Token > old.Token
 	now.Token = old.Token
 	return newer && now == old && shape == wire.Gang
--- a/internal/testing/model/model.go
+++ b/internal/testing/model/model.go
@@ -1,7 +1,8 @@
-// Package model is the slow, plain model that tests compare the real code with. Check lists
-// which transitions between two states of the records the rules forbid; OnRoom is the placement
-// path read straight from the design, without the real code's shortcuts. It is written for being
-// read, takes no locks, and must not share code with what it checks beyond the records' types.
+// Package model is a reference model that tests compare the production code with. Check finds the
+// violations in a transition between two states of the records. PlaceOnMachine implements the placement
+// algorithm directly from the design, without the optimizations of the production code. The package
+// favors readability over speed, takes no locks, and must not share code with what it checks beyond
+// the types of the records.
 package model
 
 import (
@@ -11,42 +12,42 @@
 	"maddermill/wire"
 )
 
-// Job is a job as it is on record.
+// Job is a recorded job.
 type Job struct {
-	Spec   wire.JobSpec
-	State  ledger.JobState
-	Done   map[wire.TaskIndex]bool
-	Count  int // tasks done, also when it is no longer known which
-	Claims map[wire.TaskIndex]ledger.Claim
+	Spec      wire.JobSpec
+	State     ledger.JobState
+	Done      map[wire.TaskIndex]bool
+	DoneCount int // number of completed tasks, also when it is no longer known which
+	Claims    map[wire.TaskIndex]ledger.Claim
 }
 
-// State is everything that is on record, task by task.
+// State is the content of the records, with one entry per task.
 type State struct {
-	Jobs  map[wire.JobID]Job
-	Final map[wire.JobID]ledger.FinalRecord // archived
-	// Marks holds the phase of every machine that ever had one; "" for one that has none now.
+	Jobs     map[wire.JobID]Job
+	Archived map[wire.JobID]ledger.FinalRecord
+	// Marks holds the phase of every machine that has had one; "" if it has none now.
 	Marks map[wire.MachineID]ledger.MachinePhase
-	// Passed holds the jobs that the ledger's filter lets pass as archived.
-	Passed map[wire.JobID]bool
+	// InFilter holds the jobs that the ledger's filter of archived jobs contains.
+	InFilter map[wire.JobID]bool
 }
 
-// Read returns the state of some jobs and of all machines in a ledger. The archive is not part of
-// the ledger. before is the state that was read last: the specs of jobs that are archived but
-// still on record come from it, and the machines to look up.
+// Read returns the state of the given jobs and of all machines in a ledger. The archive is passed
+// separately, as it is not part of the ledger. before is the previously read state, from which Read takes
+// the specs of jobs that the ledger only has a final record of, and the machines that had a phase.
 func Read(l *ledger.Ledger, ids []wire.JobID, archive map[wire.JobID]ledger.FinalRecord, before State) State {
 	s := State{
-		Jobs:   map[wire.JobID]Job{},
-		Final:  maps.Clone(archive),
-		Marks:  map[wire.MachineID]ledger.MachinePhase{},
-		Passed: map[wire.JobID]bool{},
+		Jobs:     map[wire.JobID]Job{},
+		Archived: maps.Clone(archive),
+		Marks:    map[wire.MachineID]ledger.MachinePhase{},
+		InFilter: map[wire.JobID]bool{},
 	}
 	for _, id := range ids {
 		may, known := l.MayBeArchived(id)
-		s.Passed[id] = may && known
+		s.InFilter[id] = may && known
 		if job := l.Job(id); job != nil {
 			s.Jobs[id] = readJob(job)
 		} else if final, ok := l.FinalRecordOf(id); ok {
-			s.Jobs[id] = Job{Spec: before.Jobs[id].Spec, State: final.State, Count: final.Done}
+			s.Jobs[id] = Job{Spec: before.Jobs[id].Spec, State: final.State, DoneCount: final.Done}
 		}
 	}
 	for m := range before.Marks {
@@ -56,14 +57,14 @@
 	return s
 }
 
-// readJob returns a job with its task ranges split into tasks.
+// readJob converts a job, with its claims of task ranges split into one claim per task.
 func readJob(j *ledger.Job) Job {
 	out := Job{
-		Spec:   *j.Spec,
-		State:  j.State,
-		Count:  j.DoneTasks(),
-		Done:   map[wire.TaskIndex]bool{},
-		Claims: map[wire.TaskIndex]ledger.Claim{},
+		Spec:      *j.Spec,
+		State:     j.State,
+		DoneCount: j.DoneTasks(),
+		Done:      map[wire.TaskIndex]bool{},
+		Claims:    map[wire.TaskIndex]ledger.Claim{},
 	}
 	for i := range j.Spec.Tasks {
 		if index := wire.TaskIndex(i); j.TaskDone(index) {
--- a/internal/testing/model/model_test.go
+++ b/internal/testing/model/model_test.go
@@ -14,113 +14,134 @@
 )
 
 var (
-	two  = wire.JobSpec{Tasks: 2, Shape: wire.Array}
-	both = taskSet{0: true, 1: true}
-	zone = wire.Zone("a")
+	twoTasks = wire.JobSpec{Tasks: 2, Shape: wire.Array}
+	bothDone = taskSet{0: true, 1: true}
+	zone     = wire.Zone("a")
 )
 
-// on is a task's claim of a machine.
-func on(m wire.MachineID, z wire.Zone) ledger.Claim {
+// claimOn returns the claim of a task on a machine.
+func claimOn(m wire.MachineID, z wire.Zone) ledger.Claim {
 	return ledger.Claim{Count: 1, Attempt: 1, Machine: m, Zone: z}
 }
 
-// job is a state with one job, of one GPU a task, and a machine that is terminating.
-func job(spec wire.JobSpec, state ledger.JobState, done taskSet, claims claimSet) State {
+// stateWithJob returns a state with one job, of one GPU per task, and a machine that is terminating.
+func stateWithJob(spec wire.JobSpec, state ledger.JobState, done taskSet, claims claimSet) State {
 	spec.Team, spec.GPUs = "t", 1
 	return State{
-		Jobs:  map[wire.JobID]Job{"wk-000001": {Spec: spec, State: state, Done: done, Count: len(done), Claims: claims}},
+		Jobs:  map[wire.JobID]Job{"wk-000001": {Spec: spec, State: state, Done: done, DoneCount: len(done), Claims: claims}},
 		Marks: map[wire.MachineID]ledger.MachinePhase{"leaving": ledger.Terminating},
 	}
 }
 
-// archived is a state in which the job is archived, too.
-func archived(state ledger.JobState, done int, s State) State {
-	s.Final = map[wire.JobID]ledger.FinalRecord{"wk-000001": {State: state, Done: done}}
-	s.Passed = map[wire.JobID]bool{"wk-000001": true}
+// withArchived adds an archived job of the same ID to a state.
+func withArchived(state ledger.JobState, done int, s State) State {
+	s.Archived = map[wire.JobID]ledger.FinalRecord{"wk-000001": {State: state, Done: done}}
+	s.InFilter = map[wire.JobID]bool{"wk-000001": true}
 	return s
 }
 
-// forbidden has transitions that break a rule, with the begin of the violation.
-var forbidden = []struct {
+// forbiddenTransitions lists transitions that violate a rule, with a part of the expected message.
+var forbiddenTransitions = []struct {
 	rule          string
 	before, after State
 }{
-	{"forgotten", job(two, "", nil, nil), State{}},
-	{"went_back: wk-000001 from", job(two, ledger.Done, both, nil), job(two, ledger.Cancelled, both, nil)},
-	{"went_back: wk-000001/0", job(two, "", taskSet{0: true}, nil), job(two, "", nil, nil)},
-	{"ran_twice", job(two, "", nil, claimSet{0: on("m1", "a")}), job(two, "", nil, claimSet{0: on("m2", "a")})},
-	{"not_done", job(two, "", taskSet{0: true}, nil), job(two, ledger.Done, taskSet{0: true}, nil)},
+	{"forgotten", stateWithJob(twoTasks, "", nil, nil), State{}},
 	{
-		"a done task starts",
-		job(two, "", taskSet{0: true}, nil),
-		job(two, "", taskSet{0: true}, claimSet{0: on("m1", "a")}),
+		"went_back: wk-000001 from",
+		stateWithJob(twoTasks, ledger.Done, bothDone, nil),
+		stateWithJob(twoTasks, ledger.Cancelled, bothDone, nil),
+	},
+	{"went_back: wk-000001/0", stateWithJob(twoTasks, "", taskSet{0: true}, nil), stateWithJob(twoTasks, "", nil, nil)},
+	{
+		"ran_twice",
+		stateWithJob(twoTasks, "", nil, claimSet{0: claimOn("m1", "a")}),
+		stateWithJob(twoTasks, "", nil, claimSet{0: claimOn("m2", "a")}),
+	},
+	{
+		"not_done",
+		stateWithJob(twoTasks, "", taskSet{0: true}, nil),
+		stateWithJob(twoTasks, ledger.Done, taskSet{0: true}, nil),
+	},
+	{
+		"completed task starts",
+		stateWithJob(twoTasks, "", taskSet{0: true}, nil),
+		stateWithJob(twoTasks, "", taskSet{0: true}, claimSet{0: claimOn("m1", "a")}),
 	},
 	{
 		"ran_cancelled",
-		job(two, ledger.Cancelled, nil, nil),
-		job(two, ledger.Cancelled, nil, claimSet{0: on("m1", "a")}),
+		stateWithJob(twoTasks, ledger.Cancelled, nil, nil),
+		stateWithJob(twoTasks, ledger.Cancelled, nil, claimSet{0: claimOn("m1", "a")}),
 	},
 	{
 		"a start on a leaving machine",
-		job(two, "", nil, nil),
-		job(two, "", nil, claimSet{0: on("leaving", "a")}),
+		stateWithJob(twoTasks, "", nil, nil),
+		stateWithJob(twoTasks, "", nil, claimSet{0: claimOn("leaving", "a")}),
 	},
 	{
 		"wrong_place: wk-000001/0 in b",
-		job(two, "", nil, nil),
-		job(wire.JobSpec{Tasks: 2, Zone: &zone}, "", nil, claimSet{0: on("m1", "b")}),
+		stateWithJob(twoTasks, "", nil, nil),
+		stateWithJob(wire.JobSpec{Tasks: 2, Zone: &zone}, "", nil, claimSet{0: claimOn("m1", "b")}),
 	},
 	{
-		"wrong_place: wk-000001 is not together",
-		job(two, "", nil, nil),
-		job(wire.JobSpec{Tasks: 2, OneZone: true}, "", nil, claimSet{0: on("m1", "a"), 1: on("m2", "b")}),
+		"wrong_place: wk-000001 is not in one zone",
+		stateWithJob(twoTasks, "", nil, nil),
+		stateWithJob(wire.JobSpec{Tasks: 2, OneZone: true}, "", nil, claimSet{0: claimOn("m1", "a"), 1: claimOn("m2", "b")}),
 	},
 	{
-		"wrong_place: 2 of",
-		job(two, "", nil, nil),
-		job(wire.JobSpec{Tasks: 2, Spread: true}, "", nil, claimSet{0: on("m1", "a"), 1: on("m1", "a")}),
+		"wrong_place: 2 tasks of",
+		stateWithJob(twoTasks, "", nil, nil),
+		stateWithJob(wire.JobSpec{Tasks: 2, Spread: true}, "", nil, claimSet{0: claimOn("m1", "a"), 1: claimOn("m1", "a")}),
 	},
 	{
-		"a part of gang",
-		job(two, "", nil, nil),
-		job(wire.JobSpec{Tasks: 2, Shape: wire.Gang}, "", nil, claimSet{0: on("m1", "a")}),
+		"incomplete gang",
+		stateWithJob(twoTasks, "", nil, nil),
+		stateWithJob(wire.JobSpec{Tasks: 2, Shape: wire.Gang}, "", nil, claimSet{0: claimOn("m1", "a")}),
 	},
 	{
-		"both on record",
-		archived(ledger.Done, 2, job(two, ledger.Done, both, nil)),
-		archived(ledger.Done, 2, job(two, ledger.Done, both, nil)),
+		"recorded and archived",
+		withArchived(ledger.Done, 2, stateWithJob(twoTasks, ledger.Done, bothDone, nil)),
+		withArchived(ledger.Done, 2, stateWithJob(twoTasks, ledger.Done, bothDone, nil)),
 	},
-	{"went_back", job(two, ledger.Done, both, nil), archived(ledger.Cancelled, 2, State{})},
-	{"went_back", job(two, "", taskSet{0: true}, nil), archived(ledger.Cancelled, 1, State{})},
+	{"went_back", stateWithJob(twoTasks, ledger.Done, bothDone, nil), withArchived(ledger.Cancelled, 2, State{})},
+	{"went_back", stateWithJob(twoTasks, "", taskSet{0: true}, nil), withArchived(ledger.Cancelled, 1, State{})},
 	{
 		"ran_twice",
-		job(two, ledger.Cancelled, nil, claimSet{0: on("m1", "a")}),
-		archived(ledger.Cancelled, 0, State{}),
+		stateWithJob(twoTasks, ledger.Cancelled, nil, claimSet{0: claimOn("m1", "a")}),
+		withArchived(ledger.Cancelled, 0, State{}),
+	},
+	{
+		"accepted anew",
+		withArchived(ledger.Done, 2, State{}),
+		withArchived(ledger.Done, 2, stateWithJob(twoTasks, "", nil, nil)),
 	},
-	{"accepted anew", archived(ledger.Done, 2, State{}), archived(ledger.Done, 2, job(two, "", nil, nil))},
-	{"forgotten: archived", archived(ledger.Done, 2, State{}), State{}},
-	{"forgotten: the filter", State{}, State{Final: archived(ledger.Done, 2, State{}).Final}},
+	{"forgotten: archived", withArchived(ledger.Done, 2, State{}), State{}},
+	{"forgotten: the filter", State{}, State{Archived: withArchived(ledger.Done, 2, State{}).Archived}},
 	{
-		"a mark went back",
+		"machine phase went back",
 		State{Marks: map[wire.MachineID]ledger.MachinePhase{"m": ledger.Terminated}},
 		State{},
 	},
-	{"quota", job(two, "", nil, nil), job(two, "", nil, claimSet{0: on("m1", "a"), 1: on("m1", "a")})},
+	{
+		"quota",
+		stateWithJob(twoTasks, "", nil, nil),
+		stateWithJob(twoTasks, "", nil, claimSet{0: claimOn("m1", "a"), 1: claimOn("m1", "a")}),
+	},
 }
 
-// TestCheckCanFail: every rule that Check looks for is found broken where it is.
-func TestCheckCanFail(t *testing.T) {
+// TestCheckReportsEachRule guards against a rule in Check that never reports anything, which would make the
+// tests that rely on it pass vacuously. Check must report each forbidden transition, and none without a change.
+func TestCheckReportsEachRule(t *testing.T) {
 	limits := map[wire.Team]float64{"t": 1}
-	unproven := func(wire.TaskID, ledger.Claim) bool { return false }
-	for _, tc := range forbidden {
+	notEnded := func(wire.TaskID, ledger.Claim) bool { return false }
+	for _, tc := range forbiddenTransitions {
 		t.Run(tc.rule, func(t *testing.T) {
-			got := strings.Join(Check(tc.before, tc.after, limits, unproven), "\n")
+			got := strings.Join(Check(tc.before, tc.after, limits, notEnded), "\n")
 			if !strings.Contains(got, tc.rule) {
 				t.Errorf("got violations %q, want %q among them", got, tc.rule)
 			}
 		})
 	}
-	same := job(two, "", taskSet{1: true}, claimSet{0: on("m1", "a")})
+	same := stateWithJob(twoTasks, "", taskSet{1: true}, claimSet{0: claimOn("m1", "a")})
 	if got := Check(same, same, limits, nil); len(got) > 0 {
 		t.Errorf("got violations %q without a change, want none", got)
 	}
--- a/internal/testing/model/placement.go
+++ b/internal/testing/model/placement.go
@@ -8,33 +8,34 @@
 	"maddermill/wire"
 )
 
-// roomPlan is the tasks that OnRoom has placed on a machine so far.
-type roomPlan struct {
+// machinePlan holds the tasks that PlaceOnMachine has placed on a machine so far.
+type machinePlan struct {
 	snapshot *placement.Snapshot
 	machine  *placement.Machine
 
-	starts    map[wire.JobID]int
-	free      ledger.Resources
-	teamUsage map[wire.Team]ledger.Resources // of the tasks placed here
-	fetches   int                            // of the machine, in flight
-	allCold   int                            // of all machines
-	deferred  map[wire.Image]int             // tasks that were not placed because they wait for an image
+	starts       map[wire.JobID]int
+	free         ledger.Resources
+	teamUsage    map[wire.Team]ledger.Resources // by the tasks placed on this machine
+	fetches      int                            // fetches in flight on this machine
+	totalFetches int                            // fetches in flight on all machines
+	deferred     map[wire.Image]int             // tasks that were not placed but wait for a machine with their image
 }
 
-// OnRoom is the design's placement path for one machine with room, one task at a time and
-// without shortcuts. It returns how many tasks of each job start there: it walks the jobs in
-// order, and of each it places task after task whose image is cached or being fetched here.
-// Of the jobs of one priority within (then beyond) their guarantee, the overdue ones come first,
-// and after all that need no fetch come those whose image may then be fetched here.
+// OnRoom is the reference implementation of the placement on one machine with free capacity. It
+// returns the number of tasks of each job to start there, and places one task at a time.
+//
+// It goes through the jobs by priority, within a priority first through those of teams within their
+// guarantee, and among these first through the overdue ones. In each of these groups it first places the
+// tasks whose image is cached or being fetched on the machine, and then those whose image may be fetched.
 func OnRoom(v *placement.Snapshot, m *placement.Machine) map[wire.JobID]int {
-	p := &roomPlan{
-		snapshot:  v,
-		machine:   m,
-		starts:    map[wire.JobID]int{},
-		free:      m.Free,
-		teamUsage: map[wire.Team]ledger.Resources{},
-		allCold:   v.FetchesInFlight,
-		deferred:  map[wire.Image]int{},
+	p := &machinePlan{
+		snapshot:     v,
+		machine:      m,
+		starts:       map[wire.JobID]int{},
+		free:         m.Free,
+		teamUsage:    map[wire.Team]ledger.Resources{},
+		totalFetches: v.FetchesInFlight,
+		deferred:     map[wire.Image]int{},
 	}
 	if !m.Usable {
 		return p.starts
@@ -52,9 +53,9 @@
 	return p.starts
 }
 
-// entries returns the queue's entries of a priority and standing in the order in which they are
-// placed: off spot machines, those that may not run on spot machines come first.
-func (p *roomPlan) entries(rank int, overGuarantee, overdue bool) (out []placement.Entry) {
+// entries returns the queue's entries of one group in the order of placement. On a machine that is
+// not a spot machine, jobs that may not run on spot machines come first.
+func (p *machinePlan) entries(rank int, overGuarantee, overdue bool) (out []placement.Entry) {
 	for _, spot := range []bool{false, true} {
 		for _, e := range p.snapshot.Queue {
 			spec := e.Job.Spec
@@ -69,61 +70,62 @@
 	return out
 }
 
-// placeWithoutFetch places the tasks whose image is here or being fetched, and sets the room
-// aside that is reserved for gangs.
-func (p *roomPlan) placeWithoutFetch(entries []placement.Entry) {
+// placeWithoutFetch places the tasks whose image is cached or being fetched, and sets aside the
+// capacity that is reserved for gangs.
+func (p *machinePlan) placeWithoutFetch(entries []placement.Entry) {
 	for i := range entries {
 		e := &entries[i]
-		if !single(e) {
+		if !placedSingly(e) {
 			for range p.snapshot.PlannedGangTasks[p.machine.ID][e.Job.ID] {
 				p.free = p.free.Add(e.Job.Need, -1)
 			}
 			continue
 		}
-		for p.imageHere(e) && p.fits(e) {
+		for p.imageAvailable(e) && p.fits(e) {
 			p.place(e)
 		}
 	}
 }
 
-// placeWithFetch places the tasks whose image would have to be fetched, unless a fetch is in
-// flight, too many are cold, or they had better wait for another machine.
-func (p *roomPlan) placeWithFetch(entries []placement.Entry) {
+// placeWithFetch places the tasks whose image must be fetched, unless a fetch is in flight on the
+// machine, too many are in flight in total, or waiting for another machine is better.
+func (p *machinePlan) placeWithFetch(entries []placement.Entry) {
 	v, m := p.snapshot, p.machine
 	for i := range entries {
 		e := &entries[i]
 		image := e.Job.Spec.Image
-		if !single(e) || p.imageHere(e) || !p.fits(e) {
+		if !placedSingly(e) || p.imageAvailable(e) || !p.fits(e) {
 			continue
 		}
-		if p.fetches > 0 || p.allCold >= v.Limits.MaxColdStarts || roomInTime(v, m, e) > p.deferred[image] ||
-			e.Waiting <= v.Limits.MaxColdStartDelay && roomElsewhere(v, m, e) {
+		if p.fetches > 0 || p.totalFetches >= v.Limits.MaxColdStarts || fitsElsewhereByDeadline(v, m, e) > p.deferred[image] ||
+			e.Waiting <= v.Limits.MaxColdStartDelay && fitsElsewhereNow(v, m, e) {
 			p.deferred[image] += p.remaining(e)
 			continue
 		}
 		p.fetches++
-		p.allCold++
+		p.totalFetches++
 		for p.fits(e) {
 			p.place(e)
 		}
 	}
 }
 
-// single reports whether a job's tasks are placed one by one: all but those of gangs of several.
-func single(e *placement.Entry) bool {
+// placedSingly reports whether the tasks of a job are placed one by one. All are, except those of gangs
+// with more than one unfinished task.
+func placedSingly(e *placement.Entry) bool {
 	return e.Job.Spec.Shape != wire.Gang || e.Job.Spec.Tasks-e.Job.Done <= 1
 }
 
-// imageHere reports whether a job's image is cached or being fetched on the machine.
-func (p *roomPlan) imageHere(e *placement.Entry) bool {
+// imageAvailable reports whether a job's image is cached or being fetched on the machine.
+func (p *machinePlan) imageAvailable(e *placement.Entry) bool {
 	image := e.Job.Spec.Image
 	return p.machine.Images.Has(image) || p.machine.Images.IsFetching(image)
 }
 
 // remaining returns the number of a job's tasks that are still to be placed.
-func (p *roomPlan) remaining(e *placement.Entry) int { return unplanned(e) - p.starts[e.Job.ID] }
+func (p *machinePlan) remaining(e *placement.Entry) int { return unplanned(e) - p.starts[e.Job.ID] }
 
-// unplanned returns the number of a job's pending tasks without a planned start.
+// unplanned returns the number of a job's pending tasks for which no start is planned.
 func unplanned(e *placement.Entry) int {
 	n := e.Job.Pending()
 	if e.StartsPlanned != nil {
@@ -132,8 +134,8 @@
 	return n
 }
 
-// fits reports whether one more task of a job may start on the machine.
-func (p *roomPlan) fits(e *placement.Entry) bool {
+// fits reports whether one more task of a job can start on the machine now.
+func (p *machinePlan) fits(e *placement.Entry) bool {
 	v, m, j := p.snapshot, p.machine, e.Job
 	return mayUse(v, m, e) &&
 		!v.Now.Before(e.RetryAt) &&
@@ -143,15 +145,15 @@
 		v.RemainingTeamQuota(j, p.teamUsage[j.Spec.Team].Add(e.ReservedQuota, 1), 1) > 0
 }
 
-// place starts one more task of a job on the machine.
-func (p *roomPlan) place(e *placement.Entry) {
+// place adds one more task of a job to the plan.
+func (p *machinePlan) place(e *placement.Entry) {
 	p.starts[e.Job.ID]++
 	p.free = p.free.Add(e.Job.Need, -1)
 	p.teamUsage[e.Job.Spec.Team] = p.teamUsage[e.Job.Spec.Team].Add(e.Job.Need, 1)
 }
 
-// mayUse reports whether a machine may run a job's tasks: it is not reserved for another job,
-// the job's constraints allow it, and the job does not avoid it.
+// mayUse reports whether a job may use a machine: it is not reserved for another job, the job's
+// constraints allow it, and the job does not avoid it.
 func mayUse(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) bool {
 	head, reserved := v.HeadReservations[m.ID]
 	return (!reserved || head == e.Job.ID) &&
@@ -160,8 +162,8 @@
 		(e.Avoid == nil || !e.Avoid(m.ID))
 }
 
-// reservedForGang reports whether a machine is reserved for an overdue gang, against a job that
-// does not precede the gang by its priority or its guarantee.
+// reservedForGang reports whether a machine is reserved for an overdue gang against a job, which
+// it is unless the job takes precedence over the gang by its priority or guarantee.
 func reservedForGang(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) bool {
 	for _, gang := range v.Queue {
 		if r := v.GangReservations[m.ID]; r.Job == gang.Job.ID && r.Job != e.Job.ID {
@@ -172,7 +174,7 @@
 	return false
 }
 
-// alternatives returns the other machines that may run a job's tasks and have its image cached.
+// alternatives returns the other machines that a job may use and that have its image cached.
 func alternatives(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) (out []*placement.Machine) {
 	for _, other := range v.Machines {
 		if other.ID != m.ID && other.Usable && other.Images.Has(e.Job.Spec.Image) && mayUse(v, other, e) {
@@ -182,8 +184,8 @@
 	return out
 }
 
-// roomElsewhere reports whether another machine with the image has room now.
-func roomElsewhere(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) bool {
+// fitsElsewhereNow reports whether another machine with the image has free capacity for a task now.
+func fitsElsewhereNow(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) bool {
 	for _, other := range alternatives(v, m, e) {
 		if other.Free.Fits(e.Job.Need) && e.Job.ZoneRoom(other.Zone) > 0 {
 			return true
@@ -192,9 +194,9 @@
 	return false
 }
 
-// roomInTime returns how many of a job's tasks will have room on other machines with the image
-// by the job's latest start, if a fetch here would end after that; 0 otherwise.
-func roomInTime(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) int {
+// fitsElsewhereByDeadline returns how many tasks of a job will fit on other machines with the image by the
+// job's latest start if a fetch on this machine would end after that, and 0 otherwise.
+func fitsElsewhereByDeadline(v *placement.Snapshot, m *placement.Machine, e *placement.Entry) int {
 	fetched := v.Now.Add(time.Duration(e.Job.Spec.ImageGB / m.FetchGBps * float64(time.Second)))
 	if e.Overdue || !fetched.After(e.LatestStart) {
 		return 0
--- a/internal/testing/regress/regress.go
+++ b/internal/testing/regress/regress.go
@@ -1,10 +1,11 @@
-// Package regress compares the figures of simulated days with those on record, so that a change
-// that makes a deployment worse is noticed before it lands. Parse reads the journal of the bench
-// that plays the days, Record.Compare finds those that are worse.
+// Package regress compares the scores of simulated days with recorded ones, so that a change that
+// makes a deployment perform worse is noticed before it is merged. Parse reads the journal of the
+// bench, the simulator that runs the days, and Record.Compare finds the days that got worse.
 //
-// It also makes days of our own from a deployment's site file: OwnSite and OwnDays stack faults
-// on a larger site, MeetingDays has two kinds of faults meet at times drawn from a seed. They have
-// no figures on record; Report.Faults says why one failed. Cmd regress plays all of them.
+// The package also generates stress days from a deployment's site file: StressSite and StressDays
+// combine several faults on a larger site, OverlappingFaultDays lets two kinds of faults overlap at
+// times drawn from a seed. These have no recorded scores; Report.Faults returns why one failed.
+// Command regress runs all of them.
 package regress
 
 import (
@@ -17,72 +18,72 @@
 	"strings"
 )
 
-// Noise is how far a figure differs between two runs of the same sources.
+// Noise is the difference up to which a score varies between two runs of the same version.
 const Noise = 0.03
 
-// Day is the record of a standard day: the means over its runs.
+// Day is the recorded result of a standard day: the means over its runs.
 type Day struct {
 	Runs   int                `json:"runs"`
 	Figure float64            `json:"figure"` // 0 to 1
-	Aims   map[string]float64 `json:"aims"`   // worth by aim, 0 to 1
+	Aims   map[string]float64 `json:"aims"`   // score by target, 0 to 1
 }
 
-// Record holds the days by site and name.
+// Record holds the results of days by site and name.
 type Record map[string]map[string]Day
 
-// Played is one run of a day from the bench's journal.
+// Played is the result of one run of a day, from the bench's journal.
 type Played struct {
 	Site, Name string
 	Figure     float64
 	Aims       map[string]float64
-	Broken     []string // why the day failed: broken rules and other failures
+	Broken     []string // why the day failed: rule violations and other failures
 }
 
-// entry is the part of a journal entry that is read.
-type entry struct {
-	Site string     `json:"site"`
-	Days []entryDay `json:"days"`
+// journalEntry holds the fields of a journal entry that Parse uses.
+type journalEntry struct {
+	Site string       `json:"site"`
+	Days []journalDay `json:"days"`
 }
 
-// entryDay is a day in a journal entry.
-type entryDay struct {
-	Name   string          `json:"name"`
-	Kind   string          `json:"kind"`
-	Figure *float64        `json:"score"`
-	Rules  map[string]any  `json:"rules"`
-	Fault  json.RawMessage `json:"fault"`
-	Aims   [][2]any        `json:"aims"`
-	Served [][3]any        `json:"served"` // name, its share of all work, the share of it that was served
-	Idle   idle            `json:"idle"`
+// journalDay is a day in a journalEntry.
+type journalDay struct {
+	Name         string          `json:"name"`
+	Kind         string          `json:"kind"`
+	Figure       *float64        `json:"score"`
+	Rules        map[string]any  `json:"rules"`
+	Fault        json.RawMessage `json:"fault"`
+	Aims         [][2]any        `json:"aims"`
+	ServedShares [][3]any        `json:"served"` // name, its share of all work, the served fraction of that
+	Idle         idleCapacity    `json:"idle"`
 }
 
-// idle is the bench's report of room that nobody used.
-type idle struct {
-	Neglected int `json:"neglected"` // jobs that waited for 90 s beside room once faults were over
+// idleCapacity is the bench's report on capacity that was free while jobs waited.
+type idleCapacity struct {
+	Neglected int `json:"neglected"` // jobs that waited for 90 s despite free capacity, after all faults had ended
 }
 
-// failures returns a line if jobs were left waiting.
-func (i idle) failures() []string {
+// failures returns a message if jobs were left waiting.
+func (i idleCapacity) failures() []string {
 	if i.Neglected == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d jobs left waiting beside room", i.Neglected)}
+	return []string{fmt.Sprintf("%d jobs left waiting despite free capacity", i.Neglected)}
 }
 
-// minServed is the share of a class, a team or a class's largest jobs that must be served.
+// minServed is the fraction of the work of a class, a team or a class's largest jobs that must be served.
 const minServed = 0.5
 
-// failures returns why a day counts as failed, whatever its figure.
-func (d *entryDay) failures() (out []string) {
+// failures returns the reasons why a day counts as failed, regardless of its score.
+func (d *journalDay) failures() (out []string) {
 	for _, rule := range slices.Sorted(maps.Keys(d.Rules)) {
 		out = append(out, fmt.Sprintf("%s (%v)", rule, d.Rules[rule]))
 	}
 	if fault := string(d.Fault); fault != "" && fault != "null" {
 		out = append(out, "the day failed: "+fault)
 	} else if d.Figure == nil {
-		out = append(out, "the day has no figure")
+		out = append(out, "the day has no score")
 	}
-	for _, s := range d.Served {
+	for _, s := range d.ServedShares {
 		if share, ok := s[2].(float64); ok && share < minServed {
 			out = append(out, fmt.Sprintf("%v: only %.2f served", s[0], share))
 		}
@@ -90,15 +91,15 @@
 	return append(out, d.Idle.failures()...)
 }
 
-// Parse decodes one journal entry. Days without a figure count as failed; an entry without days is
-// an error.
+// Parse decodes one journal entry. Days without a score count as failed. It fails if the entry has no
+// days.
 func Parse(b []byte) ([]Played, error) {
-	var e entry
+	var e journalEntry
 	if err := json.Unmarshal(b, &e); err != nil {
 		return nil, err
 	}
 	if e.Site == "" || len(e.Days) == 0 {
-		return nil, errors.New("the run did not finish")
+		return nil, errors.New("the run did not finish: no site or no days")
 	}
 	var out []Played
 	for _, d := range e.Days {
@@ -119,7 +120,7 @@
 	return out, nil
 }
 
-// Add includes a run in the means of its day.
+// Add adds a run to the means of its day.
 func (r Record) Add(p Played) {
 	if r[p.Site] == nil {
 		r[p.Site] = map[string]Day{}
@@ -127,7 +128,7 @@
 	r[p.Site][p.Name] = r[p.Site][p.Name].with(p)
 }
 
-// with returns the means with one more run.
+// with returns the means including one more run.
 func (d Day) with(p Played) Day {
 	mean := func(old, one float64) float64 { return (old*float64(d.Runs) + one) / float64(d.Runs+1) }
 	aims := make(map[string]float64, len(p.Aims))
@@ -137,21 +138,21 @@
 	return Day{Runs: d.Runs + 1, Figure: mean(d.Figure, p.Figure), Aims: aims}
 }
 
-// Fall is a day whose figure is lower than on record by more than Noise.
+// Fall is a day whose score is lower than the recorded one by more than Noise.
 type Fall struct {
 	Site, Name string
 	Was, Is    float64
-	Aims       []string // that fell by more than Noise, the furthest first
+	Aims       []string // targets whose score fell by more than Noise, the largest drop first
 }
 
-// String returns one line that names the site, the day and the aims.
+// String returns one line with the site, the day, its scores and the targets that fell.
 func (f Fall) String() string {
-	aims := cmp.Or(strings.Join(f.Aims, "; "), "no aim by itself")
-	return fmt.Sprintf("%s, %s: %.3f, on record %.3f; fallen: %s", f.Site, f.Name, f.Is, f.Was, aims)
+	aims := cmp.Or(strings.Join(f.Aims, "; "), "no single target")
+	return fmt.Sprintf("%s, %s: score %.3f, recorded %.3f; lower: %s", f.Site, f.Name, f.Is, f.Was, aims)
 }
 
-// Compare returns the days of now that fell, ordered by site and name. Days that are not on
-// record are passed over.
+// Compare returns the days of now with a regression, ordered by site and name. It skips days that are
+// not recorded.
 func (r Record) Compare(now Record) []Fall {
 	var out []Fall
 	for _, site := range slices.Sorted(maps.Keys(now)) {
@@ -164,21 +165,21 @@
 			out = append(out, Fall{
 				Site: site, Name: name,
 				Was: was.Figure, Is: is.Figure,
-				Aims: fallenAims(was.Aims, is.Aims),
+				Aims: regressedAims(was.Aims, is.Aims),
 			})
 		}
 	}
 	return out
 }
 
-// fallenAims returns a line for each aim that fell by more than Noise, the furthest first.
-func fallenAims(was, is map[string]float64) (out []string) {
-	fell := func(aim string) float64 { return was[aim] - is[aim] }
+// regressedAims returns a line for each target whose score fell by more than Noise, the largest drop first.
+func regressedAims(was, is map[string]float64) (out []string) {
+	drop := func(aim string) float64 { return was[aim] - is[aim] }
 	aims := slices.SortedFunc(maps.Keys(was), func(a, b string) int {
-		return cmp.Or(cmp.Compare(fell(b), fell(a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(drop(b), drop(a)), cmp.Compare(a, b))
 	})
 	for _, aim := range aims {
-		if fell(aim) > Noise {
+		if drop(aim) > Noise {
 			out = append(out, fmt.Sprintf("%s %.2f -> %.2f", aim, was[aim], is[aim]))
 		}
 	}
--- a/internal/testing/regress/own_days.go
+++ b/internal/testing/regress/stress_days.go
@@ -6,53 +6,53 @@
 	"strings"
 )
 
-// OwnDay is a day to be played on an own site.
+// OwnDay is a simulated day for a site from StressSite.
 type OwnDay struct {
 	Name string
 	Day  Table
 }
 
-// ownDays builds the days of our own, each of which has several kinds of faults at once.
-type ownDays struct {
+// stressDays builds the stress days, each of which has several kinds of faults at once.
+type stressDays struct {
 	days        []OwnDay
 	controllers int
 	zones       []any
 	classes     []string // all
-	largest     []string // the classes of largest jobs, the one with the largest gangs first
-	gangs       []string // the last class of gangs and that of its largest jobs
+	largest     []string // the classes of largest jobs, with that of the largest gangs first
+	gangs       []string // the last gang class and the class of its largest jobs
 }
 
-// OwnDays returns the days of an own site. It fails if the site has fewer than two controllers,
-// no zones, or no class of largest jobs.
+// OwnDays returns the stress days for a site from StressSite. It fails if the site has fewer than two
+// controllers, no zones, or no class of largest jobs.
 func OwnDays(site Table) ([]OwnDay, error) {
 	nodes, _ := site["nodes"].(Table)
 	zones, _ := nodes["zones"].([]any)
-	o := &ownDays{days: []OwnDay{}, controllers: int(number(nodes["count"])), zones: zones}
+	o := &stressDays{days: []OwnDay{}, controllers: int(number(nodes["count"])), zones: zones}
 	if o.controllers < 2 || len(o.zones) == 0 {
-		return nil, fmt.Errorf("%v: too few controllers or no zones", site["name"])
+		return nil, fmt.Errorf("%v: fewer than 2 controllers, or no zones", site["name"])
 	}
 	o.readClasses(tables(site["jobs"]))
 	if len(o.largest) == 0 {
-		return nil, fmt.Errorf("%v: no class has larger jobs than others", site["name"])
+		return nil, fmt.Errorf("%v: no class of largest jobs", site["name"])
 	}
-	o.addAgain()
-	o.addRolls()
-	o.addLargest()
-	o.addStalls()
-	o.addRefused()
-	o.addLong()
+	o.addRepeatedCrashes()
+	o.addRollingRestarts()
+	o.addLargestJobBursts()
+	o.addHangsAndPauses()
+	o.addLeaderPartitions()
+	o.addLongGangBurst()
 	return o.days, nil
 }
 
-// readClasses sorts a site's classes.
-func (o *ownDays) readClasses(jobs []Table) {
+// readClasses reads the names of a site's classes by kind.
+func (o *stressDays) readClasses(jobs []Table) {
 	largestGang := 0.0
 	for _, j := range jobs {
 		name, _ := j["name"].(string)
 		o.classes = append(o.classes, name)
 		tasks, _ := j["tasks"].(Table)
 		sizes, _ := tasks["sizes"].([]any)
-		if len(sizes) == 0 || !strings.HasSuffix(name, Largest) {
+		if len(sizes) == 0 || !strings.HasSuffix(name, LargestSuffix) {
 			continue
 		}
 		if size := number(sizes[len(sizes)-1]); j["kind"] == "gang" && size > largestGang {
@@ -64,8 +64,9 @@
 	o.gangs = lastClass(jobs, "gang")
 }
 
-// addAgain: controllers end again and again as others are being elected, then all do in an outage.
-func (o *ownDays) addAgain() {
+// addRepeatedCrashes adds a day on which controllers crash repeatedly during elections, and then all of them
+// during an outage.
+func (o *stressDays) addRepeatedCrashes() {
 	var faults []Table
 	for i := range 7 {
 		faults = append(faults, crash(100+5*float64(i)+0.7*float64(i%3), 1))
@@ -80,8 +81,9 @@
 	o.day("again", nil, faults)
 }
 
-// addRolls: one rolling restart after the other with a slow state service and peers that refuse.
-func (o *ownDays) addRolls() {
+// addRollingRestarts adds a day with consecutive rolling restarts while the state service is slow and peers
+// refuse requests.
+func (o *stressDays) addRollingRestarts() {
 	o.day("rolls", Table{"state_slow": 0.04, "state_slow_times": 25.0}, slices.Concat(
 		[]Table{
 			fault(100, "node_roll", Table{"every_s": 3.0}),
@@ -92,12 +94,12 @@
 			fault(208, "node_roll", Table{"every_s": 3.0}),
 			fault(240, "machine_die", Table{"count": int64(150)}),
 		},
-		burst(95, 2, 120, o.wholeAndLargest()...),
+		burst(95, 2, 120, o.largestGangClasses()...),
 	))
 }
 
-// addLargest: bursts of the largest jobs while machines die and a zone is cut off.
-func (o *ownDays) addLargest() {
+// addLargestJobBursts adds a day with bursts of the largest jobs while machines fail and a zone is cut off.
+func (o *stressDays) addLargestJobBursts() {
 	o.day("largest", nil, slices.Concat(burst(100, 3, 100, o.largest...), []Table{
 		fault(110, "machine_die", Table{"count": int64(180)}),
 		fault(130, "spot_taken", Table{"share": 0.5, "notice_s": 0.0, "over_s": 20.0}),
@@ -106,10 +108,10 @@
 	}))
 }
 
-// addStalls: machines hang and the leader's process pauses.
-func (o *ownDays) addStalls() {
+// addHangsAndPauses adds a day on which machines hang and the process of the leader pauses.
+func (o *stressDays) addHangsAndPauses() {
 	o.day("stalls", Table{"report": 0.2, "fetch": 0.3, "fetch_shared": true}, slices.Concat(
-		burst(120, 2, 60, o.wholeAndLargest()...),
+		burst(120, 2, 60, o.largestGangClasses()...),
 		[]Table{
 			fault(100, "machine_hang", Table{"count": int64(150), "for_s": 38.0}),
 			fault(115, "node_freeze", Table{"count": int64(1), "busiest": true, "for_s": 20.0}),
@@ -121,8 +123,9 @@
 		}))
 }
 
-// addRefused: the leader is cut off from its peers, the state service and the workers in turn.
-func (o *ownDays) addRefused() {
+// addLeaderPartitions adds a day on which the leader is cut off from its peers, the state service and the
+// workers in turn.
+func (o *stressDays) addLeaderPartitions() {
 	vary := Table{
 		"state_slow":       0.08,
 		"state_slow_times": 40.0,
@@ -133,9 +136,9 @@
 	}
 	o.day("refused", vary, slices.Concat(burst(110, 2, 80, o.classes...), []Table{
 		fault(100, "peers_refuse", Table{"for_s": 60.0}),
-		fault(105, "node_cut", leader(Table{"from_state": true, "for_s": 50.0, "mode": "hold"})),
+		fault(105, "node_cut", leaderTarget(Table{"from_state": true, "for_s": 50.0, "mode": "hold"})),
 		fault(120, "machine_die", Table{"count": int64(120)}),
-		fault(180, "node_cut", leader(Table{"from_workers": true, "for_s": 40.0, "mode": "hold"})),
+		fault(180, "node_cut", leaderTarget(Table{"from_workers": true, "for_s": 40.0, "mode": "hold"})),
 		crash(190, 1),
 		fault(230, "state_outage", Table{"for_s": 15.0}),
 		crash(235, o.controllers),
@@ -143,8 +146,8 @@
 	}))
 }
 
-// addLong: a long burst of gangs with spot machines reclaimed at a high rate.
-func (o *ownDays) addLong() {
+// addLongGangBurst adds a day with a long burst of gangs while spot machines are reclaimed at a high rate.
+func (o *stressDays) addLongGangBurst() {
 	o.day("long", nil, slices.Concat(burst(100, 2.5, 200, o.gangs...), []Table{
 		fault(120, "machine_die", Table{"count": int64(150)}),
 		crash(180, o.controllers),
@@ -152,27 +155,27 @@
 	}))
 }
 
-// day adds a day with variations, if any, and faults.
-func (o *ownDays) day(name string, vary Table, faults []Table) {
-	d := scaleDay(name, int64(900+len(o.days)), faults)
+// day adds a day with faults, and with variations if there are any.
+func (o *stressDays) day(name string, vary Table, faults []Table) {
+	d := newScaleDay(name, int64(900+len(o.days)), faults)
 	if vary != nil {
 		d["vary"] = vary
 	}
 	o.days = append(o.days, OwnDay{Name: name, Day: d})
 }
 
-// wholeAndLargest names the class with the largest gangs and that of its largest jobs.
-func (o *ownDays) wholeAndLargest() []string {
-	whole := strings.TrimSuffix(o.largest[0], Largest)
-	return []string{whole, whole + Largest}
+// largestGangClasses returns the names of the class with the largest gangs and of the class split off from it.
+func (o *stressDays) largestGangClasses() []string {
+	base := strings.TrimSuffix(o.largest[0], LargestSuffix)
+	return []string{base, base + LargestSuffix}
 }
 
-// crash ends the busiest controllers.
+// crash returns a fault that crashes the count busiest controllers.
 func crash(at float64, count int) Table {
 	return fault(at, "node_crash", Table{"count": int64(count), "busiest": true})
 }
 
-// burst multiplies the arrivals of classes by a factor for a time in seconds.
+// burst returns faults that multiply the arrivals of classes by a factor; at and length are in seconds.
 func burst(at, factor, length float64, classes ...string) (out []Table) {
 	for _, class := range classes {
 		out = append(out, fault(at, "job_burst", Table{"class": class, "factor": factor, "for_s": length}))
@@ -180,11 +183,11 @@
 	return out
 }
 
-// lastClass names the last class of a kind and that of its largest jobs.
+// lastClass returns the names of the last class of a kind and of the class of its largest jobs.
 func lastClass(jobs []Table, kind string) (out []string) {
 	for _, j := range jobs {
-		if name, _ := j["name"].(string); j["kind"] == kind && !strings.HasSuffix(name, Largest) {
-			out = []string{name, name + Largest}
+		if name, _ := j["name"].(string); j["kind"] == kind && !strings.HasSuffix(name, LargestSuffix) {
+			out = []string{name, name + LargestSuffix}
 		}
 	}
 	return out
--- a/internal/testing/regress/own.go
+++ b/internal/testing/regress/stress_site.go
@@ -5,24 +5,24 @@
 	"maps"
 )
 
-// Own days are days of our own at half the size again, which the operators said theirs may
-// have: more machines, jobs and rates, controllers that are back within a fraction of a second,
-// and faults stacked on each other. They are made from a site file when they are played, as
-// nothing of the operators' files is kept here.
+// Parameters of the stress days. These are simulated days at 1.5 times the size of a site, up to which
+// the operators said that their deployments may grow: more machines and jobs, higher arrival rates,
+// controllers that restart within a fraction of a second, and several faults at once. They are generated
+// from a site file when they are run, as the operators' files are not kept in this repository.
 const (
-	ownGrowth  = 1.5   // machines, jobs, rates and teams' limits, relative to the site's
-	ownRestart = 0.3   // seconds until an ended controller is back
-	ownLength  = 420.0 // seconds of a day
+	growthFactor = 1.5   // of machines, jobs, arrival rates and team limits
+	restartDelay = 0.3   // seconds until a crashed controller is back
+	dayLength    = 420.0 // duration of a day in seconds
 
-	// Largest is the suffix of a class that has another's largest jobs.
-	Largest = "-largest"
-	// LargestWait is how long the largest jobs may wait for their start, in seconds.
-	LargestWait = 240.0
-	// largestShare is the share of jobs that count as largest in a class without listed sizes.
+	// LargestSuffix is the name suffix of a class with the largest jobs of another class.
+	LargestSuffix = "-largest"
+	// MaxLargestWait is the time within which the largest jobs should start, in seconds.
+	MaxLargestWait = 240.0
+	// largestShare is the fraction of jobs that count as the largest in a class without listed sizes.
 	largestShare = 0.1
 )
 
-// grownFields are the fields of a site's lists that grow by ownGrowth.
+// grownFields lists the fields of a site that are multiplied by growthFactor.
 var grownFields = []struct{ list, field string }{
 	{"capacity", "count"},
 	{"capacity", "spot"},
@@ -34,22 +34,22 @@
 	{"jobs", "initial"},
 }
 
-// OwnSite returns a site grown by half without days. The largest jobs of its classes, a tenth or
-// those of the largest size, are a class of their own with the targets of the whole, so that a
-// report tells how they fare. site is changed.
+// OwnSite scales a site by growthFactor and removes its days. It splits the largest jobs of each class,
+// those of the largest listed size or else a tenth, off into a class of their own with the same targets,
+// so that reports show them separately. It modifies and returns site.
 func OwnSite(site Table) (Table, error) {
 	name, _ := site["name"].(string)
 	if name == "" {
 		return nil, fmt.Errorf("site: no name")
 	}
 	site["name"] = name + "-own"
-	site["duration_s"] = ownLength
+	site["duration_s"] = dayLength
 	delete(site, "day")
 	nodes, ok := site["nodes"].(Table)
 	if !ok {
 		return nil, fmt.Errorf("%s: no nodes", name)
 	}
-	nodes["restart_delay_s"] = ownRestart
+	nodes["restart_delay_s"] = restartDelay
 	for _, g := range grownFields {
 		for _, t := range tables(site[g.list]) {
 			grow(t, g.field)
@@ -59,8 +59,8 @@
 	return site, nil
 }
 
-// splitClasses grows the rates of all classes and splits off their largest jobs. It returns the
-// classes and the targets, those of the split-off classes first.
+// splitClasses multiplies the arrival rates of all classes by growthFactor and splits off their largest
+// jobs. It returns all classes, and all targets with those of the split-off classes first.
 func splitClasses(classes, targets []Table) (outClasses, outTargets []any) {
 	for _, class := range classes {
 		arrivals, _ := class["arrivals"].(Table)
@@ -71,8 +71,8 @@
 			continue
 		}
 		outClasses = append(outClasses, large)
-		reduceTo(class, arrivals, 1-share)
-		reduceTo(large, arrivals, share)
+		scaleJobs(class, arrivals, 1-share)
+		scaleJobs(large, arrivals, share)
 		for _, t := range targets {
 			if t["class"] == class["name"] {
 				t = maps.Clone(t)
@@ -87,20 +87,20 @@
 	return outClasses, outTargets
 }
 
-// reduceTo leaves a class a share of its jobs and arrivals.
-func reduceTo(class, arrivals Table, share float64) {
+// scaleJobs scales the initial jobs and the arrivals of a class by a share.
+func scaleJobs(class, arrivals Table, share float64) {
 	arrivals = maps.Clone(arrivals)
 	arrivals["rate"] = scaled(arrivals["rate"], share)
 	class["initial"] = scaled(class["initial"], share)
 	class["arrivals"] = arrivals
 }
 
-// splitLargest takes the largest jobs out of a class, and returns them as a class of their own with
-// their share of all jobs, or nil if all jobs are of one size.
+// splitLargest removes the largest jobs from a class, and returns a new class with them and their
+// share of all jobs, or nil if all jobs are of the same size.
 func splitLargest(j Table) (Table, float64) {
 	tasks, _ := j["tasks"].(Table)
 	large := maps.Clone(j)
-	large["name"] = fmt.Sprint(j["name"], Largest)
+	large["name"] = fmt.Sprint(j["name"], LargestSuffix)
 	if sizes, ok := tasks["sizes"].([]any); ok {
 		weights, _ := tasks["weights"].([]any)
 		last := len(sizes) - 1
@@ -119,7 +119,7 @@
 	if p95 <= 0 || largest <= p95 {
 		return nil, 0
 	}
-	p90 := int64(p95 * 0.9) // the tenth begins a little below
+	p90 := int64(p95 * 0.9) // the largest tenth begins somewhat below p95
 	j["tasks"] = Table{"median": tasks["median"], "p95": p90, "max": p90 + 1}
 	large["tasks"] = Table{
 		"sizes":   []any{int64(p95), int64((p95 + largest) / 2), int64(largest)},
--- a/internal/testing/regress/own_test.go
+++ b/internal/testing/regress/stress_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// ownTestSite is a site with a class of gangs and one of arrays.
-func ownTestSite() Table {
+// stressTestSite returns a site with a class of gangs and one of arrays.
+func stressTestSite() Table {
 	return Table{"name": "mill", "nodes": Table{"count": int64(3), "zones": []any{"a", "b"}, "restart_delay_s": 4.0},
 		"capacity": []any{Table{"count": int64(100), "spot": int64(40)}}, "day": []any{Table{"name": "calm"}},
 		"teams": []any{Table{"name": "t", "gpus": 10.0}},
@@ -32,10 +32,10 @@
 		"targets": []any{Table{"kind": "wait", "class": "weave", "within_s": 50.0}, Table{"kind": "price"}}}
 }
 
-// TestOwnSite: a site made our own has half as many machines and jobs again, its classes'
-// largest jobs apart with the aims of the whole, and no days of the operators'.
-func TestOwnSite(t *testing.T) {
-	own, err := OwnSite(ownTestSite())
+// TestStressSite checks that a stress site has 1.5 times the machines and jobs of its site, the largest jobs of
+// each class in a class of their own with the same targets, and none of the site's days.
+func TestStressSite(t *testing.T) {
+	own, err := OwnSite(stressTestSite())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,20 +52,20 @@
 		t.Errorf("jobs %v", got)
 	}
 	if d := rate("spin") + rate("spin-largest"); d != 3 {
-		t.Errorf("jobs of spin come at %v", d)
+		t.Errorf("arrival rate of all spin jobs: got %v, want 3", d)
 	}
 	isLargestTarget := func(x Table) bool { return x["class"] == "weave-largest" && x["within_s"] == 50.0 }
 	if !slices.ContainsFunc(tables(own["targets"]), isLargestTarget) {
 		t.Errorf("targets %v", own["targets"])
 	}
 	if _, err := OwnSite(Table{}); err == nil {
-		t.Error("a site without a name is taken")
+		t.Error("a site without a name was accepted")
 	}
 }
 
-// TestOwnDays: each day of an own site stacks several faults.
-func TestOwnDays(t *testing.T) {
-	own, err := OwnSite(ownTestSite())
+// TestStressDays checks that each stress day has several faults.
+func TestStressDays(t *testing.T) {
+	own, err := OwnSite(stressTestSite())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,13 +75,14 @@
 	}
 	for _, d := range days {
 		if faults := tables(d.Day["faults"]); len(faults) < 4 {
-			t.Errorf("%s stacks %d troubles", d.Name, len(faults))
+			t.Errorf("%s: got %d faults, want at least 4", d.Name, len(faults))
 		}
 	}
 }
 
-// TestFaultsOfADay: each way in which a day of our own fails is told.
-func TestFaultsOfADay(t *testing.T) {
+// TestReportFaults checks that a report lists every way in which a stress day failed, and the classes of which
+// only the slowest jobs waited too long.
+func TestReportFaults(t *testing.T) {
 	r, err := ParseReport(
 		[]byte(`{"rules_broken":{"total":1},"idle":{"neglected":3},"targets":[{"kind":"node_restarts","value":2}],
 		"classes":{"weave":{"jobs":9,"started":4},
@@ -94,29 +95,29 @@
 		t.Fatal(err)
 	}
 	got := strings.Join(r.Faults(), "; ")
-	want := "1 broken rules; 2 controllers ended by themselves; 3 jobs left waiting beside room; " +
-		"class weave: 4 of 9 jobs begun; class wind-largest: half of those begun waited 241 s or more; " +
-		"team t: 1 of 4 jobs begun"
+	want := "1 rule violations; 2 controllers exited by themselves; 3 jobs left waiting despite free capacity; " +
+		"class weave: 4 of 9 jobs started; class wind-largest: half of the started jobs waited 241 s or more; " +
+		"team t: 1 of 4 jobs started"
 	if got != want {
-		t.Errorf("told %q, want %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 	if tails := r.Tails(); len(tails) != 2 ||
-		tails[0] != "weave-largest: over 95 in a hundred began within 240 s, the last after 251" {
+		tails[0] != "weave-largest: over 95 % started within 240 s, the last after 251 s" {
 		t.Errorf("tails %q", tails)
 	}
 }
 
-// TestParseReportRefuses: a report that is malformed or has no classes is refused.
+// TestParseReportRefuses checks that a report that is malformed or has no classes is rejected.
 func TestParseReportRefuses(t *testing.T) {
 	for _, text := range []string{"", "{", `{"classes":{}}`} {
 		if _, err := ParseReport([]byte(text)); err == nil {
-			t.Errorf("report %q is taken", text)
+			t.Errorf("report %q was accepted", text)
 		}
 	}
 }
 
-// meetingSite is a site with what MeetingDays needs.
-func meetingSite() Table {
+// overlappingFaultSite returns a site with the fields that OverlappingFaultDays needs.
+func overlappingFaultSite() Table {
 	return Table{
 		"name":     "mill",
 		"nodes":    Table{"count": int64(3)},
@@ -126,39 +127,40 @@
 	}
 }
 
-// meetingDays returns the days of a seed and the kinds of all their faults, and checks each day.
-func meetingDays(t *testing.T, seed uint64) (kinds []string, days []OwnDay) {
+// overlappingFaultDays returns the days of a seed and the kinds of all their faults. It checks that each day has
+// several faults and leaves services unchanged.
+func overlappingFaultDays(t *testing.T, seed uint64) (kinds []string, days []OwnDay) {
 	t.Helper()
-	days, err := MeetingDays(meetingSite(), seed)
+	days, err := MeetingDays(overlappingFaultSite(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range days {
 		faults := tables(d.Day["faults"])
 		if len(faults) < 4 {
-			t.Errorf("%s has %d troubles", d.Name, len(faults))
+			t.Errorf("%s: got %d faults, want at least 4", d.Name, len(faults))
 		}
 		for _, f := range faults {
 			kinds = append(kinds, fmt.Sprint(f["kind"]))
 		}
 		for _, j := range tables(d.Day["jobs"]) {
 			if j["name"] == "serve" {
-				t.Errorf("%s changes a service", d.Name)
+				t.Errorf("%s changes the service class", d.Name)
 			}
 		}
 	}
 	return kinds, days
 }
 
-// TestMeetingDays: the days on which troubles meet follow from their seed, another seed plays another
-// order of the same troubles, and a site without what they need is refused.
-func TestMeetingDays(t *testing.T) {
-	first, one := meetingDays(t, 1)
-	_, again := meetingDays(t, 1)
-	_, other := meetingDays(t, 2)
+// TestOverlappingFaultDays checks that a seed determines its days, that another seed gives other days, and that
+// a site without the required fields is rejected.
+func TestOverlappingFaultDays(t *testing.T) {
+	first, one := overlappingFaultDays(t, 1)
+	_, again := overlappingFaultDays(t, 1)
+	_, other := overlappingFaultDays(t, 2)
 	if len(one) != 10 || !reflect.DeepEqual(one, again) || reflect.DeepEqual(one, other) {
 		t.Errorf(
-			"%d days; the same again %v, as another seed's %v",
+			"got %d days, want 10; equal for the same seed: %v, want true; equal for another seed: %v, want false",
 			len(one),
 			reflect.DeepEqual(one, again),
 			reflect.DeepEqual(one, other),
@@ -167,12 +169,12 @@
 	for _, kind := range []string{"late_writes", "late_reports", "machine_deaf", "node_cut", "state_outage", "node_crash",
 		"machine_mute", "cancel_now", "cancel_at_end", "close_looks", "odd_requests", "late_commands"} {
 		if !slices.Contains(first, kind) {
-			t.Errorf("no day has %s", kind)
+			t.Errorf("no day has a %s fault", kind)
 		}
 	}
-	bad := meetingSite()
+	bad := overlappingFaultSite()
 	delete(bad, "workers")
 	if _, err := MeetingDays(bad, 1); err == nil {
-		t.Error("a site without leases is taken")
+		t.Error("a site without leases was accepted")
 	}
 }
--- a/internal/testing/regress/table.go
+++ b/internal/testing/regress/table.go
@@ -8,15 +8,15 @@
 // Table is a table of a site file, as decoded from TOML.
 type Table = map[string]any
 
-// fault is a fault of a day that begins at a time in seconds, with the fields of its kind.
+// fault returns a fault that starts at a time in seconds, with the fields specific to its kind.
 func fault(at float64, kind string, fields Table) Table {
 	t := Table{"at_s": at, "kind": kind}
 	maps.Copy(t, fields)
 	return t
 }
 
-// scaleDay is a day of our own with faults. The bench draws its jobs from the seed.
-func scaleDay(name string, seed int64, faults []Table) Table {
+// newScaleDay returns a stress day with faults. The bench draws its jobs from the seed.
+func newScaleDay(name string, seed int64, faults []Table) Table {
 	return Table{
 		"name":   "own-" + name,
 		"seed":   seed,
@@ -26,7 +26,7 @@
 	}
 }
 
-// asAny returns a list as decoded TOML has it.
+// asAny converts a list to the type that decoded TOML has.
 func asAny(list []Table) []any {
 	out := make([]any, len(list))
 	for i, t := range list {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// tables returns the tables in a list of decoded TOML; anything else is passed over.
+// tables returns the tables in a list of decoded TOML and skips all other elements.
 func tables(v any) (out []Table) {
 	list, _ := v.([]any)
 	for _, x := range list {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// number returns a number of decoded TOML, or 0 if it is none.
+// number converts a number of decoded TOML; it returns 0 for any other type.
 func number(v any) float64 {
 	switch n := v.(type) {
 	case int64:
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// scaled multiplies a number; an integer is rounded and stays one.
+// scaled returns v multiplied by a factor. An integer stays an integer and is rounded.
 func scaled(v any, by float64) any {
 	if n, ok := v.(int64); ok {
 		return int64(math.Round(float64(n) * by))
@@ -65,9 +65,9 @@
 	return number(v) * by
 }
 
-// grow multiplies a field by ownGrowth, if the table has it.
+// grow multiplies a field by growthFactor if the table has it.
 func grow(t Table, field string) {
 	if _, ok := t[field]; ok {
-		t[field] = scaled(t[field], ownGrowth)
+		t[field] = scaled(t[field], growthFactor)
 	}
 }
--- a/internal/testing/upgrade/doc.go
+++ b/internal/testing/upgrade/doc.go
@@ -1,3 +1,4 @@
-// Package upgrade holds the test of a rolling upgrade: the version in production, built from the repository's
-// history, beside the one under test, as real processes on loopback. It has no code of its own.
+// Package upgrade contains the test of a rolling upgrade. It runs the version in production, built from the
+// repository's history, together with the version under test, as real processes on loopback. The package has
+// no code besides its test.
 package upgrade
--- a/internal/testing/upgrade/upgrade_test.go
+++ b/internal/testing/upgrade/upgrade_test.go
@@ -24,30 +24,30 @@
 	"maddermill/wire"
 )
 
-// root is the repository's root.
+// root is the path of the repository root.
 const root = "../../.."
 
-// Limits of the state service before and after they fall.
+// Limits of the state service before and after they are lowered.
 const (
-	usualTxnOps, usualValueBytes     = 20, 16 << 10
+	initialTxnOps, initialValueBytes = 20, 16 << 10
 	loweredTxnOps, loweredValueBytes = 4, 2 << 10
 )
 
-// Times of a run. The processes are real, so nothing depends on how soon something happens: only what does
-// not happen within patience fails.
+// Durations of a run. As the processes are real, the test does not depend on how fast something happens. It
+// fails only if something has not happened within waitTimeout.
 const (
-	patience    = 4 * time.Minute
-	workerLease = 30 * time.Second
-	cancelTime  = 60 * time.Second
-	pause       = 100 * time.Millisecond // between two looks
-	taskTime    = 2 * time.Second
+	waitTimeout  = 4 * time.Minute
+	workerLease  = 30 * time.Second
+	cancelGrace  = 60 * time.Second
+	pollInterval = 100 * time.Millisecond // between two polls
+	taskTime     = 2 * time.Second
 )
 
-// controllers is how many there are.
+// controllers is the number of controllers.
 const controllers = 3
 
-// buildProduction builds the version that deploy/service.toml names from the repository's history, and the
-// one under test.
+// buildProduction builds the version in production, which deploy/service.toml names, from the repository's
+// history, and the version under test. It returns the paths of the two programs.
 func buildProduction(t *testing.T) (production, current string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
@@ -58,7 +58,7 @@
 		Production string `toml:"production"`
 	}
 	if err := toml.Unmarshal(text, &service); err != nil || len(service.Production) != 40 {
-		t.Fatalf("deploy/service.toml: production: got %q, error %v, want a commit's full hash", service.Production, err)
+		t.Fatalf("deploy/service.toml: production: got %q, error %v, want the full hash of a commit", service.Production, err)
 	}
 	sources := t.TempDir()
 	archive := filepath.Join(sources, "sources.tar")
@@ -71,7 +71,7 @@
 	return production, current
 }
 
-// run runs a command in a folder, which must succeed.
+// run runs a command in a directory, and fails the test if the command fails.
 func run(t *testing.T, dir, name string, args ...string) {
 	t.Helper()
 	command := exec.CommandContext(t.Context(), name, args...)
@@ -81,29 +81,29 @@
 	}
 }
 
-// deployment is three controllers with the systems around them.
+// deployment consists of three controllers and the emulated external systems.
 type deployment struct {
 	t     *testing.T
 	world *emulator.World
 	store *emulator.Store
 	cloud *emulator.Cloud
 
-	state, cloudAddr string
-	binds, meshes    []string
-	files            []string
-	group            sync.WaitGroup // workers
+	stateAddr, cloudAddr string
+	bindAddrs, meshAddrs []string
+	settingsFiles        []string
+	workers              sync.WaitGroup
 
 	mu        sync.Mutex // guards the fields below
 	processes []*exec.Cmd
 }
 
-// newDeployment returns a deployment without any process.
+// newDeployment returns a deployment whose controllers are not started.
 func newDeployment(ctx context.Context, t *testing.T) *deployment {
 	t.Helper()
 	d := &deployment{
 		t:         t,
-		world:     emulator.NewWorld(cancelTime),
-		store:     emulator.NewStore(usualTxnOps, usualValueBytes),
+		world:     emulator.NewWorld(cancelGrace),
+		store:     emulator.NewStore(initialTxnOps, initialValueBytes),
 		processes: make([]*exec.Cmd, controllers),
 	}
 	d.cloud = &emulator.Cloud{
@@ -114,14 +114,14 @@
 			Zones: []wire.Zone{"here", "there"},
 		}},
 	}
-	d.cloud.Started = func(m *emulator.Machine) { d.group.Go(func() { d.runWorker(ctx, m) }) }
-	d.state = d.serve(emulator.StateHandler(emulator.NewLink(d.store, 1)))
+	d.cloud.Started = func(m *emulator.Machine) { d.workers.Go(func() { d.runWorker(ctx, m) }) }
+	d.stateAddr = d.serve(emulator.StateHandler(emulator.NewLink(d.store, 1)))
 	d.cloudAddr = d.serve(emulator.CloudHandler(d.cloud))
 	for range controllers {
-		d.binds, d.meshes = append(d.binds, freeAddr(ctx, t)), append(d.meshes, freeAddr(ctx, t))
+		d.bindAddrs, d.meshAddrs = append(d.bindAddrs, freeAddr(ctx, t)), append(d.meshAddrs, freeAddr(ctx, t))
 	}
 	for i := range controllers {
-		d.files = append(d.files, d.writeSettings(i))
+		d.settingsFiles = append(d.settingsFiles, d.writeSettings(i))
 	}
 	t.Cleanup(func() {
 		for i := range controllers {
@@ -138,7 +138,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// freeAddr returns an address on loopback that nobody listens on.
+// freeAddr returns an unused address on loopback.
 func freeAddr(ctx context.Context, t *testing.T) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
@@ -149,14 +149,15 @@
 	return listener.Addr().String()
 }
 
-// writeSettings writes the settings of a controller, the same for both versions.
+// writeSettings writes the settings file of a controller, which is the same for both versions.
 func (d *deployment) writeSettings(i int) string {
 	d.t.Helper()
 	var b strings.Builder
-	fmt.Fprintf(&b, "member = \"mill-%d\"\nzone = \"here\"\nbind = %q\nmesh_addr = %q\n", i, d.binds[i], d.meshes[i])
+	fmt.Fprintf(&b, "member = \"mill-%d\"\nzone = \"here\"\nbind = %q\nmesh_addr = %q\n",
+		i, d.bindAddrs[i], d.meshAddrs[i])
 	for other := range controllers {
 		if other != i {
-			fmt.Fprintf(&b, "[[seeds]]\nmember = \"mill-%d\"\nzone = \"here\"\naddress = %q\n", other, d.meshes[other])
+			fmt.Fprintf(&b, "[[seeds]]\nmember = \"mill-%d\"\nzone = \"here\"\naddress = %q\n", other, d.meshAddrs[other])
 		}
 	}
 	fmt.Fprintf(&b, `[outside]
@@ -185,8 +186,8 @@
 [settings.cloud]
 rps = 5.0
 list_lag_s = 1.0
-`, d.cloudAddr, d.state, controllers, workerLease.Seconds(), cancelTime.Seconds(),
-		usualValueBytes>>10, usualTxnOps, loweredValueBytes>>10, loweredTxnOps)
+`, d.cloudAddr, d.stateAddr, controllers, workerLease.Seconds(), cancelGrace.Seconds(),
+		initialValueBytes>>10, initialTxnOps, loweredValueBytes>>10, loweredTxnOps)
 	file := filepath.Join(d.t.TempDir(), fmt.Sprintf("mill-%d.toml", i))
 	if err := os.WriteFile(file, []byte(b.String()), 0o600); err != nil {
 		d.t.Fatal(err)
@@ -194,10 +195,10 @@
 	return file
 }
 
-// start starts a controller of a version.
+// start starts controller i from the given program.
 func (d *deployment) start(i int, program string) {
 	d.t.Helper()
-	command := exec.Command(program, "--config", d.files[i]) //nolint:noctx // it is killed with the test
+	command := exec.Command(program, "--config", d.settingsFiles[i]) //nolint:noctx // it is killed with the test
 	command.Env = append(os.Environ(), "LOG_LEVEL=error")
 	command.Stderr = os.Stderr
 	if err := command.Start(); err != nil {
@@ -208,20 +209,20 @@
 	d.processes[i] = command
 }
 
-// kill ends a controller without a signal that it could handle.
+// kill kills a controller with a signal that it can't handle.
 func (d *deployment) kill(i int) {
 	d.mu.Lock()
 	command := d.processes[i]
 	d.processes[i] = nil
 	d.mu.Unlock()
 	if command != nil {
-		_ = command.Process.Kill() // it may have ended
-		_ = command.Wait()         // killed
+		_ = command.Process.Kill() // it may have exited already
+		_ = command.Wait()         // reports the kill as an error
 	}
 }
 
-// runWorker sends a machine's heartbeats to one controller, and to the next where that does not answer, until
-// ctx ends or the machine is gone.
+// runWorker sends the heartbeats of a machine to one controller, and switches to the next one if that does not
+// respond, until ctx ends or the machine is deleted.
 func (d *deployment) runWorker(ctx context.Context, m *emulator.Machine) {
 	client := &http.Client{Timeout: 4 * time.Second}
 	for at := 0; ctx.Err() == nil && !m.Gone(); {
@@ -231,7 +232,7 @@
 			continue
 		}
 		var response wire.HeartbeatResponse
-		if status := call(ctx, client, http.MethodPost, d.binds[at]+"/v1/report", heartbeat, &response); status != 200 {
+		if status := call(ctx, client, http.MethodPost, d.bindAddrs[at]+"/v1/report", heartbeat, &response); status != 200 {
 			at = (at + 1) % controllers
 			continue
 		}
@@ -239,7 +240,7 @@
 	}
 }
 
-// call sends a request and reads its answer; status 0: there is none.
+// call sends a request and decodes the response. It returns status 0 if there is no valid response.
 func call(ctx context.Context, client *http.Client, method, url string, body, answer any) (status int) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -261,64 +262,64 @@
 	return response.StatusCode
 }
 
-// ask sends a request to one controller after the other until one answers with an accepted status, and tells
-// the world what it says.
-func (d *deployment) ask(ctx context.Context, method, path string, body any) wire.JobStatus {
+// requestUntilAnswered sends a request to the controllers in turn until one responds with status 200 or 201, and
+// passes the reported job status to the world, which checks it.
+func (d *deployment) requestUntilAnswered(ctx context.Context, method, path string, body any) wire.JobStatus {
 	d.t.Helper()
 	client := &http.Client{Timeout: 5 * time.Second}
-	for at, end := 0, time.Now().Add(patience); time.Now().Before(end); at = (at + 1) % controllers {
+	for at, end := 0, time.Now().Add(waitTimeout); time.Now().Before(end); at = (at + 1) % controllers {
 		var status wire.JobStatus
-		code := call(ctx, client, method, d.binds[at]+path, body, &status)
+		code := call(ctx, client, method, d.bindAddrs[at]+path, body, &status)
 		switch {
 		case code == 200 || code == 201:
 			d.world.ObserveAnswer(status.ID, status.Status)
 			return status
 		case code >= 400 && code < 500 && code != 429:
-			d.t.Fatalf("%s %s: got status %d, want an answer or a reason to try again", method, path, code)
+			d.t.Fatalf("%s %s: got status %d, want success or a status that allows a retry", method, path, code)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
-	d.t.Fatalf("%s %s: got no answer within %v", method, path, patience)
+	d.t.Fatalf("%s %s: got no response within %v", method, path, waitTimeout)
 	return wire.JobStatus{}
 }
 
-// submit submits an array of tasks that names other jobs.
-func (d *deployment) submit(ctx context.Context, number, tasks int, names ...int) {
+// submit submits an array job that depends on other jobs.
+func (d *deployment) submit(ctx context.Context, number, tasks int, dependencies ...int) {
 	d.t.Helper()
 	spec := &wire.JobSpec{
 		ID: jobID(number), Class: "c", Team: "try", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 1, Estimate: 2, Spot: true,
 	}
-	for _, name := range names {
-		spec.Dependencies = append(spec.Dependencies, jobID(name))
+	for _, dependency := range dependencies {
+		spec.Dependencies = append(spec.Dependencies, jobID(dependency))
 	}
 	d.world.Upload(spec)
-	d.ask(ctx, http.MethodPost, "/api/jobs", spec)
+	d.requestUntilAnswered(ctx, http.MethodPost, "/api/jobs", spec)
 }
 
-// jobID returns the name of a job.
+// jobID returns the ID of a job by its number.
 func jobID(number int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", number)) }
 
-// await polls jobs until all have a status.
+// await polls jobs until all have the wanted status.
 func (d *deployment) await(ctx context.Context, want wire.Status, numbers ...int) {
 	d.t.Helper()
 	for _, number := range numbers {
 		path := "/api/jobs/" + string(jobID(number))
-		for end := time.Now().Add(patience); ; time.Sleep(pause) {
-			got := d.ask(ctx, http.MethodGet, path, nil).Status
+		for end := time.Now().Add(waitTimeout); ; time.Sleep(pollInterval) {
+			got := d.requestUntilAnswered(ctx, http.MethodGet, path, nil).Status
 			if got == want {
 				break
 			}
 			if time.Now().After(end) {
-				d.t.Fatalf("%s: got %s after %v, want %s", jobID(number), got, patience, want)
+				d.t.Fatalf("%s: got %s after %v, want %s", jobID(number), got, waitTimeout, want)
 			}
 		}
 	}
 }
 
-// format returns the format of the records.
+// format returns the format version of the stored records.
 func (d *deployment) format() int {
-	records := ledger.New(ledger.Limits{ValueBytes: usualValueBytes, TxnOps: usualTxnOps})
+	records := ledger.New(ledger.Limits{ValueBytes: initialValueBytes, TxnOps: initialTxnOps})
 	for _, item := range d.store.Items() {
 		if item.Key == ledger.FormatKey {
 			records.Apply(ledger.Event{Key: item.Key, Value: item.Value, Version: item.Version})
@@ -328,18 +329,18 @@
 	return format.Format
 }
 
-// upgradeCase is an order in which processes get the new version.
+// upgradeCase is a variant of the rolling upgrade.
 type upgradeCase struct {
-	name       string
-	order      []int
-	oldAgain   bool // a process dies before its turn and comes back with the old version
-	lowerFirst bool // the limits fall right after the last restart, else once pipelines run
+	name              string
+	order             []int // in which the controllers are upgraded
+	restartOldVersion bool  // the last controller crashes before its turn and restarts with the old version
+	lowerLimitsFirst  bool  // lower the limits right after the last upgrade, otherwise once pipelines run
 }
 
-// TestRollingUpgrade upgrades a deployment of the version in production, one process after the other, while
-// jobs run. Both versions work on each other's records; the format rises only once all have the new version;
-// pipelines are served then; and the state service comes to take only smaller values and transactions. No rule
-// is broken, and all jobs are served.
+// TestRollingUpgrade guards against a version that can't run together with the one in production. It upgrades a
+// deployment one controller at a time while jobs run, so that each version works on the records of the other. The
+// record format may be raised only once all controllers run the new version. Pipelines are then submitted, and the
+// limits of the state service are lowered. No rule may be violated, and all jobs must complete.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	production, current := buildProduction(t)
@@ -353,17 +354,17 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			d := newDeployment(ctx, t)
-			d.begin(ctx, production)
-			d.roll(ctx, tc, production, current)
-			d.runPipelines(ctx, tc.lowerFirst)
+			d.startProduction(ctx, production)
+			d.upgradeControllers(ctx, tc, production, current)
+			d.runPipelines(ctx, tc.lowerLimitsFirst)
 			cancel()
 			d.checkRules()
 		})
 	}
 }
 
-// begin starts all controllers with the version in production, and jobs.
-func (d *deployment) begin(ctx context.Context, production string) {
+// startProduction starts all controllers with the version in production and submits the first jobs.
+func (d *deployment) startProduction(ctx context.Context, production string) {
 	d.t.Helper()
 	for i := range controllers {
 		d.start(i, production)
@@ -371,25 +372,25 @@
 	for i := range 4 {
 		d.cloud.Add("small", []wire.Zone{"here", "there"}[i%2], false)
 	}
-	// 300 tasks: the record has claims for more than the new limit, and is worked on by both versions.
+	// With 300 tasks the record has more claims than the lowered limit allows, and both versions work on it.
 	d.submit(ctx, 0, 300)
 	d.submit(ctx, 1, 3)
 	d.await(ctx, wire.Done, 1)
 }
 
-// roll replaces the processes by the current version, one after the other.
-func (d *deployment) roll(ctx context.Context, tc upgradeCase, production, current string) {
+// upgradeControllers replaces the controllers by the current version, one at a time.
+func (d *deployment) upgradeControllers(ctx context.Context, tc upgradeCase, production, current string) {
 	d.t.Helper()
 	for turn, i := range tc.order {
 		d.kill(i)
-		if tc.oldAgain && turn == 1 {
+		if tc.restartOldVersion && turn == 1 {
 			last := tc.order[2]
 			d.kill(last)
 			d.start(last, production)
 		}
-		time.Sleep(3 * pause)
+		time.Sleep(3 * pollInterval)
 		if got := d.format(); got >= ledger.PipelineFormat {
-			d.t.Errorf("before the last process has the new version: got format %d, want an older one", got)
+			d.t.Errorf("got format %d before the last controller is upgraded, want an older one", got)
 		}
 		d.start(i, current)
 		d.submit(ctx, 10+i, 4)
@@ -397,7 +398,7 @@
 	}
 }
 
-// runPipelines submits pipelines, of which a part is cancelled, while the limits fall.
+// runPipelines submits pipelines and cancels a part of them while the limits are lowered.
 func (d *deployment) runPipelines(ctx context.Context, lowerFirst bool) {
 	d.t.Helper()
 	if lowerFirst {
@@ -410,20 +411,20 @@
 	d.submit(ctx, 24, 2, 23, 22)
 	d.submit(ctx, 25, 2, 24)
 	d.store.SetLimits(loweredTxnOps, loweredValueBytes)
-	d.ask(ctx, http.MethodPost, "/api/jobs/"+string(jobID(24))+"/cancel", nil)
+	d.requestUntilAnswered(ctx, http.MethodPost, "/api/jobs/"+string(jobID(24))+"/cancel", nil)
 	d.await(ctx, wire.Cancelled, 24, 25)
 	d.await(ctx, wire.Done, 0, 20, 21, 22, 23)
 }
 
-// checkRules reports broken rules once all workers have ended.
+// checkRules waits for all workers and reports the rule violations.
 func (d *deployment) checkRules() {
 	d.t.Helper()
-	d.group.Wait()
+	d.workers.Wait()
 	d.world.Check()
 	for _, rule := range d.world.Broken {
-		d.t.Errorf("broken rule: %s", rule)
+		d.t.Errorf("rule violation: %s", rule)
 	}
 	for _, problem := range d.store.Problems {
-		d.t.Errorf("beyond the limits of the state service: %s", problem)
+		d.t.Errorf("request exceeded a limit of the state service: %s", problem)
 	}
 }
