--- a/cmd/regress/own.go
+++ b/cmd/regress/own.go
@@ -96,7 +96,7 @@
 
 // runDay runs a day, prints its table and collects its failures. A day that could not be run is counted
 // as not run and does not stop the other days.
-func (r *customRun) runDay(ctx context.Context, site string, d regress.OwnDay, reason string) {
+func (r *customRun) runDay(ctx context.Context, site string, d regress.StressDay, reason string) {
 	text, failures, err := runCustomDay(ctx, site, d, reason)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +112,7 @@
 
 // makeCustomSite generates a custom site from a site file, writes it to a directory with a copy of the
 // wire.json that the bench requires, and returns its path and days.
-func makeCustomSite(path string, seeds int) (string, []regress.OwnDay, error) {
+func makeCustomSite(path string, seeds int) (string, []regress.StressDay, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return "", nil, err
@@ -121,15 +121,15 @@
 	if err := toml.Unmarshal(b, &site); err != nil {
 		return "", nil, err
 	}
-	if site, err = regress.OwnSite(site); err != nil {
+	if site, err = regress.StressSite(site); err != nil {
 		return "", nil, err
 	}
-	days, err := regress.OwnDays(site)
+	days, err := regress.StressDays(site)
 	if err != nil {
 		return "", nil, err
 	}
 	for seed := range seeds {
-		overlapDays, err := regress.MeetingDays(site, uint64(seed+1))
+		overlapDays, err := regress.OverlappingFaultDays(site, uint64(seed+1))
 		if err != nil {
 			return "", nil, err
 		}
@@ -155,7 +155,7 @@
 
 // runCustomDay runs one day and returns its table and failures. The day, the report and the bench's
 // output are written to the directory of the site.
-func runCustomDay(ctx context.Context, site string, d regress.OwnDay, reason string) (string, []string, error) {
+func runCustomDay(ctx context.Context, site string, d regress.StressDay, reason string) (string, []string, error) {
 	base := strings.TrimSuffix(site, ".toml") + "-" + d.Name
 	b, err := toml.Marshal(d.Day)
 	if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -69,7 +69,7 @@
 	files := newExampleFiles(dir)
 	world := emulator.NewWorld(cancelTimeout)
 	store := emulator.NewStore(stateTxnOps, stateValueBytes)
-	store.Seen = func(c wire.Change) {
+	store.OnPut = func(c wire.Change) {
 		if spec, ok := emulator.Spec(c); ok {
 			world.Upload(spec)
 		}
--- a/cmd/standin/worker.go
+++ b/cmd/standin/worker.go
@@ -33,7 +33,7 @@
 			return
 		}
 		if response := sendHeartbeat(ctx, client, controller, body); response != nil {
-			m.Answer(startedAt, heartbeat.Epoch, response)
+			m.HandleResponse(startedAt, heartbeat.Epoch, response)
 		}
 	}
 }
--- a/internal/controller/galleries_test.go
+++ b/internal/controller/galleries_test.go
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	g.store.Seen = g.checkChange
+	g.store.OnPut = g.checkChange
 	return g
 }
 
--- a/internal/controller/gang_placement_test.go
+++ b/internal/controller/gang_placement_test.go
@@ -83,7 +83,7 @@
 		}
 		wait.For(ctx, time.Second)
 		for id := range q.submitted {
-			if q.world.Whole(id) {
+			if q.world.GangFullyPlaced(id) {
 				q.recordPlacement(id)
 				delete(q.submitted, id)
 			}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -70,7 +70,7 @@
 // reportBrokenRules reports violated invariants of machines.
 func (cluster *testCluster) reportBrokenRules() {
 	cluster.t.Helper()
-	for _, violation := range cluster.world.Broken {
+	for _, violation := range cluster.world.Violations {
 		cluster.t.Errorf("seed %d: rule violated: %s", cluster.seed, violation)
 	}
 }
--- a/internal/controller/switch_failure_test.go
+++ b/internal/controller/switch_failure_test.go
@@ -196,7 +196,7 @@
 // waitUntilWhole waits until all gangs run completely, and reports whether they do within the given time.
 func (f *switchFailure) waitUntilWhole(seconds int) bool {
 	for range seconds {
-		if !slices.ContainsFunc(f.gangs, func(gang wire.JobID) bool { return !f.world.Whole(gang) }) {
+		if !slices.ContainsFunc(f.gangs, func(gang wire.JobID) bool { return !f.world.GangFullyPlaced(gang) }) {
 			return true
 		}
 		wait.For(f.ctx, time.Second)
--- a/internal/controller/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -49,7 +49,7 @@
 			wait.For(ctx, time.Second)
 		case cluster.responseIsLost(machine, at):
 		default:
-			machine.Answer(sentAt, heartbeat.Epoch, result.Response)
+			machine.HandleResponse(sentAt, heartbeat.Epoch, result.Response)
 		}
 	}
 }
--- a/internal/controller/workflow_steps_test.go
+++ b/internal/controller/workflow_steps_test.go
@@ -274,7 +274,8 @@
 	add(2, wire.Normal, claim+`,"of":"wf-000001"`)
 	c.set.Operators.Preempt = true
 	victims := c.scheduler.Snapshot(now).Victims(&placement.Machine{ID: "host-1"})
-	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress || victims[0].OverGuarantee != victims[1].OverGuarantee ||
+	if len(victims) != 2 || victims[0].SavesProgress != victims[1].SavesProgress ||
+		victims[0].OverGuarantee != victims[1].OverGuarantee ||
 		victims[0].RunTime != victims[1].RunTime {
 		t.Fatalf("preemption victims: got %+v, want two with the same properties", victims)
 	}
--- a/internal/controller/workflow_test.go
+++ b/internal/controller/workflow_test.go
@@ -95,7 +95,7 @@
 // executes a step when its task finishes. After each it calls onFinished with the step's job.
 func (cluster *testCluster) emulateSteps(onFinished func(wire.JobID)) {
 	cluster.stepData = new(stepdata.Mem)
-	cluster.store.Seen = func(change wire.Change) {
+	cluster.store.OnPut = func(change wire.Change) {
 		if spec, ok := emulator.Spec(change); ok {
 			cluster.world.Upload(spec)
 		}
--- a/internal/scheduler/placement/single_tasks_test.go
+++ b/internal/scheduler/placement/single_tasks_test.go
@@ -47,7 +47,7 @@
 			v.ReserveMachine(v.Machines[rng.IntN(3)].ID, v.Queue[rng.IntN(len(v.Queue))].Job.ID)
 		}
 		m := v.Machines[0]
-		want := model.OnRoom(v, m)
+		want := model.PlaceOnMachine(v, m)
 		got := map[wire.JobID]int{}
 		for _, s := range placement.PlaceOnMachine(v, m) {
 			got[s.Job.ID] += s.Count
--- a/internal/state/ledger/archive_test.go
+++ b/internal/state/ledger/archive_test.go
@@ -45,7 +45,7 @@
 		leaders: []*ledger.Ledger{ledger.New(raceLimits), ledger.New(raceLimits)},
 	}
 	if unchecked != "" {
-		r.store.Blind = map[string]bool{unchecked: true}
+		r.store.UncheckedPrefixes = map[string]bool{unchecked: true}
 	}
 	format, err := json.Marshal(ledger.FormatRecord{Format: ledger.ArchiveFormat})
 	if err != nil {
--- a/internal/state/ledger/history_test.go
+++ b/internal/state/ledger/history_test.go
@@ -54,7 +54,7 @@
 		archivedAt:      map[wire.JobID]wire.Revision{},
 	}
 	if unguardedPrefix != "" {
-		h.store.Blind = map[string]bool{unguardedPrefix: true}
+		h.store.UncheckedPrefixes = map[string]bool{unguardedPrefix: true}
 	}
 	h.state = model.Read(h.current, h.ids, h.finals, model.State{})
 	record := []byte(`{"by":"m-0","token":1}`)
--- a/internal/state/ledger/machines_test.go
+++ b/internal/state/ledger/machines_test.go
@@ -17,7 +17,7 @@
 		t.Run("without conditions on "+unguardedPrefix, func(t *testing.T) {
 			f := newFixture(limits)
 			if unguardedPrefix != "" {
-				f.store.Blind = map[string]bool{unguardedPrefix: true}
+				f.store.UncheckedPrefixes = map[string]bool{unguardedPrefix: true}
 			}
 			record := []byte(`{"by":"m-0","token":1}`)
 			if err := f.tryCommit(wire.Txn{Then: []wire.Change{{Put: ledger.LeaderKey, Value: record}}}); err != nil {
@@ -40,7 +40,7 @@
 				)
 			}
 			before := model.Read(l, []wire.JobID{j.ID}, nil, model.State{})
-			before.Marks["host-4"] = ledger.Terminated
+			before.MachinePhases["host-4"] = ledger.Terminated
 			request, err := late.Request()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/testing/emulator/machine.go
+++ b/internal/testing/emulator/machine.go
@@ -240,11 +240,11 @@
 	}
 }
 
-// Answer handles the response to a heartbeat, given the heartbeat's time and agent epoch: it renews
+// HandleResponse handles the response to a heartbeat, given the heartbeat's time and agent epoch: it renews
 // the lease as of that time and executes the commands. It ignores the response if the heartbeat is
 // older than responseTimeout or from an earlier epoch, or if the response carries a lower fencing
 // token than an earlier one.
-func (m *Machine) Answer(begun time.Time, epoch wire.AgentEpoch, p *wire.HeartbeatResponse) {
+func (m *Machine) HandleResponse(begun time.Time, epoch wire.AgentEpoch, p *wire.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/testing/emulator/store.go
+++ b/internal/testing/emulator/store.go
@@ -43,17 +43,17 @@
 // Store emulates the data of the state service: versioned items, leases, and an event log
 // of bounded length. Controllers access it through a Link.
 type Store struct {
-	// Blind holds key prefixes for which transaction conditions are not checked. Tests use it to
+	// UncheckedPrefixes holds key prefixes for which transaction conditions are not checked. Tests use it to
 	// show that they detect writes without a working precondition.
-	Blind map[string]bool
+	UncheckedPrefixes map[string]bool
 	// TxnOps is the maximum number of changes in a transaction; conditions may be four times as many.
 	TxnOps int
 	// Value is the maximum size of a value in bytes.
 	Value int
 	// Problems lists the requests that exceeded a limit.
 	Problems []string
-	// Seen, if set, is called with every put, under the store's lock.
-	Seen func(wire.Change)
+	// OnPut, if set, is called with every put, under the store's lock.
+	OnPut func(wire.Change)
 
 	mu sync.Mutex // guards the fields below, Blind and Problems
 
@@ -114,7 +114,7 @@
 
 // isUnchecked reports whether conditions on a key are ignored. s.mu is held.
 func (s *Store) isUnchecked(key string) bool {
-	for prefix := range s.Blind {
+	for prefix := range s.UncheckedPrefixes {
 		if strings.HasPrefix(key, prefix) {
 			return true
 		}
@@ -145,8 +145,8 @@
 			s.remove(c.Delete)
 			continue
 		}
-		if s.Seen != nil {
-			s.Seen(c)
+		if s.OnPut != nil {
+			s.OnPut(c)
 		}
 		v := slices.Clone(c.Value)
 		s.items[c.Put] = wire.Item{Key: c.Put, Value: v, Version: s.revision, Lease: c.Lease}
--- a/internal/testing/emulator/world.go
+++ b/internal/testing/emulator/world.go
@@ -15,8 +15,8 @@
 	TeamMax map[wire.Team]float64
 	// CancelS is how long tasks may still run after users were told that their job is cancelled.
 	CancelS time.Duration
-	// Broken lists the violations, each as the name of the rule followed by the job, task or team.
-	Broken []string
+	// Violations lists the violations, each as the name of the rule followed by the job, task or team.
+	Violations []string
 	// Starts counts the tasks started.
 	Starts int
 	// Lapsed counts the tasks that were killed because their machine's lease expired.
@@ -100,7 +100,7 @@
 }
 
 // violate records a violation. w.mu is held.
-func (w *World) violate(rule string) { w.Broken = append(w.Broken, rule) }
+func (w *World) violate(rule string) { w.Violations = append(w.Violations, rule) }
 
 // ObserveAnswer records the status of a job that a user was told. It checks that a final status does
 // not change, that all tasks of a job reported as done are done, and that a job is no longer queued or
@@ -274,8 +274,8 @@
 	return len(w.done)
 }
 
-// Whole reports whether all unfinished tasks of a gang are placed, on machines that are not hung.
-func (w *World) Whole(job wire.JobID) bool {
+// GangFullyPlaced reports whether all unfinished tasks of a gang are placed, on machines that are not hung.
+func (w *World) GangFullyPlaced(job wire.JobID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m, ok := w.gangTasks[wire.TaskID{Job: job}]
--- a/internal/testing/model/check.go
+++ b/internal/testing/model/check.go
@@ -113,8 +113,8 @@
 
 // checkMachinePhases checks that no machine returns to an earlier phase.
 func (t *transition) checkMachinePhases() {
-	for id, old := range t.before.Marks {
-		if now := t.after.Marks[id]; now != old && (old == ledger.Terminated || now == "") {
+	for id, old := range t.before.MachinePhases {
+		if now := t.after.MachinePhases[id]; now != old && (old == ledger.Terminated || now == "") {
 			t.violate("machine phase went back: %s from %s to %q", id, old, now)
 		}
 	}
@@ -156,7 +156,7 @@
 	if old.State != ledger.Active {
 		t.violate("ran_cancelled: %s/%d starts", id, index)
 	}
-	if t.before.Marks[claim.Machine] != "" {
+	if t.before.MachinePhases[claim.Machine] != "" {
 		t.violate("a start on a leaving machine: %s/%d on %s", id, index, claim.Machine)
 	}
 	if now.Spec.Zone != nil && *now.Spec.Zone != claim.Zone {
--- a/internal/testing/model/model.go
+++ b/internal/testing/model/model.go
@@ -25,8 +25,8 @@
 type State struct {
 	Jobs     map[wire.JobID]Job
 	Archived map[wire.JobID]ledger.FinalRecord
-	// Marks holds the phase of every machine that has had one; "" if it has none now.
-	Marks map[wire.MachineID]ledger.MachinePhase
+	// MachinePhases holds the phase of every machine that has had one; "" if it has none now.
+	MachinePhases map[wire.MachineID]ledger.MachinePhase
 	// InFilter holds the jobs that the ledger's filter of archived jobs contains.
 	InFilter map[wire.JobID]bool
 }
@@ -36,10 +36,10 @@
 // the specs of jobs that the ledger only has a final record of, and the machines that had a phase.
 func Read(l *ledger.Ledger, ids []wire.JobID, archive map[wire.JobID]ledger.FinalRecord, before State) State {
 	s := State{
-		Jobs:     map[wire.JobID]Job{},
-		Archived: maps.Clone(archive),
-		Marks:    map[wire.MachineID]ledger.MachinePhase{},
-		InFilter: map[wire.JobID]bool{},
+		Jobs:          map[wire.JobID]Job{},
+		Archived:      maps.Clone(archive),
+		MachinePhases: map[wire.MachineID]ledger.MachinePhase{},
+		InFilter:      map[wire.JobID]bool{},
 	}
 	for _, id := range ids {
 		may, known := l.MayBeArchived(id)
@@ -50,10 +50,10 @@
 			s.Jobs[id] = Job{Spec: before.Jobs[id].Spec, State: final.State, DoneCount: final.Done}
 		}
 	}
-	for m := range before.Marks {
-		s.Marks[m] = l.MachinePhase(m)
+	for m := range before.MachinePhases {
+		s.MachinePhases[m] = l.MachinePhase(m)
 	}
-	l.MachinePhases(func(m wire.MachineID, phase ledger.MachinePhase) { s.Marks[m] = phase })
+	l.MachinePhases(func(m wire.MachineID, phase ledger.MachinePhase) { s.MachinePhases[m] = phase })
 	return s
 }
 
--- a/internal/testing/model/model_test.go
+++ b/internal/testing/model/model_test.go
@@ -28,8 +28,10 @@
 func stateWithJob(spec wire.JobSpec, state ledger.JobState, done taskSet, claims claimSet) State {
 	spec.Team, spec.GPUs = "t", 1
 	return State{
-		Jobs:  map[wire.JobID]Job{"wk-000001": {Spec: spec, State: state, Done: done, DoneCount: len(done), Claims: claims}},
-		Marks: map[wire.MachineID]ledger.MachinePhase{"leaving": ledger.Terminating},
+		Jobs: map[wire.JobID]Job{
+			"wk-000001": {Spec: spec, State: state, Done: done, DoneCount: len(done), Claims: claims},
+		},
+		MachinePhases: map[wire.MachineID]ledger.MachinePhase{"leaving": ledger.Terminating},
 	}
 }
 
@@ -118,7 +120,7 @@
 	{"forgotten: the filter", State{}, State{Archived: withArchived(ledger.Done, 2, State{}).Archived}},
 	{
 		"machine phase went back",
-		State{Marks: map[wire.MachineID]ledger.MachinePhase{"m": ledger.Terminated}},
+		State{MachinePhases: map[wire.MachineID]ledger.MachinePhase{"m": ledger.Terminated}},
 		State{},
 	},
 	{
--- a/internal/testing/model/placement.go
+++ b/internal/testing/model/placement.go
@@ -21,13 +21,13 @@
 	deferred     map[wire.Image]int             // tasks that were not placed but wait for a machine with their image
 }
 
-// OnRoom is the reference implementation of the placement on one machine with free capacity. It
+// PlaceOnMachine is the reference implementation of the placement on one machine with free capacity. It
 // returns the number of tasks of each job to start there, and places one task at a time.
 //
 // It goes through the jobs by priority, within a priority first through those of teams within their
 // guarantee, and among these first through the overdue ones. In each of these groups it first places the
 // tasks whose image is cached or being fetched on the machine, and then those whose image may be fetched.
-func OnRoom(v *placement.Snapshot, m *placement.Machine) map[wire.JobID]int {
+func PlaceOnMachine(v *placement.Snapshot, m *placement.Machine) map[wire.JobID]int {
 	p := &machinePlan{
 		snapshot:     v,
 		machine:      m,
@@ -97,7 +97,8 @@
 		if !placedSingly(e) || p.imageAvailable(e) || !p.fits(e) {
 			continue
 		}
-		if p.fetches > 0 || p.totalFetches >= v.Limits.MaxColdStarts || fitsElsewhereByDeadline(v, m, e) > p.deferred[image] ||
+		if p.fetches > 0 || p.totalFetches >= v.Limits.MaxColdStarts ||
+			fitsElsewhereByDeadline(v, m, e) > p.deferred[image] ||
 			e.Waiting <= v.Limits.MaxColdStartDelay && fitsElsewhereNow(v, m, e) {
 			p.deferred[image] += p.remaining(e)
 			continue
--- a/internal/testing/regress/overlapping_faults.go
+++ b/internal/testing/regress/overlapping_faults.go
@@ -16,7 +16,7 @@
 type overlapDays struct {
 	rng  *rand.Rand
 	seed uint64
-	days []OwnDay
+	days []StressDay
 
 	zones       []string
 	controllers int64
@@ -27,9 +27,9 @@
 	arrays []Table // array classes without their largest jobs, reduced to two or three short tasks
 }
 
-// MeetingDays returns the days with overlapping faults of a seed for a site. It fails if the site has
+// OverlappingFaultDays returns the days with overlapping faults of a seed for a site. It fails if the site has
 // fewer than two controllers or lacks the durations of leases and cancellations.
-func MeetingDays(site Table, seed uint64) ([]OwnDay, error) {
+func OverlappingFaultDays(site Table, seed uint64) ([]StressDay, error) {
 	m, err := newOverlapDays(site, seed)
 	if err != nil {
 		return nil, fmt.Errorf("%v: %w", site["name"], err)
@@ -246,7 +246,7 @@
 	if len(jobs) > 0 {
 		d["jobs"] = asAny(jobs)
 	}
-	m.days = append(m.days, OwnDay{Name: fmt.Sprintf("%s-%d", name, m.seed), Day: d})
+	m.days = append(m.days, StressDay{Name: fmt.Sprintf("%s-%d", name, m.seed), Day: d})
 }
 
 // vary sets the variations of the most recently added day.
--- a/internal/testing/regress/regress.go
+++ b/internal/testing/regress/regress.go
@@ -138,23 +138,23 @@
 	return Day{Runs: d.Runs + 1, Figure: mean(d.Figure, p.Figure), Aims: aims}
 }
 
-// Fall is a day whose score is lower than the recorded one by more than Noise.
-type Fall struct {
+// Regression is a day whose score is lower than the recorded one by more than Noise.
+type Regression struct {
 	Site, Name string
 	Was, Is    float64
 	Aims       []string // targets whose score fell by more than Noise, the largest drop first
 }
 
 // String returns one line with the site, the day, its scores and the targets that fell.
-func (f Fall) String() string {
+func (f Regression) String() string {
 	aims := cmp.Or(strings.Join(f.Aims, "; "), "no single target")
 	return fmt.Sprintf("%s, %s: score %.3f, recorded %.3f; lower: %s", f.Site, f.Name, f.Is, f.Was, aims)
 }
 
 // Compare returns the days of now with a regression, ordered by site and name. It skips days that are
 // not recorded.
-func (r Record) Compare(now Record) []Fall {
-	var out []Fall
+func (r Record) Compare(now Record) []Regression {
+	var out []Regression
 	for _, site := range slices.Sorted(maps.Keys(now)) {
 		for _, name := range slices.Sorted(maps.Keys(now[site])) {
 			was, ok := r[site][name]
@@ -162,7 +162,7 @@
 			if !ok || was.Figure-is.Figure <= Noise {
 				continue
 			}
-			out = append(out, Fall{
+			out = append(out, Regression{
 				Site: site, Name: name,
 				Was: was.Figure, Is: is.Figure,
 				Aims: regressedAims(was.Aims, is.Aims),
--- a/internal/testing/regress/stress_days.go
+++ b/internal/testing/regress/stress_days.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// OwnDay is a simulated day for a site from StressSite.
-type OwnDay struct {
+// StressDay is a simulated day for a site from StressSite.
+type StressDay struct {
 	Name string
 	Day  Table
 }
 
 // stressDays builds the stress days, each of which has several kinds of faults at once.
 type stressDays struct {
-	days        []OwnDay
+	days        []StressDay
 	controllers int
 	zones       []any
 	classes     []string // all
@@ -22,12 +22,12 @@
 	gangs       []string // the last gang class and the class of its largest jobs
 }
 
-// OwnDays returns the stress days for a site from StressSite. It fails if the site has fewer than two
+// StressDays returns the stress days for a site from StressSite. It fails if the site has fewer than two
 // controllers, no zones, or no class of largest jobs.
-func OwnDays(site Table) ([]OwnDay, error) {
+func StressDays(site Table) ([]StressDay, error) {
 	nodes, _ := site["nodes"].(Table)
 	zones, _ := nodes["zones"].([]any)
-	o := &stressDays{days: []OwnDay{}, controllers: int(number(nodes["count"])), zones: zones}
+	o := &stressDays{days: []StressDay{}, controllers: int(number(nodes["count"])), zones: zones}
 	if o.controllers < 2 || len(o.zones) == 0 {
 		return nil, fmt.Errorf("%v: fewer than 2 controllers, or no zones", site["name"])
 	}
@@ -161,7 +161,7 @@
 	if vary != nil {
 		d["vary"] = vary
 	}
-	o.days = append(o.days, OwnDay{Name: name, Day: d})
+	o.days = append(o.days, StressDay{Name: name, Day: d})
 }
 
 // largestGangClasses returns the names of the class with the largest gangs and of the class split off from it.
--- a/internal/testing/regress/stress_site.go
+++ b/internal/testing/regress/stress_site.go
@@ -34,10 +34,10 @@
 	{"jobs", "initial"},
 }
 
-// OwnSite scales a site by growthFactor and removes its days. It splits the largest jobs of each class,
+// StressSite scales a site by growthFactor and removes its days. It splits the largest jobs of each class,
 // those of the largest listed size or else a tenth, off into a class of their own with the same targets,
 // so that reports show them separately. It modifies and returns site.
-func OwnSite(site Table) (Table, error) {
+func StressSite(site Table) (Table, error) {
 	name, _ := site["name"].(string)
 	if name == "" {
 		return nil, fmt.Errorf("site: no name")
--- a/internal/testing/regress/stress_test.go
+++ b/internal/testing/regress/stress_test.go
@@ -35,7 +35,7 @@
 // TestStressSite checks that a stress site has 1.5 times the machines and jobs of its site, the largest jobs of
 // each class in a class of their own with the same targets, and none of the site's days.
 func TestStressSite(t *testing.T) {
-	own, err := OwnSite(stressTestSite())
+	own, err := StressSite(stressTestSite())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,18 +58,18 @@
 	if !slices.ContainsFunc(tables(own["targets"]), isLargestTarget) {
 		t.Errorf("targets %v", own["targets"])
 	}
-	if _, err := OwnSite(Table{}); err == nil {
+	if _, err := StressSite(Table{}); err == nil {
 		t.Error("a site without a name was accepted")
 	}
 }
 
 // TestStressDays checks that each stress day has several faults.
 func TestStressDays(t *testing.T) {
-	own, err := OwnSite(stressTestSite())
+	own, err := StressSite(stressTestSite())
 	if err != nil {
 		t.Fatal(err)
 	}
-	days, err := OwnDays(own)
+	days, err := StressDays(own)
 	if err != nil || len(days) < 6 {
 		t.Fatalf("%d days, %v", len(days), err)
 	}
@@ -129,9 +129,9 @@
 
 // overlappingFaultDays returns the days of a seed and the kinds of all their faults. It checks that each day has
 // several faults and leaves services unchanged.
-func overlappingFaultDays(t *testing.T, seed uint64) (kinds []string, days []OwnDay) {
+func overlappingFaultDays(t *testing.T, seed uint64) (kinds []string, days []StressDay) {
 	t.Helper()
-	days, err := MeetingDays(overlappingFaultSite(), seed)
+	days, err := OverlappingFaultDays(overlappingFaultSite(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	}
 	bad := overlappingFaultSite()
 	delete(bad, "workers")
-	if _, err := MeetingDays(bad, 1); err == nil {
+	if _, err := OverlappingFaultDays(bad, 1); err == nil {
 		t.Error("a site without leases was accepted")
 	}
 }
--- a/internal/testing/upgrade/upgrade_test.go
+++ b/internal/testing/upgrade/upgrade_test.go
@@ -236,7 +236,7 @@
 			at = (at + 1) % controllers
 			continue
 		}
-		m.Answer(begun, heartbeat.Epoch, &response)
+		m.HandleResponse(begun, heartbeat.Epoch, &response)
 	}
 }
 
@@ -421,7 +421,7 @@
 	d.t.Helper()
 	d.workers.Wait()
 	d.world.Check()
-	for _, rule := range d.world.Broken {
+	for _, rule := range d.world.Violations {
 		d.t.Errorf("rule violation: %s", rule)
 	}
 	for _, problem := range d.store.Problems {
