--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -27,7 +27,7 @@
 func (h hostAdapter) Read(f func(*ledger.Ledger)) { h.c.cache.Read(f) }
 
 // Term returns the version of the leader record under which this controller is the leader, and false if
-// it is not the leader or has not synced with the state service within settings.StartContact.
+// it is not the leader or has not synced with the state service within settings.MaxSyncAge.
 func (h hostAdapter) Term() (term wire.Revision, leads bool) {
 	c := h.c
 	c.cache.Read(func(l *ledger.Ledger) {
--- a/internal/testing/controllertest/parts.go
+++ b/internal/testing/controllertest/parts.go
@@ -127,7 +127,7 @@
 	return p
 }
 
-// callbacks implements watchcache.Follower and policymanager.Host for a controller that never becomes the
+// callbacks implements watchcache.Listener and policymanager.Host for a controller that never becomes the
 // leader and has no peers.
 type callbacks struct{ p *Parts }
 
--- a/internal/testing/emulator/store.go
+++ b/internal/testing/emulator/store.go
@@ -55,7 +55,7 @@
 	// OnPut, if set, is called with every put, under the store's lock.
 	OnPut func(wire.Change)
 
-	mu sync.Mutex // guards the fields below, Blind and Problems
+	mu sync.Mutex // guards the fields below, UncheckedPrefixes and Problems
 
 	revision    wire.Revision
 	items       map[string]wire.Item
